--- a/internal/standin/engine/role.go
+++ b/internal/standin/engine/role.go
@@ -72,17 +72,17 @@
 
 // other is the spec of the role that the engine does not have now, or nil.
 func (s *Server) other() *Spec {
-	if s.cfg.Other == nil {
+	if s.cfg.OtherRole == nil {
 		return nil
 	}
 	if s.role.Swap {
 		return &s.cfg.Spec
 	}
-	return s.cfg.Other
+	return s.cfg.OtherRole
 }
 
 func (s *Server) standing() engine.Role {
-	r := engine.Role{Role: stageOf(s.spec.Load()), Epoch: s.role.Epoch, Phase: s.role.Phase, Since: s.since, Other: s.cfg.Other != nil}
+	r := engine.Role{Role: stageOf(s.spec.Load()), Epoch: s.role.Epoch, Phase: s.role.Phase, Since: s.since, Other: s.cfg.OtherRole != nil}
 	if r.Phase != engine.PhaseSteady {
 		r.To = s.role.To
 	}
