--- a/internal/standin/engine/role.go
+++ b/internal/standin/engine/role.go
@@ -157,7 +157,7 @@
 		}
 		s.mu.Unlock()
 	}
-	pause(l.ctx, s.cfg.Change)
+	pause(l.ctx, s.cfg.RoleChangeTime)
 	for { // a hanging change goes on when the fault is over
 		s.mu.Lock()
 		hangs := s.faults.largest("role_hang", -1, time.Now()) >= 0
--- a/internal/standin/engine/role_test.go
+++ b/internal/standin/engine/role_test.go
@@ -19,7 +19,7 @@
 	t.Helper()
 	read, write := Prefill(), Decode()
 	read.ReadPerS, write.Step = 2000, time.Millisecond
-	s := New(Config{Name: "e", Addr: "127.0.0.1:0", Spec: read, OtherRole: &write, Change: 10 * time.Millisecond, Seed: 1}, nil)
+	s := New(Config{Name: "e", Addr: "127.0.0.1:0", Spec: read, OtherRole: &write, RoleChangeTime: 10 * time.Millisecond, Seed: 1}, nil)
 	if err := s.Start(); err != nil {
 		t.Fatal(err)
 	}
