--- a/internal/standin/engine/role.go
+++ b/internal/standin/engine/role.go
@@ -188,7 +188,7 @@
 	s.since = now
 	old := l.model
 	l.model = newModel(*s.spec.Load(), now, true)
-	if s.cfg.Keeps {
+	if s.cfg.KeepsPrefixCache {
 		l.model.cache, l.model.lru, l.model.cached = old.cache, old.lru, old.cached
 	}
 	l.reports = nil
--- a/internal/standin/engine/server.go
+++ b/internal/standin/engine/server.go
@@ -33,18 +33,18 @@
 
 // Config is what a Server is made of.
 type Config struct {
-	Name           string
-	Addr           string // where it listens; port 0 takes a free one and keeps it over restarts
-	Cell           string
-	Spec           Spec
-	OtherRole      *Spec         // what it can do in its other role; nil: it has but one
-	RoleChangeTime time.Duration // that a change of role takes, once it is empty
-	Keeps          bool          // it keeps prefixes over a change
-	Link           *Link         // of the cell, shared by its engines; nil: as fast as the port
-	Seed           uint64
-	Cold           bool       // starts cold
-	Record         *audit.Log // nil: none
-	Log            *slog.Logger
+	Name             string
+	Addr             string // where it listens; port 0 takes a free one and keeps it over restarts
+	Cell             string
+	Spec             Spec
+	OtherRole        *Spec         // what it can do in its other role; nil: it has but one
+	RoleChangeTime   time.Duration // that a change of role takes, once it is empty
+	KeepsPrefixCache bool          // it keeps prefixes over a change
+	Link             *Link         // of the cell, shared by its engines; nil: as fast as the port
+	Seed             uint64
+	Cold             bool       // starts cold
+	Record           *audit.Log // nil: none
+	Log              *slog.Logger
 }
 
 // Link is the one link out of a cell. Moves share it evenly, since each takes it for one chunk at a time.
