--- a/cmd/mintdoor/engine.go
+++ b/cmd/mintdoor/engine.go
@@ -58,7 +58,7 @@
 			set("read", func() { spec.ReadPerS = read })
 			spec.Faster(speed)
 			log := logging.New(os.Stderr, "text", slog.LevelInfo, 100)
-			e := standin.New(standin.Config{Name: name, Addr: listen, Cell: cell, Spec: spec, Seed: seed, Cold: cold, Log: log}, nil)
+			e := standin.New(standin.Config{Name: name, Addr: listen, Cell: cell, Spec: spec, Seed: seed, StartCold: cold, Log: log}, nil)
 			if err := e.Start(); err != nil {
 				return err
 			}
--- a/internal/standin/engine/server.go
+++ b/internal/standin/engine/server.go
@@ -42,7 +42,7 @@
 	KeepsPrefixCache bool          // it keeps prefixes over a change
 	Link             *Link         // of the cell, shared by its engines; nil: as fast as the port
 	Seed             uint64
-	Cold             bool       // starts cold
+	StartCold        bool       // starts cold
 	Record           *audit.Log // nil: none
 	Log              *slog.Logger
 }
@@ -179,7 +179,7 @@
 func (s *Server) Start() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.startLocked(s.cfg.Cold)
+	return s.startLocked(s.cfg.StartCold)
 }
 
 func (s *Server) startLocked(cold bool) error {
