--- a/internal/standin/engine/server.go
+++ b/internal/standin/engine/server.go
@@ -43,7 +43,7 @@
 	Link             *Link         // of the cell, shared by its engines; nil: as fast as the port
 	Seed             uint64
 	StartCold        bool       // starts cold
-	Record           *audit.Log // nil: none
+	AuditLog         *audit.Log // nil: none
 	Log              *slog.Logger
 }
 
@@ -221,7 +221,7 @@
 	if !cold {
 		rec.At -= int64(spec.ColdFor)
 	}
-	s.cfg.Record.Add(rec)
+	s.cfg.AuditLog.Add(rec)
 }
 
 // Addr is where the engine listens.
@@ -381,7 +381,7 @@
 }
 
 func (s *Server) record(what audit.What, st *state, note string) {
-	s.cfg.Record.Add(audit.Record{Who: s.cfg.Name, What: what, ID: st.attempt, Client: st.client,
+	s.cfg.AuditLog.Add(audit.Record{Who: s.cfg.Name, What: what, ID: st.attempt, Client: st.client,
 		Router: st.router, Note: note})
 }
 
@@ -532,7 +532,7 @@
 }
 
 func (a *attempt) record(what audit.What, note string) {
-	a.l.s.cfg.Record.Add(audit.Record{Who: a.l.s.cfg.Name, What: what, ID: a.id, Client: a.p.Client,
+	a.l.s.cfg.AuditLog.Add(audit.Record{Who: a.l.s.cfg.Name, What: what, ID: a.id, Client: a.p.Client,
 		Router: a.router, Class: a.p.Class, Stage: a.p.Stage, Work: a.l.s.spec.Load().meanWork(), Note: note})
 }
 
@@ -553,7 +553,7 @@
 	fallen, drained := l.model.fallen, l.s.drained || l.s.role.Phase != engine.PhaseSteady
 	if fallen && !l.silent {
 		l.silent = true
-		l.s.cfg.Record.Add(audit.Record{Who: l.s.cfg.Name, What: audit.Fell})
+		l.s.cfg.AuditLog.Add(audit.Record{Who: l.s.cfg.Name, What: audit.Fell})
 	}
 	l.s.mu.Unlock()
 	role := a.p.Stage == engine.StagePrefill && l.s.spec.Load().Role&decide.Reader == 0 ||
@@ -1066,7 +1066,7 @@
 		l.model.leave(q)
 		l.s.mu.Unlock()
 		l.signal()
-		l.s.cfg.Record.Add(audit.Record{Who: l.s.cfg.Name, What: audit.Ended, ID: a.id, Client: a.p.Client,
+		l.s.cfg.AuditLog.Add(audit.Record{Who: l.s.cfg.Name, What: audit.Ended, ID: a.id, Client: a.p.Client,
 			Router: a.router, Class: a.p.Class, Stage: a.p.Stage, N: float64(q.written), Note: note})
 	}
 	for {
--- a/internal/standin/fleet/fleet.go
+++ b/internal/standin/fleet/fleet.go
@@ -95,7 +95,7 @@
 		for i := range g.Count {
 			m := &Member{Name: fmt.Sprintf("%s%d", g.Prefix, i+1), Group: g, Cell: f.cfg.Cells[i%len(f.cfg.Cells)]}
 			m.Engine = standin.New(standin.Config{Name: m.Name, Addr: "127.0.0.1:0", Cell: m.Cell, Spec: g.Spec,
-				OtherRole: g.Other, RoleChangeTime: g.Change, Link: links[m.Cell], Seed: cfg.Seed + uint64(len(f.members)), Record: cfg.Record, Log: cfg.Log},
+				OtherRole: g.Other, RoleChangeTime: g.Change, Link: links[m.Cell], Seed: cfg.Seed + uint64(len(f.members)), AuditLog: cfg.Record, Log: cfg.Log},
 				func(since time.Time) { f.started(m, since) })
 			f.members = append(f.members, m)
 			if err := m.Engine.Start(); err != nil {
