--- a/internal/standin/engine/server.go
+++ b/internal/standin/engine/server.go
@@ -49,11 +49,11 @@
 
 // Link is the one link out of a cell. Moves share it evenly, since each takes it for one chunk at a time.
 type Link struct {
-	mu    sync.Mutex
-	free  time.Time
-	PerS  float64 // tokens a second
-	slow  float64
-	until time.Time
+	mu              sync.Mutex
+	free            time.Time
+	TokensPerSecond float64 // tokens a second
+	slow            float64
+	until           time.Time
 }
 
 // Slow makes the link so many times slower for a while.
@@ -67,7 +67,7 @@
 func (l *Link) take(ctx context.Context, tokens float64) {
 	l.mu.Lock()
 	now := time.Now()
-	perS := l.PerS
+	perS := l.TokensPerSecond
 	if now.Before(l.until) {
 		perS /= max(l.slow, 1)
 	}
--- a/internal/standin/fleet/fleet.go
+++ b/internal/standin/fleet/fleet.go
@@ -87,7 +87,7 @@
 	links := map[string]*standin.Link{}
 	for _, c := range f.cfg.Cells {
 		if cfg.LinkPS > 0 {
-			links[c] = &standin.Link{PerS: cfg.LinkPS}
+			links[c] = &standin.Link{TokensPerSecond: cfg.LinkPS}
 		}
 	}
 	for gi := range f.cfg.Groups {
