--- a/internal/standin/engine/server.go
+++ b/internal/standin/engine/server.go
@@ -56,8 +56,8 @@
 	until           time.Time
 }
 
-// Slow makes the link so many times slower for a while.
-func (l *Link) Slow(times float64, d time.Duration) {
+// SlowDown makes the link so many times slower for a while.
+func (l *Link) SlowDown(times float64, d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.slow, l.until = times, time.Now().Add(d)
@@ -350,7 +350,7 @@
 		})
 	case "origin_slow":
 		if s.cfg.Link != nil {
-			s.cfg.Link.Slow(f.Size, f.For)
+			s.cfg.Link.SlowDown(f.Size, f.For)
 		}
 		s.faults.add(f, time.Now())
 	default:
