--- a/internal/standin/engine/server.go
+++ b/internal/standin/engine/server.go
@@ -231,8 +231,8 @@
 	return s.addr
 }
 
-// Since is its last start; the zero time when it started warm.
-func (s *Server) Since() time.Time {
+// ColdStart is its last start; the zero time when it started warm.
+func (s *Server) ColdStart() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.since
