--- a/internal/standin/engine/server.go
+++ b/internal/standin/engine/server.go
@@ -238,8 +238,8 @@
 	return s.since
 }
 
-// Up tells whether it runs.
-func (s *Server) Up() bool {
+// Running tells whether it runs.
+func (s *Server) Running() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.life != nil
