--- a/internal/standin/engine/role_test.go
+++ b/internal/standin/engine/role_test.go
@@ -143,7 +143,7 @@
 	} {
 		t.Run(c.fault, func(t *testing.T) {
 			s, client := changeable(t)
-			if err := s.Play(Fault{Kind: c.fault, For: time.Hour, Size: 0.001}); err != nil {
+			if err := s.InjectFault(Fault{Kind: c.fault, For: time.Hour, Size: 0.001}); err != nil {
 				t.Fatal(err)
 			}
 			if _, ok, err := client.ChangeRole(t.Context(), s.Addr(), &engine.RoleChange{To: engine.StageDecode, Epoch: 1}); ok != c.grant || err != nil {
--- a/internal/standin/engine/server.go
+++ b/internal/standin/engine/server.go
@@ -312,8 +312,8 @@
 	s.drained = true
 }
 
-// Play begins a fault.
-func (s *Server) Play(f Fault) error {
+// InjectFault begins a fault.
+func (s *Server) InjectFault(f Fault) error {
 	if err := f.Check(); err != nil {
 		return err
 	}
@@ -478,7 +478,7 @@
 		var f Fault
 		err := kserve.Decode(http.MaxBytesReader(w, r.Body, 4096), &f)
 		if err == nil {
-			err = l.s.Play(f)
+			err = l.s.InjectFault(f)
 		}
 		if err != nil {
 			writeJSON(w, http.StatusBadRequest, kserve.ErrorResponse{Error: err.Error()})
--- a/internal/standin/fleet/fleet.go
+++ b/internal/standin/fleet/fleet.go
@@ -212,7 +212,7 @@
 
 // Play plays a fault on an engine and, late, in the list.
 func (f *Fleet) Play(m *Member, fault standin.Fault) error {
-	if err := m.Engine.Play(fault); err != nil {
+	if err := m.Engine.InjectFault(fault); err != nil {
 		return err
 	}
 	gone := func(m *Member) { m.listed = false }
