--- a/internal/e2e/hard_test.go
+++ b/internal/e2e/hard_test.go
@@ -199,7 +199,7 @@
 	}()
 	w.eventually("the writer keeps silent", func() bool { return w.seen(audit.Turned, "silence") == 1 })
 	w.fleet.Member("p1").Engine.Crash(time.Millisecond)
-	w.fleet.Member("d1").Engine.Clear("")
+	w.fleet.Member("d1").Engine.ClearFaults("")
 	a := <-done
 	if a.status == 200 && a.tokens != 2 {
 		t.Errorf("%+v", a)
--- a/internal/e2e/shift_test.go
+++ b/internal/e2e/shift_test.go
@@ -179,7 +179,7 @@
 					t.Errorf("%v changes are done while all hang", n)
 				}
 				for _, m := range w.fleet.Members() {
-					m.Engine.Clear("role_hang")
+					m.Engine.ClearFaults("role_hang")
 				}
 				w.eventually("the change that hung is done, and all are steady", func() bool {
 					r := w.roles()
--- a/internal/standin/engine/role_test.go
+++ b/internal/standin/engine/role_test.go
@@ -151,7 +151,7 @@
 			}
 			if c.fault == "role_hang" {
 				until(t, s, client, "it changes", func(r engine.Role) bool { return r.Phase == engine.PhaseChanging })
-				s.Clear("")
+				s.ClearFaults("")
 			}
 			until(t, s, client, "it is steady", func(r engine.Role) bool {
 				return steady(r) && r.Role == c.role && r.Epoch == c.epoch && (c.fault != "role_die" || !r.Since.IsZero())
--- a/internal/standin/engine/server.go
+++ b/internal/standin/engine/server.go
@@ -359,8 +359,8 @@
 	return nil
 }
 
-// Clear ends the faults of a kind, or all with "".
-func (s *Server) Clear(kind string) {
+// ClearFaults ends the faults of a kind, or all with "".
+func (s *Server) ClearFaults(kind string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults.clear(kind)
