--- a/internal/day/run.go
+++ b/internal/day/run.go
@@ -305,7 +305,7 @@
 	for end := time.Now().Add(2*p.s.LetGoWithin + time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		left := 0
 		for _, m := range p.fleet.Members() {
-			sequences, held := m.Engine.Holding()
+			sequences, held := m.Engine.Occupancy()
 			left += sequences + held
 		}
 		if left == 0 {
--- a/internal/e2e/e2e_test.go
+++ b/internal/e2e/e2e_test.go
@@ -267,7 +267,7 @@
 	w.eventually("the table is empty", func() bool { return w.daemon.Router.Stats().Open == 0 })
 	w.eventually("engines hold nothing", func() bool {
 		for _, m := range w.fleet.Members() {
-			if sequences, states := m.Engine.Holding(); sequences+states > 0 {
+			if sequences, states := m.Engine.Occupancy(); sequences+states > 0 {
 				return false
 			}
 		}
--- a/internal/e2e/hard_test.go
+++ b/internal/e2e/hard_test.go
@@ -566,7 +566,7 @@
 	}
 	w.eventually("engines hold nothing", func() bool {
 		for _, m := range members {
-			if sequences, held := m.Engine.Holding(); sequences+held > 0 {
+			if sequences, held := m.Engine.Occupancy(); sequences+held > 0 {
 				return false
 			}
 		}
--- a/internal/standin/engine/role_test.go
+++ b/internal/standin/engine/role_test.go
@@ -57,7 +57,7 @@
 	}
 	running := make(chan engine.Result, 1)
 	go func() { running <- c.Prefill(t.Context(), s.Addr(), readCall("a")) }()
-	for n := 0; n == 0; n, _ = s.Holding() {
+	for n := 0; n == 0; n, _ = s.Occupancy() {
 		time.Sleep(time.Millisecond)
 	}
 	// Many ask at once: one is granted, and an old epoch never is.
@@ -115,7 +115,7 @@
 	q := readCall("a")
 	q.Params.PromptTokens = 20000 // ten seconds: it does not empty by itself
 	go func() { done <- c.Prefill(ctx, s.Addr(), q) }()
-	for n := 0; n == 0; n, _ = s.Holding() {
+	for n := 0; n == 0; n, _ = s.Occupancy() {
 		time.Sleep(time.Millisecond)
 	}
 	c.ChangeRole(t.Context(), s.Addr(), &engine.RoleChange{To: engine.StageDecode, Epoch: 1})
--- a/internal/standin/engine/server.go
+++ b/internal/standin/engine/server.go
@@ -1133,8 +1133,8 @@
 
 func word(n int) string { return words[(n-1)%len(words)] + " " }
 
-// Holding tells how many sequences and how many states and places the engine holds now.
-func (s *Server) Holding() (sequences, held int) {
+// Occupancy tells how many sequences and how many states and places the engine holds now.
+func (s *Server) Occupancy() (sequences, held int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.life == nil {
