--- a/decide/decide.go
+++ b/decide/decide.go
@@ -127,9 +127,9 @@
 		servers: map[ServerID]*server{}, requests: map[RequestID]*request{}, room: map[int]float64{}}
 	r.leastAim = math.MaxInt64
 	for _, c := range set.Classes {
-		r.leastAim = min(r.leastAim, c.Aim)
+		r.leastAim = min(r.leastAim, c.FirstTokenTarget)
 		r.mostWorth = max(r.mostWorth, c.Worth)
-		r.work = append(r.work, classWork{prompt: thousand, answer: float64(c.Aim)})
+		r.work = append(r.work, classWork{prompt: thousand, answer: float64(c.FirstTokenTarget)})
 	}
 	r.again, r.many = againMost, set.Routers > 2*fewRouters
 	r.tenants = make([]tenant, len(set.Tenants))
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -40,8 +40,8 @@
 	if s.LetGoWithin != 300*time.Millisecond || s.MaxBody != 64<<10 || s.AttemptLimit != 6 {
 		t.Errorf("values or defaults are off: %+v", s)
 	}
-	if len(s.Classes) != 2 || s.Classes[0].Aim != 1200*1e6 || s.Classes[1].Repeat != decide.Unsafe ||
-		s.Classes[1].Aim != decide.Second {
+	if len(s.Classes) != 2 || s.Classes[0].FirstTokenTarget != 1200*1e6 || s.Classes[1].Repeat != decide.Unsafe ||
+		s.Classes[1].FirstTokenTarget != decide.Second {
 		t.Errorf("classes: %+v", s.Classes)
 	}
 	if s.Kinds[0].Memory != 280e3 || s.Kinds[0].Role != decide.Reader || s.TenantIndex("Saddar hall") != 0 {
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -378,7 +378,7 @@
 		into(Duration, func(t *target) *time.Duration { return &t.set.Shift.Rest })},
 
 	{"class", "aim", "1s", false, "first token wanted within this",
-		into(span, func(t *target) *decide.Duration { return &t.class.Aim })},
+		into(span, func(t *target) *decide.Duration { return &t.class.FirstTokenTarget })},
 	{"class", "aim-per-1000", "40ms", false, "and so much more for each thousand prompt tokens",
 		into(span, func(t *target) *decide.Duration { return &t.class.AimPerK })},
 	{"class", "deadline", "4s", false, "given up after this without a first token, where the client tells no deadline",
@@ -567,9 +567,9 @@
 	}
 	errs = append(errs, s.checkShift(at)...)
 	for _, c := range s.Classes {
-		if c.Deadline < c.Aim {
+		if c.Deadline < c.FirstTokenTarget {
 			errs.Add(at("class "+c.Name), "class %s: its deadline %v is under its aim %v", c.Name,
-				time.Duration(c.Deadline), time.Duration(c.Aim))
+				time.Duration(c.Deadline), time.Duration(c.FirstTokenTarget))
 		}
 	}
 	return errs
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -159,7 +159,7 @@
 	for i := 0; i < n && p.err == nil; i++ {
 		at := func(key string) string { return fmt.Sprintf("requestClasses.%d.%s", i, key) }
 		c := decide.Class{
-			Aim: p.time(at("aimNs")), Deadline: p.time(at("deadlineNs")),
+			FirstTokenTarget: p.time(at("aimNs")), Deadline: p.time(at("deadlineNs")),
 			Worth: p.optional(at("value"), 1), LateWorth: p.optional(at("lateWorth"), 0),
 			Window: decide.Duration(p.optional(at("windowNs"), 0)),
 		}
