--- a/decide/api.go
+++ b/decide/api.go
@@ -67,15 +67,15 @@
 
 // Class is what the settings say of one class of requests.
 type Class struct {
-	FirstTokenTarget Duration // first token wanted within this time ...
-	AimPerK          Duration // ... plus this for each thousand prompt tokens
-	Deadline         Duration
-	TokenAim         Duration // wanted time between tokens
-	Worth            float64
-	LateWorth        float64
-	Repeat           Repeat
-	Scope            Scope
-	Window           Duration // how long repeats of a keyed request are dropped
+	FirstTokenTarget     Duration // first token wanted within this time ...
+	FirstTokenTargetPerK Duration // ... plus this for each thousand prompt tokens
+	Deadline             Duration
+	TokenAim             Duration // wanted time between tokens
+	Worth                float64
+	LateWorth            float64
+	Repeat               Repeat
+	Scope                Scope
+	Window               Duration // how long repeats of a keyed request are dropped
 }
 
 // Kind is what the settings say of one kind of machine.
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -380,7 +380,7 @@
 	{"class", "aim", "1s", false, "first token wanted within this",
 		into(span, func(t *target) *decide.Duration { return &t.class.FirstTokenTarget })},
 	{"class", "aim-per-1000", "40ms", false, "and so much more for each thousand prompt tokens",
-		into(span, func(t *target) *decide.Duration { return &t.class.AimPerK })},
+		into(span, func(t *target) *decide.Duration { return &t.class.FirstTokenTargetPerK })},
 	{"class", "deadline", "4s", false, "given up after this without a first token, where the client tells no deadline",
 		into(span, func(t *target) *decide.Duration { return &t.class.Deadline })},
 	{"class", "token-aim", "60ms", false, "wanted time between tokens",
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -192,7 +192,7 @@
 	}
 	j.Hint = time.Duration(hint * float64(c.TokenAim))
 	// Without a word of the client the class's deadline holds, and long prompts get twice what their aim gets.
-	patience := time.Duration(float64(c.Deadline) + 2*float64(c.AimPerK)*j.PromptTokens/1000)
+	patience := time.Duration(float64(c.Deadline) + 2*float64(c.FirstTokenTargetPerK)*j.PromptTokens/1000)
 	if within > 0 {
 		patience = time.Duration(min(within*1e6, float64(MaxDeadline)))
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -164,7 +164,7 @@
 			Window: decide.Duration(p.optional(at("windowNs"), 0)),
 		}
 		if i < len(perK) {
-			c.AimPerK = decide.Duration(perK[i] * 1000)
+			c.FirstTokenTargetPerK = decide.Duration(perK[i] * 1000)
 		}
 		if i < len(token) {
 			c.TokenAim = decide.Duration(token[i])
--- a/internal/sim/node.go
+++ b/internal/sim/node.go
@@ -436,7 +436,7 @@
 		if out == decide.Served {
 			c := &s.cfg.Settings.Classes[e.Class]
 			worth := c.Worth
-			aim := time.Duration(c.FirstTokenTarget) + time.Duration(float64(c.AimPerK)*float64(e.Prompt)/1000)
+			aim := time.Duration(c.FirstTokenTarget) + time.Duration(float64(c.FirstTokenTargetPerK)*float64(e.Prompt)/1000)
 			if f.began-f.asked > aim {
 				worth *= c.LateWorth
 				s.res.Late++
