--- a/decide/api.go
+++ b/decide/api.go
@@ -70,7 +70,7 @@
 	FirstTokenTarget     Duration // first token wanted within this time ...
 	FirstTokenTargetPerK Duration // ... plus this for each thousand prompt tokens
 	Deadline             Duration
-	TokenAim             Duration // wanted time between tokens
+	TokenIntervalTarget  Duration // wanted time between tokens
 	Worth                float64
 	LateWorth            float64
 	Repeat               Repeat
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -27,7 +27,7 @@
 // settings has one class of each kind of repeat, a reader kind 0 and a writer kind 1.
 func settings() *Settings {
 	class := func(rep Repeat, scope Scope) Class {
-		return Class{FirstTokenTarget: Second, FirstTokenTargetPerK: 40 * ms, Deadline: 4 * Second, TokenAim: 60 * ms, Worth: 1,
+		return Class{FirstTokenTarget: Second, FirstTokenTargetPerK: 40 * ms, Deadline: 4 * Second, TokenIntervalTarget: 60 * ms, Worth: 1,
 			Repeat: rep, Scope: scope, Window: 2 * Second}
 	}
 	return &Settings{
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -384,7 +384,7 @@
 	{"class", "deadline", "4s", false, "given up after this without a first token, where the client tells no deadline",
 		into(span, func(t *target) *decide.Duration { return &t.class.Deadline })},
 	{"class", "token-aim", "60ms", false, "wanted time between tokens",
-		into(span, func(t *target) *decide.Duration { return &t.class.TokenAim })},
+		into(span, func(t *target) *decide.Duration { return &t.class.TokenIntervalTarget })},
 	{"class", "worth", "1", false, "worth of a request in time",
 		into(Number, func(t *target) *float64 { return &t.class.Worth })},
 	{"class", "late-worth", "0.2", false, "part of its worth when it is late",
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -167,7 +167,7 @@
 			c.FirstTokenTargetPerK = decide.Duration(perK[i] * 1000)
 		}
 		if i < len(token) {
-			c.TokenAim = decide.Duration(token[i])
+			c.TokenIntervalTarget = decide.Duration(token[i])
 		}
 		switch v := p.values[at("repeat")]; v {
 		case "safe":
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -71,7 +71,7 @@
 	if !reflect.DeepEqual(a, b) {
 		t.Errorf("nested %+v %+v\nflat %+v %+v", a, a.Decide, b, b.Decide)
 	}
-	if c := a.Decide.Classes[0]; c.FirstTokenTarget != 1200e6 || c.FirstTokenTargetPerK != 40e6 || c.TokenAim != 60e6 || a.Classes[0] != "price-ask" {
+	if c := a.Decide.Classes[0]; c.FirstTokenTarget != 1200e6 || c.FirstTokenTargetPerK != 40e6 || c.TokenIntervalTarget != 60e6 || a.Classes[0] != "price-ask" {
 		t.Errorf("%+v", c)
 	}
 	if k := a.Decide.Kinds; len(k) != 2 || k[1] != (decide.Kind{Role: decide.Writer, Memory: 138916}) {
