--- a/decide/admission.go
+++ b/decide/admission.go
@@ -56,7 +56,7 @@
 	if writer.share < 0 {
 		return chance
 	}
-	spare := fullSpare * r.set.Classes[q.job.Class].Worth / max(r.mostWorth, 1e-9)
+	spare := fullSpare * r.set.Classes[q.job.Class].Value / max(r.mostWorth, 1e-9)
 	if excess {
 		spare = -excessRoom
 	}
--- a/decide/api.go
+++ b/decide/api.go
@@ -71,7 +71,7 @@
 	FirstTokenTargetPerK Duration // ... plus this for each thousand prompt tokens
 	Deadline             Duration
 	TokenIntervalTarget  Duration // wanted time between tokens
-	Worth                float64
+	Value                float64
 	LateWorth            float64
 	Repeat               Repeat
 	Scope                Scope
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -128,7 +128,7 @@
 	r.leastAim = math.MaxInt64
 	for _, c := range set.Classes {
 		r.leastAim = min(r.leastAim, c.FirstTokenTarget)
-		r.mostWorth = max(r.mostWorth, c.Worth)
+		r.mostWorth = max(r.mostWorth, c.Value)
 		r.work = append(r.work, classWork{prompt: thousand, answer: float64(c.FirstTokenTarget)})
 	}
 	r.again, r.many = againMost, set.Routers > 2*fewRouters
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -27,7 +27,7 @@
 // settings has one class of each kind of repeat, a reader kind 0 and a writer kind 1.
 func settings() *Settings {
 	class := func(rep Repeat, scope Scope) Class {
-		return Class{FirstTokenTarget: Second, FirstTokenTargetPerK: 40 * ms, Deadline: 4 * Second, TokenIntervalTarget: 60 * ms, Worth: 1,
+		return Class{FirstTokenTarget: Second, FirstTokenTargetPerK: 40 * ms, Deadline: 4 * Second, TokenIntervalTarget: 60 * ms, Value: 1,
 			Repeat: rep, Scope: scope, Window: 2 * Second}
 	}
 	return &Settings{
@@ -571,7 +571,7 @@
 	refused := func(class int, share float64) (n int) {
 		set := settings()
 		set.Classes[1] = set.Classes[0]
-		set.Classes[1].Worth = 3
+		set.Classes[1].Value = 3
 		w := newWorld(t, set, fleet())
 		for _, s := range w.r.order {
 			s.share = share
--- a/decide/names_test.go
+++ b/decide/names_test.go
@@ -20,7 +20,7 @@
 	set := settings()
 	set.Routers, set.Probing, set.ProbeFee = routers, true, 0.002
 	classes := []Class{set.Classes[safe], set.Classes[unsafeClass]}
-	classes[1].Worth, classes[1].FirstTokenTarget = 3, 2*Second
+	classes[1].Value, classes[1].FirstTokenTarget = 3, 2*Second
 	kinds := []Kind{{Role: Reader, Memory: 200e3}, {Role: Writer, Memory: 150e3}, {Role: Both, Memory: 100e3}}
 	tenants := []Tenant{{PerSecond: 40}, {PerSecond: 8}}
 	set.Classes, set.Kinds, set.Tenants = make([]Class, 2), make([]Kind, 3), make([]Tenant, 2)
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -386,7 +386,7 @@
 	{"class", "token-aim", "60ms", false, "wanted time between tokens",
 		into(span, func(t *target) *decide.Duration { return &t.class.TokenIntervalTarget })},
 	{"class", "worth", "1", false, "worth of a request in time",
-		into(Number, func(t *target) *float64 { return &t.class.Worth })},
+		into(Number, func(t *target) *float64 { return &t.class.Value })},
 	{"class", "late-worth", "0.2", false, "part of its worth when it is late",
 		into(within(Number, 0, 1), func(t *target) *float64 { return &t.class.LateWorth })},
 	{"class", "repeat", "safe", false, "safe, keyed or unsafe: what a repeat does after an attempt that may have run",
--- a/internal/sim/node.go
+++ b/internal/sim/node.go
@@ -435,7 +435,7 @@
 		}
 		if out == decide.Served {
 			c := &s.cfg.Settings.Classes[e.Class]
-			worth := c.Worth
+			worth := c.Value
 			aim := time.Duration(c.FirstTokenTarget) + time.Duration(float64(c.FirstTokenTargetPerK)*float64(e.Prompt)/1000)
 			if f.began-f.asked > aim {
 				worth *= c.LateWorth
--- a/internal/sim/sim.go
+++ b/internal/sim/sim.go
@@ -230,7 +230,7 @@
 	s.after(e.At-s.now, func() {
 		s.arrival(i + 1)
 		s.res.Asked++
-		s.partOf(e.At).asked += s.cfg.Settings.Classes[e.Class].Worth
+		s.partOf(e.At).asked += s.cfg.Settings.Classes[e.Class].Value
 		if n := s.pick(); n != nil {
 			n.arrive(e)
 		} else {
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -270,7 +270,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := decide.Class{FirstTokenTarget: 1e9, FirstTokenTargetPerK: 40e6, Deadline: 4e9, TokenIntervalTarget: 60e6, Worth: 1,
+	want := decide.Class{FirstTokenTarget: 1e9, FirstTokenTargetPerK: 40e6, Deadline: 4e9, TokenIntervalTarget: 60e6, Value: 1,
 		Repeat: decide.Keyed, Scope: decide.ScopeZone, Window: 5e9}
 	if !reflect.DeepEqual(s.Classes, []decide.Class{want}) {
 		t.Errorf("classes: %+v", s.Classes)
