--- a/decide/api.go
+++ b/decide/api.go
@@ -72,7 +72,7 @@
 	Deadline             Duration
 	TokenIntervalTarget  Duration // wanted time between tokens
 	Value                float64
-	LateWorth            float64
+	LateValue            float64
 	Repeat               Repeat
 	Scope                Scope
 	Window               Duration // how long repeats of a keyed request are dropped
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -388,7 +388,7 @@
 	{"class", "worth", "1", false, "worth of a request in time",
 		into(Number, func(t *target) *float64 { return &t.class.Value })},
 	{"class", "late-worth", "0.2", false, "part of its worth when it is late",
-		into(within(Number, 0, 1), func(t *target) *float64 { return &t.class.LateWorth })},
+		into(within(Number, 0, 1), func(t *target) *float64 { return &t.class.LateValue })},
 	{"class", "repeat", "safe", false, "safe, keyed or unsafe: what a repeat does after an attempt that may have run",
 		into(func(s string) (decide.Repeat, error) {
 			_, err := Choice(s, "safe", "keyed", "unsafe")
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -160,7 +160,7 @@
 		at := func(key string) string { return fmt.Sprintf("requestClasses.%d.%s", i, key) }
 		c := decide.Class{
 			FirstTokenTarget: p.time(at("aimNs")), Deadline: p.time(at("deadlineNs")),
-			Value: p.optional(at("value"), 1), LateWorth: p.optional(at("lateWorth"), 0),
+			Value: p.optional(at("value"), 1), LateValue: p.optional(at("lateWorth"), 0),
 			Window: decide.Duration(p.optional(at("windowNs"), 0)),
 		}
 		if i < len(perK) {
--- a/internal/sim/node.go
+++ b/internal/sim/node.go
@@ -438,7 +438,7 @@
 			worth := c.Value
 			aim := time.Duration(c.FirstTokenTarget) + time.Duration(float64(c.FirstTokenTargetPerK)*float64(e.Prompt)/1000)
 			if f.began-f.asked > aim {
-				worth *= c.LateWorth
+				worth *= c.LateValue
 				s.res.Late++
 			} else {
 				s.res.InTime++
--- a/internal/sim/scene.go
+++ b/internal/sim/scene.go
@@ -35,7 +35,7 @@
 		spec.ColdFor, spec.MeanPrompt, spec.MeanAnswer = coldFor*9/10, 1000, 100
 	}
 	class := func(worth float64) decide.Class {
-		return decide.Class{FirstTokenTarget: decide.Second, FirstTokenTargetPerK: 40e6, Deadline: 4 * decide.Second, TokenIntervalTarget: 60e6, Value: worth, LateWorth: 0.2}
+		return decide.Class{FirstTokenTarget: decide.Second, FirstTokenTargetPerK: 40e6, Deadline: 4 * decide.Second, TokenIntervalTarget: 60e6, Value: worth, LateValue: 0.2}
 	}
 	c := Config{Seed: s.Seed, Prefill: read, Decode: write, Change: 2 * time.Second, Look: time.Second, Net: 300 * time.Microsecond,
 		Link: 600e3, Silent: 3 * time.Second, Add: time.Second, MaxAnswer: 1000, Unknown: 100, CheckDelay: 10 * time.Millisecond, Trace: t}
