--- a/decide/api.go
+++ b/decide/api.go
@@ -73,7 +73,7 @@
 	TokenIntervalTarget  Duration // wanted time between tokens
 	Value                float64
 	LateValue            float64
-	Repeat               Repeat
+	RetryPolicy          Repeat
 	Scope                Scope
 	Window               Duration // how long repeats of a keyed request are dropped
 }
--- a/decide/guards.go
+++ b/decide/guards.go
@@ -19,7 +19,7 @@
 	if slices.Contains(q.tried, s) && (st == writing || q.state != s) {
 		return false
 	}
-	once := st == writing && r.set.Classes[q.job.Class].Repeat == Unsafe
+	once := st == writing && r.set.Classes[q.job.Class].RetryPolicy == Unsafe
 	return !r.suspect(s, once)
 }
 
@@ -63,11 +63,11 @@
 // mayRepeat is rule 2, for reads too: a repeat goes to the group that drops it, and arrives in its window.
 func (r *Router) mayRepeat(q *request, s *server) bool {
 	c := &r.set.Classes[q.job.Class]
-	if !q.mayRun || c.Repeat == Safe {
+	if !q.mayRun || c.RetryPolicy == Safe {
 		return true
 	}
 	// The last byte leaves after a dial.
-	if c.Repeat == Unsafe || r.now+r.set.DialTimeout >= r.repeatUntil(q) {
+	if c.RetryPolicy == Unsafe || r.now+r.set.DialTimeout >= r.repeatUntil(q) {
 		return false
 	}
 	return c.Scope == ScopeAll || c.Scope == ScopeZone && q.runOn.zone == s.zone ||
@@ -81,7 +81,7 @@
 		return
 	}
 	c := &r.set.Classes[q.job.Class]
-	if !q.mayRun || c.Repeat == Safe || c.Repeat == Keyed && c.Scope == ScopeAll {
+	if !q.mayRun || c.RetryPolicy == Safe || c.RetryPolicy == Keyed && c.Scope == ScopeAll {
 		r.act(Action{Kind: Refuse, Request: q.id, After: r.retryAfter(), Text: reason})
 	} else {
 		r.act(Action{Kind: Fail, Request: q.id, Text: reason})
--- a/decide/limits.go
+++ b/decide/limits.go
@@ -35,7 +35,7 @@
 // repeatUntil is the last instant at which a repeat's last byte may leave; 0 where there is none.
 func (r *Router) repeatUntil(q *request) Time {
 	c := &r.set.Classes[q.job.Class]
-	if !q.mayRun || c.Repeat != Keyed {
+	if !q.mayRun || c.RetryPolicy != Keyed {
 		return 0
 	}
 	return q.runAt + c.Window - HoldUp
--- a/decide/timeouts.go
+++ b/decide/timeouts.go
@@ -18,7 +18,7 @@
 	if q.stage == writing {
 		share, role = writeCap, Writer
 	}
-	if q.stage == writing && r.set.Classes[q.job.Class].Repeat == Unsafe {
+	if q.stage == writing && r.set.Classes[q.job.Class].RetryPolicy == Unsafe {
 		return max(left, 1)
 	}
 	expected := r.usual(role, nil) * q.expect
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -40,7 +40,7 @@
 	if s.LetGoWithin != 300*time.Millisecond || s.MaxBody != 64<<10 || s.AttemptLimit != 6 {
 		t.Errorf("values or defaults are off: %+v", s)
 	}
-	if len(s.Classes) != 2 || s.Classes[0].FirstTokenTarget != 1200*1e6 || s.Classes[1].Repeat != decide.Unsafe ||
+	if len(s.Classes) != 2 || s.Classes[0].FirstTokenTarget != 1200*1e6 || s.Classes[1].RetryPolicy != decide.Unsafe ||
 		s.Classes[1].FirstTokenTarget != decide.Second {
 		t.Errorf("classes: %+v", s.Classes)
 	}
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -393,7 +393,7 @@
 		into(func(s string) (decide.Repeat, error) {
 			_, err := Choice(s, "safe", "keyed", "unsafe")
 			return map[string]decide.Repeat{"safe": decide.Safe, "keyed": decide.Keyed, "unsafe": decide.Unsafe}[s], err
-		}, func(t *target) *decide.Repeat { return &t.class.Repeat })},
+		}, func(t *target) *decide.Repeat { return &t.class.RetryPolicy })},
 	{"class", "scope", "all", false, "keyed: engines that drop repeats: all, or those of one zone or cell",
 		into(func(s string) (decide.Scope, error) {
 			_, err := Choice(s, "all", "zone", "cell")
--- a/internal/front/chat/chat_test.go
+++ b/internal/front/chat/chat_test.go
@@ -98,7 +98,7 @@
 	set := &decide.Settings{Routers: 1, MaxAttempts: 6, MayCancel: true, AnswerGrace: 16e6, DrainGrace: 1e9,
 		LetGoWithin: 1e9, FallMultiple: 2, OverloadFor: 1e9, StartCapacity: 0.3, ColdFor: 10e9, DialTimeout: 250e6,
 		MaxRetryAfter: 500e6, Kinds: []decide.Kind{{Role: decide.Reader}, {Role: decide.Writer, Memory: 1e5}},
-		Classes: []decide.Class{{FirstTokenTarget: 1e9, Deadline: 10e9, Value: 1}, {FirstTokenTarget: 1e9, Deadline: 10e9, Value: 1, Repeat: decide.Unsafe}}}
+		Classes: []decide.Class{{FirstTokenTarget: 1e9, Deadline: 10e9, Value: 1}, {FirstTokenTarget: 1e9, Deadline: 10e9, Value: 1, RetryPolicy: decide.Unsafe}}}
 	e := &engines{write: write}
 	g := guard.New(slog.New(slog.NewTextHandler(t.Output(), &slog.HandlerOptions{Level: slog.LevelError})))
 	r := router.New(router.Config{Name: "r", Settings: set, Kinds: []string{"p", "d"}, Engines: e, Holds: router.ByRequest, Guard: g,
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -160,7 +160,7 @@
 		Routers: 1, MayCancel: true, MaxAttempts: 6, MaxRetryAfter: decide.Second / 2,
 		Classes: []decide.Class{
 			{FirstTokenTarget: decide.Second, Deadline: 4 * decide.Second, TokenIntervalTarget: 60e6, Value: 1},
-			{FirstTokenTarget: decide.Second, Deadline: 4 * decide.Second, TokenIntervalTarget: 60e6, Value: 3, Repeat: decide.Unsafe},
+			{FirstTokenTarget: decide.Second, Deadline: 4 * decide.Second, TokenIntervalTarget: 60e6, Value: 3, RetryPolicy: decide.Unsafe},
 		},
 		Kinds:       []decide.Kind{{Role: decide.Reader, Memory: 200e3}, {Role: decide.Writer, Memory: 150e3}},
 		AnswerGrace: 16e6, DrainGrace: decide.Second, LetGoWithin: 300e6,
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -172,9 +172,9 @@
 		switch v := p.values[at("repeat")]; v {
 		case "safe":
 		case "keyed":
-			c.Repeat = decide.Keyed
+			c.RetryPolicy = decide.Keyed
 		case "unsafe":
-			c.Repeat = decide.Unsafe
+			c.RetryPolicy = decide.Unsafe
 		default:
 			p.fail(at("repeat"), v)
 		}
@@ -185,7 +185,7 @@
 		case "cell":
 			c.Scope = decide.ScopeCell
 		default:
-			if c.Repeat == decide.Keyed {
+			if c.RetryPolicy == decide.Keyed {
 				p.fail(at("keyScope"), v)
 			}
 		}
