--- a/decide/api.go
+++ b/decide/api.go
@@ -45,12 +45,12 @@
 	Both = Reader | Writer
 )
 
-// Repeat tells what a class allows after an attempt that may have run.
-type Repeat uint8
+// RetryPolicy tells what a class allows after an attempt that may have run.
+type RetryPolicy uint8
 
 // The kinds of classes, by what a repeat does.
 const (
-	Safe Repeat = iota
+	Safe RetryPolicy = iota
 	Keyed
 	Unsafe
 )
@@ -73,7 +73,7 @@
 	TokenIntervalTarget  Duration // wanted time between tokens
 	Value                float64
 	LateValue            float64
-	RetryPolicy          Repeat
+	RetryPolicy          RetryPolicy
 	Scope                Scope
 	Window               Duration // how long repeats of a keyed request are dropped
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -390,10 +390,10 @@
 	{"class", "late-worth", "0.2", false, "part of its worth when it is late",
 		into(within(Number, 0, 1), func(t *target) *float64 { return &t.class.LateValue })},
 	{"class", "repeat", "safe", false, "safe, keyed or unsafe: what a repeat does after an attempt that may have run",
-		into(func(s string) (decide.Repeat, error) {
+		into(func(s string) (decide.RetryPolicy, error) {
 			_, err := Choice(s, "safe", "keyed", "unsafe")
-			return map[string]decide.Repeat{"safe": decide.Safe, "keyed": decide.Keyed, "unsafe": decide.Unsafe}[s], err
-		}, func(t *target) *decide.Repeat { return &t.class.RetryPolicy })},
+			return map[string]decide.RetryPolicy{"safe": decide.Safe, "keyed": decide.Keyed, "unsafe": decide.Unsafe}[s], err
+		}, func(t *target) *decide.RetryPolicy { return &t.class.RetryPolicy })},
 	{"class", "scope", "all", false, "keyed: engines that drop repeats: all, or those of one zone or cell",
 		into(func(s string) (decide.Scope, error) {
 			_, err := Choice(s, "all", "zone", "cell")
