--- a/decide/api.go
+++ b/decide/api.go
@@ -74,7 +74,7 @@
 	Value                float64
 	LateValue            float64
 	RetryPolicy          RetryPolicy
-	Scope                Scope
+	DedupScope           Scope
 	Window               Duration // how long repeats of a keyed request are dropped
 }
 
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -28,7 +28,7 @@
 func settings() *Settings {
 	class := func(rep RetryPolicy, scope Scope) Class {
 		return Class{FirstTokenTarget: Second, FirstTokenTargetPerK: 40 * ms, Deadline: 4 * Second, TokenIntervalTarget: 60 * ms, Value: 1,
-			RetryPolicy: rep, Scope: scope, Window: 2 * Second}
+			RetryPolicy: rep, DedupScope: scope, Window: 2 * Second}
 	}
 	return &Settings{
 		Routers: 2, MayCancel: true, MaxAttempts: 6, MaxRetryAfter: Second / 2,
@@ -879,7 +879,7 @@
 						t.Fatalf("class %d, outcome %d, writer %v, after %v: %v", class, o, atWriter, late, kinds(acts))
 					}
 					ran := atWriter && o != Full && o != ConnectFailed && o != Moot && o != ReadDone
-					rep, scope := w.r.set.Classes[class].RetryPolicy, w.r.set.Classes[class].Scope
+					rep, scope := w.r.set.Classes[class].RetryPolicy, w.r.set.Classes[class].DedupScope
 					switch {
 					case ran && rep == Unsafe && fail == nil,
 						ran && rep == Keyed && send != nil && late+w.r.set.DialTimeout >= w.r.set.Classes[class].Window,
--- a/decide/guards.go
+++ b/decide/guards.go
@@ -70,8 +70,8 @@
 	if c.RetryPolicy == Unsafe || r.now+r.set.DialTimeout >= r.repeatUntil(q) {
 		return false
 	}
-	return c.Scope == ScopeAll || c.Scope == ScopeZone && q.runOn.zone == s.zone ||
-		c.Scope == ScopeCell && q.runOn.cell == s.cell
+	return c.DedupScope == ScopeAll || c.DedupScope == ScopeZone && q.runOn.zone == s.zone ||
+		c.DedupScope == ScopeCell && q.runOn.cell == s.cell
 }
 
 // giveUp is the only way to a final answer of this router's own: refused where rule 2 lets it promise
@@ -81,7 +81,7 @@
 		return
 	}
 	c := &r.set.Classes[q.job.Class]
-	if !q.mayRun || c.RetryPolicy == Safe || c.RetryPolicy == Keyed && c.Scope == ScopeAll {
+	if !q.mayRun || c.RetryPolicy == Safe || c.RetryPolicy == Keyed && c.DedupScope == ScopeAll {
 		r.act(Action{Kind: Refuse, Request: q.id, After: r.retryAfter(), Text: reason})
 	} else {
 		r.act(Action{Kind: Fail, Request: q.id, Text: reason})
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -398,7 +398,7 @@
 		into(func(s string) (decide.Scope, error) {
 			_, err := Choice(s, "all", "zone", "cell")
 			return map[string]decide.Scope{"zone": decide.ScopeZone, "cell": decide.ScopeCell}[s], err
-		}, func(t *target) *decide.Scope { return &t.class.Scope })},
+		}, func(t *target) *decide.Scope { return &t.class.DedupScope })},
 	{"class", "window", "5s", false, "keyed: how long repeats are dropped",
 		into(span, func(t *target) *decide.Duration { return &t.class.Window })},
 	{"class", "max-tokens", "500", false, "output limit of a request that names none",
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -181,9 +181,9 @@
 		switch v := p.values[at("keyScope")]; v {
 		case "all":
 		case "zone":
-			c.Scope = decide.ScopeZone
+			c.DedupScope = decide.ScopeZone
 		case "cell":
-			c.Scope = decide.ScopeCell
+			c.DedupScope = decide.ScopeCell
 		default:
 			if c.RetryPolicy == decide.Keyed {
 				p.fail(at("keyScope"), v)
