--- a/decide/api.go
+++ b/decide/api.go
@@ -55,12 +55,12 @@
 	Unsafe
 )
 
-// Scope is the group of servers that drops repeats of a keyed request.
-type Scope uint8
+// DedupScope is the group of servers that drops repeats of a keyed request.
+type DedupScope uint8
 
 // The scopes of a keyed class.
 const (
-	ScopeAll Scope = iota
+	ScopeAll DedupScope = iota
 	ScopeZone
 	ScopeCell
 )
@@ -74,7 +74,7 @@
 	Value                float64
 	LateValue            float64
 	RetryPolicy          RetryPolicy
-	DedupScope           Scope
+	DedupScope           DedupScope
 	Window               Duration // how long repeats of a keyed request are dropped
 }
 
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -26,7 +26,7 @@
 
 // settings has one class of each kind of repeat, a reader kind 0 and a writer kind 1.
 func settings() *Settings {
-	class := func(rep RetryPolicy, scope Scope) Class {
+	class := func(rep RetryPolicy, scope DedupScope) Class {
 		return Class{FirstTokenTarget: Second, FirstTokenTargetPerK: 40 * ms, Deadline: 4 * Second, TokenIntervalTarget: 60 * ms, Value: 1,
 			RetryPolicy: rep, DedupScope: scope, Window: 2 * Second}
 	}
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -395,10 +395,10 @@
 			return map[string]decide.RetryPolicy{"safe": decide.Safe, "keyed": decide.Keyed, "unsafe": decide.Unsafe}[s], err
 		}, func(t *target) *decide.RetryPolicy { return &t.class.RetryPolicy })},
 	{"class", "scope", "all", false, "keyed: engines that drop repeats: all, or those of one zone or cell",
-		into(func(s string) (decide.Scope, error) {
+		into(func(s string) (decide.DedupScope, error) {
 			_, err := Choice(s, "all", "zone", "cell")
-			return map[string]decide.Scope{"zone": decide.ScopeZone, "cell": decide.ScopeCell}[s], err
-		}, func(t *target) *decide.Scope { return &t.class.DedupScope })},
+			return map[string]decide.DedupScope{"zone": decide.ScopeZone, "cell": decide.ScopeCell}[s], err
+		}, func(t *target) *decide.DedupScope { return &t.class.DedupScope })},
 	{"class", "window", "5s", false, "keyed: how long repeats are dropped",
 		into(span, func(t *target) *decide.Duration { return &t.class.Window })},
 	{"class", "max-tokens", "500", false, "output limit of a request that names none",
