--- a/cmd/mintdoor/day.go
+++ b/cmd/mintdoor/day.go
@@ -203,7 +203,7 @@
 				FallMultiple: set.FallMultiple, FallWithin: set.FallWithin, LetGoWithin: set.LetGoWithin, RouterNotice: notice,
 				Slack: slack, Windows: map[string]time.Duration{}}
 			for _, c := range set.Classes {
-				rules.Windows[c.Name] = time.Duration(c.Window)
+				rules.Windows[c.Name] = time.Duration(c.DedupWindow)
 			}
 			rep := audit.Check(records, 0, rules)
 			if err := rep.Print(cmd.OutOrStdout()); err != nil {
--- a/decide/api.go
+++ b/decide/api.go
@@ -75,7 +75,7 @@
 	LateValue            float64
 	RetryPolicy          RetryPolicy
 	DedupScope           DedupScope
-	Window               Duration // how long repeats of a keyed request are dropped
+	DedupWindow          Duration // how long repeats of a keyed request are dropped
 }
 
 // Kind is what the settings say of one kind of machine.
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -28,7 +28,7 @@
 func settings() *Settings {
 	class := func(rep RetryPolicy, scope DedupScope) Class {
 		return Class{FirstTokenTarget: Second, FirstTokenTargetPerK: 40 * ms, Deadline: 4 * Second, TokenIntervalTarget: 60 * ms, Value: 1,
-			RetryPolicy: rep, DedupScope: scope, Window: 2 * Second}
+			RetryPolicy: rep, DedupScope: scope, DedupWindow: 2 * Second}
 	}
 	return &Settings{
 		Routers: 2, MayCancel: true, MaxAttempts: 6, MaxRetryAfter: Second / 2,
@@ -854,7 +854,7 @@
 func TestEveryOutcomeOfEveryClass(t *testing.T) {
 	for class := safe; class <= keyedCell; class++ {
 		for o := ReadDone; o <= Moot; o++ { // Served always ends a request
-			for _, late := range []Duration{ms, settings().Classes[0].Window - settings().DialTimeout, settings().Classes[0].Window + ms, 4 * Second} {
+			for _, late := range []Duration{ms, settings().Classes[0].DedupWindow - settings().DialTimeout, settings().Classes[0].DedupWindow + ms, 4 * Second} {
 				for _, atWriter := range []bool{false, true} {
 					if atWriter && o == ReadDone {
 						continue
@@ -882,7 +882,7 @@
 					rep, scope := w.r.set.Classes[class].RetryPolicy, w.r.set.Classes[class].DedupScope
 					switch {
 					case ran && rep == Unsafe && fail == nil,
-						ran && rep == Keyed && send != nil && late+w.r.set.DialTimeout >= w.r.set.Classes[class].Window,
+						ran && rep == Keyed && send != nil && late+w.r.set.DialTimeout >= w.r.set.Classes[class].DedupWindow,
 						ran && rep == Keyed && refuse != nil && scope != ScopeAll:
 						t.Errorf("class %d, outcome %d after %v: %v breaks rule 2", class, o, late, kinds(acts))
 					case ran && rep == Keyed && send != nil && scope == ScopeZone &&
--- a/decide/limits.go
+++ b/decide/limits.go
@@ -38,5 +38,5 @@
 	if !q.mayRun || c.RetryPolicy != Keyed {
 		return 0
 	}
-	return q.runAt + c.Window - HoldUp
+	return q.runAt + c.DedupWindow - HoldUp
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -400,7 +400,7 @@
 			return map[string]decide.DedupScope{"zone": decide.ScopeZone, "cell": decide.ScopeCell}[s], err
 		}, func(t *target) *decide.DedupScope { return &t.class.DedupScope })},
 	{"class", "window", "5s", false, "keyed: how long repeats are dropped",
-		into(span, func(t *target) *decide.Duration { return &t.class.Window })},
+		into(span, func(t *target) *decide.Duration { return &t.class.DedupWindow })},
 	{"class", "max-tokens", "500", false, "output limit of a request that names none",
 		into(within(Count, 1, 1e6), func(t *target) *int { return &t.class.MaxTokens })},
 
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -161,7 +161,7 @@
 		c := decide.Class{
 			FirstTokenTarget: p.time(at("aimNs")), Deadline: p.time(at("deadlineNs")),
 			Value: p.optional(at("value"), 1), LateValue: p.optional(at("lateWorth"), 0),
-			Window: decide.Duration(p.optional(at("windowNs"), 0)),
+			DedupWindow: decide.Duration(p.optional(at("windowNs"), 0)),
 		}
 		if i < len(perK) {
 			c.FirstTokenTargetPerK = decide.Duration(perK[i] * 1000)
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -271,7 +271,7 @@
 		t.Fatal(err)
 	}
 	want := decide.Class{FirstTokenTarget: 1e9, FirstTokenTargetPerK: 40e6, Deadline: 4e9, TokenIntervalTarget: 60e6, Value: 1,
-		RetryPolicy: decide.Keyed, DedupScope: decide.ScopeZone, Window: 5e9}
+		RetryPolicy: decide.Keyed, DedupScope: decide.ScopeZone, DedupWindow: 5e9}
 	if !reflect.DeepEqual(s.Classes, []decide.Class{want}) {
 		t.Errorf("classes: %+v", s.Classes)
 	}
