--- a/decide/admission.go
+++ b/decide/admission.go
@@ -6,11 +6,11 @@
 
 // excess: this router's part of a tenant's share is used up; traffic beyond is the first to go.
 func (r *Router) excess(q *request) bool {
-	if q.job.Tenant >= len(r.tenants) || r.set.Tenants[q.job.Tenant].PerSecond <= 0 {
+	if q.job.Tenant >= len(r.tenants) || r.set.Tenants[q.job.Tenant].RequestsPerSecond <= 0 {
 		return false
 	}
 	t := &r.tenants[q.job.Tenant]
-	part := shareSlack * r.set.Tenants[q.job.Tenant].PerSecond / float64(r.set.Routers)
+	part := shareSlack * r.set.Tenants[q.job.Tenant].RequestsPerSecond / float64(r.set.Routers)
 	seconds := float64(r.now-t.at) / float64(Second)
 	t.left, t.at = min(max(t.left, -part)+part*seconds, part*shareBurst), r.now
 	return t.left < 1
--- a/decide/api.go
+++ b/decide/api.go
@@ -86,7 +86,7 @@
 
 // Tenant is one customer's share of the traffic.
 type Tenant struct {
-	PerSecond float64 // requests a second within its share, over all routers; 0 when not told
+	RequestsPerSecond float64 // requests a second within its share, over all routers; 0 when not told
 }
 
 // Settings is what a router is told at its start.
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -617,7 +617,7 @@
 func TestExcessOfATenantGoesFirst(t *testing.T) {
 	refused := func(tenant int, share float64) (n int) {
 		set := settings()
-		set.Tenants = []Tenant{{PerSecond: 1000}, {PerSecond: 2}}
+		set.Tenants = []Tenant{{RequestsPerSecond: 1000}, {RequestsPerSecond: 2}}
 		w := newWorld(t, set, fleet())
 		for _, s := range w.r.order {
 			s.share = share
--- a/decide/names_test.go
+++ b/decide/names_test.go
@@ -22,7 +22,7 @@
 	classes := []Class{set.Classes[safe], set.Classes[unsafeClass]}
 	classes[1].Value, classes[1].FirstTokenTarget = 3, 2*Second
 	kinds := []Kind{{Role: Reader, Memory: 200e3}, {Role: Writer, Memory: 150e3}, {Role: Both, Memory: 100e3}}
-	tenants := []Tenant{{PerSecond: 40}, {PerSecond: 8}}
+	tenants := []Tenant{{RequestsPerSecond: 40}, {RequestsPerSecond: 8}}
 	set.Classes, set.Kinds, set.Tenants = make([]Class, 2), make([]Kind, 3), make([]Tenant, 2)
 	for i := range classes {
 		set.Classes[by.class(i)] = classes[i]
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -48,7 +48,7 @@
 		t.Errorf("kinds and tenants: %+v %+v", s.Kinds, s.Tenants)
 	}
 	d := s.Decide(func(string) int { return 7 })
-	if d.Zone != 7 || len(d.Classes) != 2 || d.MaxRetryAfter != decide.Second/2 || d.Tenants[0].PerSecond != 20 {
+	if d.Zone != 7 || len(d.Classes) != 2 || d.MaxRetryAfter != decide.Second/2 || d.Tenants[0].RequestsPerSecond != 20 {
 		t.Errorf("the module's part: %+v", d)
 	}
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -142,7 +142,7 @@
 	p.kinds(d)
 	for i := range int(p.optional("projects.count", 0)) {
 		s.Tenants = append(s.Tenants, decide.Tenant{
-			PerSecond: p.optional(fmt.Sprintf("projects.%d.allowancePerS", i), 0),
+			RequestsPerSecond: p.optional(fmt.Sprintf("projects.%d.allowancePerS", i), 0),
 		})
 		d.Tenants = append(d.Tenants, p.values[fmt.Sprintf("projects.%d.name", i)])
 	}
