--- a/decide/api.go
+++ b/decide/api.go
@@ -96,7 +96,7 @@
 	Classes        []Class
 	Kinds          []Kind
 	Tenants        []Tenant
-	OverShareWorth float64 // worth of a request beyond its tenant's share, as a share of the usual
+	OverQuotaValue float64 // worth of a request beyond its tenant's share, as a share of the usual
 
 	Probing       bool
 	MayCancel     bool
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -120,7 +120,7 @@
 // Decide returns the decision module's part of the settings.
 func (s *Settings) Decide(zone func(string) int) *decide.Settings {
 	d := &decide.Settings{
-		Routers: s.Routers, Index: s.Index, Zone: zone(s.Zone), OverShareWorth: s.OverShareWorth,
+		Routers: s.Routers, Index: s.Index, Zone: zone(s.Zone), OverQuotaValue: s.OverShareWorth,
 		Probing: s.Probing, MayCancel: true, MayReserve: s.MayReserve, Resume: s.Resume,
 		WritersRead: s.DecodeReads, MaxAttempts: s.AttemptLimit,
 		MaxRetryAfter: decide.Duration(s.MaxRetryAfter), DialTimeout: decide.Duration(s.DialTimeout),
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -116,7 +116,7 @@
 func (p *pairs) deployment() (*Deployment, error) {
 	s := &decide.Settings{
 		Routers: int(p.atLeast("instances", 1)), Index: int(p.atLeast("index", 0)),
-		Zone: int(p.optional("zone", 0)), OverShareWorth: p.optional("overShareWorth", 1),
+		Zone: int(p.optional("zone", 0)), OverQuotaValue: p.optional("overShareWorth", 1),
 		Probing: p.flag("permissions.probing"), MayCancel: p.flag("permissions.mayCancel"),
 		MayReserve: p.flag("familyInfo.mayReserve"), Resume: p.flag("familyInfo.resume"),
 		WritersRead: p.flag("familyInfo.localRead"), AskMembership: p.values["membershipMode"] == "ask",
