--- a/decide/api.go
+++ b/decide/api.go
@@ -98,15 +98,15 @@
 	Tenants        []Tenant
 	OverQuotaValue float64 // worth of a request beyond its tenant's share, as a share of the usual
 
-	Probing       bool
-	MayCancel     bool
-	MayReserve    bool
-	Resume        bool
-	WritersRead   bool
-	AskMembership bool // the list is sent only to those that ask
-	MaxAttempts   int
-	MaxRetryAfter Duration // 0: clients take no advice
-	DialTimeout   Duration
+	Probing        bool
+	MayCancel      bool
+	MayReserve     bool
+	Resume         bool
+	WritersRead    bool
+	PullMembership bool // the list is sent only to those that ask
+	MaxAttempts    int
+	MaxRetryAfter  Duration // 0: clients take no advice
+	DialTimeout    Duration
 
 	AnswerGrace   Duration
 	AskWithin     Duration
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -832,7 +832,7 @@
 // A failed asking for the list is asked again, but not in the same breath.
 func TestFailedListIsAskedAgain(t *testing.T) {
 	set := settings()
-	set.AskMembership = true
+	set.PullMembership = true
 	w := newWorld(t, set, fleet())
 	if acts := w.do(Event{Kind: ListFailed}); find(acts, Watch) != nil {
 		t.Error("asked again at once")
--- a/decide/membership.go
+++ b/decide/membership.go
@@ -12,7 +12,7 @@
 	r.timed = [Both + 1]bool{}
 	if ev.Kind == ListCached {
 		r.act(Action{Kind: WakeMe, After: tickEvery})
-		if r.set.AskMembership {
+		if r.set.PullMembership {
 			r.act(Action{Kind: Watch})
 		}
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -119,7 +119,7 @@
 		Zone: int(p.optional("zone", 0)), OverQuotaValue: p.optional("overShareWorth", 1),
 		Probing: p.flag("permissions.probing"), MayCancel: p.flag("permissions.mayCancel"),
 		MayReserve: p.flag("familyInfo.mayReserve"), Resume: p.flag("familyInfo.resume"),
-		WritersRead: p.flag("familyInfo.localRead"), AskMembership: p.values["membershipMode"] == "ask",
+		WritersRead: p.flag("familyInfo.localRead"), PullMembership: p.values["membershipMode"] == "ask",
 		MaxAttempts: int(p.atLeast("permissions.maxAttempts", 1)),
 		DialTimeout: decide.Duration(p.atLeast("permissions.dialTimeoutNs", 1)),
 		AnswerGrace: p.time("obligations.graceToAnswerNs"), DrainGrace: p.time("obligations.drainGraceNs"),
