--- a/decide/ask_test.go
+++ b/decide/ask_test.go
@@ -286,7 +286,7 @@
 		tries int // of writers, each with the dial's time-out
 	}{{1000 * ms, 4}, {800 * ms, 3}, {500 * ms, 2}, {300 * ms, 1}, {200 * ms, 1}} {
 		set := settings()
-		set.LetGoWithin = tt.letGo
+		set.HoldTimeout = tt.letGo
 		list := fleet()
 		for id := ServerID(14); id < 20; id++ {
 			list = append(list, Listing{Server: id, Kind: 1, Condition: Ready})
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -38,7 +38,7 @@
 		DialTimeout:   250 * ms,
 		AnswerGrace:   16 * ms,
 		DrainGrace:    Second,
-		LetGoWithin:   300 * ms,
+		HoldTimeout:   300 * ms,
 		FallMultiple:  4,
 		OverloadFor:   2 * Second,
 		StartCapacity: 0.25,
--- a/decide/liveness.go
+++ b/decide/liveness.go
@@ -30,7 +30,7 @@
 const mostAsked = 2
 
 // heldUntil is the last instant at which what is held since a time may be let go.
-func (r *Router) heldUntil(since Time) Time { return since + r.set.LetGoWithin + holdSlack }
+func (r *Router) heldUntil(since Time) Time { return since + r.set.HoldTimeout + holdSlack }
 
 // arrived tells whether the attempt that is out has come to its server: that gave a sign after the last byte
 // had left, be it after a dial.
@@ -48,7 +48,7 @@
 // waitLimit is how long an attempt may be waited for where it usually takes less: if its answer is lost, or
 // the send is, another attempt has to arrive while what is held may be held yet.
 func (r *Router) waitLimit() Duration {
-	return r.set.LetGoWithin + holdSlack - r.set.DialTimeout - tickEvery
+	return r.set.HoldTimeout + holdSlack - r.set.DialTimeout - tickEvery
 }
 
 // heardWithin bounds the age of the connection for an attempt that is sent now: where something is held
--- a/decide/liveness_test.go
+++ b/decide/liveness_test.go
@@ -6,7 +6,7 @@
 // time-outs used up: it is waited for to the deadline.
 func waiting(t *testing.T, class int, writer bool) (w *world, id RequestID, s ServerID, attempt int) {
 	set := settings()
-	set.Probing, set.ByArrival, set.LetGoWithin = true, true, Second
+	set.Probing, set.ByArrival, set.HoldTimeout = true, true, Second
 	w = newWorld(t, set, fleet())
 	w.r.again = 0
 	if writer {
@@ -54,7 +54,7 @@
 			if cancel != nil && (cancel.Request != id || cancel.Attempt != attempt) {
 				t.Errorf("writer %v: called off %+v", writer, cancel)
 			}
-			if most := w.r.set.LetGoWithin + 300*ms - HoldUp; cancel != nil && w.now-began > most {
+			if most := w.r.set.HoldTimeout + 300*ms - HoldUp; cancel != nil && w.now-began > most {
 				t.Errorf("writer %v: called off after %d ms, at most %d are allowed", writer, (w.now-began)/ms, most/ms)
 			}
 			again := 0
@@ -91,7 +91,7 @@
 			w, id, s, _ := waiting(t, safe, true)
 			w.now += w.r.set.DialTimeout + ms // it may have been sent only now
 			then(w, id, s)
-			most := w.r.set.LetGoWithin - w.r.set.DialTimeout - 2*tickEvery
+			most := w.r.set.HoldTimeout - w.r.set.DialTimeout - 2*tickEvery
 			if name == "first token" || name == "client gone" {
 				most = 5 * Second
 			}
@@ -197,7 +197,7 @@
 			if c := find(acts, Cancel); c == nil || c.Request != id || c.Attempt != attempt {
 				t.Errorf("after the check: %v", kinds(acts))
 			}
-			if most := w.r.set.LetGoWithin + 300*ms - HoldUp; w.now-began > most {
+			if most := w.r.set.HoldTimeout + 300*ms - HoldUp; w.now-began > most {
 				t.Errorf("called off after %d ms, at most %d are allowed", (w.now-began)/ms, most/ms)
 			}
 			return
@@ -226,7 +226,7 @@
 				t.Error("let go twice")
 			}
 			release = r
-			if most := w.r.set.LetGoWithin + 300*ms - HoldUp; w.now-began > most {
+			if most := w.r.set.HoldTimeout + 300*ms - HoldUp; w.now-began > most {
 				t.Errorf("let go after %d ms, at most %d are allowed", (w.now-began)/ms, most/ms)
 			}
 		}
@@ -245,7 +245,7 @@
 // leaves it held; where answers usually take so long they are waited for.
 func TestLostSendsAreNotWaitedFor(t *testing.T) {
 	set := settings()
-	set.Probing, set.ByArrival, set.LetGoWithin = true, true, Second
+	set.Probing, set.ByArrival, set.HoldTimeout = true, true, Second
 	for name, tt := range map[string]struct {
 		answer float64 // usual time of answers, over what is expected
 		again  float64
@@ -264,7 +264,7 @@
 			}
 			id, acts := w.arrive(safe)
 			read := find(acts, Send)
-			most := set.LetGoWithin + 300*ms - HoldUp - set.DialTimeout
+			most := set.HoldTimeout + 300*ms - HoldUp - set.DialTimeout
 			if long := read.After > most; long != (read.HeardWithin == set.DialTimeout) || !long && read.HeardWithin != 0 {
 				t.Errorf("a read that is waited for for %d ms asks for %d", read.After/ms, read.HeardWithin)
 			}
--- a/internal/router/actions.go
+++ b/internal/router/actions.go
@@ -162,7 +162,7 @@
 			Stage: engine.StageDecode, Request: f.name, Client: j.ClientID, Class: j.ClassName, Tenant: j.TenantName,
 			Session: j.Session, SharedText: j.SharedText, PromptTokens: j.PromptTokens,
 			SharedTokens: j.SharedTokens, MaxTokens: j.MaxTokens,
-			HoldMillis: float64(r.cfg.Settings.LetGoWithin) / 1e6,
+			HoldMillis: float64(r.cfg.Settings.HoldTimeout) / 1e6,
 		}}
 	switch {
 	case a.prefill:
@@ -279,7 +279,7 @@
 	p := &place{server: id, addr: s.addr}
 	f.place = p
 	ask := &engine.PlaceRequest{Request: f.name, Tokens: f.q.job.PromptTokens, Source: f.out.addr,
-		HoldMillis: float64(r.cfg.Settings.LetGoWithin) / 1e6}
+		HoldMillis: float64(r.cfg.Settings.HoldTimeout) / 1e6}
 	r.work.Add(1)
 	go func() {
 		defer r.work.Done()
--- a/internal/router/holds.go
+++ b/internal/router/holds.go
@@ -45,7 +45,7 @@
 }
 
 // every is the time between renewals: two may be lost before the engine lets go.
-func (k leased) every() decide.Duration { return max(k.r.cfg.Settings.LetGoWithin/3, 1) }
+func (k leased) every() decide.Duration { return max(k.r.cfg.Settings.HoldTimeout/3, 1) }
 
 // renew keeps a state while an attempt at a writer is out and has not begun. An engine lets go of what
 // nobody asks for within the time of rule 5, so that a dead router pins nothing; a writer that is silent
@@ -115,7 +115,7 @@
 
 // releaseWhileOut lets go now. The request's end lets go once more, of whatever the attempt has left.
 func (k byRequest) releaseWhileOut(f *flight) {
-	f.guarded().LetGo(time.Duration(k.r.cfg.Settings.LetGoWithin))
+	f.guarded().LetGo(time.Duration(k.r.cfg.Settings.HoldTimeout))
 	if s := f.state; s != nil {
 		k.r.letGo(f.name, s)
 		f.state, f.owed = nil, true
@@ -160,7 +160,7 @@
 	if f.out != nil {
 		return // the loop stops; the attempt is orphaned
 	}
-	f.guarded().LetGo(time.Duration(k.r.cfg.Settings.LetGoWithin))
+	f.guarded().LetGo(time.Duration(k.r.cfg.Settings.HoldTimeout))
 	if f.lost != "" {
 		k.r.callOff(f.lost, f.name) // also lets go of what is known, and of what other lost reads have left
 		return
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -163,7 +163,7 @@
 			{FirstTokenTarget: decide.Second, Deadline: 4 * decide.Second, TokenIntervalTarget: 60e6, Value: 3, RetryPolicy: decide.Unsafe},
 		},
 		Kinds:       []decide.Kind{{Role: decide.Reader, Memory: 200e3}, {Role: decide.Writer, Memory: 150e3}},
-		AnswerGrace: 16e6, DrainGrace: decide.Second, LetGoWithin: 300e6,
+		AnswerGrace: 16e6, DrainGrace: decide.Second, HoldTimeout: 300e6,
 		FallMultiple: 4, OverloadFor: 2 * decide.Second, StartCapacity: 0.25, ColdFor: 10 * decide.Second,
 	}
 }
@@ -352,7 +352,7 @@
 		<-gate
 		return stream(ctx, sink, 1)
 	}}
-	g := start(t, fake, func(c *Config) { c.Settings.LetGoWithin = 6e6 })
+	g := start(t, fake, func(c *Config) { c.Settings.HoldTimeout = 6e6 })
 	renewed := func() int {
 		fake.mu.Lock()
 		defer fake.mu.Unlock()
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -124,7 +124,7 @@
 		DialTimeout: decide.Duration(p.atLeast("permissions.dialTimeoutNs", 1)),
 		AnswerGrace: p.time("obligations.graceToAnswerNs"), DrainGrace: p.time("obligations.drainGraceNs"),
 		AskWithin:     decide.Duration(p.optional("obligations.askWithinNs", 0)),
-		LetGoWithin:   p.time("familyInfo.letGoByNs"),
+		HoldTimeout:   p.time("familyInfo.letGoByNs"),
 		FallMultiple:  p.atLeast("obligations.fallMultiple", 0),
 		OverloadFor:   p.time("obligations.overloadForNs"),
 		StartCapacity: p.atLeast("obligations.startCapacity", 0), ColdFor: p.time("obligations.coldNs"),
--- a/internal/sim/node.go
+++ b/internal/sim/node.go
@@ -117,11 +117,11 @@
 			u := a.u
 			n.s.after(n.s.cfg.Net, func() { u.leave(a) })
 			if h := a.from; h != nil {
-				n.s.after(time.Duration(n.s.cfg.Settings.LetGoWithin), h.free)
+				n.s.after(time.Duration(n.s.cfg.Settings.HoldTimeout), h.free)
 			}
 		}
 		if h := f.state; h != nil {
-			n.s.after(time.Duration(n.s.cfg.Settings.LetGoWithin), h.free)
+			n.s.after(time.Duration(n.s.cfg.Settings.HoldTimeout), h.free)
 		}
 	}
 	clear(n.flights)
