--- a/decide/api.go
+++ b/decide/api.go
@@ -112,7 +112,7 @@
 	AskWithin     Duration
 	DrainGrace    Duration
 	HoldTimeout   Duration
-	LetGoAtEnd    bool // what is let go of an open request is held until the request is over
+	ReleaseAtEnd  bool // what is let go of an open request is held until the request is over
 	ByArrival     bool // the time of what is held rests only for sends that have come to their server
 	FallMultiple  float64
 	OverloadFor   Duration
--- a/decide/guards.go
+++ b/decide/guards.go
@@ -33,7 +33,7 @@
 	s.coldAt, s.coldWork = r.now, r.workOf(q, st)/max(r.meanWork[st], 1)
 	if st == reading && q.mayHold {
 		r.act(Action{Kind: Release, Request: q.id})
-		q.mayHold = r.set.LetGoAtEnd
+		q.mayHold = r.set.ReleaseAtEnd
 	}
 	q.stage, q.out, q.sentAt = st, s, r.now
 	q.attempts++
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -100,7 +100,7 @@
 		zone = set.Zones[z]
 	}
 	set.Decide.Zone = discovery.Number(zone) // as the list's zones are numbered
-	set.Decide.LetGoAtEnd = true             // as router.ByRequest does
+	set.Decide.ReleaseAtEnd = true           // as router.ByRequest does
 	set.Decide.ByArrival = true              // PROTOCOL, 'The rules on sockets'
 	n.guard = guard.New(log)
 	n.Router = router.New(router.Config{Name: cfg.Name, Settings: set.Decide, Kinds: set.Kinds, Engines: n.engines,
