--- a/decide/api.go
+++ b/decide/api.go
@@ -108,16 +108,16 @@
 	MaxRetryAfter  Duration // 0: clients take no advice
 	DialTimeout    Duration
 
-	AnswerGrace   Duration
-	AskWithin     Duration
-	DrainGrace    Duration
-	HoldTimeout   Duration
-	ReleaseAtEnd  bool // what is let go of an open request is held until the request is over
-	ByArrival     bool // the time of what is held rests only for sends that have come to their server
-	FallMultiple  float64
-	OverloadFor   Duration
-	StartCapacity float64
-	ColdFor       Duration
+	AnswerGrace        Duration
+	AskWithin          Duration
+	DrainGrace         Duration
+	HoldTimeout        Duration
+	ReleaseAtEnd       bool // what is let go of an open request is held until the request is over
+	PauseHoldOnArrival bool // the time of what is held rests only for sends that have come to their server
+	FallMultiple       float64
+	OverloadFor        Duration
+	StartCapacity      float64
+	ColdFor            Duration
 
 	ProbeFee, WasteFee, LateFailFee, ZoneFee, CellFee float64
 }
--- a/decide/liveness.go
+++ b/decide/liveness.go
@@ -65,7 +65,7 @@
 }
 
 // seeks tells whether signs are looked for. Where they are not, every attempt counts as out.
-func (r *Router) seeks() bool { return r.set.ByArrival && r.set.Probing && r.set.MayCancel }
+func (r *Router) seeks() bool { return r.set.PauseHoldOnArrival && r.set.Probing && r.set.MayCancel }
 
 // noteHeld notes since when what may be held for a request waits for an attempt, once the one that was out
 // has ended. Only one that has come to its server was out. A read that is not heard of may have ended well.
--- a/decide/liveness_test.go
+++ b/decide/liveness_test.go
@@ -6,7 +6,7 @@
 // time-outs used up: it is waited for to the deadline.
 func waiting(t *testing.T, class int, writer bool) (w *world, id RequestID, s ServerID, attempt int) {
 	set := settings()
-	set.Probing, set.ByArrival, set.HoldTimeout = true, true, Second
+	set.Probing, set.PauseHoldOnArrival, set.HoldTimeout = true, true, Second
 	w = newWorld(t, set, fleet())
 	w.r.again = 0
 	if writer {
@@ -245,7 +245,7 @@
 // leaves it held; where answers usually take so long they are waited for.
 func TestLostSendsAreNotWaitedFor(t *testing.T) {
 	set := settings()
-	set.Probing, set.ByArrival, set.HoldTimeout = true, true, Second
+	set.Probing, set.PauseHoldOnArrival, set.HoldTimeout = true, true, Second
 	for name, tt := range map[string]struct {
 		answer float64 // usual time of answers, over what is expected
 		again  float64
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -101,7 +101,7 @@
 	}
 	set.Decide.Zone = discovery.Number(zone) // as the list's zones are numbered
 	set.Decide.ReleaseAtEnd = true           // as router.ByRequest does
-	set.Decide.ByArrival = true              // PROTOCOL, 'The rules on sockets'
+	set.Decide.PauseHoldOnArrival = true     // PROTOCOL, 'The rules on sockets'
 	n.guard = guard.New(log)
 	n.Router = router.New(router.Config{Name: cfg.Name, Settings: set.Decide, Kinds: set.Kinds, Engines: n.engines,
 		Holds: router.ByRequest, Seed: cfg.Seed, Log: log, Guard: n.guard, MaxOpen: b.open, StreamParts: streamParts,
