--- a/decide/api.go
+++ b/decide/api.go
@@ -114,7 +114,7 @@
 	HoldTimeout        Duration
 	ReleaseAtEnd       bool // what is let go of an open request is held until the request is over
 	PauseHoldOnArrival bool // the time of what is held rests only for sends that have come to their server
-	FallMultiple       float64
+	OverloadMultiple   float64
 	OverloadFor        Duration
 	StartCapacity      float64
 	ColdFor            Duration
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -279,7 +279,7 @@
 	if !reflect.DeepEqual(s.Kinds, kinds) || !reflect.DeepEqual(names, []string{"x0", "x1"}) {
 		t.Errorf("kinds %+v, report %v", s.Kinds, names)
 	}
-	if s.Routers != 2 || s.Index != 1 || s.FallMultiple != 4 || s.MaxRetryAfter != 500e6 || s.Probing {
+	if s.Routers != 2 || s.Index != 1 || s.OverloadMultiple != 4 || s.MaxRetryAfter != 500e6 || s.Probing {
 		t.Errorf("got %+v", s)
 	}
 }
