--- a/decide/api.go
+++ b/decide/api.go
@@ -115,7 +115,7 @@
 	ReleaseAtEnd       bool // what is let go of an open request is held until the request is over
 	PauseHoldOnArrival bool // the time of what is held rests only for sends that have come to their server
 	OverloadMultiple   float64
-	OverloadFor        Duration
+	OverloadWindow     Duration
 	StartCapacity      float64
 	ColdFor            Duration
 
--- a/decide/cold_fleet_test.go
+++ b/decide/cold_fleet_test.go
@@ -74,7 +74,7 @@
 	f := &coldFleet{random: rand.New(rand.NewPCG(seed, 1)), role: map[ServerID]Role{}, sends: map[ServerID][]coldSend{},
 		coldAt: map[ServerID]Time{}, now: 1000 * Second}
 	f.set = settings()
-	f.set.Routers, f.set.StartCapacity, f.set.OverloadMultiple, f.set.OverloadFor = c.routers, 0.27, 2.5, Second
+	f.set.Routers, f.set.StartCapacity, f.set.OverloadMultiple, f.set.OverloadWindow = c.routers, 0.27, 2.5, Second
 	var list []Listing
 	for i := range c.readers {
 		list = append(list, Listing{Server: ServerID(1 + i), Kind: 0, Condition: Ready, Cell: i % 3})
@@ -178,14 +178,14 @@
 // rule. used is the mean share of its budget that a cold server gets.
 func (f *coldFleet) most() (over float64, used float64) {
 	capacity := coldFleetLoad / coldFleetUse
-	window := float64(f.set.OverloadFor) / float64(Second)
+	window := float64(f.set.OverloadWindow) / float64(Second)
 	budgets, count := 0.0, 0.0
 	for s, start := range f.coldAt {
 		sends := f.sends[s]
 		for i, from := range sends {
 			n, told := 0, 0
 			for _, send := range sends[i:] {
-				if send.at-from.at < f.set.OverloadFor {
+				if send.at-from.at < f.set.OverloadWindow {
 					n++
 					if send.told {
 						told++
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -40,7 +40,7 @@
 		DrainGrace:       Second,
 		HoldTimeout:      300 * ms,
 		OverloadMultiple: 4,
-		OverloadFor:      2 * Second,
+		OverloadWindow:   2 * Second,
 		StartCapacity:    0.25,
 		ColdFor:          10 * Second,
 	}
--- a/decide/slowstart.go
+++ b/decide/slowstart.go
@@ -46,7 +46,7 @@
 // budget is guessed from the work that a warm one does for this router (no failures), or did when
 // the last was there: all may be cold. A router that has not seen answers yet sends nothing.
 func (r *Router) coldGap(role Role, work float64) Duration {
-	window := float64(r.set.OverloadFor) / float64(Second)
+	window := float64(r.set.OverloadWindow) / float64(Second)
 	if r.coldRate[role] == 0 {
 		r.coldRate[role] = r.coldBudget(role, window)
 	}
