--- a/decide/api.go
+++ b/decide/api.go
@@ -116,7 +116,7 @@
 	PauseHoldOnArrival bool // the time of what is held rests only for sends that have come to their server
 	OverloadMultiple   float64
 	OverloadWindow     Duration
-	StartCapacity      float64
+	InitialCapacity    float64
 	ColdFor            Duration
 
 	ProbeFee, WasteFee, LateFailFee, ZoneFee, CellFee float64
--- a/decide/cold_fleet_test.go
+++ b/decide/cold_fleet_test.go
@@ -74,7 +74,7 @@
 	f := &coldFleet{random: rand.New(rand.NewPCG(seed, 1)), role: map[ServerID]Role{}, sends: map[ServerID][]coldSend{},
 		coldAt: map[ServerID]Time{}, now: 1000 * Second}
 	f.set = settings()
-	f.set.Routers, f.set.StartCapacity, f.set.OverloadMultiple, f.set.OverloadWindow = c.routers, 0.27, 2.5, Second
+	f.set.Routers, f.set.InitialCapacity, f.set.OverloadMultiple, f.set.OverloadWindow = c.routers, 0.27, 2.5, Second
 	var list []Listing
 	for i := range c.readers {
 		list = append(list, Listing{Server: ServerID(1 + i), Kind: 0, Condition: Ready, Cell: i % 3})
@@ -192,14 +192,14 @@
 					}
 				}
 			}
-			warmth := f.set.StartCapacity + (1-f.set.StartCapacity)*float64(from.at-start)/float64(f.set.ColdFor)
+			warmth := f.set.InitialCapacity + (1-f.set.InitialCapacity)*float64(from.at-start)/float64(f.set.ColdFor)
 			budget := f.set.OverloadMultiple * capacity * warmth * window
 			if 3*told > 2*n {
 				over = max(over, float64(n)/(budget+2*math.Sqrt(budget)+2))
 			}
 		}
 		count += float64(len(sends))
-		budgets += f.set.OverloadMultiple * capacity * f.set.StartCapacity * float64(f.set.ColdFor) / float64(Second)
+		budgets += f.set.OverloadMultiple * capacity * f.set.InitialCapacity * float64(f.set.ColdFor) / float64(Second)
 	}
 	return over, count / budgets
 }
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -41,7 +41,7 @@
 		HoldTimeout:      300 * ms,
 		OverloadMultiple: 4,
 		OverloadWindow:   2 * Second,
-		StartCapacity:    0.25,
+		InitialCapacity:  0.25,
 		ColdFor:          10 * Second,
 	}
 }
--- a/decide/slowstart.go
+++ b/decide/slowstart.go
@@ -63,7 +63,7 @@
 	if warm := r.warmOf(role); warm > 0 {
 		r.perWarm[st] = r.dones[st].perSecond(r.now) / float64(warm)
 	}
-	budget := r.set.OverloadMultiple * r.set.StartCapacity * r.perWarm[st] * window * float64(r.set.Routers)
+	budget := r.set.OverloadMultiple * r.set.InitialCapacity * r.perWarm[st] * window * float64(r.set.Routers)
 	budget = coldMargin * budget * budget / (budget + coldChance) / float64(r.set.Routers)
 	return max(budget, 1e-9)
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -126,7 +126,7 @@
 		MaxRetryAfter: decide.Duration(s.MaxRetryAfter), DialTimeout: decide.Duration(s.DialTimeout),
 		AnswerGrace: decide.Duration(s.AnswerGrace), DrainGrace: decide.Duration(s.DrainGrace),
 		HoldTimeout: decide.Duration(s.LetGoWithin), OverloadMultiple: s.FallMultiple,
-		OverloadWindow: decide.Duration(s.FallWithin), StartCapacity: s.StartCapacity,
+		OverloadWindow: decide.Duration(s.FallWithin), InitialCapacity: s.StartCapacity,
 		ColdFor: decide.Duration(s.ColdFor), ProbeFee: s.ProbeFee,
 	}
 	for _, c := range s.Classes {
