--- a/decide/api.go
+++ b/decide/api.go
@@ -117,7 +117,7 @@
 	OverloadMultiple   float64
 	OverloadWindow     Duration
 	InitialCapacity    float64
-	ColdFor            Duration
+	SlowStartTime      Duration
 
 	ProbeFee, WasteFee, LateFailFee, ZoneFee, CellFee float64
 }
--- a/decide/cold_fleet_test.go
+++ b/decide/cold_fleet_test.go
@@ -138,7 +138,7 @@
 // send lets an attempt end well after a fixed time.
 func (f *coldFleet) send(router int, a Action) {
 	const read, first, stream = 100 * ms, 50 * ms, 2 * Second
-	if start, ok := f.coldAt[a.Server]; ok && f.now >= start && f.now-start < f.set.ColdFor {
+	if start, ok := f.coldAt[a.Server]; ok && f.now >= start && f.now-start < f.set.SlowStartTime {
 		told := f.routers[router].servers[a.Server].since == start
 		f.sends[a.Server] = append(f.sends[a.Server], coldSend{f.now, told})
 	}
@@ -192,14 +192,14 @@
 					}
 				}
 			}
-			warmth := f.set.InitialCapacity + (1-f.set.InitialCapacity)*float64(from.at-start)/float64(f.set.ColdFor)
+			warmth := f.set.InitialCapacity + (1-f.set.InitialCapacity)*float64(from.at-start)/float64(f.set.SlowStartTime)
 			budget := f.set.OverloadMultiple * capacity * warmth * window
 			if 3*told > 2*n {
 				over = max(over, float64(n)/(budget+2*math.Sqrt(budget)+2))
 			}
 		}
 		count += float64(len(sends))
-		budgets += f.set.OverloadMultiple * capacity * f.set.InitialCapacity * float64(f.set.ColdFor) / float64(Second)
+		budgets += f.set.OverloadMultiple * capacity * f.set.InitialCapacity * float64(f.set.SlowStartTime) / float64(Second)
 	}
 	return over, count / budgets
 }
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -42,7 +42,7 @@
 		OverloadMultiple: 4,
 		OverloadWindow:   2 * Second,
 		InitialCapacity:  0.25,
-		ColdFor:          10 * Second,
+		SlowStartTime:    10 * Second,
 	}
 }
 
@@ -945,7 +945,7 @@
 		}
 		return w.r.coldGap(Reader, 1)
 	}
-	if done, failed := gap(ReadDone), gap(Full); done >= failed || failed != settings().ColdFor {
+	if done, failed := gap(ReadDone), gap(Full); done >= failed || failed != settings().SlowStartTime {
 		t.Errorf("gap after reads %d, after failures %d: failures must not open the budget", done, failed)
 	}
 }
--- a/decide/slowstart.go
+++ b/decide/slowstart.go
@@ -5,7 +5,7 @@
 import "math"
 
 // cold tells whether a server may still be warming up.
-func (r *Router) cold(s *server) bool { return s.since > 0 && r.now-s.since < r.set.ColdFor }
+func (r *Router) cold(s *server) bool { return s.since > 0 && r.now-s.since < r.set.SlowStartTime }
 
 // spared tells whether a cold server has to be left alone for now.
 func (r *Router) spared(s *server) bool {
@@ -29,7 +29,7 @@
 				continue
 			}
 			if r.cold(s) {
-				r.warm.until = min(r.warm.until, s.since+r.set.ColdFor)
+				r.warm.until = min(r.warm.until, s.since+r.set.SlowStartTime)
 				continue
 			}
 			for of := Reader; of <= Both; of++ {
@@ -51,7 +51,7 @@
 		r.coldRate[role] = r.coldBudget(role, window)
 	}
 	gap := work * window / r.coldRate[role] * float64(Second)
-	return Duration(min(gap, float64(r.set.ColdFor)))
+	return Duration(min(gap, float64(r.set.SlowStartTime)))
 }
 
 // coldBudget is what this router may send to one cold server of a role in the window of rule 4, in mean work.
--- a/internal/front/chat/chat_test.go
+++ b/internal/front/chat/chat_test.go
@@ -96,7 +96,7 @@
 func start(t *testing.T, write func(context.Context, func(string) error) engine.Result, change func(*Options)) *world {
 	t.Helper()
 	set := &decide.Settings{Routers: 1, MaxAttempts: 6, MayCancel: true, AnswerGrace: 16e6, DrainGrace: 1e9,
-		HoldTimeout: 1e9, OverloadMultiple: 2, OverloadWindow: 1e9, InitialCapacity: 0.3, ColdFor: 10e9, DialTimeout: 250e6,
+		HoldTimeout: 1e9, OverloadMultiple: 2, OverloadWindow: 1e9, InitialCapacity: 0.3, SlowStartTime: 10e9, DialTimeout: 250e6,
 		MaxRetryAfter: 500e6, Kinds: []decide.Kind{{Role: decide.Reader}, {Role: decide.Writer, Memory: 1e5}},
 		Classes: []decide.Class{{FirstTokenTarget: 1e9, Deadline: 10e9, Value: 1}, {FirstTokenTarget: 1e9, Deadline: 10e9, Value: 1, RetryPolicy: decide.Unsafe}}}
 	e := &engines{write: write}
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -164,7 +164,7 @@
 		},
 		Kinds:       []decide.Kind{{Role: decide.Reader, Memory: 200e3}, {Role: decide.Writer, Memory: 150e3}},
 		AnswerGrace: 16e6, DrainGrace: decide.Second, HoldTimeout: 300e6,
-		OverloadMultiple: 4, OverloadWindow: 2 * decide.Second, InitialCapacity: 0.25, ColdFor: 10 * decide.Second,
+		OverloadMultiple: 4, OverloadWindow: 2 * decide.Second, InitialCapacity: 0.25, SlowStartTime: 10 * decide.Second,
 	}
 }
 
--- a/internal/sim/property_test.go
+++ b/internal/sim/property_test.go
@@ -18,7 +18,7 @@
 	cfg.Roles = sc.Shifting()
 	cfg.Look, cfg.Change = 250*time.Millisecond, 300*time.Millisecond
 	cfg.Prefill.ColdFor, cfg.Decode.ColdFor = 2*time.Second, 2*time.Second
-	cfg.Settings.ColdFor = 2.4e9
+	cfg.Settings.SlowStartTime = 2.4e9
 	r := cfg.Roles
 	r.Costs.Horizon, r.Costs.Away, r.Every, r.ColdFor, r.Confidence = 4*time.Second, 900*time.Millisecond, 500*time.Millisecond, 2400*time.Millisecond, 0.6
 	r.Limits.Empty, r.Limits.Change, r.Limits.Rest, r.Turn.Slot = 5*time.Second, 3*time.Second, time.Second, time.Second
