--- a/decide/api.go
+++ b/decide/api.go
@@ -119,7 +119,7 @@
 	InitialCapacity    float64
 	SlowStartTime      Duration
 
-	ProbeFee, WasteFee, LateFailFee, ZoneFee, CellFee float64
+	ProbeCost, WasteFee, LateFailFee, ZoneFee, CellFee float64
 }
 
 // Report is a server's own account of its load; a field it did not tell is negative.
--- a/decide/ask_test.go
+++ b/decide/ask_test.go
@@ -8,7 +8,7 @@
 // sparse is settings of so many routers that each sees little of any reader, and ten readers.
 func sparse() (*Settings, []Listing) {
 	set := settings()
-	set.Routers, set.Probing, set.ProbeFee = 300, true, 0.003
+	set.Routers, set.Probing, set.ProbeCost = 300, true, 0.003
 	list := fleet()
 	for id := ServerID(3); id <= 10; id++ {
 		list = append(list, Listing{Server: id, Kind: 0, Condition: Ready})
@@ -332,7 +332,7 @@
 	for name, change := range map[string]func(*Settings){
 		"few routers": func(s *Settings) { s.Routers = 3 },
 		"no probes":   func(s *Settings) { s.Probing = false },
-		"dear probes": func(s *Settings) { s.ProbeFee = 0.1 },
+		"dear probes": func(s *Settings) { s.ProbeCost = 0.1 },
 	} {
 		set, list := sparse()
 		change(set)
--- a/decide/bench_test.go
+++ b/decide/bench_test.go
@@ -20,7 +20,7 @@
 // newBenchFleet makes a router of many; of the servers, one in coldOf started just now, 0: none.
 func newBenchFleet(b *testing.B, servers, routers, coldOf int) *benchFleet {
 	set := settings()
-	set.Routers, set.Probing, set.ProbeFee = routers, true, 0.0026
+	set.Routers, set.Probing, set.ProbeCost = routers, true, 0.0026
 	f := &benchFleet{b: b, r: New(set, 1, 1000*Second), now: 1000 * Second}
 	f.handle(&Event{Kind: ListCached, Servers: benchList(servers, coldOf, f.now), Report: benchUntold})
 	return f
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -900,7 +900,7 @@
 // Probes are earned by requests: with hundreds of routers over a large fleet their price must not grow.
 func TestProbesAreEarned(t *testing.T) {
 	set := settings()
-	set.Routers, set.Probing, set.ProbeFee = 200, true, 0.005
+	set.Routers, set.Probing, set.ProbeCost = 200, true, 0.005
 	list := []Listing{}
 	for id := ServerID(1); id <= 60; id++ {
 		list = append(list, Listing{Server: id, Kind: int(id) % 2, Condition: Ready})
@@ -929,7 +929,7 @@
 	if checks > mostAsked*requests {
 		t.Errorf("%d checks of servers for %d requests without an answer", checks, requests)
 	}
-	if cost := float64(probes) * set.ProbeFee / float64(requests); probes == 0 || cost > 1.2*probePoints {
+	if cost := float64(probes) * set.ProbeCost / float64(requests); probes == 0 || cost > 1.2*probePoints {
 		t.Errorf("%d probes for %d requests cost %.4f, allowed %.4f", probes, requests, cost, probePoints)
 	}
 }
--- a/decide/names_test.go
+++ b/decide/names_test.go
@@ -18,7 +18,7 @@
 // named is a deployment with two classes, three kinds, two zones, four cells and two tenants.
 func named(by naming, routers int) (*Settings, []Listing) {
 	set := settings()
-	set.Routers, set.Probing, set.ProbeFee = routers, true, 0.002
+	set.Routers, set.Probing, set.ProbeCost = routers, true, 0.002
 	classes := []Class{set.Classes[safe], set.Classes[unsafeClass]}
 	classes[1].Value, classes[1].FirstTokenTarget = 3, 2*Second
 	kinds := []Kind{{Role: Reader, Memory: 200e3}, {Role: Writer, Memory: 150e3}, {Role: Both, Memory: 100e3}}
--- a/decide/probing.go
+++ b/decide/probing.go
@@ -6,7 +6,7 @@
 import "slices"
 
 // asks tells whether servers are asked before they are picked: by many routers, where it is cheap.
-func (r *Router) asks() bool { return r.many && r.set.Probing && r.set.ProbeFee*askMost <= askPoints }
+func (r *Router) asks() bool { return r.many && r.set.Probing && r.set.ProbeCost*askMost <= askPoints }
 
 // askWriters asks writers near a reader, so that the refusal and the pick go by what they say then.
 func (r *Router) askWriters(q *request, from *server) {
--- a/decide/request.go
+++ b/decide/request.go
@@ -15,7 +15,7 @@
 	r.requests[q.id] = q
 	r.again = min(r.again+againPart, againMost)
 	// Each request pays for the probes that it may cost, so that many routers cost no more than few.
-	r.probes = min(r.probes+probePoints/max(r.set.ProbeFee, probePoints/mostProbes), float64(len(r.order)))
+	r.probes = min(r.probes+probePoints/max(r.set.ProbeCost, probePoints/mostProbes), float64(len(r.order)))
 	w := &r.work[q.job.Class]
 	w.prompt += answerGain * (q.job.Prompt - w.prompt)
 	if r.tooLate() || !r.endsInTime(q) {
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -127,7 +127,7 @@
 		AnswerGrace: decide.Duration(s.AnswerGrace), DrainGrace: decide.Duration(s.DrainGrace),
 		HoldTimeout: decide.Duration(s.LetGoWithin), OverloadMultiple: s.FallMultiple,
 		OverloadWindow: decide.Duration(s.FallWithin), InitialCapacity: s.StartCapacity,
-		SlowStartTime: decide.Duration(s.ColdFor), ProbeFee: s.ProbeFee,
+		SlowStartTime: decide.Duration(s.ColdFor), ProbeCost: s.ProbeFee,
 	}
 	for _, c := range s.Classes {
 		d.Classes = append(d.Classes, c.Class)
--- a/internal/sim/scene.go
+++ b/internal/sim/scene.go
@@ -42,7 +42,7 @@
 	c.Settings = decide.Settings{Routers: s.Routers, Classes: []decide.Class{class(3), class(1)}, MayCancel: true, MaxAttempts: 6,
 		MaxRetryAfter: decide.Second / 2, DialTimeout: decide.Second / 4, AnswerGrace: 16e6, DrainGrace: decide.Second, HoldTimeout: 300e6,
 		OverloadMultiple: read.FallMultiple, OverloadWindow: decide.Duration(read.FallWithin), InitialCapacity: read.ColdFrom * 0.87,
-		SlowStartTime: decide.Duration(coldFor), OverQuotaValue: 0.1, ProbeFee: 0.0026,
+		SlowStartTime: decide.Duration(coldFor), OverQuotaValue: 0.1, ProbeCost: 0.0026,
 		Kinds: []decide.Kind{roles.Prefill: {Role: decide.Reader, Memory: float64(read.Memory)}, roles.Decode: {Role: decide.Writer, Memory: float64(write.Memory)}}}
 	for i := range s.Engines {
 		role := roles.Decode
