--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -129,7 +129,7 @@
 		OverloadWindow:   p.time("obligations.overloadForNs"),
 		InitialCapacity:  p.atLeast("obligations.startCapacity", 0), SlowStartTime: p.time("obligations.coldNs"),
 		ProbeCost: p.optional("fees.probe", 0), WasteCost: p.optional("fees.waste", 0),
-		LateFailureCost: p.optional("fees.lateFail", 0), ZoneFee: p.optional("fees.crossZone", 0),
+		LateFailureCost: p.optional("fees.lateFail", 0), CrossZoneCost: p.optional("fees.crossZone", 0),
 		CellFee: p.optional("familyInfo.crossCellPrice", 0),
 	}
 	d := &Deployment{Decide: s, RetryAfter: p.flag("permissions.retryAfter"),
