--- a/decide/api.go
+++ b/decide/api.go
@@ -119,7 +119,7 @@
 	InitialCapacity    float64
 	SlowStartTime      Duration
 
-	ProbeCost, WasteCost, LateFailureCost, CrossZoneCost, CellFee float64
+	ProbeCost, WasteCost, LateFailureCost, CrossZoneCost, CrossCellCost float64
 }
 
 // Report is a server's own account of its load; a field it did not tell is negative.
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -130,7 +130,7 @@
 		InitialCapacity:  p.atLeast("obligations.startCapacity", 0), SlowStartTime: p.time("obligations.coldNs"),
 		ProbeCost: p.optional("fees.probe", 0), WasteCost: p.optional("fees.waste", 0),
 		LateFailureCost: p.optional("fees.lateFail", 0), CrossZoneCost: p.optional("fees.crossZone", 0),
-		CellFee: p.optional("familyInfo.crossCellPrice", 0),
+		CrossCellCost: p.optional("familyInfo.crossCellPrice", 0),
 	}
 	d := &Deployment{Decide: s, RetryAfter: p.flag("permissions.retryAfter"),
 		ConnIdle: decide.Duration(p.optional("permissions.connIdleNs", 0)),
