--- a/decide/probing.go
+++ b/decide/probing.go
@@ -132,10 +132,10 @@
 
 // report takes in a load report. One that repeats the last share is the old one told again.
 func (r *Router) report(s *server, rep Report) {
-	if rep.MemoryShare >= 0 && rep.MemoryShare != s.share {
-		s.share, s.sent = rep.MemoryShare, 0
+	if rep.MemoryUse >= 0 && rep.MemoryUse != s.share {
+		s.share, s.sent = rep.MemoryUse, 0
 	}
-	if rep.WaitingK >= 0 || rep.MemoryShare >= 0 {
+	if rep.WaitingK >= 0 || rep.MemoryUse >= 0 {
 		s.queue, s.toldAt = max(0, rep.WaitingK)*thousand, r.now
 	}
 }
--- a/internal/engine/chat/chat_test.go
+++ b/internal/engine/chat/chat_test.go
@@ -226,7 +226,7 @@
 					t.Errorf("event %d was changed: %q", i, e)
 				}
 			}
-			if c.name == "served, with a report" && res.Report.MemoryShare != 0.25 {
+			if c.name == "served, with a report" && res.Report.MemoryUse != 0.25 {
 				t.Errorf("%+v", res.Report)
 			}
 		})
@@ -565,7 +565,7 @@
 	}
 	p := play(t, true, func(_ int, h *http1.Head) string { return answers[h.Line] })
 	c := newClient(t, nil)
-	if r := c.Probe(t.Context(), p.addr, false); r.Outcome != decide.Served || r.Report != (decide.Report{MemoryShare: 0.5, WaitingK: 3, Latency: 12}) {
+	if r := c.Probe(t.Context(), p.addr, false); r.Outcome != decide.Served || r.Report != (decide.Report{MemoryUse: 0.5, WaitingK: 3, Latency: 12}) {
 		t.Errorf("%+v", r)
 	}
 	for name, want := range map[string]bool{"yes": true, "no": false, "who": false} {
--- a/internal/engine/client_test.go
+++ b/internal/engine/client_test.go
@@ -135,7 +135,7 @@
 		if res.Outcome != c.want || res.Tokens != c.tokens || n != c.tokens {
 			t.Errorf("%s: outcome %d, %d tokens, err %v; want %d and %d", c.name, res.Outcome, n, res.Err, c.want, c.tokens)
 		}
-		if c.want == decide.Served && (res.Finish != "stop" || res.Report.MemoryShare != 0.5) {
+		if c.want == decide.Served && (res.Finish != "stop" || res.Report.MemoryUse != 0.5) {
 			t.Errorf("%s: %+v", c.name, res)
 		}
 	}
@@ -197,12 +197,12 @@
 func TestLoadReports(t *testing.T) {
 	half, k := 0.5, 1500.0
 	r := &LoadReport{MemoryShare: &half, WaitingTokens: &k}
-	want := decide.Report{MemoryShare: 0.5, WaitingK: 1.5, Latency: -1}
+	want := decide.Report{MemoryUse: 0.5, WaitingK: 1.5, Latency: -1}
 	if got := ParseLoadHeader(r.Header()); got != want || r.Decide() != want {
 		t.Errorf("%q is %+v", r.Header(), got)
 	}
 	for value, want := range map[string]decide.Report{
-		`JSON {"named_metrics":{"latency_ms":20}}`:                         {MemoryShare: -1, WaitingK: -1, Latency: 20},
+		`JSON {"named_metrics":{"latency_ms":20}}`:                         {MemoryUse: -1, WaitingK: -1, Latency: 20},
 		`TEXT named_metrics.kv_cache_utilization=NaN, latency_ms=x, cpu=1`: Untold(),
 		`TEXT named_metrics.kv_cache_utilization=-1`:                       Untold(),
 		`BIN xyz`: Untold(),
