--- a/decide/api.go
+++ b/decide/api.go
@@ -124,9 +124,9 @@
 
 // Report is a server's own account of its load; a field it did not tell is negative.
 type Report struct {
-	MemoryUse float64 // share of memory held
-	WaitingK  float64 // thousands of prompt tokens to read or fetch
-	Latency   float64 // recent time to the end of a read or to the first token, in milliseconds
+	MemoryUse     float64 // share of memory held
+	QueuedKTokens float64 // thousands of prompt tokens to read or fetch
+	Latency       float64 // recent time to the end of a read or to the first token, in milliseconds
 }
 
 // Condition is what the list says of a server.
--- a/decide/ask_test.go
+++ b/decide/ask_test.go
@@ -32,7 +32,7 @@
 func (w *world) tells(s ServerID, share, waitingK float64) []Action {
 	w.now += 2 * ms
 	return w.do(Event{Kind: Probed, Server: s, Outcome: Served, Spent: 2 * ms,
-		Report: Report{MemoryUse: share, WaitingK: waitingK, Latency: -1}})
+		Report: Report{MemoryUse: share, QueuedKTokens: waitingK, Latency: -1}})
 }
 
 // silent answers a probe with its time-out.
@@ -349,7 +349,7 @@
 	set.Probing = false
 	w := newWorld(t, set, list)
 	for _, s := range []ServerID{11, 12, 13} {
-		w.do(Event{Kind: Probed, Server: s, Outcome: Served, Report: Report{MemoryUse: 0.1, WaitingK: -1, Latency: -1}})
+		w.do(Event{Kind: Probed, Server: s, Outcome: Served, Report: Report{MemoryUse: 0.1, QueuedKTokens: -1, Latency: -1}})
 	}
 	w.read(safe) // 1,000 tokens; times 300 routers two thirds of the writers' memory
 	w.read(safe)
--- a/decide/bench_test.go
+++ b/decide/bench_test.go
@@ -15,7 +15,7 @@
 	sent []ServerID // by attempt of the request under way
 }
 
-var benchUntold = Report{MemoryUse: -1, WaitingK: -1, Latency: -1}
+var benchUntold = Report{MemoryUse: -1, QueuedKTokens: -1, Latency: -1}
 
 // newBenchFleet makes a router of many; of the servers, one in coldOf started just now, 0: none.
 func newBenchFleet(b *testing.B, servers, routers, coldOf int) *benchFleet {
@@ -51,7 +51,7 @@
 		}
 	}
 	for _, s := range probed {
-		f.handle(&Event{Kind: Probed, Server: s, Outcome: Served, Report: Report{MemoryUse: 0.2, WaitingK: 0, Latency: -1}})
+		f.handle(&Event{Kind: Probed, Server: s, Outcome: Served, Report: Report{MemoryUse: 0.2, QueuedKTokens: 0, Latency: -1}})
 	}
 }
 
--- a/decide/cold_fleet_test.go
+++ b/decide/cold_fleet_test.go
@@ -124,7 +124,7 @@
 }
 
 func (f *coldFleet) handle(router int, ev Event) {
-	ev.Report = Report{MemoryUse: -1, WaitingK: -1, Latency: -1}
+	ev.Report = Report{MemoryUse: -1, QueuedKTokens: -1, Latency: -1}
 	for _, a := range f.routers[router].Handle(f.now, &ev, nil) {
 		switch a.Kind {
 		case WakeMe:
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -72,7 +72,7 @@
 
 func (w *world) do(ev Event) []Action {
 	if ev.Report == (Report{}) {
-		ev.Report = Report{MemoryUse: -1, WaitingK: -1, Latency: -1}
+		ev.Report = Report{MemoryUse: -1, QueuedKTokens: -1, Latency: -1}
 	}
 	w.r.timed = [Both + 1]bool{} // tests put answer times in by hand
 	return w.r.Handle(w.now, &ev, nil)
@@ -1135,7 +1135,7 @@
 	set.Kinds[1].Memory = 0
 	w := newWorld(t, set, fleet())
 	for _, s := range []ServerID{11, 12, 13} {
-		w.do(Event{Kind: Probed, Server: s, Report: Report{MemoryUse: 0.1, WaitingK: -1, Latency: -1}})
+		w.do(Event{Kind: Probed, Server: s, Report: Report{MemoryUse: 0.1, QueuedKTokens: -1, Latency: -1}})
 	}
 	w.read(safe) // one stream is booked
 	if _, acts := w.arrive(safe); find(acts, Refuse) != nil {
--- a/decide/liveness.go
+++ b/decide/liveness.go
@@ -144,7 +144,7 @@
 	if q.stage != reading || waited < r.waitLimit()-tickEvery {
 		return false
 	}
-	if check.Outcome == Served && check.Report.WaitingK >= 0 && float64(waited) >= waitTypical*r.expected(q) {
+	if check.Outcome == Served && check.Report.QueuedKTokens >= 0 && float64(waited) >= waitTypical*r.expected(q) {
 		return !r.explains(&check.Report)
 	}
 	suspicious := check.Outcome == TimedOut || check.Outcome == Served && !r.explains(&check.Report)
@@ -158,7 +158,7 @@
 
 // explains tells whether a reader's report explains why a read takes so long: by a queue that takes so long.
 func (r *Router) explains(rep *Report) bool {
-	return 2*rep.WaitingK*thousand*r.pace >= float64(r.waitLimit())
+	return 2*rep.QueuedKTokens*thousand*r.pace >= float64(r.waitLimit())
 }
 
 func (r *Router) callOff(u *unsure) {
--- a/decide/liveness_test.go
+++ b/decide/liveness_test.go
@@ -124,7 +124,7 @@
 					t.Fatalf("asked %+v", check)
 				}
 				return w.do(Event{Kind: Probed, Server: s, Fresh: true, Outcome: tt.outcome,
-					Report: Report{MemoryUse: 0.5, WaitingK: tt.waitingK, Latency: -1}})
+					Report: Report{MemoryUse: 0.5, QueuedKTokens: tt.waitingK, Latency: -1}})
 			}
 			if got := find(tell(), Cancel) == nil; got != tt.waited {
 				t.Errorf("waited for: %v", got)
@@ -160,7 +160,7 @@
 				t.Fatalf("asked %+v", check)
 			}
 			last = w.do(Event{Kind: Probed, Server: s, Fresh: true, Outcome: Served,
-				Report: Report{MemoryUse: 0.5, WaitingK: waitingK, Latency: -1}})
+				Report: Report{MemoryUse: 0.5, QueuedKTokens: waitingK, Latency: -1}})
 		}
 		if got := find(last, Cancel) == nil; got != waited {
 			t.Errorf("queue of %v thousand: waited for: %v", waitingK, got)
--- a/decide/names_test.go
+++ b/decide/names_test.go
@@ -58,7 +58,7 @@
 	do := func(ev Event) {
 		ev.Report.Latency = -1
 		if ev.Kind != Probed {
-			ev.Report.MemoryUse, ev.Report.WaitingK = -1, -1
+			ev.Report.MemoryUse, ev.Report.QueuedKTokens = -1, -1
 		}
 		acts := r.Handle(now, &ev, nil)
 		for _, a := range acts {
@@ -81,7 +81,7 @@
 				due = append(due, event{now + after, out})
 			case Probe:
 				due = append(due, event{now + after/10, Event{Kind: Probed, Server: a.Server, Spent: after / 10,
-					Report: Report{MemoryUse: rng.Float64(), WaitingK: 20 * rng.Float64()}}})
+					Report: Report{MemoryUse: rng.Float64(), QueuedKTokens: 20 * rng.Float64()}}})
 			}
 		}
 		all = append(all, acts...)
--- a/decide/probing.go
+++ b/decide/probing.go
@@ -135,7 +135,7 @@
 	if rep.MemoryUse >= 0 && rep.MemoryUse != s.share {
 		s.share, s.sent = rep.MemoryUse, 0
 	}
-	if rep.WaitingK >= 0 || rep.MemoryUse >= 0 {
-		s.queue, s.toldAt = max(0, rep.WaitingK)*thousand, r.now
+	if rep.QueuedKTokens >= 0 || rep.MemoryUse >= 0 {
+		s.queue, s.toldAt = max(0, rep.QueuedKTokens)*thousand, r.now
 	}
 }
--- a/internal/engine/chat/chat_test.go
+++ b/internal/engine/chat/chat_test.go
@@ -565,7 +565,7 @@
 	}
 	p := play(t, true, func(_ int, h *http1.Head) string { return answers[h.Line] })
 	c := newClient(t, nil)
-	if r := c.Probe(t.Context(), p.addr, false); r.Outcome != decide.Served || r.Report != (decide.Report{MemoryUse: 0.5, WaitingK: 3, Latency: 12}) {
+	if r := c.Probe(t.Context(), p.addr, false); r.Outcome != decide.Served || r.Report != (decide.Report{MemoryUse: 0.5, QueuedKTokens: 3, Latency: 12}) {
 		t.Errorf("%+v", r)
 	}
 	for name, want := range map[string]bool{"yes": true, "no": false, "who": false} {
--- a/internal/engine/client_test.go
+++ b/internal/engine/client_test.go
@@ -197,12 +197,12 @@
 func TestLoadReports(t *testing.T) {
 	half, k := 0.5, 1500.0
 	r := &LoadReport{MemoryShare: &half, WaitingTokens: &k}
-	want := decide.Report{MemoryUse: 0.5, WaitingK: 1.5, Latency: -1}
+	want := decide.Report{MemoryUse: 0.5, QueuedKTokens: 1.5, Latency: -1}
 	if got := ParseLoadHeader(r.Header()); got != want || r.Decide() != want {
 		t.Errorf("%q is %+v", r.Header(), got)
 	}
 	for value, want := range map[string]decide.Report{
-		`JSON {"named_metrics":{"latency_ms":20}}`:                         {MemoryUse: -1, WaitingK: -1, Latency: 20},
+		`JSON {"named_metrics":{"latency_ms":20}}`:                         {MemoryUse: -1, QueuedKTokens: -1, Latency: 20},
 		`TEXT named_metrics.kv_cache_utilization=NaN, latency_ms=x, cpu=1`: Untold(),
 		`TEXT named_metrics.kv_cache_utilization=-1`:                       Untold(),
 		`BIN xyz`: Untold(),
--- a/internal/engine/wire.go
+++ b/internal/engine/wire.go
@@ -134,7 +134,7 @@
 }
 
 // Untold is a report that tells nothing.
-func Untold() decide.Report { return decide.Report{MemoryUse: -1, WaitingK: -1, Latency: -1} }
+func Untold() decide.Report { return decide.Report{MemoryUse: -1, QueuedKTokens: -1, Latency: -1} }
 
 // Decide turns a wire report into the module's.
 func (l *LoadReport) Decide() decide.Report {
@@ -146,7 +146,7 @@
 		r.MemoryUse = *l.MemoryShare
 	}
 	if l.WaitingTokens != nil {
-		r.WaitingK = *l.WaitingTokens / 1000
+		r.QueuedKTokens = *l.WaitingTokens / 1000
 	}
 	if l.LatencyMillis != nil {
 		r.Latency = *l.LatencyMillis
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -117,7 +117,7 @@
 }
 
 func (f *fakeEngines) Probe(context.Context, string, bool) engine.Result {
-	return engine.Result{Outcome: decide.Served, Report: decide.Report{MemoryUse: 0.5, WaitingK: 0, Latency: 1}}
+	return engine.Result{Outcome: decide.Served, Report: decide.Report{MemoryUse: 0.5, QueuedKTokens: 0, Latency: 1}}
 }
 
 func (f *fakeEngines) Renew(_ context.Context, s *engine.State) error {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -297,5 +297,5 @@
 		}
 		return -1
 	}
-	return decide.Report{MemoryUse: get("x0"), WaitingK: get("x1"), Latency: get("lat_ms", "latency_ms")}
+	return decide.Report{MemoryUse: get("x0"), QueuedKTokens: get("x1"), Latency: get("lat_ms", "latency_ms")}
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -120,7 +120,7 @@
 		f, ok := map[string]float64{"x0": 0.5, "x1": -3, "latency_ms": math.NaN()}[name]
 		return f, ok
 	})
-	if got != (decide.Report{MemoryUse: 0.5, WaitingK: -1, Latency: -1}) {
+	if got != (decide.Report{MemoryUse: 0.5, QueuedKTokens: -1, Latency: -1}) {
 		t.Errorf("%+v", got)
 	}
 }
