--- a/decide/api.go
+++ b/decide/api.go
@@ -145,7 +145,7 @@
 	Zone, Cell, Kind int
 	Condition        Condition
 	Weight           float64
-	Since            Time // last start; 0 when long ago
+	StartedAt        Time // last start; 0 when long ago
 }
 
 // Outcome tells how an attempt or a probe ended.
--- a/decide/cold_fleet_test.go
+++ b/decide/cold_fleet_test.go
@@ -100,7 +100,7 @@
 	anew := slices.Clone(list)
 	for i := range c.restarts {
 		s := &anew[c.readers+i]
-		s.Since = start
+		s.StartedAt = start
 		f.coldAt[s.Server] = start
 	}
 	for i := range c.routers {
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -283,7 +283,7 @@
 	for range 300 { // warm traffic to learn the rates from: 20 a second
 		w.serve()
 	}
-	w.do(Event{Kind: ListChanged, Servers: []Listing{{Server: 12, Kind: 1, Condition: Ready, Since: w.now}}})
+	w.do(Event{Kind: ListChanged, Servers: []Listing{{Server: 12, Kind: 1, Condition: Ready, StartedAt: w.now}}})
 	var cold []Time
 	warm := 0
 	for range 190 {
@@ -321,7 +321,7 @@
 	}
 	w.do(Event{Kind: ListChanged, Servers: []Listing{
 		{Server: 11, Kind: 1, Condition: Gone}, {Server: 12, Kind: 1, Condition: Gone}, {Server: 13, Kind: 1, Condition: Gone},
-		{Server: 21, Kind: 1, Condition: Ready, Since: w.now}, {Server: 22, Kind: 1, Condition: Ready, Since: w.now}}})
+		{Server: 21, Kind: 1, Condition: Ready, StartedAt: w.now}, {Server: 22, Kind: 1, Condition: Ready, StartedAt: w.now}}})
 	began := w.now
 	cold := map[ServerID][]Time{}
 	for w.now-began < 9*Second {
@@ -725,7 +725,7 @@
 	list := fleet()
 	for i := range list {
 		if list[i].Server == 12 {
-			list[i].Since = 999 * Second
+			list[i].StartedAt = 999 * Second
 		}
 	}
 	w := newWorld(t, settings(), list)
@@ -1096,7 +1096,7 @@
 			t.Fatal("sent to a server that has left")
 		}
 	}
-	w.do(Event{Kind: ListChanged, Servers: []Listing{{Server: 1, Kind: 1, Condition: Ready, Since: w.now}}})
+	w.do(Event{Kind: ListChanged, Servers: []Listing{{Server: 1, Kind: 1, Condition: Ready, StartedAt: w.now}}})
 	if s := w.r.servers[1]; !s.ready || !w.r.cold(s) || s.bench != 0 {
 		t.Errorf("back under its name: ready %v, cold %v, bench %d", s.ready, w.r.cold(s), s.bench)
 	}
--- a/decide/membership.go
+++ b/decide/membership.go
@@ -24,7 +24,7 @@
 	for _, l := range ev.Servers {
 		s := r.servers[l.Server]
 		if s == nil {
-			s = &server{id: l.Server, hash: mix(uint64(l.Server)), share: -1, since: l.Since, leftAt: r.now,
+			s = &server{id: l.Server, hash: mix(uint64(l.Server)), share: -1, since: l.StartedAt, leftAt: r.now,
 				kept: map[uint64]float64{}}
 			r.servers[l.Server] = s
 			r.order = append(r.order, s)
@@ -36,9 +36,9 @@
 		if l.Kind < len(r.set.Kinds) {
 			s.role, s.memory = r.set.Kinds[l.Kind].Role, r.set.Kinds[l.Kind].Memory
 		}
-		if l.Since != s.since {
+		if l.StartedAt != s.since {
 			// Restarted: empty, cold, and what it was blamed for is past.
-			s.since, s.share, s.sent, s.kept = l.Since, -1, 0, map[uint64]float64{}
+			s.since, s.share, s.sent, s.kept = l.StartedAt, -1, 0, map[uint64]float64{}
 			s.bench, s.failing, s.answers = 0, 0, 0
 			s.coldAt, s.coldWork = r.now, r.random() // not all routers at once
 		}
--- a/decide/names_test.go
+++ b/decide/names_test.go
@@ -108,7 +108,7 @@
 		}
 		if id%100 == 0 {
 			l := list[rng.IntN(len(list))]
-			l.Since = now
+			l.StartedAt = now
 			do(Event{Kind: ListChanged, Servers: []Listing{l}})
 		}
 		do(Event{Kind: Arrived, Request: id, Job: Job{Class: by.class(rng.IntN(2)), Tenant: by.tenant(rng.IntN(2)),
--- a/internal/router/loop.go
+++ b/internal/router/loop.go
@@ -379,7 +379,7 @@
 			continue // of a kind that the settings do not know: nobody could say what it can do
 		}
 		if !e.Since.IsZero() {
-			l.Since = decide.Time(e.Since.UnixNano())
+			l.StartedAt = decide.Time(e.Since.UnixNano())
 		}
 		out = append(out, l)
 	}
--- a/internal/sim/node.go
+++ b/internal/sim/node.go
@@ -143,7 +143,7 @@
 		l.Condition = decide.Draining
 	}
 	if !v.Since.IsZero() {
-		l.Since = decide.Time(v.Since.UnixNano())
+		l.StartedAt = decide.Time(v.Since.UnixNano())
 	}
 	return l
 }
--- a/internal/simwire/decode.go
+++ b/internal/simwire/decode.go
@@ -308,7 +308,7 @@
 		entries[i] = decide.Listing{
 			Server: server(b), Zone: int(binary.BigEndian.Uint16(b[6:])),
 			Kind: int(binary.BigEndian.Uint16(b[8:])), Cell: int(binary.BigEndian.Uint16(b[10:])),
-			Condition: decide.Condition(b[12]), Weight: float(b[13:]), Since: span(b[17:]),
+			Condition: decide.Condition(b[12]), Weight: float(b[13:]), StartedAt: span(b[17:]),
 		}
 	}
 	d.tables[table], d.known[table] = entries, true
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -129,7 +129,7 @@
 		t.Fatalf("got %d records, %v", len(got), err)
 	}
 	first := []decide.Listing{{Server: serverA, Condition: decide.Ready, Weight: 1},
-		{Server: serverB, Zone: 1, Kind: 2, Cell: 3, Condition: decide.Draining, Weight: 1.5, Since: 0x16b969d00}}
+		{Server: serverB, Zone: 1, Kind: 2, Cell: 3, Condition: decide.Draining, Weight: 1.5, StartedAt: 0x16b969d00}}
 	if !reflect.DeepEqual(got[0].Event.Servers, first) || got[0].Event.Kind != decide.ListCached {
 		t.Errorf("first list: %+v", got[0].Event)
 	}
