--- a/decide/api.go
+++ b/decide/api.go
@@ -161,7 +161,7 @@
 	ConnectFailed
 	Reset
 	Cancelled
-	Moot
+	NotStarted
 )
 
 // EventKind tells the fields of an Event that are meant.
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -139,11 +139,11 @@
 		{"safe full", safe, Full, 0, Send},
 		{"safe cancelled", safe, Cancelled, 0, Send},
 		{"safe connect", safe, ConnectFailed, 0, Send},
-		{"safe moot", safe, Moot, 0, Refuse},
+		{"safe moot", safe, NotStarted, 0, Refuse},
 		{"safe at the deadline", safe, TimedOut, 4 * Second, Refuse},
 		{"unsafe full", unsafeClass, Full, 0, Send},
 		{"unsafe connect", unsafeClass, ConnectFailed, 0, Send},
-		{"unsafe moot", unsafeClass, Moot, 0, Refuse},
+		{"unsafe moot", unsafeClass, NotStarted, 0, Refuse},
 		{"unsafe error", unsafeClass, Error, 0, Fail},
 		{"unsafe reset", unsafeClass, Reset, 0, Fail},
 		{"unsafe timeout", unsafeClass, TimedOut, 0, Fail},
@@ -377,7 +377,7 @@
 
 // After any ending the books are empty again.
 func TestBooksAreUndone(t *testing.T) {
-	for _, o := range []Outcome{Served, Error, Full, TimedOut, ConnectFailed, Reset, Cancelled, Moot} {
+	for _, o := range []Outcome{Served, Error, Full, TimedOut, ConnectFailed, Reset, Cancelled, NotStarted} {
 		w := newWorld(t, settings(), fleet())
 		id, writer := w.read(unsafeClass)
 		w.do(Event{Kind: Ended, Request: id, Attempt: 1, Server: writer, Outcome: o, Closed: true})
@@ -853,7 +853,7 @@
 // allows, and an answer leaves nothing held.
 func TestEveryOutcomeOfEveryClass(t *testing.T) {
 	for class := safe; class <= keyedCell; class++ {
-		for o := ReadDone; o <= Moot; o++ { // Served always ends a request
+		for o := ReadDone; o <= NotStarted; o++ { // Served always ends a request
 			for _, late := range []Duration{ms, settings().Classes[0].DedupWindow - settings().DialTimeout, settings().Classes[0].DedupWindow + ms, 4 * Second} {
 				for _, atWriter := range []bool{false, true} {
 					if atWriter && o == ReadDone {
@@ -878,7 +878,7 @@
 					if n != 1 {
 						t.Fatalf("class %d, outcome %d, writer %v, after %v: %v", class, o, atWriter, late, kinds(acts))
 					}
-					ran := atWriter && o != Full && o != ConnectFailed && o != Moot && o != ReadDone
+					ran := atWriter && o != Full && o != ConnectFailed && o != NotStarted && o != ReadDone
 					rep, scope := w.r.set.Classes[class].RetryPolicy, w.r.set.Classes[class].DedupScope
 					switch {
 					case ran && rep == Unsafe && fail == nil,
--- a/decide/liveness.go
+++ b/decide/liveness.go
@@ -72,7 +72,7 @@
 func (r *Router) noteHeld(q *request, o Outcome) {
 	lost := q.stage == reading && (o == TimedOut || o == Reset || o == Cancelled)
 	switch {
-	case o == ConnectFailed || o == Moot:
+	case o == ConnectFailed || o == NotStarted:
 	case o == ReadDone || o == Served || !r.seeks():
 		q.heldAt = r.now
 	case lost && (r.arrived(q) || !q.mayHold):
--- a/decide/request.go
+++ b/decide/request.go
@@ -92,7 +92,7 @@
 		s.keep(q.job.Session, q.job.Prompt)
 	}
 	// Four outcomes prove that an attempt at a writer never ran.
-	unrun := ev.Outcome == Full || ev.Outcome == ConnectFailed || ev.Outcome == Moot || ev.Outcome == ReadDone
+	unrun := ev.Outcome == Full || ev.Outcome == ConnectFailed || ev.Outcome == NotStarted || ev.Outcome == ReadDone
 	if was != reading && !unrun && !q.mayRun {
 		q.mayRun, q.runOn, q.runAt = true, s, r.now-ev.Spent
 	}
@@ -104,7 +104,7 @@
 	switch {
 	case ev.Outcome == ReadDone:
 		r.write(q)
-	case ev.Outcome == Moot || float64(q.job.Deadline-r.now) <= r.usual(Writer, nil)*writeExpected,
+	case ev.Outcome == NotStarted || float64(q.job.Deadline-r.now) <= r.usual(Writer, nil)*writeExpected,
 		q.mayHold && (ev.Outcome == ConnectFailed || r.seeks()) &&
 			r.now+r.set.DialTimeout > r.heldUntil(q.heldAt):
 		// Nothing more would be answered before the client leaves, or what is held would stay too long: no
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -122,7 +122,7 @@
 	case denial == guard.Withdrawn:
 		return decide.Full, true
 	}
-	return decide.Moot, true
+	return decide.NotStarted, true
 }
 
 // gatedBody is a body that is sent only with the gate's leave. It can be read once, so that nothing sends it again.
@@ -248,7 +248,7 @@
 	body, err := json.Marshal(inferBody{ID: q.ID, Parameters: &q.Params,
 		Inputs: []kserve.Tensor{kserve.TextTensor("text_input", q.Prompt)}})
 	if err != nil {
-		return Result{Outcome: decide.Moot, Report: Untold(), Err: err}
+		return Result{Outcome: decide.NotStarted, Report: Untold(), Err: err}
 	}
 	x := c.postGated(ctx, http.MethodPost, addr, "/v2/models/"+url.PathEscape(q.Model)+"/infer", body, q.Gate)
 	if x.err != nil {
@@ -286,7 +286,7 @@
 func (c *Client) Decode(ctx context.Context, addr string, q *Call, sink func(text string) error) Result {
 	body, err := json.Marshal(generateBody{ID: q.ID, TextInput: q.Prompt, Parameters: &q.Params})
 	if err != nil {
-		return Result{Outcome: decide.Moot, Report: Untold(), Err: err}
+		return Result{Outcome: decide.NotStarted, Report: Untold(), Err: err}
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
--- a/internal/router/actions.go
+++ b/internal/router/actions.go
@@ -108,7 +108,7 @@
 	guarded, err := r.begin(act, f, s, at)
 	if err != nil {
 		r.later = append(r.later, decide.Event{Kind: decide.Ended, Request: f.id, Server: act.Server,
-			Attempt: guarded.Number, Outcome: decide.Moot, Closed: f.answered(), Report: engine.Untold()})
+			Attempt: guarded.Number, Outcome: decide.NotStarted, Closed: f.answered(), Report: engine.Untold()})
 		return
 	}
 	a := &attempt{flight: f, server: act.Server, addr: s.addr, prefill: s.role == decide.Reader,
@@ -205,7 +205,7 @@
 
 // answered tells whether the engine has said how an attempt ended, or never heard of it.
 func answered(o decide.Outcome) bool {
-	return o == decide.ReadDone || o == decide.Full || o == decide.ConnectFailed || o == decide.Moot
+	return o == decide.ReadDone || o == decide.Full || o == decide.ConnectFailed || o == decide.NotStarted
 }
 
 // sink hands tokens on to the request's front. The first asks the loop, so that a first token and a
--- a/internal/router/crossings_test.go
+++ b/internal/router/crossings_test.go
@@ -38,7 +38,7 @@
 	go func() { q.Abandon(); close(abandoned) }()
 	<-abandoned // posted behind the decision
 	close(left)
-	if o := <-outcomes; o != decide.Moot {
+	if o := <-outcomes; o != decide.NotStarted {
 		t.Errorf("outcome %d, want moot", o)
 	}
 	if _, end := g.all(q); end.Kind != Gone {
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -422,7 +422,7 @@
 			out = append(out, decide.Action{Kind: decide.Send, Request: ev.Request, Server: p1.ID()},
 				decide.Action{Kind: decide.Send, Request: ev.Request, Server: p2.ID()})
 		}
-		if ev.Kind == decide.Ended && ev.Outcome == decide.Moot {
+		if ev.Kind == decide.Ended && ev.Outcome == decide.NotStarted {
 			mu.Lock()
 			moot++
 			mu.Unlock()
@@ -692,7 +692,7 @@
 				if f.out == nil {
 					t.Skip()
 				}
-				res := &engine.Result{Outcome: decide.Outcome(rapid.IntRange(0, int(decide.Moot)).Draw(t, "outcome"))}
+				res := &engine.Result{Outcome: decide.Outcome(rapid.IntRange(0, int(decide.NotStarted)).Draw(t, "outcome"))}
 				if res.Outcome == decide.ReadDone {
 					res.State = &engine.State{}
 				}
--- a/internal/sim/node.go
+++ b/internal/sim/node.go
@@ -361,7 +361,7 @@
 		}
 		number := f.sends
 		f.sends++
-		n.later = append(n.later, decide.Event{Kind: decide.Ended, Request: f.id, Server: act.Server, Attempt: number, Outcome: decide.Moot,
+		n.later = append(n.later, decide.Event{Kind: decide.Ended, Request: f.id, Server: act.Server, Attempt: number, Outcome: decide.NotStarted,
 			Closed: f.answered, Report: engine.Untold()})
 		return
 	}
--- a/internal/simwire/decode.go
+++ b/internal/simwire/decode.go
@@ -349,7 +349,7 @@
 	case 111:
 		return decide.ConnectFailed, nil
 	case 114:
-		return decide.Moot, nil
+		return decide.NotStarted, nil
 	case 125:
 		return decide.Cancelled, nil
 	}
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -112,7 +112,7 @@
 func TestDecodeOutcomes(t *testing.T) {
 	for code, want := range map[string]decide.Outcome{"00": decide.Served, "05": decide.Error, "0b": decide.Full,
 		"6e": decide.TimedOut, "6f": decide.ConnectFailed, "68": decide.Reset, "7d": decide.Cancelled,
-		"72": decide.Moot, "66": decide.ReadDone} {
+		"72": decide.NotStarted, "66": decide.ReadDone} {
 		got, err := decodeAll(NewDecoder(bytes.NewReader(frame(t, 1,
 			"78 00000003 00000001 00 0a124a07 1f43 "+code+" 0000000000000001 00 00000000 00"))))
 		if err != nil || got[0].Event.Outcome != want {
