--- a/decide/api.go
+++ b/decide/api.go
@@ -175,7 +175,7 @@
 	ListFailed                    // an asking for the list failed
 	Arrived                       // a new request
 	FirstToken                    // the answer of an attempt has begun
-	Ended                         // an attempt has an outcome
+	AttemptEnded                  // an attempt has an outcome
 	ClientGone                    // the request is closed, nothing is owed
 	Timer                         // a WakeMe has come due
 	Probed                        // a probe has an outcome
--- a/decide/ask_test.go
+++ b/decide/ask_test.go
@@ -296,7 +296,7 @@
 		held := w.now
 		for n := 1; ; n++ {
 			w.now += set.DialTimeout
-			acts := w.do(Event{Kind: Ended, Request: id, Attempt: n, Server: writer, Outcome: ConnectFailed,
+			acts := w.do(Event{Kind: AttemptEnded, Request: id, Attempt: n, Server: writer, Outcome: ConnectFailed,
 				Spent: set.DialTimeout})
 			if a := find(acts, Send); a != nil {
 				writer = a.Server
--- a/decide/cold_fleet_test.go
+++ b/decide/cold_fleet_test.go
@@ -143,7 +143,7 @@
 		f.sends[a.Server] = append(f.sends[a.Server], coldSend{f.now, told})
 	}
 	attempt := f.routers[router].requests[a.Request].attempts - 1
-	ended := Event{Kind: Ended, Request: a.Request, Server: a.Server, Attempt: attempt}
+	ended := Event{Kind: AttemptEnded, Request: a.Request, Server: a.Server, Attempt: attempt}
 	if f.role[a.Server] == Reader {
 		ended.Outcome, ended.Spent = ReadDone, read
 		heap.Push(&f.events, fleetEvent{at: f.now + read, router: router, event: ended})
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -149,7 +149,7 @@
 		r.arrive(ev)
 	case FirstToken:
 		r.first(ev)
-	case Ended:
+	case AttemptEnded:
 		r.ended(ev)
 	case ClientGone:
 		r.clientGone(ev.Request)
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -86,7 +86,7 @@
 
 func (w *world) end(id RequestID, attempt int, s ServerID, o Outcome) []Action {
 	w.now += 50 * ms
-	return w.do(Event{Kind: Ended, Request: id, Attempt: attempt, Server: s, Outcome: o, Spent: 50 * ms})
+	return w.do(Event{Kind: AttemptEnded, Request: id, Attempt: attempt, Server: s, Outcome: o, Spent: 50 * ms})
 }
 
 // read brings a request to its first send to a writer, and returns that writer.
@@ -158,7 +158,7 @@
 			w := newWorld(t, settings(), fleet())
 			id, writer := w.read(tt.class)
 			w.now += tt.late
-			ev := Event{Kind: Ended, Request: id, Attempt: 1, Server: writer, Outcome: tt.outcome,
+			ev := Event{Kind: AttemptEnded, Request: id, Attempt: 1, Server: writer, Outcome: tt.outcome,
 				Spent: tt.late + ms}
 			acts := w.do(ev)
 			if find(acts, tt.want) == nil {
@@ -211,7 +211,7 @@
 func TestLostStateIsReadAgain(t *testing.T) {
 	w := newWorld(t, settings(), fleet())
 	id, writer := w.read(unsafeClass)
-	acts := w.do(Event{Kind: Ended, Request: id, Attempt: 1, Server: writer, Outcome: Full, NoState: true})
+	acts := w.do(Event{Kind: AttemptEnded, Request: id, Attempt: 1, Server: writer, Outcome: Full, NoState: true})
 	if s := w.sent(acts); s != 1 && s != 2 {
 		t.Errorf("sent to %d, want a reader", s)
 	}
@@ -226,7 +226,7 @@
 		if acts := w.do(Event{Kind: ClientGone, Request: id}); find(acts, Cancel) == nil {
 			t.Errorf("the read was not called off: %v", kinds(acts))
 		}
-		acts = w.do(Event{Kind: Ended, Request: id, Server: reader, Outcome: ReadDone, Closed: true})
+		acts = w.do(Event{Kind: AttemptEnded, Request: id, Server: reader, Outcome: ReadDone, Closed: true})
 		if find(acts, Release) == nil || find(acts, Send) != nil {
 			t.Errorf("want only a release, got %v", kinds(acts))
 		}
@@ -235,7 +235,7 @@
 		w := newWorld(t, settings(), fleet())
 		id, writer := w.read(safe)
 		w.do(Event{Kind: ClientGone, Request: id})
-		acts := w.do(Event{Kind: Ended, Request: id, Attempt: 1, Server: writer, Outcome: Cancelled, Closed: true})
+		acts := w.do(Event{Kind: AttemptEnded, Request: id, Attempt: 1, Server: writer, Outcome: Cancelled, Closed: true})
 		if find(acts, Release) == nil {
 			t.Errorf("the state was not let go: %v", kinds(acts))
 		}
@@ -332,13 +332,13 @@
 			continue
 		}
 		w.now += 25 * ms
-		acts = w.do(Event{Kind: Ended, Request: id, Server: reader.Server, Outcome: ReadDone, Spent: 25 * ms, Kept: 800})
+		acts = w.do(Event{Kind: AttemptEnded, Request: id, Server: reader.Server, Outcome: ReadDone, Spent: 25 * ms, Kept: 800})
 		if a := find(acts, Send); a != nil {
 			cold[a.Server] = append(cold[a.Server], w.now)
 			w.now += 10 * ms
 			w.do(Event{Kind: FirstToken, Request: id, Attempt: 1, Server: a.Server, Spent: 10 * ms})
 			w.now += 15 * ms // as long as before: an answer's time is its work
-			w.do(Event{Kind: Ended, Request: id, Attempt: 1, Server: a.Server, Outcome: Served, Spent: 25 * ms, Closed: true})
+			w.do(Event{Kind: AttemptEnded, Request: id, Attempt: 1, Server: a.Server, Outcome: Served, Spent: 25 * ms, Closed: true})
 		}
 	}
 	// A warm writer did a third of twenty a second for this router; of two routers and a budget of four times a
@@ -366,12 +366,12 @@
 	id, acts := w.arrive(safe)
 	reader := w.sent(acts)
 	w.now += 25 * ms
-	acts = w.do(Event{Kind: Ended, Request: id, Server: reader, Outcome: ReadDone, Spent: 25 * ms, Kept: 800})
+	acts = w.do(Event{Kind: AttemptEnded, Request: id, Server: reader, Outcome: ReadDone, Spent: 25 * ms, Kept: 800})
 	writer := w.sent(acts)
 	w.now += 10 * ms
 	w.do(Event{Kind: FirstToken, Request: id, Attempt: 1, Server: writer, Spent: 10 * ms})
 	w.now += 15 * ms
-	w.do(Event{Kind: Ended, Request: id, Attempt: 1, Server: writer, Outcome: Served, Spent: 25 * ms, Closed: true})
+	w.do(Event{Kind: AttemptEnded, Request: id, Attempt: 1, Server: writer, Outcome: Served, Spent: 25 * ms, Closed: true})
 	return writer
 }
 
@@ -380,7 +380,7 @@
 	for _, o := range []Outcome{Served, Error, Full, TimedOut, ConnectFailed, Reset, Cancelled, NotStarted} {
 		w := newWorld(t, settings(), fleet())
 		id, writer := w.read(unsafeClass)
-		w.do(Event{Kind: Ended, Request: id, Attempt: 1, Server: writer, Outcome: o, Closed: true})
+		w.do(Event{Kind: AttemptEnded, Request: id, Attempt: 1, Server: writer, Outcome: o, Closed: true})
 		for _, s := range w.r.order {
 			if s.streams != 0 || s.booked != 0 || s.pending != 0 || s.waiting != 0 {
 				t.Errorf("outcome %d left %+v", o, s)
@@ -397,8 +397,8 @@
 	w := newWorld(t, settings(), fleet())
 	w.serve()
 	for _, ev := range []Event{
-		{Kind: Ended, Request: 1, Attempt: 0, Server: 1, Outcome: ReadDone, Closed: true},
-		{Kind: Ended, Request: 77, Server: 1, Outcome: Served}, {Kind: Ended, Request: 77, Server: 500},
+		{Kind: AttemptEnded, Request: 1, Attempt: 0, Server: 1, Outcome: ReadDone, Closed: true},
+		{Kind: AttemptEnded, Request: 77, Server: 1, Outcome: Served}, {Kind: AttemptEnded, Request: 77, Server: 500},
 		{Kind: FirstToken, Request: 1, Attempt: 1, Server: 11}, {Kind: FirstToken, Request: 77},
 		{Kind: ClientGone, Request: 1}, {Kind: ClientGone, Request: 77}, {Kind: Timer, Token: 12345},
 		{Kind: Probed, Server: 500}, {Kind: PlaceAnswer, Request: 77}, {Kind: PeerMessage},
@@ -668,7 +668,7 @@
 			t.Fatalf("refused after %d time-outs", len(caps))
 		}
 		caps = append(caps, a.After)
-		w.do(Event{Kind: Ended, Request: id, Server: a.Server, Outcome: TimedOut, Spent: a.After})
+		w.do(Event{Kind: AttemptEnded, Request: id, Server: a.Server, Outcome: TimedOut, Spent: a.After})
 		w.do(Event{Kind: ClientGone, Request: id})
 		for _, s := range w.r.order {
 			s.answers, s.bench = 0, 0 // the times that were learned would refuse before
@@ -753,7 +753,7 @@
 	w.serve() // the home answers a later one
 	before, again := s.answer, w.r.again
 	w.now += Second
-	if acts := w.do(Event{Kind: Ended, Request: id, Server: s.id, Outcome: TimedOut, Spent: Second}); find(acts, Send) == nil {
+	if acts := w.do(Event{Kind: AttemptEnded, Request: id, Server: s.id, Outcome: TimedOut, Spent: Second}); find(acts, Send) == nil {
 		t.Errorf("not tried again: %v", kinds(acts))
 	}
 	if s.answer != before || w.r.again != again || s.failing > 0.01 {
@@ -777,13 +777,13 @@
 			t.Fatal("two homes for one text")
 		}
 		w.now += 10 * ms
-		w.do(Event{Kind: Ended, Request: first, Server: s.id, Outcome: ReadDone, Spent: 11 * ms, Kept: 800})
+		w.do(Event{Kind: AttemptEnded, Request: first, Server: s.id, Outcome: ReadDone, Spent: 11 * ms, Kept: 800})
 		for _, o := range w.r.order {
 			o.answer, o.answers = tt.answer, slowSamples
 		}
 		again := w.r.again
 		w.now += Second
-		w.do(Event{Kind: Ended, Request: second, Server: s.id, Outcome: TimedOut, Spent: Second + 10*ms})
+		w.do(Event{Kind: AttemptEnded, Request: second, Server: s.id, Outcome: TimedOut, Spent: Second + 10*ms})
 		if lost := w.r.again == again; lost != tt.lost {
 			t.Errorf("usual time %v: taken for lost: %v", tt.answer, lost)
 		}
@@ -823,7 +823,7 @@
 	writer := w.sent(w.end(id, 0, reader, ReadDone))
 	w.now += ms
 	w.do(Event{Kind: ListChanged, Servers: []Listing{{Server: reader, Zone: 1}}}) // its state is gone
-	acts = w.do(Event{Kind: Ended, Request: id, Attempt: 1, Server: writer, Outcome: Reset})
+	acts = w.do(Event{Kind: AttemptEnded, Request: id, Attempt: 1, Server: writer, Outcome: Reset})
 	if a := find(acts, Send); a != nil && w.r.servers[a.Server].zone != w.r.servers[writer].zone {
 		t.Errorf("from writer %d sent on to %d", writer, a.Server)
 	}
@@ -867,7 +867,7 @@
 						s, attempt = w.sent(w.end(id, 0, s, ReadDone)), 1
 					}
 					w.now += late
-					acts = w.do(Event{Kind: Ended, Request: id, Attempt: attempt, Server: s, Outcome: o, Spent: late})
+					acts = w.do(Event{Kind: AttemptEnded, Request: id, Attempt: attempt, Server: s, Outcome: o, Spent: late})
 					send, refuse, fail := find(acts, Send), find(acts, Refuse), find(acts, Fail)
 					n := 0
 					for _, a := range []*Action{send, refuse, fail} {
@@ -1008,7 +1008,7 @@
 			reader := w.sent(acts)
 			w.r.servers[reader].kept = map[uint64]float64{}
 			w.now += 20 * ms
-			w.do(Event{Kind: Ended, Request: id, Server: reader, Outcome: ReadDone, Kept: 800, Spent: 20 * ms})
+			w.do(Event{Kind: AttemptEnded, Request: id, Server: reader, Outcome: ReadDone, Kept: 800, Spent: 20 * ms})
 			w.do(Event{Kind: ClientGone, Request: id})
 		}
 		s.answer, s.answered = 10, w.now-10*Second
@@ -1184,7 +1184,7 @@
 		return w.r.count(Writer, func(s *server) bool { return w.r.suspect(s, false) })
 	}
 	w := newWorld(t, settings(), fleet())
-	bad := &Event{Kind: Ended, Outcome: Full}
+	bad := &Event{Kind: AttemptEnded, Outcome: Full}
 	for range 4 {
 		id, writer := w.read(safe)
 		for n := 1; n < 4; n++ {
@@ -1224,7 +1224,7 @@
 	w = newWorld(t, settings(), fleet())
 	for range 3 {
 		id, writer := w.read(safe)
-		w.do(Event{Kind: Ended, Request: id, Attempt: 1, Server: writer, Outcome: Full, NoState: true})
+		w.do(Event{Kind: AttemptEnded, Request: id, Attempt: 1, Server: writer, Outcome: Full, NoState: true})
 		w.do(Event{Kind: ClientGone, Request: id})
 	}
 	if n := left(w); n != 0 {
--- a/decide/liveness_test.go
+++ b/decide/liveness_test.go
@@ -235,7 +235,7 @@
 		t.Fatalf("released %+v", release)
 	}
 	w.now += ms
-	acts := w.do(Event{Kind: Ended, Request: id, Attempt: 1, Server: s, Outcome: Full, NoState: true, Spent: Second})
+	acts := w.do(Event{Kind: AttemptEnded, Request: id, Attempt: 1, Server: s, Outcome: Full, NoState: true, Spent: Second})
 	if again := find(acts, Send); again == nil || w.r.servers[again.Server].role != Reader {
 		t.Errorf("after a writer that found no state: %v", kinds(acts))
 	}
--- a/decide/names_test.go
+++ b/decide/names_test.go
@@ -66,7 +66,7 @@
 			switch a.Kind {
 			case Send:
 				kind := r.servers[a.Server].role
-				out := Event{Kind: Ended, Request: a.Request, Server: a.Server, Attempt: r.requests[a.Request].attempts - 1,
+				out := Event{Kind: AttemptEnded, Request: a.Request, Server: a.Server, Attempt: r.requests[a.Request].attempts - 1,
 					Spent: after}
 				switch n := rng.IntN(10); {
 				case n == 0:
--- a/internal/e2e/hard_test.go
+++ b/internal/e2e/hard_test.go
@@ -739,7 +739,7 @@
 }
 
 func (m again) Handle(now decide.Time, ev *decide.Event, out []decide.Action) []decide.Action {
-	if ev.Kind == decide.Ended && m.sent[ev.Request] == 1 && ev.Outcome == decide.ReadDone {
+	if ev.Kind == decide.AttemptEnded && m.sent[ev.Request] == 1 && ev.Outcome == decide.ReadDone {
 		m.sent[ev.Request]++
 		to := discovery.Engine{Name: "d1"}
 		return append(out, decide.Action{Kind: decide.Send, Request: ev.Request, Server: to.ID()})
--- a/internal/router/actions.go
+++ b/internal/router/actions.go
@@ -107,7 +107,7 @@
 	}
 	guarded, err := r.begin(act, f, s, at)
 	if err != nil {
-		r.later = append(r.later, decide.Event{Kind: decide.Ended, Request: f.id, Server: act.Server,
+		r.later = append(r.later, decide.Event{Kind: decide.AttemptEnded, Request: f.id, Server: act.Server,
 			Attempt: guarded.Number, Outcome: decide.NotStarted, Closed: f.answered(), Report: engine.Untold()})
 		return
 	}
--- a/internal/router/crossings_test.go
+++ b/internal/router/crossings_test.go
@@ -27,7 +27,7 @@
 			deciding <- true
 			<-left
 			out = append(out, decide.Action{Kind: decide.Send, Request: ev.Request, Server: p1.ID()})
-		case decide.Ended:
+		case decide.AttemptEnded:
 			outcomes <- ev.Outcome
 		}
 		return out
@@ -86,7 +86,7 @@
 		switch {
 		case ev.Kind == decide.Arrived:
 			return send(p1)
-		case ev.Kind != decide.Ended || ev.Closed:
+		case ev.Kind != decide.AttemptEnded || ev.Closed:
 			return out
 		case ev.Outcome == decide.ReadDone:
 			return send(d1)
--- a/internal/router/holds_test.go
+++ b/internal/router/holds_test.go
@@ -76,7 +76,7 @@
 				switch {
 				case ev.Kind == decide.Arrived:
 					out = append(out, decide.Action{Kind: decide.Send, Request: ev.Request, Server: p1.ID()})
-				case ev.Kind != decide.Ended || ev.Closed:
+				case ev.Kind != decide.AttemptEnded || ev.Closed:
 				case ev.Outcome == decide.ReadDone:
 					out = append(out, decide.Action{Kind: decide.Send, Request: ev.Request, Server: d1.ID()})
 				case ev.Server == p1.ID() && len(c.reads) > 1: // as the module does before it reads anew
--- a/internal/router/loop.go
+++ b/internal/router/loop.go
@@ -286,7 +286,7 @@
 	} else if res.Outcome == decide.Served { // an answer without a token
 		r.answer(f, Ending{Kind: Served, Finish: res.Finish})
 	}
-	r.tell(&decide.Event{Kind: decide.Ended, Request: f.id, Server: a.server, Attempt: a.number,
+	r.tell(&decide.Event{Kind: decide.AttemptEnded, Request: f.id, Server: a.server, Attempt: a.number,
 		Outcome: res.Outcome, Closed: f.answered(), NoState: res.NoState, Kept: res.Kept,
 		Spent: r.at(m.posted) - a.sentAt, Report: res.Report}, f)
 }
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -422,7 +422,7 @@
 			out = append(out, decide.Action{Kind: decide.Send, Request: ev.Request, Server: p1.ID()},
 				decide.Action{Kind: decide.Send, Request: ev.Request, Server: p2.ID()})
 		}
-		if ev.Kind == decide.Ended && ev.Outcome == decide.NotStarted {
+		if ev.Kind == decide.AttemptEnded && ev.Outcome == decide.NotStarted {
 			mu.Lock()
 			moot++
 			mu.Unlock()
@@ -573,7 +573,7 @@
 				decide.Action{Kind: decide.Note, Text: "a place ahead"}, decide.Action{Kind: decide.Watch})
 		case decide.PlaceAnswer:
 			held <- ev.Held
-		case decide.Ended:
+		case decide.AttemptEnded:
 			if ev.Outcome == decide.ReadDone { // to another writer: the place is given up
 				out = append(out, decide.Action{Kind: decide.Send, Request: ev.Request, Server: d2.ID()})
 			}
--- a/internal/sim/node.go
+++ b/internal/sim/node.go
@@ -361,7 +361,7 @@
 		}
 		number := f.sends
 		f.sends++
-		n.later = append(n.later, decide.Event{Kind: decide.Ended, Request: f.id, Server: act.Server, Attempt: number, Outcome: decide.NotStarted,
+		n.later = append(n.later, decide.Event{Kind: decide.AttemptEnded, Request: f.id, Server: act.Server, Attempt: number, Outcome: decide.NotStarted,
 			Closed: f.answered, Report: engine.Untold()})
 		return
 	}
@@ -449,7 +449,7 @@
 			f.finish(0)
 		}
 	}
-	n.tell(&decide.Event{Kind: decide.Ended, Request: f.id, Server: a.u.id(), Attempt: a.number, Outcome: out, Closed: f.answered,
+	n.tell(&decide.Event{Kind: decide.AttemptEnded, Request: f.id, Server: a.u.id(), Attempt: a.number, Outcome: out, Closed: f.answered,
 		NoState: noState, Kept: kept, Spent: decide.Duration(s.now - a.sentAt), Report: report})
 	n.settle(f)
 }
--- a/internal/simwire/decode.go
+++ b/internal/simwire/decode.go
@@ -250,7 +250,7 @@
 	if ev.Outcome, err = outcome(b[15]); err != nil {
 		return err
 	}
-	ev.Kind, ev.Request, ev.Attempt, ev.Server = decide.Ended, request(b[4:]), int(b[8]), server(b[9:])
+	ev.Kind, ev.Request, ev.Attempt, ev.Server = decide.AttemptEnded, request(b[4:]), int(b[8]), server(b[9:])
 	ev.Spent, ev.Closed = span(b[16:]), b[24] != 0
 	info := binary.BigEndian.Uint32(b[25:])
 	if ev.Outcome == decide.Full {
