--- a/decide/api.go
+++ b/decide/api.go
@@ -176,7 +176,7 @@
 	Arrived                       // a new request
 	FirstToken                    // the answer of an attempt has begun
 	AttemptEnded                  // an attempt has an outcome
-	ClientGone                    // the request is closed, nothing is owed
+	ClientLeft                    // the request is closed, nothing is owed
 	Timer                         // a WakeMe has come due
 	Probed                        // a probe has an outcome
 	PlaceAnswer                   // the answer to a place asked for ahead
--- a/decide/ask_test.go
+++ b/decide/ask_test.go
@@ -319,7 +319,7 @@
 	w := newWorld(sparseOf(t))
 	id, acts := w.arrive(safe)
 	asked, writers := probes(acts)
-	w.do(Event{Kind: ClientGone, Request: id})
+	w.do(Event{Kind: ClientLeft, Request: id})
 	for _, s := range append(writers, asked...) {
 		if acts := w.tells(s, 0.1, 50); len(acts) != 0 { // crowded: for who waits, others would be asked
 			t.Fatalf("got %v for a client that has left", acts)
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -151,7 +151,7 @@
 		r.first(ev)
 	case AttemptEnded:
 		r.ended(ev)
-	case ClientGone:
+	case ClientLeft:
 		r.clientGone(ev.Request)
 	case Probed:
 		r.probed(ev)
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -223,7 +223,7 @@
 		w := newWorld(t, settings(), fleet())
 		id, acts := w.arrive(safe)
 		reader := w.sent(acts)
-		if acts := w.do(Event{Kind: ClientGone, Request: id}); find(acts, Cancel) == nil {
+		if acts := w.do(Event{Kind: ClientLeft, Request: id}); find(acts, Cancel) == nil {
 			t.Errorf("the read was not called off: %v", kinds(acts))
 		}
 		acts = w.do(Event{Kind: AttemptEnded, Request: id, Server: reader, Outcome: ReadDone, Closed: true})
@@ -234,7 +234,7 @@
 	t.Run("client leaves while a writer has it", func(t *testing.T) {
 		w := newWorld(t, settings(), fleet())
 		id, writer := w.read(safe)
-		w.do(Event{Kind: ClientGone, Request: id})
+		w.do(Event{Kind: ClientLeft, Request: id})
 		acts := w.do(Event{Kind: AttemptEnded, Request: id, Attempt: 1, Server: writer, Outcome: Cancelled, Closed: true})
 		if find(acts, Release) == nil {
 			t.Errorf("the state was not let go: %v", kinds(acts))
@@ -400,7 +400,7 @@
 		{Kind: AttemptEnded, Request: 1, Attempt: 0, Server: 1, Outcome: ReadDone, Closed: true},
 		{Kind: AttemptEnded, Request: 77, Server: 1, Outcome: Served}, {Kind: AttemptEnded, Request: 77, Server: 500},
 		{Kind: FirstToken, Request: 1, Attempt: 1, Server: 11}, {Kind: FirstToken, Request: 77},
-		{Kind: ClientGone, Request: 1}, {Kind: ClientGone, Request: 77}, {Kind: Timer, Token: 12345},
+		{Kind: ClientLeft, Request: 1}, {Kind: ClientLeft, Request: 77}, {Kind: Timer, Token: 12345},
 		{Kind: Probed, Server: 500}, {Kind: PlaceAnswer, Request: 77}, {Kind: PeerMessage},
 	} {
 		for _, a := range w.do(ev) {
@@ -669,7 +669,7 @@
 		}
 		caps = append(caps, a.After)
 		w.do(Event{Kind: AttemptEnded, Request: id, Server: a.Server, Outcome: TimedOut, Spent: a.After})
-		w.do(Event{Kind: ClientGone, Request: id})
+		w.do(Event{Kind: ClientLeft, Request: id})
 		for _, s := range w.r.order {
 			s.answers, s.bench = 0, 0 // the times that were learned would refuse before
 			s.answer = 0
@@ -688,7 +688,7 @@
 	reader := w.r.servers[w.sent(acts)]
 	for range 5 {
 		w.end(id, 0, reader.id, Error)
-		w.do(Event{Kind: ClientGone, Request: id})
+		w.do(Event{Kind: ClientLeft, Request: id})
 		id, acts = w.arrive(safe)
 		if w.sent(acts) != reader.id {
 			t.Fatal("the home was left for errors")
@@ -941,7 +941,7 @@
 		for i := 0; i < 50; i++ {
 			id, acts := w.arrive(safe)
 			w.end(id, 0, w.sent(acts), o)
-			w.do(Event{Kind: ClientGone, Request: id})
+			w.do(Event{Kind: ClientLeft, Request: id})
 		}
 		return w.r.coldGap(Reader, 1)
 	}
@@ -1009,7 +1009,7 @@
 			w.r.servers[reader].kept = map[uint64]float64{}
 			w.now += 20 * ms
 			w.do(Event{Kind: AttemptEnded, Request: id, Server: reader, Outcome: ReadDone, Kept: 800, Spent: 20 * ms})
-			w.do(Event{Kind: ClientGone, Request: id})
+			w.do(Event{Kind: ClientLeft, Request: id})
 		}
 		s.answer, s.answered = 10, w.now-10*Second
 		if got := w.r.recent(s) > 1; got != c.slow {
@@ -1197,7 +1197,7 @@
 			}
 			writer = a.Server
 		}
-		w.do(Event{Kind: ClientGone, Request: id})
+		w.do(Event{Kind: ClientLeft, Request: id})
 	}
 	if n := left(w); n > 1 {
 		t.Errorf("%d of 3 writers are left out when all are full", n)
@@ -1225,7 +1225,7 @@
 	for range 3 {
 		id, writer := w.read(safe)
 		w.do(Event{Kind: AttemptEnded, Request: id, Attempt: 1, Server: writer, Outcome: Full, NoState: true})
-		w.do(Event{Kind: ClientGone, Request: id})
+		w.do(Event{Kind: ClientLeft, Request: id})
 	}
 	if n := left(w); n != 0 {
 		t.Errorf("%d writers are left out for states that were gone", n)
--- a/decide/liveness_test.go
+++ b/decide/liveness_test.go
@@ -85,7 +85,7 @@
 		"first token": func(w *world, id RequestID, s ServerID) {
 			w.do(Event{Kind: FirstToken, Request: id, Server: s, Attempt: 1, Spent: ms})
 		},
-		"client gone": func(w *world, id RequestID, _ ServerID) { w.do(Event{Kind: ClientGone, Request: id}) },
+		"client gone": func(w *world, id RequestID, _ ServerID) { w.do(Event{Kind: ClientLeft, Request: id}) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			w, id, s, _ := waiting(t, safe, true)
--- a/internal/router/loop.go
+++ b/internal/router/loop.go
@@ -165,7 +165,7 @@
 		f.out.ending = true
 		f.out.cancel(engine.ErrTimedOut)
 	}
-	r.tell(&decide.Event{Kind: decide.ClientGone, Request: f.id, Report: engine.Untold()}, f)
+	r.tell(&decide.Event{Kind: decide.ClientLeft, Request: f.id, Report: engine.Untold()}, f)
 }
 
 // Of a message that has waited for the loop for lateAfter, or has taken it as long, a line is logged.
@@ -194,7 +194,7 @@
 				f.out.ending = true
 				f.out.cancel(engine.ErrCancelled)
 			}
-			r.tell(&decide.Event{Kind: decide.ClientGone, Request: f.id, Report: engine.Untold()}, f)
+			r.tell(&decide.Event{Kind: decide.ClientLeft, Request: f.id, Report: engine.Untold()}, f)
 		}
 	case firstToken:
 		f := m.a.flight
--- a/internal/sim/node.go
+++ b/internal/sim/node.go
@@ -270,7 +270,7 @@
 		}
 		f.finish(0)
 		if n.flights[f.id] == f {
-			n.tell(&decide.Event{Kind: decide.ClientGone, Request: f.id, Report: engine.Untold()})
+			n.tell(&decide.Event{Kind: decide.ClientLeft, Request: f.id, Report: engine.Untold()})
 			n.settle(f)
 		}
 	})
--- a/internal/simwire/decode.go
+++ b/internal/simwire/decode.go
@@ -200,7 +200,7 @@
 		if err != nil {
 			return false, err
 		}
-		ev.Kind, ev.Request = decide.ClientGone, request(b[4:])
+		ev.Kind, ev.Request = decide.ClientLeft, request(b[4:])
 	case codeTimer:
 		b, err := fixed(12, "FIRED")
 		if err != nil {
