--- a/decide/api.go
+++ b/decide/api.go
@@ -169,19 +169,19 @@
 
 // The kinds of events.
 const (
-	ListChanged  EventKind = iota // Servers: only the changes
-	ListFull                      // Servers: all that there are
-	ListCached                    // Servers: all, as this router last held them
-	ListFailed                    // an asking for the list failed
-	Arrived                       // a new request
-	FirstToken                    // the answer of an attempt has begun
-	AttemptEnded                  // an attempt has an outcome
-	ClientLeft                    // the request is closed, nothing is owed
-	Timer                         // a WakeMe has come due
-	Probed                        // a probe has an outcome
-	PlaceAnswer                   // the answer to a place asked for ahead
-	PeerMessage                   // a message of another router
-	ShuttingDown                  // the router was told to end: Shutdown
+	ListChanged       EventKind = iota // Servers: only the changes
+	ListFull                           // Servers: all that there are
+	ListCached                         // Servers: all, as this router last held them
+	ListFailed                         // an asking for the list failed
+	Arrived                            // a new request
+	FirstToken                         // the answer of an attempt has begun
+	AttemptEnded                       // an attempt has an outcome
+	ClientLeft                         // the request is closed, nothing is owed
+	Timer                              // a WakeMe has come due
+	Probed                             // a probe has an outcome
+	ReservationAnswer                  // the answer to a place asked for ahead
+	PeerMessage                        // a message of another router
+	ShuttingDown                       // the router was told to end: Shutdown
 )
 
 // Event is one thing that a router learns.
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -401,7 +401,7 @@
 		{Kind: AttemptEnded, Request: 77, Server: 1, Outcome: Served}, {Kind: AttemptEnded, Request: 77, Server: 500},
 		{Kind: FirstToken, Request: 1, Attempt: 1, Server: 11}, {Kind: FirstToken, Request: 77},
 		{Kind: ClientLeft, Request: 1}, {Kind: ClientLeft, Request: 77}, {Kind: Timer, Token: 12345},
-		{Kind: Probed, Server: 500}, {Kind: PlaceAnswer, Request: 77}, {Kind: PeerMessage},
+		{Kind: Probed, Server: 500}, {Kind: ReservationAnswer, Request: 77}, {Kind: PeerMessage},
 	} {
 		for _, a := range w.do(ev) {
 			if a.Kind != WakeMe {
--- a/internal/router/actions.go
+++ b/internal/router/actions.go
@@ -304,7 +304,7 @@
 		r.keep.lateWord(f, m)
 	}
 	if f.out != nil && f.out.prefill {
-		r.tell(&decide.Event{Kind: decide.PlaceAnswer, Request: f.id, Server: m.server, Attempt: f.out.number,
+		r.tell(&decide.Event{Kind: decide.ReservationAnswer, Request: f.id, Server: m.server, Attempt: f.out.number,
 			Held: m.held, Report: engine.Untold()}, f)
 	}
 }
--- a/internal/simwire/decode.go
+++ b/internal/simwire/decode.go
@@ -187,7 +187,7 @@
 		if err != nil {
 			return false, err
 		}
-		ev.Kind, ev.Request, ev.Attempt = decide.PlaceAnswer, request(b[4:]), int(b[12])
+		ev.Kind, ev.Request, ev.Attempt = decide.ReservationAnswer, request(b[4:]), int(b[12])
 		ev.Server, ev.Held = server(b[13:]), b[19] == 1
 	case codeOutcome:
 		b, err := fixed(30, "VERDICT")
