--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -332,7 +332,7 @@
 			continue
 		}
 		w.now += 25 * ms
-		acts = w.do(Event{Kind: AttemptEnded, Request: id, Server: reader.Server, Outcome: ReadDone, Spent: 25 * ms, Kept: 800})
+		acts = w.do(Event{Kind: AttemptEnded, Request: id, Server: reader.Server, Outcome: ReadDone, Spent: 25 * ms, CachedTokens: 800})
 		if a := find(acts, Send); a != nil {
 			cold[a.Server] = append(cold[a.Server], w.now)
 			w.now += 10 * ms
@@ -366,7 +366,7 @@
 	id, acts := w.arrive(safe)
 	reader := w.sent(acts)
 	w.now += 25 * ms
-	acts = w.do(Event{Kind: AttemptEnded, Request: id, Server: reader, Outcome: ReadDone, Spent: 25 * ms, Kept: 800})
+	acts = w.do(Event{Kind: AttemptEnded, Request: id, Server: reader, Outcome: ReadDone, Spent: 25 * ms, CachedTokens: 800})
 	writer := w.sent(acts)
 	w.now += 10 * ms
 	w.do(Event{Kind: FirstToken, Request: id, Attempt: 1, Server: writer, Spent: 10 * ms})
@@ -777,7 +777,7 @@
 			t.Fatal("two homes for one text")
 		}
 		w.now += 10 * ms
-		w.do(Event{Kind: AttemptEnded, Request: first, Server: s.id, Outcome: ReadDone, Spent: 11 * ms, Kept: 800})
+		w.do(Event{Kind: AttemptEnded, Request: first, Server: s.id, Outcome: ReadDone, Spent: 11 * ms, CachedTokens: 800})
 		for _, o := range w.r.order {
 			o.answer, o.answers = tt.answer, slowSamples
 		}
@@ -1008,7 +1008,7 @@
 			reader := w.sent(acts)
 			w.r.servers[reader].kept = map[uint64]float64{}
 			w.now += 20 * ms
-			w.do(Event{Kind: AttemptEnded, Request: id, Server: reader, Outcome: ReadDone, Kept: 800, Spent: 20 * ms})
+			w.do(Event{Kind: AttemptEnded, Request: id, Server: reader, Outcome: ReadDone, CachedTokens: 800, Spent: 20 * ms})
 			w.do(Event{Kind: ClientLeft, Request: id})
 		}
 		s.answer, s.answered = 10, w.now-10*Second
--- a/decide/request.go
+++ b/decide/request.go
@@ -85,7 +85,7 @@
 	q.out = nil
 	if was == reading && ev.Outcome == ReadDone {
 		if q.job.Prefix > 0 && s.kept[q.key] == 0 && r.many {
-			r.found += answerGain * (min(ev.Kept/q.job.Prefix, 1) - r.found)
+			r.found += answerGain * (min(ev.CachedTokens/q.job.Prefix, 1) - r.found)
 		}
 		q.state, q.mayHold, q.alone = s, true, false
 		s.keep(q.key, q.job.Prefix)
@@ -149,10 +149,10 @@
 	case ReadDone:
 		s.quietFrom, s.heardAt = r.now, r.now
 		if r.found > 0 {
-			q.expect = max(q.expect+(q.job.Prompt-ev.Kept-q.tokens)*r.pace, paceTokens*r.pace)
+			q.expect = max(q.expect+(q.job.Prompt-ev.CachedTokens-q.tokens)*r.pace, paceTokens*r.pace)
 		}
 		r.good(q, s, float64(ev.Spent)/q.expect)
-		if pace := float64(ev.Spent) / max(q.job.Prompt-ev.Kept, paceTokens); pace < r.pace {
+		if pace := float64(ev.Spent) / max(q.job.Prompt-ev.CachedTokens, paceTokens); pace < r.pace {
 			r.pace += paceDown * (pace - r.pace)
 		} else {
 			r.pace *= 1 + paceUp
--- a/internal/router/loop.go
+++ b/internal/router/loop.go
@@ -287,7 +287,7 @@
 		r.answer(f, Ending{Kind: Served, Finish: res.Finish})
 	}
 	r.tell(&decide.Event{Kind: decide.AttemptEnded, Request: f.id, Server: a.server, Attempt: a.number,
-		Outcome: res.Outcome, Closed: f.answered(), NoState: res.NoState, Kept: res.Kept,
+		Outcome: res.Outcome, Closed: f.answered(), NoState: res.NoState, CachedTokens: res.Kept,
 		Spent: r.at(m.posted) - a.sentAt, Report: res.Report}, f)
 }
 
--- a/internal/sim/node.go
+++ b/internal/sim/node.go
@@ -450,7 +450,7 @@
 		}
 	}
 	n.tell(&decide.Event{Kind: decide.AttemptEnded, Request: f.id, Server: a.u.id(), Attempt: a.number, Outcome: out, Closed: f.answered,
-		NoState: noState, Kept: kept, Spent: decide.Duration(s.now - a.sentAt), Report: report})
+		NoState: noState, CachedTokens: kept, Spent: decide.Duration(s.now - a.sentAt), Report: report})
 	n.settle(f)
 }
 
--- a/internal/simwire/decode.go
+++ b/internal/simwire/decode.go
@@ -256,7 +256,7 @@
 	if ev.Outcome == decide.Full {
 		ev.NoState = info == 1
 	} else {
-		ev.Kept = float64(info)
+		ev.CachedTokens = float64(info)
 	}
 	return d.report(b[29], &ev.Report)
 }
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -74,7 +74,7 @@
 		{"first", "32 00000003 00000001 02 0000000000000010 0a124a07 1f43", Record{Instance: 3,
 			Event: decide.Event{Kind: decide.FirstToken, Request: 1, Attempt: 2, Spent: 16, Server: serverA}}},
 		{"outcome", hexVerdict, Record{Instance: 3, Event: decide.Event{Kind: decide.AttemptEnded, Request: 0x5d3a91c4,
-			Server: serverA, Outcome: decide.Served, Spent: 0x11a49a0, Closed: true, Kept: 7,
+			Server: serverA, Outcome: decide.Served, Spent: 0x11a49a0, Closed: true, CachedTokens: 7,
 			Report: decide.Report{MemoryUse: 0.4000000059604645, QueuedKTokens: 1.25, Latency: -1}}}},
 		{"full without a state, no report",
 			"78 00000003 00000001 01 0a124a07 1f43 0b 0000000000000001 00 00000001 00",
