--- a/decide/api.go
+++ b/decide/api.go
@@ -194,7 +194,7 @@
 	Closed       bool     // Ended: the request has had its final answer
 	NoState      bool     // Ended with Full: there was no state to fetch
 	CachedTokens float64  // Ended with ReadDone: prompt tokens found kept
-	Spent        Duration // since the attempt or probe was sent
+	Elapsed      Duration // since the attempt or probe was sent
 	Report       Report
 	Token        uint64
 	Held         bool // PlaceAnswer
--- a/decide/ask_test.go
+++ b/decide/ask_test.go
@@ -31,13 +31,13 @@
 // tells answers a probe with a share of memory and so many thousand tokens that wait.
 func (w *world) tells(s ServerID, share, waitingK float64) []Action {
 	w.now += 2 * ms
-	return w.do(Event{Kind: Probed, Server: s, Outcome: Served, Spent: 2 * ms,
+	return w.do(Event{Kind: Probed, Server: s, Outcome: Served, Elapsed: 2 * ms,
 		Report: Report{MemoryUse: share, QueuedKTokens: waitingK, Latency: -1}})
 }
 
 // silent answers a probe with its time-out.
 func (w *world) silent(s ServerID) []Action {
-	return w.do(Event{Kind: Probed, Server: s, Outcome: TimedOut, Spent: w.r.set.DialTimeout})
+	return w.do(Event{Kind: Probed, Server: s, Outcome: TimedOut, Elapsed: w.r.set.DialTimeout})
 }
 
 // idle answers all probes: nothing waits, and little is held.
@@ -297,7 +297,7 @@
 		for n := 1; ; n++ {
 			w.now += set.DialTimeout
 			acts := w.do(Event{Kind: AttemptEnded, Request: id, Attempt: n, Server: writer, Outcome: ConnectFailed,
-				Spent: set.DialTimeout})
+				Elapsed: set.DialTimeout})
 			if a := find(acts, Send); a != nil {
 				writer = a.Server
 				continue
--- a/decide/bench_test.go
+++ b/decide/bench_test.go
@@ -66,12 +66,12 @@
 	if len(f.sent) != 1 {
 		f.b.Fatalf("%d sends after the arrival", len(f.sent))
 	}
-	f.handle(&Event{Kind: AttemptEnded, Request: id, Server: f.sent[0], Outcome: ReadDone, Spent: ms, Report: benchUntold})
+	f.handle(&Event{Kind: AttemptEnded, Request: id, Server: f.sent[0], Outcome: ReadDone, Elapsed: ms, Report: benchUntold})
 	if len(f.sent) != 2 {
 		f.b.Fatalf("%d sends after the read", len(f.sent))
 	}
-	f.handle(&Event{Kind: FirstToken, Request: id, Server: f.sent[1], Attempt: 1, Spent: ms, Report: benchUntold})
-	f.handle(&Event{Kind: AttemptEnded, Request: id, Server: f.sent[1], Attempt: 1, Outcome: Served, Closed: true, Spent: ms, Report: benchUntold})
+	f.handle(&Event{Kind: FirstToken, Request: id, Server: f.sent[1], Attempt: 1, Elapsed: ms, Report: benchUntold})
+	f.handle(&Event{Kind: AttemptEnded, Request: id, Server: f.sent[1], Attempt: 1, Outcome: Served, Closed: true, Elapsed: ms, Report: benchUntold})
 	f.handle(&Event{Kind: Timer, Report: benchUntold})
 }
 
--- a/decide/cold_fleet_test.go
+++ b/decide/cold_fleet_test.go
@@ -145,13 +145,13 @@
 	attempt := f.routers[router].requests[a.Request].attempts - 1
 	ended := Event{Kind: AttemptEnded, Request: a.Request, Server: a.Server, Attempt: attempt}
 	if f.role[a.Server] == Reader {
-		ended.Outcome, ended.Spent = ReadDone, read
+		ended.Outcome, ended.Elapsed = ReadDone, read
 		heap.Push(&f.events, fleetEvent{at: f.now + read, router: router, event: ended})
 		return
 	}
 	heap.Push(&f.events, fleetEvent{at: f.now + first, router: router,
-		event: Event{Kind: FirstToken, Request: a.Request, Server: a.Server, Attempt: attempt, Spent: first}})
-	ended.Outcome, ended.Spent, ended.Closed = Served, first+stream, true
+		event: Event{Kind: FirstToken, Request: a.Request, Server: a.Server, Attempt: attempt, Elapsed: first}})
+	ended.Outcome, ended.Elapsed, ended.Closed = Served, first+stream, true
 	heap.Push(&f.events, fleetEvent{at: f.now + first + stream, router: router, event: ended})
 }
 
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -86,7 +86,7 @@
 
 func (w *world) end(id RequestID, attempt int, s ServerID, o Outcome) []Action {
 	w.now += 50 * ms
-	return w.do(Event{Kind: AttemptEnded, Request: id, Attempt: attempt, Server: s, Outcome: o, Spent: 50 * ms})
+	return w.do(Event{Kind: AttemptEnded, Request: id, Attempt: attempt, Server: s, Outcome: o, Elapsed: 50 * ms})
 }
 
 // read brings a request to its first send to a writer, and returns that writer.
@@ -159,7 +159,7 @@
 			id, writer := w.read(tt.class)
 			w.now += tt.late
 			ev := Event{Kind: AttemptEnded, Request: id, Attempt: 1, Server: writer, Outcome: tt.outcome,
-				Spent: tt.late + ms}
+				Elapsed: tt.late + ms}
 			acts := w.do(ev)
 			if find(acts, tt.want) == nil {
 				t.Fatalf("got %v, want a %v", acts, tt.want)
@@ -332,13 +332,13 @@
 			continue
 		}
 		w.now += 25 * ms
-		acts = w.do(Event{Kind: AttemptEnded, Request: id, Server: reader.Server, Outcome: ReadDone, Spent: 25 * ms, CachedTokens: 800})
+		acts = w.do(Event{Kind: AttemptEnded, Request: id, Server: reader.Server, Outcome: ReadDone, Elapsed: 25 * ms, CachedTokens: 800})
 		if a := find(acts, Send); a != nil {
 			cold[a.Server] = append(cold[a.Server], w.now)
 			w.now += 10 * ms
-			w.do(Event{Kind: FirstToken, Request: id, Attempt: 1, Server: a.Server, Spent: 10 * ms})
+			w.do(Event{Kind: FirstToken, Request: id, Attempt: 1, Server: a.Server, Elapsed: 10 * ms})
 			w.now += 15 * ms // as long as before: an answer's time is its work
-			w.do(Event{Kind: AttemptEnded, Request: id, Attempt: 1, Server: a.Server, Outcome: Served, Spent: 25 * ms, Closed: true})
+			w.do(Event{Kind: AttemptEnded, Request: id, Attempt: 1, Server: a.Server, Outcome: Served, Elapsed: 25 * ms, Closed: true})
 		}
 	}
 	// A warm writer did a third of twenty a second for this router; of two routers and a budget of four times a
@@ -366,12 +366,12 @@
 	id, acts := w.arrive(safe)
 	reader := w.sent(acts)
 	w.now += 25 * ms
-	acts = w.do(Event{Kind: AttemptEnded, Request: id, Server: reader, Outcome: ReadDone, Spent: 25 * ms, CachedTokens: 800})
+	acts = w.do(Event{Kind: AttemptEnded, Request: id, Server: reader, Outcome: ReadDone, Elapsed: 25 * ms, CachedTokens: 800})
 	writer := w.sent(acts)
 	w.now += 10 * ms
-	w.do(Event{Kind: FirstToken, Request: id, Attempt: 1, Server: writer, Spent: 10 * ms})
+	w.do(Event{Kind: FirstToken, Request: id, Attempt: 1, Server: writer, Elapsed: 10 * ms})
 	w.now += 15 * ms
-	w.do(Event{Kind: AttemptEnded, Request: id, Attempt: 1, Server: writer, Outcome: Served, Spent: 25 * ms, Closed: true})
+	w.do(Event{Kind: AttemptEnded, Request: id, Attempt: 1, Server: writer, Outcome: Served, Elapsed: 25 * ms, Closed: true})
 	return writer
 }
 
@@ -668,7 +668,7 @@
 			t.Fatalf("refused after %d time-outs", len(caps))
 		}
 		caps = append(caps, a.After)
-		w.do(Event{Kind: AttemptEnded, Request: id, Server: a.Server, Outcome: TimedOut, Spent: a.After})
+		w.do(Event{Kind: AttemptEnded, Request: id, Server: a.Server, Outcome: TimedOut, Elapsed: a.After})
 		w.do(Event{Kind: ClientLeft, Request: id})
 		for _, s := range w.r.order {
 			s.answers, s.bench = 0, 0 // the times that were learned would refuse before
@@ -753,7 +753,7 @@
 	w.serve() // the home answers a later one
 	before, again := s.answer, w.r.again
 	w.now += Second
-	if acts := w.do(Event{Kind: AttemptEnded, Request: id, Server: s.id, Outcome: TimedOut, Spent: Second}); find(acts, Send) == nil {
+	if acts := w.do(Event{Kind: AttemptEnded, Request: id, Server: s.id, Outcome: TimedOut, Elapsed: Second}); find(acts, Send) == nil {
 		t.Errorf("not tried again: %v", kinds(acts))
 	}
 	if s.answer != before || w.r.again != again || s.failing > 0.01 {
@@ -777,13 +777,13 @@
 			t.Fatal("two homes for one text")
 		}
 		w.now += 10 * ms
-		w.do(Event{Kind: AttemptEnded, Request: first, Server: s.id, Outcome: ReadDone, Spent: 11 * ms, CachedTokens: 800})
+		w.do(Event{Kind: AttemptEnded, Request: first, Server: s.id, Outcome: ReadDone, Elapsed: 11 * ms, CachedTokens: 800})
 		for _, o := range w.r.order {
 			o.answer, o.answers = tt.answer, slowSamples
 		}
 		again := w.r.again
 		w.now += Second
-		w.do(Event{Kind: AttemptEnded, Request: second, Server: s.id, Outcome: TimedOut, Spent: Second + 10*ms})
+		w.do(Event{Kind: AttemptEnded, Request: second, Server: s.id, Outcome: TimedOut, Elapsed: Second + 10*ms})
 		if lost := w.r.again == again; lost != tt.lost {
 			t.Errorf("usual time %v: taken for lost: %v", tt.answer, lost)
 		}
@@ -867,7 +867,7 @@
 						s, attempt = w.sent(w.end(id, 0, s, ReadDone)), 1
 					}
 					w.now += late
-					acts = w.do(Event{Kind: AttemptEnded, Request: id, Attempt: attempt, Server: s, Outcome: o, Spent: late})
+					acts = w.do(Event{Kind: AttemptEnded, Request: id, Attempt: attempt, Server: s, Outcome: o, Elapsed: late})
 					send, refuse, fail := find(acts, Send), find(acts, Refuse), find(acts, Fail)
 					n := 0
 					for _, a := range []*Action{send, refuse, fail} {
@@ -1008,7 +1008,7 @@
 			reader := w.sent(acts)
 			w.r.servers[reader].kept = map[uint64]float64{}
 			w.now += 20 * ms
-			w.do(Event{Kind: AttemptEnded, Request: id, Server: reader, Outcome: ReadDone, CachedTokens: 800, Spent: 20 * ms})
+			w.do(Event{Kind: AttemptEnded, Request: id, Server: reader, Outcome: ReadDone, CachedTokens: 800, Elapsed: 20 * ms})
 			w.do(Event{Kind: ClientLeft, Request: id})
 		}
 		s.answer, s.answered = 10, w.now-10*Second
@@ -1210,11 +1210,11 @@
 		if writer == 12 {
 			turned++
 			writer = w.sent(w.end(id, 1, 12, Full))
-			w.do(Event{Kind: FirstToken, Request: id, Attempt: 2, Server: writer, Spent: 20 * ms})
+			w.do(Event{Kind: FirstToken, Request: id, Attempt: 2, Server: writer, Elapsed: 20 * ms})
 			w.end(id, 2, writer, Served)
 			continue
 		}
-		w.do(Event{Kind: FirstToken, Request: id, Attempt: 1, Server: writer, Spent: 20 * ms})
+		w.do(Event{Kind: FirstToken, Request: id, Attempt: 1, Server: writer, Elapsed: 20 * ms})
 		w.end(id, 1, writer, Served)
 	}
 	if turned < 2 || turned > 8 {
--- a/decide/liveness_test.go
+++ b/decide/liveness_test.go
@@ -83,7 +83,7 @@
 			w.end(other, 1, s, Full)
 		},
 		"first token": func(w *world, id RequestID, s ServerID) {
-			w.do(Event{Kind: FirstToken, Request: id, Server: s, Attempt: 1, Spent: ms})
+			w.do(Event{Kind: FirstToken, Request: id, Server: s, Attempt: 1, Elapsed: ms})
 		},
 		"client gone": func(w *world, id RequestID, _ ServerID) { w.do(Event{Kind: ClientLeft, Request: id}) },
 	} {
@@ -235,7 +235,7 @@
 		t.Fatalf("released %+v", release)
 	}
 	w.now += ms
-	acts := w.do(Event{Kind: AttemptEnded, Request: id, Attempt: 1, Server: s, Outcome: Full, NoState: true, Spent: Second})
+	acts := w.do(Event{Kind: AttemptEnded, Request: id, Attempt: 1, Server: s, Outcome: Full, NoState: true, Elapsed: Second})
 	if again := find(acts, Send); again == nil || w.r.servers[again.Server].role != Reader {
 		t.Errorf("after a writer that found no state: %v", kinds(acts))
 	}
--- a/decide/names_test.go
+++ b/decide/names_test.go
@@ -67,7 +67,7 @@
 			case Send:
 				kind := r.servers[a.Server].role
 				out := Event{Kind: AttemptEnded, Request: a.Request, Server: a.Server, Attempt: r.requests[a.Request].attempts - 1,
-					Spent: after}
+					Elapsed: after}
 				switch n := rng.IntN(10); {
 				case n == 0:
 					out.Outcome = []Outcome{Error, Full, TimedOut, ConnectFailed, Reset}[rng.IntN(5)]
@@ -75,12 +75,12 @@
 					out.Outcome = ReadDone
 				default:
 					due = append(due, event{now + after/2, Event{Kind: FirstToken, Request: a.Request, Server: a.Server,
-						Attempt: out.Attempt, Spent: after / 2}})
+						Attempt: out.Attempt, Elapsed: after / 2}})
 					out.Outcome, out.Closed = Served, true
 				}
 				due = append(due, event{now + after, out})
 			case Probe:
-				due = append(due, event{now + after/10, Event{Kind: Probed, Server: a.Server, Spent: after / 10,
+				due = append(due, event{now + after/10, Event{Kind: Probed, Server: a.Server, Elapsed: after / 10,
 					Report: Report{MemoryUse: rng.Float64(), QueuedKTokens: 20 * rng.Float64()}}})
 			}
 		}
--- a/decide/request.go
+++ b/decide/request.go
@@ -64,8 +64,8 @@
 		return
 	}
 	s.quietFrom, s.heardAt, s.pending = r.now, r.now, s.pending-1 // it has been heard
-	r.good(q, s, float64(ev.Spent)/q.expect)
-	r.learnMove(distance(q, s), ev.Spent)
+	r.good(q, s, float64(ev.Elapsed)/q.expect)
+	r.learnMove(distance(q, s), ev.Elapsed)
 	q.stage, q.mayHold, q.state, q.startedAt = streaming, false, nil, r.now
 }
 
@@ -94,7 +94,7 @@
 	// Four outcomes prove that an attempt at a writer never ran.
 	unrun := ev.Outcome == Full || ev.Outcome == ConnectFailed || ev.Outcome == NotStarted || ev.Outcome == ReadDone
 	if was != reading && !unrun && !q.mayRun {
-		q.mayRun, q.runOn, q.runAt = true, s, r.now-ev.Spent
+		q.mayRun, q.runOn, q.runAt = true, s, r.now-ev.Elapsed
 	}
 	if ev.Closed || q.closed {
 		r.close(q)
@@ -151,8 +151,8 @@
 		if r.found > 0 {
 			q.expect = max(q.expect+(q.job.Prompt-ev.CachedTokens-q.tokens)*r.pace, paceTokens*r.pace)
 		}
-		r.good(q, s, float64(ev.Spent)/q.expect)
-		if pace := float64(ev.Spent) / max(q.job.Prompt-ev.CachedTokens, paceTokens); pace < r.pace {
+		r.good(q, s, float64(ev.Elapsed)/q.expect)
+		if pace := float64(ev.Elapsed) / max(q.job.Prompt-ev.CachedTokens, paceTokens); pace < r.pace {
 			r.pace += paceDown * (pace - r.pace)
 		} else {
 			r.pace *= 1 + paceUp
@@ -166,10 +166,10 @@
 				return // the server was heard since, and no queue is long: this one or its answer was lost
 			}
 			// At least so long: under load that all share, the usual time grows and time-outs with it.
-			r.learn(s, float64(ev.Spent)/q.expect)
+			r.learn(s, float64(ev.Elapsed)/q.expect)
 			r.again = max(0, r.again-1)
 			if q.stage == writing {
-				r.learnMove(distance(q, s), ev.Spent)
+				r.learnMove(distance(q, s), ev.Elapsed)
 			}
 		}
 		if q.stage != reading || ev.Outcome != Error {
--- a/internal/router/loop.go
+++ b/internal/router/loop.go
@@ -208,14 +208,14 @@
 		r.timers.remove(m.a.renewal)
 		r.timers.remove(f.guard)
 		r.tell(&decide.Event{Kind: decide.FirstToken, Request: f.id, Server: m.a.server, Attempt: m.a.number,
-			Spent: r.at(m.posted) - m.a.sentAt, Report: engine.Untold()}, f)
+			Elapsed: r.at(m.posted) - m.a.sentAt, Report: engine.Untold()}, f)
 	case attemptEnded:
 		r.attemptEnded(m)
 	case listed:
 		r.listed(&m.update)
 	case probed:
 		r.tell(&decide.Event{Kind: decide.Probed, Server: m.server, Fresh: m.fresh, Outcome: m.res.Outcome,
-			Spent: decide.Duration(m.spent), Report: m.res.Report})
+			Elapsed: decide.Duration(m.spent), Report: m.res.Report})
 	case placed:
 		r.placed(m)
 	case shuttingDown:
@@ -288,7 +288,7 @@
 	}
 	r.tell(&decide.Event{Kind: decide.AttemptEnded, Request: f.id, Server: a.server, Attempt: a.number,
 		Outcome: res.Outcome, Closed: f.answered(), NoState: res.NoState, CachedTokens: res.Kept,
-		Spent: r.at(m.posted) - a.sentAt, Report: res.Report}, f)
+		Elapsed: r.at(m.posted) - a.sentAt, Report: res.Report}, f)
 }
 
 // endStream answers a request whose answer had begun: nothing can be tried again.
--- a/internal/sim/node.go
+++ b/internal/sim/node.go
@@ -404,7 +404,7 @@
 	a.streaming = true
 	f.state = nil
 	f.began = n.s.now
-	n.tell(&decide.Event{Kind: decide.FirstToken, Request: f.id, Server: a.u.id(), Attempt: a.number, Spent: decide.Duration(n.s.now - a.sentAt),
+	n.tell(&decide.Event{Kind: decide.FirstToken, Request: f.id, Server: a.u.id(), Attempt: a.number, Elapsed: decide.Duration(n.s.now - a.sentAt),
 		Report: engine.Untold()})
 }
 
@@ -450,7 +450,7 @@
 		}
 	}
 	n.tell(&decide.Event{Kind: decide.AttemptEnded, Request: f.id, Server: a.u.id(), Attempt: a.number, Outcome: out, Closed: f.answered,
-		NoState: noState, CachedTokens: kept, Spent: decide.Duration(s.now - a.sentAt), Report: report})
+		NoState: noState, CachedTokens: kept, Elapsed: decide.Duration(s.now - a.sentAt), Report: report})
 	n.settle(f)
 }
 
--- a/internal/simwire/decode.go
+++ b/internal/simwire/decode.go
@@ -181,7 +181,7 @@
 			return false, err
 		}
 		ev.Kind, ev.Request, ev.Attempt = decide.FirstToken, request(b[4:]), int(b[8])
-		ev.Spent, ev.Server = span(b[9:]), server(b[17:])
+		ev.Elapsed, ev.Server = span(b[9:]), server(b[17:])
 	case codeNote:
 		b, err := fixed(20, "HELD_NOTE")
 		if err != nil {
@@ -212,7 +212,7 @@
 		if err != nil {
 			return false, err
 		}
-		ev.Kind, ev.Server, ev.Spent = decide.Probed, server(b[4:]), span(b[11:])
+		ev.Kind, ev.Server, ev.Elapsed = decide.Probed, server(b[4:]), span(b[11:])
 		if ev.Outcome, err = outcome(b[10]); err != nil {
 			return false, err
 		}
@@ -251,7 +251,7 @@
 		return err
 	}
 	ev.Kind, ev.Request, ev.Attempt, ev.Server = decide.AttemptEnded, request(b[4:]), int(b[8]), server(b[9:])
-	ev.Spent, ev.Closed = span(b[16:]), b[24] != 0
+	ev.Elapsed, ev.Closed = span(b[16:]), b[24] != 0
 	info := binary.BigEndian.Uint32(b[25:])
 	if ev.Outcome == decide.Full {
 		ev.NoState = info == 1
