--- a/decide/api.go
+++ b/decide/api.go
@@ -196,7 +196,7 @@
 	CachedTokens float64  // Ended with ReadDone: prompt tokens found kept
 	Elapsed      Duration // since the attempt or probe was sent
 	Report       Report
-	Token        uint64
+	TimerID      uint64
 	Held         bool // PlaceAnswer
 	Fresh        bool // Probed: as the action had it
 	Servers      []Listing
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -400,7 +400,7 @@
 		{Kind: AttemptEnded, Request: 1, Attempt: 0, Server: 1, Outcome: ReadDone, Closed: true},
 		{Kind: AttemptEnded, Request: 77, Server: 1, Outcome: Served}, {Kind: AttemptEnded, Request: 77, Server: 500},
 		{Kind: FirstToken, Request: 1, Attempt: 1, Server: 11}, {Kind: FirstToken, Request: 77},
-		{Kind: ClientLeft, Request: 1}, {Kind: ClientLeft, Request: 77}, {Kind: Timer, Token: 12345},
+		{Kind: ClientLeft, Request: 1}, {Kind: ClientLeft, Request: 77}, {Kind: Timer, TimerID: 12345},
 		{Kind: Probed, Server: 500}, {Kind: ReservationAnswer, Request: 77}, {Kind: PeerMessage},
 	} {
 		for _, a := range w.do(ev) {
--- a/internal/router/loop.go
+++ b/internal/router/loop.go
@@ -143,7 +143,7 @@
 		case e.flight != nil:
 			r.overdue(e.flight)
 		case e.generation == r.generation:
-			r.tell(&decide.Event{Kind: decide.Timer, Token: e.token, Report: engine.Untold()})
+			r.tell(&decide.Event{Kind: decide.Timer, TimerID: e.token, Report: engine.Untold()})
 		}
 	}
 }
--- a/internal/sim/node.go
+++ b/internal/sim/node.go
@@ -308,7 +308,7 @@
 		life, token := n.life, a.Token
 		s.after(time.Duration(a.After), func() {
 			if n.life == life {
-				n.tell(&decide.Event{Kind: decide.Timer, Token: token, Report: engine.Untold()})
+				n.tell(&decide.Event{Kind: decide.Timer, TimerID: token, Report: engine.Untold()})
 			}
 		})
 		return
--- a/internal/simwire/decode.go
+++ b/internal/simwire/decode.go
@@ -206,7 +206,7 @@
 		if err != nil {
 			return false, err
 		}
-		ev.Kind, ev.Token = decide.Timer, binary.BigEndian.Uint64(b[4:])
+		ev.Kind, ev.TimerID = decide.Timer, binary.BigEndian.Uint64(b[4:])
 	case codeProbed:
 		b, err := fixed(20, "PING_RESULT")
 		if err != nil {
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -83,7 +83,7 @@
 		{"gone", "0a 00000005 0e6f2b19", Record{Instance: 5,
 			Event: decide.Event{Kind: decide.ClientLeft, Request: 0x0e6f2b19}}},
 		{"timer", "14 00000003 000000000000004d", Record{Instance: 3,
-			Event: decide.Event{Kind: decide.Timer, Token: 77}}},
+			Event: decide.Event{Kind: decide.Timer, TimerID: 77}}},
 		{"probed", "5a 00000003 0a124a07 1f43 6e 0000000000000010 00", Record{Instance: 3,
 			Event: decide.Event{Kind: decide.Probed, Server: serverA, Outcome: decide.TimedOut, Elapsed: 16,
 				Report: untold}}},
