--- a/decide/api.go
+++ b/decide/api.go
@@ -197,7 +197,7 @@
 	Elapsed      Duration // since the attempt or probe was sent
 	Report       Report
 	TimerID      uint64
-	Held         bool // PlaceAnswer
+	Granted      bool // PlaceAnswer
 	Fresh        bool // Probed: as the action had it
 	Servers      []Listing
 	Job          Job      // Arrived
--- a/internal/router/actions.go
+++ b/internal/router/actions.go
@@ -305,7 +305,7 @@
 	}
 	if f.out != nil && f.out.prefill {
 		r.tell(&decide.Event{Kind: decide.ReservationAnswer, Request: f.id, Server: m.server, Attempt: f.out.number,
-			Held: m.held, Report: engine.Untold()}, f)
+			Granted: m.held, Report: engine.Untold()}, f)
 	}
 }
 
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -572,7 +572,7 @@
 				decide.Action{Kind: decide.Reserve, Request: ev.Request, Server: d1.ID()},
 				decide.Action{Kind: decide.Note, Text: "a place ahead"}, decide.Action{Kind: decide.Watch})
 		case decide.ReservationAnswer:
-			held <- ev.Held
+			held <- ev.Granted
 		case decide.AttemptEnded:
 			if ev.Outcome == decide.ReadDone { // to another writer: the place is given up
 				out = append(out, decide.Action{Kind: decide.Send, Request: ev.Request, Server: d2.ID()})
--- a/internal/simwire/decode.go
+++ b/internal/simwire/decode.go
@@ -188,7 +188,7 @@
 			return false, err
 		}
 		ev.Kind, ev.Request, ev.Attempt = decide.ReservationAnswer, request(b[4:]), int(b[12])
-		ev.Server, ev.Held = server(b[13:]), b[19] == 1
+		ev.Server, ev.Granted = server(b[13:]), b[19] == 1
 	case codeOutcome:
 		b, err := fixed(30, "VERDICT")
 		if err != nil {
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -88,7 +88,7 @@
 			Event: decide.Event{Kind: decide.Probed, Server: serverA, Outcome: decide.TimedOut, Elapsed: 16,
 				Report: untold}}},
 		{"note", "64 00000003 00000001 00000000 00 0a124a07 1f43 01", Record{Instance: 3,
-			Event: decide.Event{Kind: decide.ReservationAnswer, Request: 1, Server: serverA, Held: true}}},
+			Event: decide.Event{Kind: decide.ReservationAnswer, Request: 1, Server: serverA, Granted: true}}},
 		{"peer", "50 00000003 00000001 0002 6869", Record{Instance: 3,
 			Event: decide.Event{Kind: decide.PeerMessage}}},
 		{"stop", "6e 00000003", Record{Kind: Stop, Instance: 3}},
