--- a/decide/api.go
+++ b/decide/api.go
@@ -186,22 +186,22 @@
 
 // Event is one thing that a router learns.
 type Event struct {
-	Kind         EventKind
-	Request      RequestID
-	Server       ServerID
-	Attempt      int
-	Outcome      Outcome
-	Closed       bool     // Ended: the request has had its final answer
-	NoState      bool     // Ended with Full: there was no state to fetch
-	CachedTokens float64  // Ended with ReadDone: prompt tokens found kept
-	Elapsed      Duration // since the attempt or probe was sent
-	Report       Report
-	TimerID      uint64
-	Granted      bool // PlaceAnswer
-	Fresh        bool // Probed: as the action had it
-	Servers      []Listing
-	Job          Job      // Arrived
-	Waited       Duration // Arrived: for this router to take it
+	Kind          EventKind
+	Request       RequestID
+	Server        ServerID
+	Attempt       int
+	Outcome       Outcome
+	Closed        bool     // Ended: the request has had its final answer
+	NoState       bool     // Ended with Full: there was no state to fetch
+	CachedTokens  float64  // Ended with ReadDone: prompt tokens found kept
+	Elapsed       Duration // since the attempt or probe was sent
+	Report        Report
+	TimerID       uint64
+	Granted       bool // PlaceAnswer
+	NewConnection bool // Probed: as the action had it
+	Servers       []Listing
+	Job           Job      // Arrived
+	Waited        Duration // Arrived: for this router to take it
 
 	Shutdown *Shutdown // ShuttingDown
 }
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -922,7 +922,7 @@
 			} else {
 				probes++
 			}
-			w.do(Event{Kind: Probed, Server: a.Server, Fresh: a.Fresh, Outcome: Served})
+			w.do(Event{Kind: Probed, Server: a.Server, NewConnection: a.Fresh, Outcome: Served})
 		}
 	}
 	// No request here is ever answered, and the reader of each is asked a few times whether it can be reached.
--- a/decide/liveness.go
+++ b/decide/liveness.go
@@ -180,11 +180,11 @@
 		if !r.isUnsure(*u) || u.request.out != s {
 			continue
 		}
-		if ev.Outcome == ConnectFailed || ev.Fresh && r.isLost(u.request, ev) {
+		if ev.Outcome == ConnectFailed || ev.NewConnection && r.isLost(u.request, ev) {
 			r.callOff(u)
 		}
 	}
-	if ev.Outcome == Served || ev.Fresh && ev.Outcome != ConnectFailed {
+	if ev.Outcome == Served || ev.NewConnection && ev.Outcome != ConnectFailed {
 		s.heardAt = r.now
 	}
 }
--- a/decide/liveness_test.go
+++ b/decide/liveness_test.go
@@ -46,7 +46,7 @@
 				continue
 			}
 			w.now += w.r.set.DialTimeout
-			acts := w.do(Event{Kind: Probed, Server: s, Fresh: true, Outcome: o})
+			acts := w.do(Event{Kind: Probed, Server: s, NewConnection: true, Outcome: o})
 			cancel := find(acts, Cancel)
 			if (cancel != nil) != (o == ConnectFailed || !writer) {
 				t.Errorf("writer %v, outcome %d: %v", writer, o, kinds(acts))
@@ -59,7 +59,7 @@
 			}
 			again := 0
 			for cancel == nil && w.checked(5*Second) != nil {
-				w.do(Event{Kind: Probed, Server: s, Fresh: true, Outcome: o})
+				w.do(Event{Kind: Probed, Server: s, NewConnection: true, Outcome: o})
 				again++
 			}
 			if again >= mostAsked { // the answer may be dropped later
@@ -123,7 +123,7 @@
 				if check == nil || check.Server != s {
 					t.Fatalf("asked %+v", check)
 				}
-				return w.do(Event{Kind: Probed, Server: s, Fresh: true, Outcome: tt.outcome,
+				return w.do(Event{Kind: Probed, Server: s, NewConnection: true, Outcome: tt.outcome,
 					Report: Report{MemoryUse: 0.5, QueuedKTokens: tt.waitingK, Latency: -1}})
 			}
 			if got := find(tell(), Cancel) == nil; got != tt.waited {
@@ -159,7 +159,7 @@
 			if check == nil || check.Server != s {
 				t.Fatalf("asked %+v", check)
 			}
-			last = w.do(Event{Kind: Probed, Server: s, Fresh: true, Outcome: Served,
+			last = w.do(Event{Kind: Probed, Server: s, NewConnection: true, Outcome: Served,
 				Report: Report{MemoryUse: 0.5, QueuedKTokens: waitingK, Latency: -1}})
 		}
 		if got := find(last, Cancel) == nil; got != waited {
@@ -193,7 +193,7 @@
 		w.do(Event{Kind: Probed, Server: s, Outcome: Served}) // in answer to whatever
 		acts := w.do(Event{Kind: Timer})
 		if check := find(acts, Probe); check != nil && check.Fresh {
-			acts = w.do(Event{Kind: Probed, Server: s, Fresh: true, Outcome: Served})
+			acts = w.do(Event{Kind: Probed, Server: s, NewConnection: true, Outcome: Served})
 			if c := find(acts, Cancel); c == nil || c.Request != id || c.Attempt != attempt {
 				t.Errorf("after the check: %v", kinds(acts))
 			}
@@ -219,7 +219,7 @@
 			t.Fatal("the writer was called off")
 		}
 		if check := find(acts, Probe); check != nil && check.Fresh {
-			w.do(Event{Kind: Probed, Server: s, Fresh: true, Outcome: TimedOut}) // it hangs
+			w.do(Event{Kind: Probed, Server: s, NewConnection: true, Outcome: TimedOut}) // it hangs
 		}
 		if r := find(acts, Release); r != nil {
 			if release != nil {
@@ -284,7 +284,7 @@
 	w, id, s, _ := waiting(t, safe, false)
 	began := w.now
 	w.now += 500 * ms
-	w.do(Event{Kind: Probed, Server: s, Fresh: true, Outcome: Served}) // it can be reached; the answer is lost all the same
+	w.do(Event{Kind: Probed, Server: s, NewConnection: true, Outcome: Served}) // it can be reached; the answer is lost all the same
 	w.end(id, 0, s, TimedOut)
 	if q := w.r.requests[id]; q == nil || q.heldAt != began {
 		t.Errorf("what the read may have left counts from %+v", q)
--- a/decide/probing.go
+++ b/decide/probing.go
@@ -118,7 +118,7 @@
 	if s == nil {
 		return
 	}
-	if !ev.Fresh {
+	if !ev.NewConnection {
 		s.probing = false
 	}
 	r.reached(s, ev)
--- a/internal/router/actions.go
+++ b/internal/router/actions.go
@@ -250,7 +250,7 @@
 func (r *Router) probe(id decide.ServerID, fresh bool) {
 	s := r.servers[id]
 	if s == nil {
-		r.later = append(r.later, decide.Event{Kind: decide.Probed, Server: id, Fresh: fresh, Outcome: decide.ConnectFailed,
+		r.later = append(r.later, decide.Event{Kind: decide.Probed, Server: id, NewConnection: fresh, Outcome: decide.ConnectFailed,
 			Report: engine.Untold()})
 		return
 	}
--- a/internal/router/loop.go
+++ b/internal/router/loop.go
@@ -214,7 +214,7 @@
 	case listed:
 		r.listed(&m.update)
 	case probed:
-		r.tell(&decide.Event{Kind: decide.Probed, Server: m.server, Fresh: m.fresh, Outcome: m.res.Outcome,
+		r.tell(&decide.Event{Kind: decide.Probed, Server: m.server, NewConnection: m.fresh, Outcome: m.res.Outcome,
 			Elapsed: decide.Duration(m.spent), Report: m.res.Report})
 	case placed:
 		r.placed(m)
