--- a/decide/api.go
+++ b/decide/api.go
@@ -201,7 +201,7 @@
 	NewConnection bool // Probed: as the action had it
 	Servers       []Listing
 	Job           Job      // Arrived
-	Waited        Duration // Arrived: for this router to take it
+	RouterDelay   Duration // Arrived: for this router to take it
 
 	Shutdown *Shutdown // ShuttingDown
 }
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -1237,7 +1237,7 @@
 func TestRequestsThatWaitedForTheRouter(t *testing.T) {
 	for waited, refused := range map[Duration]bool{0: false, HoldUp: false, waitedLong: false, waitedLong + ms: true} {
 		w := newWorld(t, settings(), fleet())
-		acts := w.do(Event{Kind: Arrived, Request: 1, Waited: waited, Job: Job{Prompt: 1000, Deadline: w.now + 4*Second}})
+		acts := w.do(Event{Kind: Arrived, Request: 1, RouterDelay: waited, Job: Job{Prompt: 1000, Deadline: w.now + 4*Second}})
 		if got := find(acts, Refuse) != nil; got != refused {
 			t.Errorf("after %d ms: %v", waited/ms, kinds(acts))
 		}
--- a/decide/request.go
+++ b/decide/request.go
@@ -20,7 +20,7 @@
 	w.prompt += answerGain * (q.job.Prompt - w.prompt)
 	if r.tooLate() || !r.endsInTime(q) {
 		r.giveUp(q, "the router is shutting down")
-	} else if ev.Waited > waitedLong {
+	} else if ev.RouterDelay > waitedLong {
 		r.giveUp(q, "the router itself has more to do than it can")
 	} else if !r.ask(q) {
 		r.admit(q)
