--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -80,7 +80,7 @@
 
 func (w *world) arrive(class int) (RequestID, []Action) {
 	w.ids++
-	return w.ids, w.do(Event{Kind: Arrived, Request: w.ids, Job: Job{Class: class, Session: uint64(w.ids),
+	return w.ids, w.do(Event{Kind: Arrived, Request: w.ids, Job: Job{Class: class, SessionID: uint64(w.ids),
 		Text: 99, Prompt: 1000, Prefix: 800, MaxOut: 100, Deadline: w.now + 4*Second}})
 }
 
@@ -529,7 +529,7 @@
 		w.serve()
 	}
 	w.ids++
-	acts := w.do(Event{Kind: Arrived, Request: w.ids, Job: Job{Session: 5, Prompt: 30000,
+	acts := w.do(Event{Kind: Arrived, Request: w.ids, Job: Job{SessionID: 5, Prompt: 30000,
 		Deadline: w.now + 6*Second}})
 	if a := find(acts, Send); a == nil || float64(a.After) < 30000*w.r.pace {
 		t.Errorf("got %+v at a pace of %v ns a token", a, w.r.pace)
@@ -626,7 +626,7 @@
 			w.now += 10 * ms
 			w.r.servers[11].sent, w.r.servers[12].sent, w.r.servers[13].sent = 0, 0, 0
 			w.ids++
-			if find(w.do(Event{Kind: Arrived, Request: w.ids, Job: Job{Tenant: tenant, Session: uint64(w.ids),
+			if find(w.do(Event{Kind: Arrived, Request: w.ids, Job: Job{Tenant: tenant, SessionID: uint64(w.ids),
 				Prompt: 1000, Deadline: w.now + 4*Second}}), Refuse) != nil {
 				n++
 			}
--- a/decide/request.go
+++ b/decide/request.go
@@ -10,7 +10,7 @@
 	}
 	q := &request{id: ev.Request, job: ev.Job, arrived: r.now, key: ev.Job.Text}
 	if q.key == 0 {
-		q.key = ev.Job.Session
+		q.key = ev.Job.SessionID
 	}
 	r.requests[q.id] = q
 	r.again = min(r.again+againPart, againMost)
@@ -89,7 +89,7 @@
 		}
 		q.state, q.mayHold, q.alone = s, true, false
 		s.keep(q.key, q.job.Prefix)
-		s.keep(q.job.Session, q.job.Prompt)
+		s.keep(q.job.SessionID, q.job.Prompt)
 	}
 	// Four outcomes prove that an attempt at a writer never ran.
 	unrun := ev.Outcome == Full || ev.Outcome == ConnectFailed || ev.Outcome == NotStarted || ev.Outcome == ReadDone
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -467,7 +467,7 @@
 		c.NewDecider = func(set *decide.Settings, seed uint64, now decide.Time) Decider {
 			inner := decide.New(set, seed, now)
 			return scripted(func(now decide.Time, ev *decide.Event, out []decide.Action) []decide.Action {
-				if ev.Kind == decide.Arrived && ev.Job.Session == key("poison") {
+				if ev.Kind == decide.Arrived && ev.Job.SessionID == key("poison") {
 					panic("poisoned")
 				}
 				return inner.Handle(now, ev, out)
