--- a/decide/api.go
+++ b/decide/api.go
@@ -209,7 +209,7 @@
 // Job is a request as it arrives.
 type Job struct {
 	Class, Tenant            int
-	SessionID, Text          uint64 // 0: none
+	SessionID, PrefixID      uint64 // 0: none
 	Deadline                 Time
 	Hint                     Duration // rough length of the answer; 0 when not told
 	Prompt, Prefix, MaxOut   float64  // tokens
--- a/decide/request.go
+++ b/decide/request.go
@@ -8,7 +8,7 @@
 		r.act(Action{Kind: Fail, Request: ev.Request, Text: "its class is unknown"})
 		return
 	}
-	q := &request{id: ev.Request, job: ev.Job, arrived: r.now, key: ev.Job.Text}
+	q := &request{id: ev.Request, job: ev.Job, arrived: r.now, key: ev.Job.PrefixID}
 	if q.key == 0 {
 		q.key = ev.Job.SessionID
 	}
