--- a/decide/api.go
+++ b/decide/api.go
@@ -211,7 +211,7 @@
 	Class, Tenant            int
 	SessionID, PrefixID      uint64 // 0: none
 	Deadline                 Time
-	Hint                     Duration // rough length of the answer; 0 when not told
+	LengthHint               Duration // rough length of the answer; 0 when not told
 	Prompt, Prefix, MaxOut   float64  // tokens
 	ClientRepeat, AfterBreak bool
 }
--- a/internal/simwire/decode.go
+++ b/internal/simwire/decode.go
@@ -241,7 +241,7 @@
 		MaxOut: float(b[54:]), ClientRepeat: marks&2 != 0, AfterBreak: marks&16 != 0,
 	}
 	if marks&1 != 0 {
-		ev.Job.Hint = span(b[30:])
+		ev.Job.LengthHint = span(b[30:])
 	}
 }
 
