--- a/decide/admission.go
+++ b/decide/admission.go
@@ -60,7 +60,7 @@
 	if excess {
 		spare = -excessRoom
 	}
-	full := (max(r.footprint(writer, q.job.Prompt), r.books()) - fullLow - spare) / (fullHigh - fullLow)
+	full := (max(r.footprint(writer, q.job.PromptTokens), r.books()) - fullLow - spare) / (fullHigh - fullLow)
 	return max(chance, min(full, 1))
 }
 
--- a/decide/ask_test.go
+++ b/decide/ask_test.go
@@ -271,7 +271,7 @@
 	if len(round) != 2 || find(acts, Send) == nil {
 		t.Errorf("after %v were silent: %v, want a read", round, acts)
 	}
-	acts = w.do(Event{Kind: Arrived, Request: 99, Job: Job{Class: safe, SessionID: 5, PrefixID: 98, Prompt: 1000,
+	acts = w.do(Event{Kind: Arrived, Request: 99, Job: Job{Class: safe, SessionID: 5, PrefixID: 98, PromptTokens: 1000,
 		Deadline: w.now + w.r.set.DialTimeout}})
 	if find(acts, Send) == nil {
 		t.Errorf("with little time left: %v, want a read at once", acts)
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -81,7 +81,7 @@
 func (w *world) arrive(class int) (RequestID, []Action) {
 	w.ids++
 	return w.ids, w.do(Event{Kind: Arrived, Request: w.ids, Job: Job{Class: class, SessionID: uint64(w.ids),
-		PrefixID: 99, Prompt: 1000, Prefix: 800, MaxOut: 100, Deadline: w.now + 4*Second}})
+		PrefixID: 99, PromptTokens: 1000, Prefix: 800, MaxOut: 100, Deadline: w.now + 4*Second}})
 }
 
 func (w *world) end(id RequestID, attempt int, s ServerID, o Outcome) []Action {
@@ -529,7 +529,7 @@
 		w.serve()
 	}
 	w.ids++
-	acts := w.do(Event{Kind: Arrived, Request: w.ids, Job: Job{SessionID: 5, Prompt: 30000,
+	acts := w.do(Event{Kind: Arrived, Request: w.ids, Job: Job{SessionID: 5, PromptTokens: 30000,
 		Deadline: w.now + 6*Second}})
 	if a := find(acts, Send); a == nil || float64(a.After) < 30000*w.r.pace {
 		t.Errorf("got %+v at a pace of %v ns a token", a, w.r.pace)
@@ -627,7 +627,7 @@
 			w.r.servers[11].sent, w.r.servers[12].sent, w.r.servers[13].sent = 0, 0, 0
 			w.ids++
 			if find(w.do(Event{Kind: Arrived, Request: w.ids, Job: Job{Tenant: tenant, SessionID: uint64(w.ids),
-				Prompt: 1000, Deadline: w.now + 4*Second}}), Refuse) != nil {
+				PromptTokens: 1000, Deadline: w.now + 4*Second}}), Refuse) != nil {
 				n++
 			}
 		}
@@ -978,7 +978,7 @@
 	w := newWorld(t, set, list)
 	sent := [2][2]int{}
 	for i := 0; i < 300; i++ {
-		q := &request{job: Job{Prompt: 1000}, state: w.r.servers[ServerID(1+i%2*4)]}
+		q := &request{job: Job{PromptTokens: 1000}, state: w.r.servers[ServerID(1+i%2*4)]}
 		sent[q.state.cell][w.r.pickWriter(q, true).cell]++
 	}
 	if kept := sent[0][0]; kept < 30 || kept > 75 {
@@ -1015,7 +1015,7 @@
 		if got := w.r.recent(s) > 1; got != c.slow {
 			t.Errorf("%d routers: slow answer remembered after 10 s: %v", c.routers, got)
 		}
-		q := &request{key: 5, job: Job{PrefixID: 5, Prompt: 1000, Prefix: 800}}
+		q := &request{key: 5, job: Job{PrefixID: 5, PromptTokens: 1000, Prefix: 800}}
 		if got := w.r.fresh(q, s); got < c.fresh || got > c.fresh+10 {
 			t.Errorf("%d routers: %g tokens taken for new, %g expected", c.routers, got, c.fresh)
 		}
@@ -1059,7 +1059,7 @@
 		w := newWorld(t, set, fleet())
 		w.r.learn(w.r.servers[2], 40)
 		w.r.learn(w.r.servers[2], 40)
-		q := &request{key: 1, job: Job{PrefixID: 1, Prompt: 1000}}
+		q := &request{key: 1, job: Job{PrefixID: 1, PromptTokens: 1000}}
 		for key := uint64(1); w.r.pickReader(q).id != 1; key++ {
 			q.key = key
 		}
@@ -1081,7 +1081,7 @@
 	}
 	w := newWorld(t, set, list)
 	w.ids++
-	odd := w.do(Event{Kind: Arrived, Request: w.ids, Job: Job{Class: 99, Prompt: 10, Deadline: w.now + Second}})
+	odd := w.do(Event{Kind: Arrived, Request: w.ids, Job: Job{Class: 99, PromptTokens: 10, Deadline: w.now + Second}})
 	if len(odd) != 1 || odd[0].Kind != Fail {
 		t.Errorf("a class that the settings don't name got %+v, one failure expected", odd)
 	}
@@ -1237,7 +1237,7 @@
 func TestRequestsThatWaitedForTheRouter(t *testing.T) {
 	for waited, refused := range map[Duration]bool{0: false, HoldUp: false, waitedLong: false, waitedLong + ms: true} {
 		w := newWorld(t, settings(), fleet())
-		acts := w.do(Event{Kind: Arrived, Request: 1, RouterDelay: waited, Job: Job{Prompt: 1000, Deadline: w.now + 4*Second}})
+		acts := w.do(Event{Kind: Arrived, Request: 1, RouterDelay: waited, Job: Job{PromptTokens: 1000, Deadline: w.now + 4*Second}})
 		if got := find(acts, Refuse) != nil; got != refused {
 			t.Errorf("after %d ms: %v", waited/ms, kinds(acts))
 		}
--- a/decide/guards.go
+++ b/decide/guards.go
@@ -47,7 +47,7 @@
 		q.expect = r.readTime(s)
 		r.askWriters(q, s)
 	} else {
-		q.tokens = q.job.Prompt
+		q.tokens = q.job.PromptTokens
 		s.streams++
 		s.booked += q.tokens
 		s.sent += q.tokens
--- a/decide/request.go
+++ b/decide/request.go
@@ -17,7 +17,7 @@
 	// Each request pays for the probes that it may cost, so that many routers cost no more than few.
 	r.probes = min(r.probes+probePoints/max(r.set.ProbeCost, probePoints/mostProbes), float64(len(r.order)))
 	w := &r.work[q.job.Class]
-	w.prompt += answerGain * (q.job.Prompt - w.prompt)
+	w.prompt += answerGain * (q.job.PromptTokens - w.prompt)
 	if r.tooLate() || !r.endsInTime(q) {
 		r.giveUp(q, "the router is shutting down")
 	} else if ev.RouterDelay > waitedLong {
@@ -89,7 +89,7 @@
 		}
 		q.state, q.mayHold, q.alone = s, true, false
 		s.keep(q.key, q.job.Prefix)
-		s.keep(q.job.SessionID, q.job.Prompt)
+		s.keep(q.job.SessionID, q.job.PromptTokens)
 	}
 	// Four outcomes prove that an attempt at a writer never ran.
 	unrun := ev.Outcome == Full || ev.Outcome == ConnectFailed || ev.Outcome == NotStarted || ev.Outcome == ReadDone
@@ -149,10 +149,10 @@
 	case ReadDone:
 		s.quietFrom, s.heardAt = r.now, r.now
 		if r.found > 0 {
-			q.expect = max(q.expect+(q.job.Prompt-ev.CachedTokens-q.tokens)*r.pace, paceTokens*r.pace)
+			q.expect = max(q.expect+(q.job.PromptTokens-ev.CachedTokens-q.tokens)*r.pace, paceTokens*r.pace)
 		}
 		r.good(q, s, float64(ev.Elapsed)/q.expect)
-		if pace := float64(ev.Elapsed) / max(q.job.Prompt-ev.CachedTokens, paceTokens); pace < r.pace {
+		if pace := float64(ev.Elapsed) / max(q.job.PromptTokens-ev.CachedTokens, paceTokens); pace < r.pace {
 			r.pace += paceDown * (pace - r.pace)
 		} else {
 			r.pace *= 1 + paceUp
--- a/decide/timeouts.go
+++ b/decide/timeouts.go
@@ -5,7 +5,7 @@
 // aim is the time within which a request's first token is wanted.
 func (r *Router) aim(q *request) Duration {
 	c := &r.set.Classes[q.job.Class]
-	return c.FirstTokenTarget + Duration(float64(c.FirstTokenTargetPerK)*q.job.Prompt/thousand)
+	return c.FirstTokenTarget + Duration(float64(c.FirstTokenTargetPerK)*q.job.PromptTokens/thousand)
 }
 
 // readTime is how long the own tokens that wait at a reader should take to read.
--- a/decide/writer.go
+++ b/decide/writer.go
@@ -64,7 +64,7 @@
 	if c.pick != nil && n > c.streams {
 		return
 	}
-	print := r.footprint(s, q.job.Prompt)
+	print := r.footprint(s, q.job.PromptTokens)
 	if s.share >= 0 && print > fitFraction || !c.may(s) {
 		return
 	}
@@ -88,7 +88,7 @@
 func (c *writerChoice) fallback(among []*server) (pick *server) {
 	least := 0.0
 	for _, s := range among {
-		print := c.router.footprint(s, c.request.job.Prompt)
+		print := c.router.footprint(s, c.request.job.PromptTokens)
 		if (pick == nil || print < least) && c.may(s) {
 			pick, least = s, print
 		}
