--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -81,7 +81,7 @@
 func (w *world) arrive(class int) (RequestID, []Action) {
 	w.ids++
 	return w.ids, w.do(Event{Kind: Arrived, Request: w.ids, Job: Job{Class: class, SessionID: uint64(w.ids),
-		PrefixID: 99, PromptTokens: 1000, Prefix: 800, MaxOut: 100, Deadline: w.now + 4*Second}})
+		PrefixID: 99, PromptTokens: 1000, PrefixTokens: 800, MaxOut: 100, Deadline: w.now + 4*Second}})
 }
 
 func (w *world) end(id RequestID, attempt int, s ServerID, o Outcome) []Action {
@@ -1015,7 +1015,7 @@
 		if got := w.r.recent(s) > 1; got != c.slow {
 			t.Errorf("%d routers: slow answer remembered after 10 s: %v", c.routers, got)
 		}
-		q := &request{key: 5, job: Job{PrefixID: 5, PromptTokens: 1000, Prefix: 800}}
+		q := &request{key: 5, job: Job{PrefixID: 5, PromptTokens: 1000, PrefixTokens: 800}}
 		if got := w.r.fresh(q, s); got < c.fresh || got > c.fresh+10 {
 			t.Errorf("%d routers: %g tokens taken for new, %g expected", c.routers, got, c.fresh)
 		}
--- a/decide/reader.go
+++ b/decide/reader.go
@@ -56,7 +56,7 @@
 // fresh guesses how many tokens of a prompt a reader has not kept.
 func (r *Router) fresh(q *request, s *server) float64 {
 	kept := max(s.kept[q.key], s.kept[q.job.SessionID])
-	return max(1, q.job.PromptTokens-max(kept, r.found*q.job.Prefix))
+	return max(1, q.job.PromptTokens-max(kept, r.found*q.job.PrefixTokens))
 }
 
 func (s *server) keep(key uint64, tokens float64) {
--- a/decide/request.go
+++ b/decide/request.go
@@ -84,11 +84,11 @@
 	was := q.stage
 	q.out = nil
 	if was == reading && ev.Outcome == ReadDone {
-		if q.job.Prefix > 0 && s.kept[q.key] == 0 && r.many {
-			r.found += answerGain * (min(ev.CachedTokens/q.job.Prefix, 1) - r.found)
+		if q.job.PrefixTokens > 0 && s.kept[q.key] == 0 && r.many {
+			r.found += answerGain * (min(ev.CachedTokens/q.job.PrefixTokens, 1) - r.found)
 		}
 		q.state, q.mayHold, q.alone = s, true, false
-		s.keep(q.key, q.job.Prefix)
+		s.keep(q.key, q.job.PrefixTokens)
 		s.keep(q.job.SessionID, q.job.PromptTokens)
 	}
 	// Four outcomes prove that an attempt at a writer never ran.
