--- a/decide/api.go
+++ b/decide/api.go
@@ -208,12 +208,12 @@
 
 // Job is a request as it arrives.
 type Job struct {
-	Class, Tenant                      int
-	SessionID, PrefixID                uint64 // 0: none
-	Deadline                           Time
-	LengthHint                         Duration // rough length of the answer; 0 when not told
-	PromptTokens, PrefixTokens, MaxOut float64  // tokens
-	ClientRepeat, AfterBreak           bool
+	Class, Tenant                               int
+	SessionID, PrefixID                         uint64 // 0: none
+	Deadline                                    Time
+	LengthHint                                  Duration // rough length of the answer; 0 when not told
+	PromptTokens, PrefixTokens, MaxOutputTokens float64  // tokens
+	ClientRepeat, AfterBreak                    bool
 }
 
 // ActionKind tells the fields of an Action that are meant.
--- a/decide/bench_test.go
+++ b/decide/bench_test.go
@@ -62,7 +62,7 @@
 	f.now += 30 * ms
 	id := f.id
 	f.handle(&Event{Kind: Arrived, Request: id, Report: benchUntold, Job: Job{SessionID: uint64(id % 100), PrefixID: uint64(id%20) + 1,
-		PromptTokens: 1000, PrefixTokens: 800, MaxOut: 100, Deadline: f.now + 4*Second}})
+		PromptTokens: 1000, PrefixTokens: 800, MaxOutputTokens: 100, Deadline: f.now + 4*Second}})
 	if len(f.sent) != 1 {
 		f.b.Fatalf("%d sends after the arrival", len(f.sent))
 	}
--- a/decide/cold_fleet_test.go
+++ b/decide/cold_fleet_test.go
@@ -166,7 +166,7 @@
 			f.jobs++
 			f.nextArrival(e.router)
 			f.handle(e.router, Event{Kind: Arrived, Request: f.jobs, Job: Job{Class: safe, SessionID: uint64(f.jobs),
-				PrefixID: uint64(f.jobs % 9), PromptTokens: 1000, PrefixTokens: 800, MaxOut: 100, Deadline: f.now + 4*Second}})
+				PrefixID: uint64(f.jobs % 9), PromptTokens: 1000, PrefixTokens: 800, MaxOutputTokens: 100, Deadline: f.now + 4*Second}})
 		default:
 			f.handle(e.router, e.event)
 		}
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -81,7 +81,7 @@
 func (w *world) arrive(class int) (RequestID, []Action) {
 	w.ids++
 	return w.ids, w.do(Event{Kind: Arrived, Request: w.ids, Job: Job{Class: class, SessionID: uint64(w.ids),
-		PrefixID: 99, PromptTokens: 1000, PrefixTokens: 800, MaxOut: 100, Deadline: w.now + 4*Second}})
+		PrefixID: 99, PromptTokens: 1000, PrefixTokens: 800, MaxOutputTokens: 100, Deadline: w.now + 4*Second}})
 }
 
 func (w *world) end(id RequestID, attempt int, s ServerID, o Outcome) []Action {
--- a/decide/names_test.go
+++ b/decide/names_test.go
@@ -113,7 +113,7 @@
 		}
 		do(Event{Kind: Arrived, Request: id, Job: Job{Class: by.class(rng.IntN(2)), Tenant: by.tenant(rng.IntN(2)),
 			SessionID: uint64(rng.IntN(50) + 1), PrefixID: uint64(rng.IntN(9)), PromptTokens: 100 + 4000*rng.Float64(),
-			PrefixTokens: 80, MaxOut: 300, Deadline: now + 4*Second}})
+			PrefixTokens: 80, MaxOutputTokens: 300, Deadline: now + 4*Second}})
 	}
 	return all
 }
--- a/internal/sim/node.go
+++ b/internal/sim/node.go
@@ -280,7 +280,7 @@
 	}
 	n.tell(&decide.Event{Kind: decide.Arrived, Request: f.id, Report: engine.Untold(), Job: decide.Job{Class: e.Class, Tenant: 1 << 20,
 		PrefixID: text, SessionID: uint64(f.id) | 1<<63, Deadline: module(f.deadline), PromptTokens: float64(e.Prompt), PrefixTokens: float64(e.Shared),
-		MaxOut: float64(n.s.cfg.MaxAnswer)}})
+		MaxOutputTokens: float64(n.s.cfg.MaxAnswer)}})
 	n.settle(f)
 }
 
