--- a/decide/api.go
+++ b/decide/api.go
@@ -213,7 +213,7 @@
 	Deadline                                    Time
 	LengthHint                                  Duration // rough length of the answer; 0 when not told
 	PromptTokens, PrefixTokens, MaxOutputTokens float64  // tokens
-	ClientRetry, AfterBreak                     bool
+	ClientRetry, AfterInterruption              bool
 }
 
 // ActionKind tells the fields of an Action that are meant.
--- a/internal/simwire/decode.go
+++ b/internal/simwire/decode.go
@@ -238,7 +238,7 @@
 		Class: int(binary.BigEndian.Uint16(b[8:])), Tenant: int(binary.BigEndian.Uint32(b[10:])),
 		SessionID: binary.BigEndian.Uint64(b[14:]), Deadline: span(b[22:]),
 		PrefixID: binary.BigEndian.Uint64(b[38:]), PromptTokens: float(b[46:]), PrefixTokens: float(b[50:]),
-		MaxOutputTokens: float(b[54:]), ClientRetry: marks&2 != 0, AfterBreak: marks&16 != 0,
+		MaxOutputTokens: float(b[54:]), ClientRetry: marks&2 != 0, AfterInterruption: marks&16 != 0,
 	}
 	if marks&1 != 0 {
 		ev.Job.LengthHint = span(b[30:])
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -70,7 +70,7 @@
 			"28 00000003 00000001 0001 00000002 0000000000000000 0000000000000005 0000000000b71b00" +
 				"0000000000000000 3f800000 00000000 3f800000 12",
 			Record{Instance: 3, Event: decide.Event{Kind: decide.Arrived, Request: 1, Job: decide.Job{Class: 1,
-				Tenant: 2, Deadline: 5, PromptTokens: 1, MaxOutputTokens: 1, ClientRetry: true, AfterBreak: true}}}},
+				Tenant: 2, Deadline: 5, PromptTokens: 1, MaxOutputTokens: 1, ClientRetry: true, AfterInterruption: true}}}},
 		{"first", "32 00000003 00000001 02 0000000000000010 0a124a07 1f43", Record{Instance: 3,
 			Event: decide.Event{Kind: decide.FirstToken, Request: 1, Attempt: 2, Elapsed: 16, Server: serverA}}},
 		{"outcome", hexVerdict, Record{Instance: 3, Event: decide.Event{Kind: decide.AttemptEnded, Request: 0x5d3a91c4,
