--- a/decide/cold_fleet_test.go
+++ b/decide/cold_fleet_test.go
@@ -127,7 +127,7 @@
 	ev.Report = Report{MemoryUse: -1, QueuedKTokens: -1, Latency: -1}
 	for _, a := range f.routers[router].Handle(f.now, &ev, nil) {
 		switch a.Kind {
-		case WakeMe:
+		case SetTimer:
 			heap.Push(&f.events, fleetEvent{at: f.now + a.After, router: router, event: Event{Kind: Timer, TimerID: a.Token}})
 		case Send:
 			f.send(router, a)
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -404,7 +404,7 @@
 		{Kind: Probed, Server: 500}, {Kind: ReservationAnswer, Request: 77}, {Kind: PeerMessage},
 	} {
 		for _, a := range w.do(ev) {
-			if a.Kind != WakeMe {
+			if a.Kind != SetTimer {
 				t.Errorf("%+v led to %+v", ev, a)
 			}
 		}
--- a/decide/membership.go
+++ b/decide/membership.go
@@ -11,7 +11,7 @@
 func (r *Router) list(ev *Event) {
 	r.timed = [Both + 1]bool{}
 	if ev.Kind == ListCached {
-		r.act(Action{Kind: WakeMe, After: tickEvery})
+		r.act(Action{Kind: SetTimer, After: tickEvery})
 		if r.set.PullMembership {
 			r.act(Action{Kind: Watch})
 		}
--- a/decide/probing.go
+++ b/decide/probing.go
@@ -90,7 +90,7 @@
 
 // tick looks after what no event brings up.
 func (r *Router) tick() {
-	r.act(Action{Kind: WakeMe, After: tickEvery})
+	r.act(Action{Kind: SetTimer, After: tickEvery})
 	if r.unwatched && r.random() < watchChance {
 		r.unwatched = false
 		r.act(Action{Kind: Watch})
--- a/internal/router/actions.go
+++ b/internal/router/actions.go
@@ -46,7 +46,7 @@
 	case decide.Send:
 		r.send(a)
 		return
-	case decide.WakeMe:
+	case decide.SetTimer:
 		r.timers.add(&entry{at: r.now + a.After, token: a.Token, generation: r.generation})
 		return
 	case decide.Probe:
--- a/internal/sim/node.go
+++ b/internal/sim/node.go
@@ -304,7 +304,7 @@
 
 func (n *node) act(a *decide.Action) {
 	s := n.s
-	if a.Kind == decide.WakeMe {
+	if a.Kind == decide.SetTimer {
 		life, token := n.life, a.Token
 		s.after(time.Duration(a.After), func() {
 			if n.life == life {
--- a/internal/simwire/encode.go
+++ b/internal/simwire/encode.go
@@ -65,7 +65,7 @@
 	case decide.Move:
 		e.head(codeMove, inst)
 		e.request(a.Request)
-	case decide.WakeMe:
+	case decide.SetTimer:
 		e.head(codeWake, inst)
 		e.buf = binary.BigEndian.AppendUint64(e.buf, uint64(a.After))
 		e.buf = binary.BigEndian.AppendUint64(e.buf, a.Token)
