--- a/decide/api.go
+++ b/decide/api.go
@@ -221,17 +221,17 @@
 
 // The kinds of actions.
 const (
-	Send     ActionKind = iota // Request, Server, After (the time-out; 0: until the client gives up)
-	Cancel                     // Request, Attempt
-	Refuse                     // Request, After (stay away so long), Text (the reason)
-	Fail                       // Request, Text (the reason)
-	Release                    // Request
-	Move                       // Request
-	SetTimer                   // After, Token
-	Probe                      // Server, Fresh (on a connection that is made for it)
-	Reserve                    // Request, Server
-	Watch                      // ask for the list and its changes
-	Note                       // Text
+	Send      ActionKind = iota // Request, Server, After (the time-out; 0: until the client gives up)
+	Cancel                      // Request, Attempt
+	Refuse                      // Request, After (stay away so long), Text (the reason)
+	Fail                        // Request, Text (the reason)
+	Release                     // Request
+	Move                        // Request
+	SetTimer                    // After, Token
+	Probe                       // Server, Fresh (on a connection that is made for it)
+	Reserve                     // Request, Server
+	WatchList                   // ask for the list and its changes
+	Note                        // Text
 )
 
 // Action is one thing that a router does.
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -834,13 +834,13 @@
 	set := settings()
 	set.PullMembership = true
 	w := newWorld(t, set, fleet())
-	if acts := w.do(Event{Kind: ListFailed}); find(acts, Watch) != nil {
+	if acts := w.do(Event{Kind: ListFailed}); find(acts, WatchList) != nil {
 		t.Error("asked again at once")
 	}
 	asked := 0
 	for range 200 {
 		w.now += tickEvery
-		if find(w.do(Event{Kind: Timer}), Watch) != nil {
+		if find(w.do(Event{Kind: Timer}), WatchList) != nil {
 			asked++
 		}
 	}
--- a/decide/membership.go
+++ b/decide/membership.go
@@ -13,7 +13,7 @@
 	if ev.Kind == ListCached {
 		r.act(Action{Kind: SetTimer, After: tickEvery})
 		if r.set.PullMembership {
-			r.act(Action{Kind: Watch})
+			r.act(Action{Kind: WatchList})
 		}
 	}
 	if ev.Kind != ListChanged {
--- a/decide/probing.go
+++ b/decide/probing.go
@@ -93,7 +93,7 @@
 	r.act(Action{Kind: SetTimer, After: tickEvery})
 	if r.unwatched && r.random() < watchChance {
 		r.unwatched = false
-		r.act(Action{Kind: Watch})
+		r.act(Action{Kind: WatchList})
 	}
 	if !r.set.Probing {
 		return
--- a/internal/router/actions.go
+++ b/internal/router/actions.go
@@ -52,7 +52,7 @@
 	case decide.Probe:
 		r.probe(a.Server, a.Fresh)
 		return
-	case decide.Watch:
+	case decide.WatchList:
 		if r.cfg.Watch != nil {
 			r.cfg.Watch()
 		}
--- a/internal/simwire/encode.go
+++ b/internal/simwire/encode.go
@@ -76,7 +76,7 @@
 		e.head(codeReserve, inst)
 		e.request(a.Request)
 		e.server(a.Server)
-	case decide.Watch:
+	case decide.WatchList:
 		e.head(codeWatch, inst)
 		e.buf = append(e.buf, 1)
 	case decide.Note:
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -207,7 +207,7 @@
 		{"cancel", decide.Action{Kind: decide.Cancel, Request: 1, Attempt: 2}, "5a 00000003 00000001 02"},
 		{"move", decide.Action{Kind: decide.Move, Request: 1}, "78 00000003 00000001"},
 		{"probe", decide.Action{Kind: decide.Probe, Server: serverA}, "46 00000003 0a124a07 1f43"},
-		{"watch", decide.Action{Kind: decide.Watch}, "32 00000003 01"},
+		{"watch", decide.Action{Kind: decide.WatchList}, "32 00000003 01"},
 		{"note", decide.Action{Kind: decide.Note, Text: "two servers known"},
 			"6e 00000003 0011 74776f2073657276657273206b6e6f776e"},
 	}
