--- a/decide/api.go
+++ b/decide/api.go
@@ -241,8 +241,8 @@
 	Server  ServerID
 	Attempt int
 	After   Duration
-	// NotAfter, of Send: the last byte may not leave later; 0 is no bound.
-	NotAfter Time
+	// SendBy, of Send: the last byte may not leave later; 0 is no bound.
+	SendBy Time
 	// HeardWithin, of Send: a kept connection may carry it only if an answer has come on that so recently; 0: any
 	// may. A connection can fall silent with no error, and what is sent on it then never arrives.
 	HeardWithin Duration
--- a/internal/router/actions.go
+++ b/internal/router/actions.go
@@ -133,8 +133,8 @@
 // begin asks the guard for an attempt at an engine, which is given up at some time. With an error it may not start.
 func (r *Router) begin(act *decide.Action, f *flight, s *server, at decide.Time) (*guard.Attempt, error) {
 	limits := guard.Limits{Within: time.Duration(at - r.now), DrainGrace: time.Duration(r.cfg.Settings.DrainGrace)}
-	if act.NotAfter != 0 {
-		limits.NotAfter = r.wall(act.NotAfter)
+	if act.SendBy != 0 {
+		limits.NotAfter = r.wall(act.SendBy)
 	}
 	switch {
 	case s == nil:
