--- a/decide/api.go
+++ b/decide/api.go
@@ -243,11 +243,11 @@
 	After   Duration
 	// SendBy, of Send: the last byte may not leave later; 0 is no bound.
 	SendBy Time
-	// HeardWithin, of Send: a kept connection may carry it only if an answer has come on that so recently; 0: any
+	// LastResponseWithin, of Send: a kept connection may carry it only if an answer has come on that so recently; 0: any
 	// may. A connection can fall silent with no error, and what is sent on it then never arrives.
-	HeardWithin Duration
-	WhileOut    bool // Release: though an attempt is out
-	Token       uint64
-	Fresh       bool
-	Text        string
+	LastResponseWithin Duration
+	WhileOut           bool // Release: though an attempt is out
+	Token              uint64
+	Fresh              bool
+	Text               string
 }
--- a/decide/guards.go
+++ b/decide/guards.go
@@ -55,7 +55,7 @@
 	}
 	after := r.capFor(q)
 	r.act(Action{Kind: Send, Request: q.id, Server: s.id, After: after, SendBy: r.repeatUntil(q),
-		HeardWithin: r.heardWithin(q, after)})
+		LastResponseWithin: r.heardWithin(q, after)})
 	r.watchWait(q)
 	return true
 }
--- a/decide/liveness_test.go
+++ b/decide/liveness_test.go
@@ -265,11 +265,11 @@
 			id, acts := w.arrive(safe)
 			read := find(acts, Send)
 			most := set.HoldTimeout + 300*ms - HoldUp - set.DialTimeout
-			if long := read.After > most; long != (read.HeardWithin == set.DialTimeout) || !long && read.HeardWithin != 0 {
-				t.Errorf("a read that is waited for for %d ms asks for %d", read.After/ms, read.HeardWithin)
+			if long := read.After > most; long != (read.LastResponseWithin == set.DialTimeout) || !long && read.LastResponseWithin != 0 {
+				t.Errorf("a read that is waited for for %d ms asks for %d", read.After/ms, read.LastResponseWithin)
 			}
 			write := find(w.end(id, 0, read.Server, ReadDone), Send)
-			if write.HeardWithin != set.DialTimeout {
+			if write.LastResponseWithin != set.DialTimeout {
 				t.Errorf("a state went out on any connection: %+v", write)
 			}
 			if got := write.After <= most; got != tt.bound {
