--- a/decide/api.go
+++ b/decide/api.go
@@ -246,7 +246,7 @@
 	// LastResponseWithin, of Send: a kept connection may carry it only if an answer has come on that so recently; 0: any
 	// may. A connection can fall silent with no error, and what is sent on it then never arrives.
 	LastResponseWithin Duration
-	WhileOut           bool // Release: though an attempt is out
+	DuringAttempt      bool // Release: though an attempt is out
 	Token              uint64
 	Fresh              bool
 	Text               string
--- a/decide/liveness.go
+++ b/decide/liveness.go
@@ -119,7 +119,7 @@
 	}
 	u.let = true
 	q.state, q.mayHold = nil, false
-	r.act(Action{Kind: Release, Request: q.id, WhileOut: true})
+	r.act(Action{Kind: Release, Request: q.id, DuringAttempt: true})
 }
 
 // due tells whether the time by which an attempt's server has to give a sign is nearly over. That it gave one
--- a/decide/liveness_test.go
+++ b/decide/liveness_test.go
@@ -231,7 +231,7 @@
 			}
 		}
 	}
-	if release == nil || release.Request != id || !release.WhileOut {
+	if release == nil || release.Request != id || !release.DuringAttempt {
 		t.Fatalf("released %+v", release)
 	}
 	w.now += ms
--- a/internal/router/actions.go
+++ b/internal/router/actions.go
@@ -77,7 +77,7 @@
 	case decide.Fail:
 		r.answer(f, Ending{Kind: Failed, TimedOut: f.late, Reason: "failed: " + a.Text})
 	case decide.Release:
-		if a.WhileOut {
+		if a.DuringAttempt {
 			r.keep.releaseWhileOut(f)
 		} else {
 			r.keep.release(f)
