--- a/decide/api.go
+++ b/decide/api.go
@@ -247,7 +247,7 @@
 	// may. A connection can fall silent with no error, and what is sent on it then never arrives.
 	LastResponseWithin Duration
 	DuringAttempt      bool // Release: though an attempt is out
-	Token              uint64
+	TimerID            uint64
 	Fresh              bool
 	Text               string
 }
--- a/decide/cold_fleet_test.go
+++ b/decide/cold_fleet_test.go
@@ -128,7 +128,7 @@
 	for _, a := range f.routers[router].Handle(f.now, &ev, nil) {
 		switch a.Kind {
 		case SetTimer:
-			heap.Push(&f.events, fleetEvent{at: f.now + a.After, router: router, event: Event{Kind: Timer, TimerID: a.Token}})
+			heap.Push(&f.events, fleetEvent{at: f.now + a.After, router: router, event: Event{Kind: Timer, TimerID: a.TimerID}})
 		case Send:
 			f.send(router, a)
 		}
--- a/internal/router/actions.go
+++ b/internal/router/actions.go
@@ -47,7 +47,7 @@
 		r.send(a)
 		return
 	case decide.SetTimer:
-		r.timers.add(&entry{at: r.now + a.After, token: a.Token, generation: r.generation})
+		r.timers.add(&entry{at: r.now + a.After, token: a.TimerID, generation: r.generation})
 		return
 	case decide.Probe:
 		r.probe(a.Server, a.Fresh)
--- a/internal/sim/node.go
+++ b/internal/sim/node.go
@@ -305,7 +305,7 @@
 func (n *node) act(a *decide.Action) {
 	s := n.s
 	if a.Kind == decide.SetTimer {
-		life, token := n.life, a.Token
+		life, token := n.life, a.TimerID
 		s.after(time.Duration(a.After), func() {
 			if n.life == life {
 				n.tell(&decide.Event{Kind: decide.Timer, TimerID: token, Report: engine.Untold()})
--- a/internal/simwire/encode.go
+++ b/internal/simwire/encode.go
@@ -68,7 +68,7 @@
 	case decide.SetTimer:
 		e.head(codeWake, inst)
 		e.buf = binary.BigEndian.AppendUint64(e.buf, uint64(a.After))
-		e.buf = binary.BigEndian.AppendUint64(e.buf, a.Token)
+		e.buf = binary.BigEndian.AppendUint64(e.buf, a.TimerID)
 	case decide.Probe:
 		e.head(codeProbe, inst)
 		e.server(a.Server)
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -197,7 +197,7 @@
 	}{
 		{"send", decide.Action{Kind: decide.Send, Request: 0x5d3a91c4, Server: serverA, After: 80e6},
 			"82 00000003 5d3a91c4 0a124a07 1f43 0000000004c4b400"},
-		{"wake", decide.Action{Kind: decide.SetTimer, After: 500e6, Token: 77},
+		{"wake", decide.Action{Kind: decide.SetTimer, After: 500e6, TimerID: 77},
 			"8c 00000003 000000001dcd6500 000000000000004d"},
 		{"reserve", decide.Action{Kind: decide.Reserve, Request: 0x5d3a91c4, Server: serverB},
 			"1e 00000003 5d3a91c4 0a9011f2 1f6c"},
