--- a/decide/api.go
+++ b/decide/api.go
@@ -248,6 +248,6 @@
 	LastResponseWithin Duration
 	DuringAttempt      bool // Release: though an attempt is out
 	TimerID            uint64
-	Fresh              bool
+	NewConnection      bool
 	Text               string
 }
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -917,12 +917,12 @@
 			if a.Kind != Probe {
 				continue
 			}
-			if a.Fresh {
+			if a.NewConnection {
 				checks++
 			} else {
 				probes++
 			}
-			w.do(Event{Kind: Probed, Server: a.Server, NewConnection: a.Fresh, Outcome: Served})
+			w.do(Event{Kind: Probed, Server: a.Server, NewConnection: a.NewConnection, Outcome: Served})
 		}
 	}
 	// No request here is ever answered, and the reader of each is asked a few times whether it can be reached.
--- a/decide/liveness.go
+++ b/decide/liveness.go
@@ -104,7 +104,7 @@
 			s.checking = true
 			u.asked++
 			u.askedAt = r.now
-			r.act(Action{Kind: Probe, Server: s.id, Fresh: true})
+			r.act(Action{Kind: Probe, Server: s.id, NewConnection: true})
 		case r.isQuickRead(u.request):
 			r.callOff(u)
 		}
--- a/decide/liveness_test.go
+++ b/decide/liveness_test.go
@@ -23,7 +23,7 @@
 		w.now += tickEvery
 		acts := w.do(Event{Kind: Timer})
 		for i := range acts {
-			if acts[i].Kind == Probe && acts[i].Fresh {
+			if acts[i].Kind == Probe && acts[i].NewConnection {
 				return &acts[i]
 			}
 		}
@@ -192,7 +192,7 @@
 		w.now += tickEvery
 		w.do(Event{Kind: Probed, Server: s, Outcome: Served}) // in answer to whatever
 		acts := w.do(Event{Kind: Timer})
-		if check := find(acts, Probe); check != nil && check.Fresh {
+		if check := find(acts, Probe); check != nil && check.NewConnection {
 			acts = w.do(Event{Kind: Probed, Server: s, NewConnection: true, Outcome: Served})
 			if c := find(acts, Cancel); c == nil || c.Request != id || c.Attempt != attempt {
 				t.Errorf("after the check: %v", kinds(acts))
@@ -218,7 +218,7 @@
 		if find(acts, Cancel) != nil {
 			t.Fatal("the writer was called off")
 		}
-		if check := find(acts, Probe); check != nil && check.Fresh {
+		if check := find(acts, Probe); check != nil && check.NewConnection {
 			w.do(Event{Kind: Probed, Server: s, NewConnection: true, Outcome: TimedOut}) // it hangs
 		}
 		if r := find(acts, Release); r != nil {
--- a/internal/router/actions.go
+++ b/internal/router/actions.go
@@ -50,7 +50,7 @@
 		r.timers.add(&entry{at: r.now + a.After, token: a.TimerID, generation: r.generation})
 		return
 	case decide.Probe:
-		r.probe(a.Server, a.Fresh)
+		r.probe(a.Server, a.NewConnection)
 		return
 	case decide.WatchList:
 		if r.cfg.Watch != nil {
