--- a/decide/api.go
+++ b/decide/api.go
@@ -249,5 +249,5 @@
 	DuringAttempt      bool // Release: though an attempt is out
 	TimerID            uint64
 	NewConnection      bool
-	Text               string
+	Reason             string
 }
--- a/decide/guards.go
+++ b/decide/guards.go
@@ -82,9 +82,9 @@
 	}
 	c := &r.set.Classes[q.job.Class]
 	if !q.mayRun || c.RetryPolicy == Safe || c.RetryPolicy == Keyed && c.DedupScope == ScopeAll {
-		r.act(Action{Kind: Refuse, Request: q.id, After: r.retryAfter(), Text: reason})
+		r.act(Action{Kind: Refuse, Request: q.id, After: r.retryAfter(), Reason: reason})
 	} else {
-		r.act(Action{Kind: Fail, Request: q.id, Text: reason})
+		r.act(Action{Kind: Fail, Request: q.id, Reason: reason})
 	}
 	r.close(q)
 }
--- a/decide/request.go
+++ b/decide/request.go
@@ -5,7 +5,7 @@
 // arrive takes a new request and sends it to a reader.
 func (r *Router) arrive(ev *Event) {
 	if ev.Job.Class >= len(r.set.Classes) { // of unknown effect
-		r.act(Action{Kind: Fail, Request: ev.Request, Text: "its class is unknown"})
+		r.act(Action{Kind: Fail, Request: ev.Request, Reason: "its class is unknown"})
 		return
 	}
 	q := &request{id: ev.Request, job: ev.Job, arrived: r.now, key: ev.Job.PrefixID}
--- a/internal/router/actions.go
+++ b/internal/router/actions.go
@@ -58,7 +58,7 @@
 		}
 		return
 	case decide.Note:
-		r.log.Info("module", "note", a.Text)
+		r.log.Info("module", "note", a.Reason)
 		return
 	}
 	f := r.table.rows[a.Request]
@@ -73,9 +73,9 @@
 			o.cancel(engine.ErrCancelled)
 		}
 	case decide.Refuse:
-		r.answer(f, Ending{Kind: Refused, RetryAfter: time.Duration(a.After), Reason: "refused: " + a.Text})
+		r.answer(f, Ending{Kind: Refused, RetryAfter: time.Duration(a.After), Reason: "refused: " + a.Reason})
 	case decide.Fail:
-		r.answer(f, Ending{Kind: Failed, TimedOut: f.late, Reason: "failed: " + a.Text})
+		r.answer(f, Ending{Kind: Failed, TimedOut: f.late, Reason: "failed: " + a.Reason})
 	case decide.Release:
 		if a.DuringAttempt {
 			r.keep.releaseWhileOut(f)
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -570,7 +570,7 @@
 		case decide.Arrived:
 			out = append(out, decide.Action{Kind: decide.Send, Request: ev.Request, Server: p1.ID()},
 				decide.Action{Kind: decide.Reserve, Request: ev.Request, Server: d1.ID()},
-				decide.Action{Kind: decide.Note, Text: "a place ahead"}, decide.Action{Kind: decide.WatchList})
+				decide.Action{Kind: decide.Note, Reason: "a place ahead"}, decide.Action{Kind: decide.WatchList})
 		case decide.ReservationAnswer:
 			held <- ev.Granted
 		case decide.AttemptEnded:
--- a/internal/simwire/encode.go
+++ b/internal/simwire/encode.go
@@ -80,7 +80,7 @@
 		e.head(codeWatch, inst)
 		e.buf = append(e.buf, 1)
 	case decide.Note:
-		e.text(codeLog, inst, a.Text)
+		e.text(codeLog, inst, a.Reason)
 	default:
 		return fmt.Errorf("action kind %d has no code on this wire", a.Kind)
 	}
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -208,7 +208,7 @@
 		{"move", decide.Action{Kind: decide.Move, Request: 1}, "78 00000003 00000001"},
 		{"probe", decide.Action{Kind: decide.Probe, Server: serverA}, "46 00000003 0a124a07 1f43"},
 		{"watch", decide.Action{Kind: decide.WatchList}, "32 00000003 01"},
-		{"note", decide.Action{Kind: decide.Note, Text: "two servers known"},
+		{"note", decide.Action{Kind: decide.Note, Reason: "two servers known"},
 			"6e 00000003 0011 74776f2073657276657273206b6e6f776e"},
 	}
 	for _, tt := range tests {
