--- a/decide/ask_test.go
+++ b/decide/ask_test.go
@@ -306,7 +306,7 @@
 				t.Errorf("held for %d ms at the most: after %d tries %v, want a refusal and a release after %d", tt.letGo/ms, n, acts, tt.tries)
 			}
 			// The slack of the sockets, less what the process may be held up.
-			if most := tt.letGo + 300*ms - HoldUp; w.now-held > most {
+			if most := tt.letGo + 300*ms - MaxPause; w.now-held > most {
 				t.Errorf("held for %d ms, at most %d are allowed", (w.now-held)/ms, most/ms)
 			}
 			break
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -1235,7 +1235,7 @@
 // A request that has waited for this router for longer than a process may be held up is refused: those that were taken come
 // first.
 func TestRequestsThatWaitedForTheRouter(t *testing.T) {
-	for waited, refused := range map[Duration]bool{0: false, HoldUp: false, waitedLong: false, waitedLong + ms: true} {
+	for waited, refused := range map[Duration]bool{0: false, MaxPause: false, waitedLong: false, waitedLong + ms: true} {
 		w := newWorld(t, settings(), fleet())
 		acts := w.do(Event{Kind: Arrived, Request: 1, RouterDelay: waited, Job: Job{PromptTokens: 1000, Deadline: w.now + 4*Second}})
 		if got := find(acts, Refuse) != nil; got != refused {
--- a/decide/limits.go
+++ b/decide/limits.go
@@ -3,16 +3,16 @@
 // Instants at which a router has to act, with slack for a process that is held up. What writes to sockets
 // keeps them: only there it is known when something has left.
 
-// HoldUp is how long a process may be held up between reading its clock and acting, and between a signal and
+// MaxPause is how long a process may be held up between reading its clock and acting, and between a signal and
 // its handler.
-const HoldUp = 150 * Second / 1000
+const MaxPause = 150 * Second / 1000
 
 const (
 	// OverdueAfter is how long after its deadline the loop answers a request that the module has not
 	// answered, and LostAfter how long after it anybody does who sees that the loop has not. The final answer
 	// may come LateAnswer late; a decision that takes its time has to have room before.
 	OverdueAfter = 100 * Second / 1000
-	LostAfter    = LateAnswer - HoldUp
+	LostAfter    = LateAnswer - MaxPause
 	// LeaveGrace is how long after its client has left an attempt of a request may begin.
 	LeaveGrace = 100 * Second / 1000
 	// LateAnswer is how long after its deadline a final answer may come; it earns nothing then.
@@ -29,7 +29,7 @@
 // TimeTold is how much time a server is told where so much is left. A request may have been stamped late,
 // and its last byte may leave late, by HoldUp each. DeadlineSlack covers one of them.
 func TimeTold(left Duration) Duration {
-	return max(left-HoldUp, Duration(leastTold*float64(left)), Second/1000)
+	return max(left-MaxPause, Duration(leastTold*float64(left)), Second/1000)
 }
 
 // repeatUntil is the last instant at which a repeat's last byte may leave; 0 where there is none.
@@ -38,5 +38,5 @@
 	if !q.mayRun || c.RetryPolicy != Keyed {
 		return 0
 	}
-	return q.runAt + c.DedupWindow - HoldUp
+	return q.runAt + c.DedupWindow - MaxPause
 }
--- a/decide/liveness_test.go
+++ b/decide/liveness_test.go
@@ -54,7 +54,7 @@
 			if cancel != nil && (cancel.Request != id || cancel.Attempt != attempt) {
 				t.Errorf("writer %v: called off %+v", writer, cancel)
 			}
-			if most := w.r.set.HoldTimeout + 300*ms - HoldUp; cancel != nil && w.now-began > most {
+			if most := w.r.set.HoldTimeout + 300*ms - MaxPause; cancel != nil && w.now-began > most {
 				t.Errorf("writer %v: called off after %d ms, at most %d are allowed", writer, (w.now-began)/ms, most/ms)
 			}
 			again := 0
@@ -197,7 +197,7 @@
 			if c := find(acts, Cancel); c == nil || c.Request != id || c.Attempt != attempt {
 				t.Errorf("after the check: %v", kinds(acts))
 			}
-			if most := w.r.set.HoldTimeout + 300*ms - HoldUp; w.now-began > most {
+			if most := w.r.set.HoldTimeout + 300*ms - MaxPause; w.now-began > most {
 				t.Errorf("called off after %d ms, at most %d are allowed", (w.now-began)/ms, most/ms)
 			}
 			return
@@ -226,7 +226,7 @@
 				t.Error("let go twice")
 			}
 			release = r
-			if most := w.r.set.HoldTimeout + 300*ms - HoldUp; w.now-began > most {
+			if most := w.r.set.HoldTimeout + 300*ms - MaxPause; w.now-began > most {
 				t.Errorf("let go after %d ms, at most %d are allowed", (w.now-began)/ms, most/ms)
 			}
 		}
@@ -264,7 +264,7 @@
 			}
 			id, acts := w.arrive(safe)
 			read := find(acts, Send)
-			most := set.HoldTimeout + 300*ms - HoldUp - set.DialTimeout
+			most := set.HoldTimeout + 300*ms - MaxPause - set.DialTimeout
 			if long := read.After > most; long != (read.LastResponseWithin == set.DialTimeout) || !long && read.LastResponseWithin != 0 {
 				t.Errorf("a read that is waited for for %d ms asks for %d", read.After/ms, read.LastResponseWithin)
 			}
--- a/decide/shutdown.go
+++ b/decide/shutdown.go
@@ -34,11 +34,11 @@
 	for i := range classes {
 		longest = max(longest, classes[i].Deadline)
 	}
-	killed := taken - HoldUp + min(longest, shutdownLongest) + shutdownGrace
-	answerBy := killed - HoldUp - shutdownMargin
+	killed := taken - MaxPause + min(longest, shutdownLongest) + shutdownGrace
+	answerBy := killed - MaxPause - shutdownMargin
 	return Shutdown{
-		TakeUntil:   taken - HoldUp + shutdownGrace - shutdownMargin,
-		ListenUntil: taken + shutdownArrivals + 2*HoldUp,
+		TakeUntil:   taken - MaxPause + shutdownGrace - shutdownMargin,
+		ListenUntil: taken + shutdownArrivals + 2*MaxPause,
 		GiveUpBy:    answerBy - shutdownMargin,
 		AnswerBy:    answerBy,
 		RestFor:     shutdownRest,
--- a/decide/shutdown_test.go
+++ b/decide/shutdown_test.go
@@ -8,16 +8,16 @@
 	const taken = 1000 * Second
 	for _, longest := range []Duration{500 * ms, Second, 3 * Second, 12 * Second} {
 		plan := PlanShutdown(taken, []Class{{Deadline: longest / 2}, {Deadline: longest}})
-		for _, late := range []Duration{0, HoldUp} {
+		for _, late := range []Duration{0, MaxPause} {
 			signalled := taken - late
 			killed := signalled + min(longest, 3*Second) + 700*ms
 			if owed := signalled + 700*ms; plan.TakeUntil >= owed {
 				t.Errorf("longest deadline %v: taken until %v after what has to be answered", longest, plan.TakeUntil-owed)
 			}
-			if plan.AnswerBy+HoldUp >= killed || plan.GiveUpBy >= plan.AnswerBy {
+			if plan.AnswerBy+MaxPause >= killed || plan.GiveUpBy >= plan.AnswerBy {
 				t.Errorf("longest deadline %v: %v are left after the last answer", longest, killed-plan.AnswerBy)
 			}
-			if plan.ListenUntil+HoldUp >= killed || plan.ListenUntil <= signalled+400*ms+HoldUp {
+			if plan.ListenUntil+MaxPause >= killed || plan.ListenUntil <= signalled+400*ms+MaxPause {
 				t.Errorf("longest deadline %v: it listens until %v after the signal", longest, plan.ListenUntil-signalled)
 			}
 		}
--- a/decide/tuning.go
+++ b/decide/tuning.go
@@ -57,7 +57,7 @@
 	fullSpare = 0.04
 	// waitedLong: a request that has waited so long for the router itself is refused, so that those taken are
 	// looked after in time. It is over what a process may be held up.
-	waitedLong   = 2 * HoldUp
+	waitedLong   = 2 * MaxPause
 	shareSlack   = 1.5  // times an even part of a tenant's share may each router let in: parts differ
 	shareBurst   = 2.0  // seconds' worth of that may come at once
 	excessTimes  = 2.0  // times the predicted wait, and excessRoom less of the writers' memory, is what
--- a/internal/discovery/watch/watch_test.go
+++ b/internal/discovery/watch/watch_test.go
@@ -427,7 +427,7 @@
 	// What an agent gets when discovery returns counts as told at once; a drain in it has to be known within its grace of
 	// a second, less what a process may be held up.
 	longest := time.Duration(float64(hedgeEvery+mostPause) * (1 + jitter))
-	if most := time.Second - time.Duration(decide.HoldUp); longest > most {
+	if most := time.Second - time.Duration(decide.MaxPause); longest > most {
 		t.Errorf("a list is asked for %v after the last time", longest)
 	}
 	if most := time.Second; startWithin > most { // a router has 6 s to be ready without discovery, some of a core at that
--- a/internal/guard/attempt.go
+++ b/internal/guard/attempt.go
@@ -83,10 +83,10 @@
 		r.guard.violated(UnguardedSend, r, "")
 		return
 	}
-	if now.Sub(cleared) > time.Duration(decide.HoldUp) || r.guard.heldUp(cleared, now) {
+	if now.Sub(cleared) > time.Duration(decide.MaxPause) || r.guard.heldUp(cleared, now) {
 		return // between its clock and the write; nobody can help that
 	}
-	late := time.Duration(decide.HoldUp)
+	late := time.Duration(decide.MaxPause)
 	switch {
 	case current != nil && current != a:
 		r.guard.violated(SecondCopy, r, "")
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -47,7 +47,7 @@
 	clientStall   = 5 * time.Second
 	// streamIdle: a client may be left to wait for 5 s on a stream that has stopped (PROTOCOL), and one whose events are
 	// still coming may not be cut off; the process may be held up.
-	streamIdle  = 5*time.Second - 2*time.Duration(decide.HoldUp)
+	streamIdle  = 5*time.Second - 2*time.Duration(decide.MaxPause)
 	idleMargin  = 3 // of this many parts of the engines' idle time one is left unused
 	streamParts = 64
 	// untoldConnIdle is taken for the engines' idle time where the settings do not tell it.
--- a/internal/router/loop.go
+++ b/internal/router/loop.go
@@ -120,7 +120,7 @@
 
 // wakeUp looks at the clock. If something was due long ago the process did not run meanwhile.
 func (r *Router) wakeUp(due decide.Time) {
-	if r.now = r.clock(); r.now-due > decide.HoldUp {
+	if r.now = r.clock(); r.now-due > decide.MaxPause {
 		r.cfg.Guard.HeldUp(time.Duration(r.now - due))
 	}
 }
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -153,7 +153,7 @@
 
 // expire answers a request that the loop has left without an answer up to a time.
 func (q *Request) expire(due time.Time) {
-	if late := time.Since(due); late > time.Duration(decide.HoldUp) {
+	if late := time.Since(due); late > time.Duration(decide.MaxPause) {
 		q.router.cfg.Guard.HeldUp(late)
 	}
 	if !q.job.Guarded.Expire(noAnswer) {
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -801,7 +801,7 @@
 	})
 	late := g.submit(j)
 	g.Update(discovery.Update{Engines: fleet()[1:]})
-	time.Sleep(time.Duration(2*decide.HoldUp) + 50*time.Millisecond) // the request waits for longer than a process is held up
+	time.Sleep(time.Duration(2*decide.MaxPause) + 50*time.Millisecond) // the request waits for longer than a process is held up
 	goOn()
 	g.all(a)
 	if _, end := g.all(late); end.Kind != Refused {
