--- a/decide/limits.go
+++ b/decide/limits.go
@@ -11,8 +11,8 @@
 	// OverdueAfter is how long after its deadline the loop answers a request that the module has not
 	// answered, and LostAfter how long after it anybody does who sees that the loop has not. The final answer
 	// may come LateAnswer late; a decision that takes its time has to have room before.
-	OverdueAfter = 100 * Second / 1000
-	LostAfter    = LateAnswer - MaxPause
+	OverdueAfter    = 100 * Second / 1000
+	UnansweredAfter = LateAnswer - MaxPause
 	// LeaveGrace is how long after its client has left an attempt of a request may begin.
 	LeaveGrace = 100 * Second / 1000
 	// LateAnswer is how long after its deadline a final answer may come; it earns nothing then.
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -147,7 +147,7 @@
 // watch begins to look after the deadline beside the loop: however long that takes for what comes before, the request gets its
 // answer.
 func (q *Request) watch() {
-	due := q.job.Deadline.Add(time.Duration(decide.LostAfter))
+	due := q.job.Deadline.Add(time.Duration(decide.UnansweredAfter))
 	q.watchdog = time.AfterFunc(time.Until(due), func() { q.expire(due) })
 }
 
