--- a/decide/limits.go
+++ b/decide/limits.go
@@ -13,8 +13,8 @@
 	// may come LateAnswer late; a decision that takes its time has to have room before.
 	OverdueAfter    = 100 * Second / 1000
 	UnansweredAfter = LateAnswer - MaxPause
-	// LeaveGrace is how long after its client has left an attempt of a request may begin.
-	LeaveGrace = 100 * Second / 1000
+	// ClientLeftGrace is how long after its client has left an attempt of a request may begin.
+	ClientLeftGrace = 100 * Second / 1000
 	// LateAnswer is how long after its deadline a final answer may come; it earns nothing then.
 	LateAnswer = 500 * Second / 1000
 	// HoldSlack is how much longer than the settings say something may be held before the call that lets go
--- a/internal/guard/attempt.go
+++ b/internal/guard/attempt.go
@@ -92,7 +92,7 @@
 		r.guard.violated(SecondCopy, r, "")
 	case !decided.IsZero() && decided.Before(cleared):
 		r.guard.violated(SentAfterAnswer, r, "")
-	case !left.IsZero() && now.Sub(left) > time.Duration(decide.LeaveGrace):
+	case !left.IsZero() && now.Sub(left) > time.Duration(decide.ClientLeftGrace):
 		r.guard.violated(SentAfterLeave, r, now.Sub(left).String())
 	case !notAfter.IsZero() && now.Sub(notAfter) > late:
 		r.guard.violated(SentPastWindow, r, now.Sub(notAfter).String())
