--- a/decide/limits.go
+++ b/decide/limits.go
@@ -12,11 +12,11 @@
 	// answered, and LostAfter how long after it anybody does who sees that the loop has not. The final answer
 	// may come LateAnswer late; a decision that takes its time has to have room before.
 	OverdueAfter    = 100 * Second / 1000
-	UnansweredAfter = LateAnswer - MaxPause
+	UnansweredAfter = LateAnswerGrace - MaxPause
 	// ClientLeftGrace is how long after its client has left an attempt of a request may begin.
 	ClientLeftGrace = 100 * Second / 1000
-	// LateAnswer is how long after its deadline a final answer may come; it earns nothing then.
-	LateAnswer = 500 * Second / 1000
+	// LateAnswerGrace is how long after its deadline a final answer may come; it earns nothing then.
+	LateAnswerGrace = 500 * Second / 1000
 	// HoldSlack is how much longer than the settings say something may be held before the call that lets go
 	// of it is made: sockets add 300 ms, and the call takes some of them.
 	HoldSlack = 250 * Second / 1000
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -134,7 +134,7 @@
 
 // What has happened although a rule forbids it is counted by its kind, with one log line that has the request's id.
 func TestViolations(t *testing.T) {
-	late := time.Duration(decide.LateAnswer) + time.Second
+	late := time.Duration(decide.LateAnswerGrace) + time.Second
 	for kind, do := range map[Kind]func(*Guard, *Request){
 		ClosedUnanswered: func(_ *Guard, r *Request) { r.Closed("") },
 		SecondAnswer: func(_ *Guard, r *Request) {
--- a/internal/guard/request.go
+++ b/internal/guard/request.go
@@ -149,7 +149,7 @@
 		r.answered = now
 	}
 	deadline := r.waits
-	late := !deadline.IsZero() && now.Sub(deadline) > time.Duration(decide.LateAnswer)
+	late := !deadline.IsZero() && now.Sub(deadline) > time.Duration(decide.LateAnswerGrace)
 	r.mu.Unlock()
 	r.record(stepAnswered, what, "")
 	switch {
