--- a/decide/limits.go
+++ b/decide/limits.go
@@ -26,9 +26,9 @@
 	leastTold = 0.5
 )
 
-// TimeTold is how much time a server is told where so much is left. A request may have been stamped late,
+// AdvertisedTimeLeft is how much time a server is told where so much is left. A request may have been stamped late,
 // and its last byte may leave late, by HoldUp each. DeadlineSlack covers one of them.
-func TimeTold(left Duration) Duration {
+func AdvertisedTimeLeft(left Duration) Duration {
 	return max(left-MaxPause, Duration(leastTold*float64(left)), Second/1000)
 }
 
