--- a/decide/shutdown.go
+++ b/decide/shutdown.go
@@ -20,7 +20,7 @@
 
 // Shutdown is a router's plan for its end.
 type Shutdown struct {
-	TakeUntil   Time     // a request that is complete later is refused
+	AcceptUntil Time     // a request that is complete later is refused
 	ListenUntil Time     // the listener closes then
 	GiveUpBy    Time     // a request whose answer has not begun is given up then
 	AnswerBy    Time     // the last guard: whatever has not begun is answered then
@@ -37,7 +37,7 @@
 	killed := taken - MaxPause + min(longest, shutdownLongest) + shutdownGrace
 	answerBy := killed - MaxPause - shutdownMargin
 	return Shutdown{
-		TakeUntil:   taken - MaxPause + shutdownGrace - shutdownMargin,
+		AcceptUntil: taken - MaxPause + shutdownGrace - shutdownMargin,
 		ListenUntil: taken + shutdownArrivals + 2*MaxPause,
 		GiveUpBy:    answerBy - shutdownMargin,
 		AnswerBy:    answerBy,
@@ -57,7 +57,7 @@
 }
 
 // tooLate tells whether a request comes too late in a shutdown to be taken.
-func (r *Router) tooLate() bool { return r.shutdown != nil && r.now > r.shutdown.TakeUntil }
+func (r *Router) tooLate() bool { return r.shutdown != nil && r.now > r.shutdown.AcceptUntil }
 
 // endsInTime tells whether what a writer is sent now should be answered to its end before the router is
 // killed: such answers took less in the mean. Where that is not so, its client does better to go elsewhere
--- a/decide/shutdown_test.go
+++ b/decide/shutdown_test.go
@@ -11,8 +11,8 @@
 		for _, late := range []Duration{0, MaxPause} {
 			signalled := taken - late
 			killed := signalled + min(longest, 3*Second) + 700*ms
-			if owed := signalled + 700*ms; plan.TakeUntil >= owed {
-				t.Errorf("longest deadline %v: taken until %v after what has to be answered", longest, plan.TakeUntil-owed)
+			if owed := signalled + 700*ms; plan.AcceptUntil >= owed {
+				t.Errorf("longest deadline %v: taken until %v after what has to be answered", longest, plan.AcceptUntil-owed)
 			}
 			if plan.AnswerBy+MaxPause >= killed || plan.GiveUpBy >= plan.AnswerBy {
 				t.Errorf("longest deadline %v: %v are left after the last answer", longest, killed-plan.AnswerBy)
@@ -21,8 +21,8 @@
 				t.Errorf("longest deadline %v: it listens until %v after the signal", longest, plan.ListenUntil-signalled)
 			}
 		}
-		if plan.TakeUntil < taken+400*ms {
-			t.Errorf("longest deadline %v: it takes nothing from %v on", longest, plan.TakeUntil-taken)
+		if plan.AcceptUntil < taken+400*ms {
+			t.Errorf("longest deadline %v: it takes nothing from %v on", longest, plan.AcceptUntil-taken)
 		}
 	}
 }
@@ -43,7 +43,7 @@
 		if _, acts := w.arrive(class); find(acts, Send) == nil {
 			t.Errorf("class %d: refused at the shutdown's begin", class)
 		}
-		w.now = plan.TakeUntil + 1
+		w.now = plan.AcceptUntil + 1
 		_, acts := w.arrive(class)
 		if a := find(acts, Refuse); a == nil || a.After != 0 || find(acts, Send) != nil {
 			t.Errorf("class %d: %+v", class, acts)
--- a/internal/router/shutdown.go
+++ b/internal/router/shutdown.go
@@ -20,7 +20,7 @@
 func (r *Router) ShutDown(taken time.Time) Shutdown {
 	plan := decide.PlanShutdown(r.at(taken), r.cfg.Settings.Classes)
 	r.post(message{kind: shuttingDown, plan: &plan})
-	return Shutdown{TakeUntil: r.wall(plan.TakeUntil), ListenUntil: r.wall(plan.ListenUntil), GiveUpBy: r.wall(plan.GiveUpBy),
+	return Shutdown{TakeUntil: r.wall(plan.AcceptUntil), ListenUntil: r.wall(plan.ListenUntil), GiveUpBy: r.wall(plan.GiveUpBy),
 		RestFor: time.Duration(plan.RestFor)}
 }
 
