--- a/decide/shutdown.go
+++ b/decide/shutdown.go
@@ -24,7 +24,7 @@
 	ListenUntil Time     // the listener closes then
 	GiveUpBy    Time     // a request whose answer has not begun is given up then
 	AnswerBy    Time     // the last guard: whatever has not begun is answered then
-	RestFor     Duration // of a connection after an answer
+	LingerFor   Duration // of a connection after an answer
 }
 
 // PlanShutdown plans the end of a router that has taken the signal at a time. The signal itself may have come
@@ -41,7 +41,7 @@
 		ListenUntil: taken + shutdownArrivals + 2*MaxPause,
 		GiveUpBy:    answerBy - shutdownMargin,
 		AnswerBy:    answerBy,
-		RestFor:     shutdownRest,
+		LingerFor:   shutdownRest,
 	}
 }
 
--- a/internal/router/shutdown.go
+++ b/internal/router/shutdown.go
@@ -21,7 +21,7 @@
 	plan := decide.PlanShutdown(r.at(taken), r.cfg.Settings.Classes)
 	r.post(message{kind: shuttingDown, plan: &plan})
 	return Shutdown{TakeUntil: r.wall(plan.AcceptUntil), ListenUntil: r.wall(plan.ListenUntil), GiveUpBy: r.wall(plan.GiveUpBy),
-		RestFor: time.Duration(plan.RestFor)}
+		RestFor: time.Duration(plan.LingerFor)}
 }
 
 // shutDown bounds all that is open by the plan, and tells the module.
