--- a/decide/books.go
+++ b/decide/books.go
@@ -2,20 +2,20 @@
 
 // Book is what the module believes of a server. It is for looking at: nothing is decided by it.
 type Book struct {
-	Server  ServerID
-	Pending int     // own attempts that wait for a first sign
-	Streams int     // own attempts at a writer, begun or not
-	Booked  float64 // prompt tokens of those
-	Waiting float64 // own tokens that wait to be read
-	Share   float64 // reported share of memory; negative while untold
-	LeftOut bool    // it is suspect and gets no ordinary request
+	Server       ServerID
+	Pending      int     // own attempts that wait for a first sign
+	Streams      int     // own attempts at a writer, begun or not
+	BookedTokens float64 // prompt tokens of those
+	Waiting      float64 // own tokens that wait to be read
+	Share        float64 // reported share of memory; negative while untold
+	LeftOut      bool    // it is suspect and gets no ordinary request
 }
 
 // Books returns what the module believes of each server, by their ids.
 func (r *Router) Books() []Book {
 	out := make([]Book, 0, len(r.order))
 	for _, s := range r.order {
-		out = append(out, Book{Server: s.id, Pending: s.pending, Streams: s.streams, Booked: s.booked,
+		out = append(out, Book{Server: s.id, Pending: s.pending, Streams: s.streams, BookedTokens: s.booked,
 			Waiting: s.waiting, Share: s.share, LeftOut: r.suspect(s, false)})
 	}
 	return out
