--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -320,7 +320,7 @@
 		w.eventually(what, func() bool {
 			r, d := w.spy.books("s1"), w.spy.books("s2")
 			return d.Streams == streams && d.Streams == w.open(writer) && d.BookedTokens == booked &&
-				r.Pending == 0 && r.Pending == w.open(reader) && r.Waiting == 0
+				r.Pending == 0 && r.Pending == w.open(reader) && r.QueuedTokens == 0
 		})
 	}
 	agree("five in the books", 5, 5000)
