--- a/decide/books.go
+++ b/decide/books.go
@@ -7,7 +7,7 @@
 	Streams      int     // own attempts at a writer, begun or not
 	BookedTokens float64 // prompt tokens of those
 	QueuedTokens float64 // own tokens that wait to be read
-	Share        float64 // reported share of memory; negative while untold
+	MemoryUse    float64 // reported share of memory; negative while untold
 	LeftOut      bool    // it is suspect and gets no ordinary request
 }
 
@@ -16,7 +16,7 @@
 	out := make([]Book, 0, len(r.order))
 	for _, s := range r.order {
 		out = append(out, Book{Server: s.id, Pending: s.pending, Streams: s.streams, BookedTokens: s.booked,
-			QueuedTokens: s.waiting, Share: s.share, LeftOut: r.suspect(s, false)})
+			QueuedTokens: s.waiting, MemoryUse: s.share, LeftOut: r.suspect(s, false)})
 	}
 	return out
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -336,7 +336,7 @@
 	}
 	agree("none is left", 0, 0)
 	w.eventually("nothing is held", func() bool { return w.held() == 0 && w.node.Router.Stats().Open == 0 })
-	w.eventually("probed", func() bool { return w.spy.books("s2").Share == 0.25 })
+	w.eventually("probed", func() bool { return w.spy.books("s2").MemoryUse == 0.25 })
 }
 
 // SIGTERM: what is open and what still comes is answered, then the program ends by itself.
