--- a/decide/books.go
+++ b/decide/books.go
@@ -8,7 +8,7 @@
 	BookedTokens float64 // prompt tokens of those
 	QueuedTokens float64 // own tokens that wait to be read
 	MemoryUse    float64 // reported share of memory; negative while untold
-	LeftOut      bool    // it is suspect and gets no ordinary request
+	Ejected      bool    // it is suspect and gets no ordinary request
 }
 
 // Books returns what the module believes of each server, by their ids.
@@ -16,7 +16,7 @@
 	out := make([]Book, 0, len(r.order))
 	for _, s := range r.order {
 		out = append(out, Book{Server: s.id, Pending: s.pending, Streams: s.streams, BookedTokens: s.booked,
-			QueuedTokens: s.waiting, MemoryUse: s.share, LeftOut: r.suspect(s, false)})
+			QueuedTokens: s.waiting, MemoryUse: s.share, Ejected: r.suspect(s, false)})
 	}
 	return out
 }
