--- a/decide/books.go
+++ b/decide/books.go
@@ -11,8 +11,8 @@
 	Ejected      bool    // it is suspect and gets no ordinary request
 }
 
-// Books returns what the module believes of each server, by their ids.
-func (r *Router) Books() []Book {
+// ServerViews returns what the module believes of each server, by their ids.
+func (r *Router) ServerViews() []Book {
 	out := make([]Book, 0, len(r.order))
 	for _, s := range r.order {
 		out = append(out, Book{Server: s.id, Pending: s.pending, Streams: s.streams, BookedTokens: s.booked,
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -191,7 +191,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	e := discovery.Engine{Name: name}
-	for _, b := range s.inner.Books() {
+	for _, b := range s.inner.ServerViews() {
 		if b.Server == e.ID() {
 			return b
 		}
