--- a/decide/books.go
+++ b/decide/books.go
@@ -1,7 +1,7 @@
 package decide
 
-// Book is what the module believes of a server. It is for looking at: nothing is decided by it.
-type Book struct {
+// ServerView is what the module believes of a server. It is for looking at: nothing is decided by it.
+type ServerView struct {
 	Server       ServerID
 	Pending      int     // own attempts that wait for a first sign
 	Streams      int     // own attempts at a writer, begun or not
@@ -12,10 +12,10 @@
 }
 
 // ServerViews returns what the module believes of each server, by their ids.
-func (r *Router) ServerViews() []Book {
-	out := make([]Book, 0, len(r.order))
+func (r *Router) ServerViews() []ServerView {
+	out := make([]ServerView, 0, len(r.order))
 	for _, s := range r.order {
-		out = append(out, Book{Server: s.id, Pending: s.pending, Streams: s.streams, BookedTokens: s.booked,
+		out = append(out, ServerView{Server: s.id, Pending: s.pending, Streams: s.streams, BookedTokens: s.booked,
 			QueuedTokens: s.waiting, MemoryUse: s.share, Ejected: r.suspect(s, false)})
 	}
 	return out
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -187,7 +187,7 @@
 	return s.inner.Handle(now, ev, out)
 }
 
-func (s *spy) books(name string) decide.Book {
+func (s *spy) books(name string) decide.ServerView {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	e := discovery.Engine{Name: name}
@@ -196,7 +196,7 @@
 			return b
 		}
 	}
-	return decide.Book{}
+	return decide.ServerView{}
 }
 
 type world struct {
