--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -115,7 +115,7 @@
 		return nil, fmt.Errorf("settings is missing")
 	}
 	var err error
-	if c.Settings, err = settings.JSON(f.Settings); err != nil {
+	if c.Settings, err = settings.ParseJSON(f.Settings); err != nil {
 		return nil, err
 	}
 	if len(c.Settings.Kinds) == 0 {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -43,8 +43,8 @@
 	return p.deployment()
 }
 
-// JSON reads a nested object.
-func JSON(data []byte) (*Deployment, error) {
+// ParseJSON reads a nested object.
+func ParseJSON(data []byte) (*Deployment, error) {
 	d := json.NewDecoder(bytes.NewReader(data))
 	d.UseNumber()
 	var v map[string]any
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -60,7 +60,7 @@
 
 // Both forms of the same settings make the same deployment.
 func TestBothForms(t *testing.T) {
-	a, err := JSON([]byte(nested))
+	a, err := ParseJSON([]byte(nested))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -104,12 +104,12 @@
 			v[group].(map[string]any)[key] = json.RawMessage(c.value)
 		}
 		b, _ := json.Marshal(v)
-		if _, err := JSON(b); err == nil || !strings.Contains(err.Error(), c.want) {
+		if _, err := ParseJSON(b); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s %s: %v", c.path, c.value, err)
 		}
 	}
 	for _, text := range []string{"", "[]", `{"instances":`, "3"} {
-		if _, err := JSON([]byte(text)); err == nil {
+		if _, err := ParseJSON([]byte(text)); err == nil {
 			t.Errorf("%q was taken", text)
 		}
 	}
