--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -27,8 +27,8 @@
 	ConnIdle   decide.Duration // engines close a connection that stood idle for so long
 }
 
-// Lines reads path=value lines.
-func Lines(text string) (*Deployment, error) {
+// ParseLines reads path=value lines.
+func ParseLines(text string) (*Deployment, error) {
 	p := &pairs{values: map[string]string{}}
 	for i, line := range strings.Split(text, "\n") {
 		if strings.TrimSpace(line) == "" {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -64,7 +64,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b, err := Lines(flat)
+	b, err := ParseLines(flat)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -8,7 +8,7 @@
 // ParseSettings reads the path=value lines of a BORN. The second result is the names of the load report's
 // values.
 func ParseSettings(text string) (*decide.Settings, []string, error) {
-	d, err := settings.Lines(text)
+	d, err := settings.ParseLines(text)
 	if err != nil {
 		return nil, nil, err
 	}
