--- a/internal/discovery/watch/members.go
+++ b/internal/discovery/watch/members.go
@@ -167,7 +167,7 @@
 
 // engine makes an engine of a member.
 func (m *members) engine(w *Member) (discovery.Engine, error) {
-	e := discovery.Engine{Name: w.ID, Addr: w.Addr, Kind: settings.Name(w.Kind), Zone: settings.Name(w.Zone),
+	e := discovery.Engine{Name: w.ID, Addr: w.Addr, Kind: settings.NormalizeName(w.Kind), Zone: settings.NormalizeName(w.Zone),
 		Cell: strconv.Itoa(w.Cell), Weight: w.Size}
 	switch {
 	case w.Addr == "" || len(w.Addr) > maxName:
--- a/internal/front/chat/job.go
+++ b/internal/front/chat/job.go
@@ -54,7 +54,7 @@
 	j := &router.Job{Name: id, ClientID: id, Class: -1, ClassName: class, Tenant: math.MaxInt, Session: session,
 		Message:      &engine.Message{Target: target, Fields: passedOn(h), Body: body},
 		PromptTokens: max(float64(len(body))/bytesToken, 1), Repeat: repeat == "1", AfterBreak: repeat == "again"}
-	if j.Class = slices.Index(f.opts.Classes, settings.Name(class)); j.Class < 0 {
+	if j.Class = slices.Index(f.opts.Classes, settings.NormalizeName(class)); j.Class < 0 {
 		return nil, front.Wrong("there is no class %.40q", class)
 	}
 	ms, err := strconv.ParseInt(left, 10, 64)
@@ -62,7 +62,7 @@
 		return nil, front.Wrong("%s %.40q is no time that a client waits", platform.LeftHeader, left)
 	}
 	j.Deadline = now.Add(time.Duration(ms) * time.Millisecond)
-	if i := slices.Index(f.opts.Tenants, settings.Name(tenant)); i >= 0 && tenant != "" {
+	if i := slices.Index(f.opts.Tenants, settings.NormalizeName(tenant)); i >= 0 && tenant != "" {
 		j.Tenant, j.TenantName = i, tenant
 	}
 	if e := takeFacts(j, facts); e != nil {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -92,14 +92,14 @@
 	}
 }
 
-// Name returns a name in the form in which settings have it: the simulator puts '_' in place of spaces and commas. Names
+// NormalizeName returns a name in the form in which settings have it: the simulator puts '_' in place of spaces and commas. Names
 // that come otherwise, in headers or in discovery's list, are compared in this form.
-func Name(s string) string { return strings.NewReplacer(" ", "_", ",", "_").Replace(s) }
+func NormalizeName(s string) string { return strings.NewReplacer(" ", "_", ",", "_").Replace(s) }
 
 func scalar(v any) string {
 	switch v := v.(type) {
 	case string:
-		return Name(v)
+		return NormalizeName(v)
 	default: // json.Number and bool print as they stood
 		return fmt.Sprint(v)
 	}
