--- a/internal/engine/chat/exchange.go
+++ b/internal/engine/chat/exchange.go
@@ -290,7 +290,7 @@
 	if json.Unmarshal(b, &v) != nil {
 		return engine.Untold()
 	}
-	return settings.Report(func(name string) (float64, bool) {
+	return settings.ParseReport(func(name string) (float64, bool) {
 		f, ok := v[name].(float64)
 		return f, ok
 	})
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -287,8 +287,8 @@
 	return out
 }
 
-// Report makes a load report of named values; a value that is missing or out of range counts as not told.
-func Report(value func(name string) (float64, bool)) decide.Report {
+// ParseReport makes a load report of named values; a value that is missing or out of range counts as not told.
+func ParseReport(value func(name string) (float64, bool)) decide.Report {
 	get := func(names ...string) float64 {
 		for _, name := range names {
 			if f, ok := value(name); ok && f >= 0 && f < 1e12 { // not NaN
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -116,7 +116,7 @@
 }
 
 func TestReport(t *testing.T) {
-	got := Report(func(name string) (float64, bool) {
+	got := ParseReport(func(name string) (float64, bool) {
 		f, ok := map[string]float64{"x0": 0.5, "x1": -3, "latency_ms": math.NaN()}[name]
 		return f, ok
 	})
--- a/internal/simwire/decode.go
+++ b/internal/simwire/decode.go
@@ -321,7 +321,7 @@
 	if err != nil {
 		return err
 	}
-	*rep = settings.Report(func(name string) (float64, bool) {
+	*rep = settings.ParseReport(func(name string) (float64, bool) {
 		for i := 0; i < int(n) && i < len(d.fields); i++ {
 			if d.fields[i] == name {
 				return float(b[4*i:]), true
