--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -12,5 +12,5 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	return d.Decide, d.Fields, nil
+	return d.Decide, d.ReportFields, nil
 }
