--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -88,7 +88,7 @@
 	b := share(cfg.Sockets)
 	n := &Node{cfg: cfg, log: log, listener: listener}
 	n.source = watch.New(cfg.Discovery, set.Kinds, cfg.Known, log)
-	connIdle := time.Duration(set.ConnIdle)
+	connIdle := time.Duration(set.ConnIdleTimeout)
 	if connIdle == 0 {
 		connIdle = untoldConnIdle
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -17,14 +17,14 @@
 
 // Deployment is what the settings say: the module's part, and the names and figures that adapters need.
 type Deployment struct {
-	Decide       *decide.Settings
-	Classes      []string        // names of Decide.Classes
-	Kinds        []string        // names of Decide.Kinds
-	Zones        []string        // by their index
-	Tenants      []string        // names of Decide.Tenants
-	ReportFields []string        // of a load report, in order
-	RetryAfter   bool            // refusals may name a time
-	ConnIdle     decide.Duration // engines close a connection that stood idle for so long
+	Decide          *decide.Settings
+	Classes         []string        // names of Decide.Classes
+	Kinds           []string        // names of Decide.Kinds
+	Zones           []string        // by their index
+	Tenants         []string        // names of Decide.Tenants
+	ReportFields    []string        // of a load report, in order
+	RetryAfter      bool            // refusals may name a time
+	ConnIdleTimeout decide.Duration // engines close a connection that stood idle for so long
 }
 
 // ParseLines reads path=value lines.
@@ -133,8 +133,8 @@
 		CrossCellCost: p.optional("familyInfo.crossCellPrice", 0),
 	}
 	d := &Deployment{Decide: s, RetryAfter: p.flag("permissions.retryAfter"),
-		ConnIdle:     decide.Duration(p.optional("permissions.connIdleNs", 0)),
-		ReportFields: p.list("feedback.names"), Zones: p.list("dcs"), Kinds: p.list("hostTypes")}
+		ConnIdleTimeout: decide.Duration(p.optional("permissions.connIdleNs", 0)),
+		ReportFields:    p.list("feedback.names"), Zones: p.list("dcs"), Kinds: p.list("hostTypes")}
 	if d.RetryAfter {
 		s.MaxRetryAfter = p.time("permissions.maxRetryAfterNs")
 	}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -77,7 +77,7 @@
 	if k := a.Decide.Kinds; len(k) != 2 || k[1] != (decide.Kind{Role: decide.Writer, Memory: 138916}) {
 		t.Errorf("%+v", k)
 	}
-	if a.Decide.MaxRetryAfter != 500e6 || !a.RetryAfter || a.ConnIdle != 15e9 || a.Decide.Zone != 1 {
+	if a.Decide.MaxRetryAfter != 500e6 || !a.RetryAfter || a.ConnIdleTimeout != 15e9 || a.Decide.Zone != 1 {
 		t.Errorf("%+v", a)
 	}
 }
