--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -55,7 +55,7 @@
 				routers[rec.Instance] = decide.New(settings, rec.Seed, now)
 			case simwire.Stop:
 				delete(routers, rec.Instance)
-			case simwire.Happened:
+			case simwire.InstanceEvent:
 				r := routers[rec.Instance]
 				if r == nil {
 					continue
--- a/internal/simwire/decode.go
+++ b/internal/simwire/decode.go
@@ -43,9 +43,9 @@
 
 // The kinds of records.
 const (
-	Happened Kind = iota // Event is for the instance
-	Start                // a new instance with Seed and Settings
-	Stop                 // the instance is no more
+	InstanceEvent Kind = iota // Event is for the instance
+	Start                     // a new instance with Seed and Settings
+	Stop                      // the instance is no more
 )
 
 // Record is one record of a batch that concerns an instance.
