--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -51,7 +51,7 @@
 				if err != nil {
 					return fmt.Errorf("batch %d: instance %d: %w", batch, rec.Instance, err)
 				}
-				dec.SetFields(fields)
+				dec.SetReportFields(fields)
 				routers[rec.Instance] = decide.New(settings, rec.Seed, now)
 			case simwire.Stop:
 				delete(routers, rec.Instance)
--- a/internal/simwire/decode.go
+++ b/internal/simwire/decode.go
@@ -75,8 +75,8 @@
 	return &Decoder{in: bufio.NewReaderSize(in, 1<<16)}
 }
 
-// SetFields tells which values load reports carry, in order.
-func (d *Decoder) SetFields(names []string) { d.fields = names }
+// SetReportFields tells which values load reports carry, in order.
+func (d *Decoder) SetReportFields(names []string) { d.fields = names }
 
 // Batch reads the next batch whole and returns its clock. io.EOF ends the stream between batches.
 func (d *Decoder) Batch() (decide.Time, error) {
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -100,7 +100,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			d := NewDecoder(bytes.NewReader(frame(t, 1, tt.hex)))
-			d.SetFields([]string{"x0", "x1"})
+			d.SetReportFields([]string{"x0", "x1"})
 			got, err := decodeAll(d)
 			if err != nil || len(got) != 1 || !reflect.DeepEqual(got[0], tt.want) {
 				t.Errorf("got %+v, %v\nwant %+v", got, err, tt.want)
