--- a/internal/front/chat/chat_test.go
+++ b/internal/front/chat/chat_test.go
@@ -43,9 +43,9 @@
 func (e *engines) Decode(ctx context.Context, _ string, _ *engine.Call, sink func(string) error) engine.Result {
 	return e.write(ctx, sink)
 }
-func (e *engines) Release(context.Context, *engine.State) error  { return nil }
-func (e *engines) Renew(context.Context, *engine.State) error    { return nil }
-func (e *engines) CallOff(context.Context, string, string) error { return nil }
+func (e *engines) Release(context.Context, *engine.State) error     { return nil }
+func (e *engines) Renew(context.Context, *engine.State) error       { return nil }
+func (e *engines) CancelRead(context.Context, string, string) error { return nil }
 func (e *engines) CallOffLater(context.Context, string, string) error {
 	return nil
 }
--- a/internal/router/holds.go
+++ b/internal/router/holds.go
@@ -101,7 +101,7 @@
 		k.r.letGoNow(a.call.Params.Request, s)
 	}
 	if a.prefill && !answered(res.Outcome) {
-		k.r.warn(k.r.cfg.Engines.CallOff(k.r.workCtx, a.addr, a.call.Params.Request), notCalledOff, a.call.Params.Request, a.addr)
+		k.r.warn(k.r.cfg.Engines.CancelRead(k.r.workCtx, a.addr, a.call.Params.Request), notCalledOff, a.call.Params.Request, a.addr)
 	}
 }
 
@@ -227,7 +227,7 @@
 }
 
 func (r *Router) callOff(addr, request string) {
-	r.aside(notCalledOff, request, addr, func() error { return r.cfg.Engines.CallOff(r.workCtx, addr, request) })
+	r.aside(notCalledOff, request, addr, func() error { return r.cfg.Engines.CancelRead(r.workCtx, addr, request) })
 }
 
 func (r *Router) giveUpPlace(request string, p *place) {
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -34,7 +34,7 @@
 	Decode(ctx context.Context, addr string, q *engine.Call, sink func(string) error) engine.Result
 	Release(ctx context.Context, s *engine.State) error
 	Renew(ctx context.Context, s *engine.State) error
-	CallOff(ctx context.Context, addr, request string) error
+	CancelRead(ctx context.Context, addr, request string) error
 	// CallOffLater does the same for a read that may end yet though the request's answer has begun: its engine may not have
 	// seen the end of the read's connection.
 	CallOffLater(ctx context.Context, addr, request string) error
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -134,7 +134,7 @@
 	return nil
 }
 
-func (f *fakeEngines) CallOff(context.Context, string, string) error {
+func (f *fakeEngines) CancelRead(context.Context, string, string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.calledOff++
