--- a/internal/router/holds.go
+++ b/internal/router/holds.go
@@ -7,13 +7,13 @@
 	"mintdoor/internal/engine"
 )
 
-// Holds tells how engines hold what waits for a request between its stages.
-type Holds uint8
+// HoldMode tells how engines hold what waits for a request between its stages.
+type HoldMode uint8
 
 const (
 	// Leased states have handles of their own and are held for a time that the router renews. Each is let go
 	// as soon as the module says so.
-	Leased Holds = iota
+	Leased HoldMode = iota
 	// ByRequest: all that is held stands under the request's one id until it is let go. Letting go takes
 	// whatever is there when the call arrives, also what a later attempt has just read, so it waits until the
 	// request is over. Until then an attempt is out, and the time of rule 5 rests.
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -62,7 +62,7 @@
 	Settings *decide.Settings
 	Kinds    []string // names of Settings.Kinds, by which lists refer to them
 	Engines  Engines
-	Holds    Holds
+	Holds    HoldMode
 	Seed     uint64
 	Log      *slog.Logger // nil: none
 	Guard    *guard.Guard // of all requests of the process; nil: one of the router's own
