--- a/internal/engine/chat/chat_test.go
+++ b/internal/engine/chat/chat_test.go
@@ -538,7 +538,7 @@
 	if h := p.heads[1]; h.Line != "DELETE /v1/holds/id1 HTTP/1.1" {
 		t.Errorf("%+v", h)
 	}
-	if err := c.CallOff(t.Context(), p.addr, "id2"); err != nil || p.heads[2].Line != "DELETE /v1/holds/id2 HTTP/1.1" {
+	if err := c.CancelRead(t.Context(), p.addr, "id2"); err != nil || p.heads[2].Line != "DELETE /v1/holds/id2 HTTP/1.1" {
 		t.Errorf("%v", err)
 	}
 }
@@ -551,7 +551,7 @@
 	c.readEnds = time.Hour
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Millisecond)
 	defer cancel()
-	if err := c.CallOff(ctx, p.addr, "id1"); err == nil || p.requests() != 0 {
+	if err := c.CancelRead(ctx, p.addr, "id1"); err == nil || p.requests() != 0 {
 		t.Errorf("%v, %d calls", err, p.requests())
 	}
 }
--- a/internal/engine/chat/crossings_test.go
+++ b/internal/engine/chat/crossings_test.go
@@ -246,7 +246,7 @@
 		return "HTTP/1.1 204 x\r\n\r\n"
 	})
 	c := newClient(t, func(o *Options) { o.CallOffAgain = time.Millisecond })
-	if err := c.CallOff(t.Context(), p.addr, "id1"); err != nil {
+	if err := c.CancelRead(t.Context(), p.addr, "id1"); err != nil {
 		t.Error(err)
 	}
 	mu.Lock()
@@ -261,7 +261,7 @@
 // others may hear an engine while a read hangs there.
 func TestCalledOffAgainAndAgain(t *testing.T) {
 	for name, callOff := range map[string]func(c *Client, ctx context.Context, addr string) error{
-		"the request is over": func(c *Client, ctx context.Context, addr string) error { return c.CallOff(ctx, addr, "id1") },
+		"the request is over": func(c *Client, ctx context.Context, addr string) error { return c.CancelRead(ctx, addr, "id1") },
 		"the answer has begun": func(c *Client, ctx context.Context, addr string) error {
 			return c.CallOffLater(ctx, addr, "id1")
 		},
--- a/internal/engine/chat/release.go
+++ b/internal/engine/chat/release.go
@@ -16,11 +16,11 @@
 	return c.letGo(ctx, s.Addr, s.Handle, hedgeAfter)
 }
 
-// CallOff lets go of what a read may have left that was given up. It waits for the read's end first: a call
+// CancelRead lets go of what a read may have left that was given up. It waits for the read's end first: a call
 // that overtakes the closing of the read's connection would find nothing, and leave what the read then ends with. Where
 // the network keeps the closing from the engine, or the engine hangs, the read goes on and ends later. That the engine
 // answers others does not show that it has ended. So the call is made again and again for a while.
-func (c *Client) CallOff(ctx context.Context, addr, request string) error {
+func (c *Client) CancelRead(ctx context.Context, addr, request string) error {
 	return c.callOff(ctx, addr, request, c.readEnds)
 }
 
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -384,15 +384,15 @@
 	return nil
 }
 
-// CallOff ends a read whose answer will not be taken, and lets go of the state that it may have left.
-func (c *Client) CallOff(ctx context.Context, addr, request string) error {
+// CancelRead ends a read whose answer will not be taken, and lets go of the state that it may have left.
+func (c *Client) CancelRead(ctx context.Context, addr, request string) error {
 	return c.insist(ctx, http.MethodDelete, addr, RequestPath+url.PathEscape(request))
 }
 
 // Listed does nothing: what is held is let go where it is.
 func (c *Client) Listed(string) {}
 
-// CallOffLater does nothing: CallOff names the read, and is made when it is given up.
+// CallOffLater does nothing: CancelRead names the read, and is made when it is given up.
 func (c *Client) CallOffLater(context.Context, string, string) error { return nil }
 
 // GiveUpPlace lets go of a place held ahead.
--- a/internal/router/holds.go
+++ b/internal/router/holds.go
@@ -14,10 +14,10 @@
 	// Leased states have handles of their own and are held for a time that the router renews. Each is let go
 	// as soon as the module says so.
 	Leased HoldMode = iota
-	// ByRequest: all that is held stands under the request's one id until it is let go. Letting go takes
+	// PerRequest: all that is held stands under the request's one id until it is let go. Letting go takes
 	// whatever is there when the call arrives, also what a later attempt has just read, so it waits until the
 	// request is over. Until then an attempt is out, and the time of rule 5 rests.
-	ByRequest
+	PerRequest
 )
 
 // keeper sees to what engines hold for requests. All but orphaned is called by the loop.
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -178,7 +178,7 @@
 		open:  map[string]bool{},
 		drain: make(chan struct{}), table: newTable(), servers: map[decide.ServerID]*server{},
 	}
-	if r.keep = (leased{r}); cfg.Holds == ByRequest {
+	if r.keep = (leased{r}); cfg.Holds == PerRequest {
 		r.keep = byRequest{r}
 	}
 	r.name = cfg.Name + "-" + formatID(uint64(r.start.UnixNano()))
