--- a/internal/router/crossings_test.go
+++ b/internal/router/crossings_test.go
@@ -96,7 +96,7 @@
 		return append(out, decide.Action{Kind: decide.Refuse, Request: ev.Request},
 			decide.Action{Kind: decide.Release, Request: ev.Request})
 	})
-	g := start(t, fake, func(cfg *Config) { cfg.Holds = PerRequest; module(cfg) })
+	g := start(t, fake, func(cfg *Config) { cfg.HoldMode = PerRequest; module(cfg) })
 	j := job(0)
 	j.Name = "client-1"
 	if _, end := g.all(g.submit(j)); end.Kind != Refused || end.Attempts != 3 {
--- a/internal/router/holds_test.go
+++ b/internal/router/holds_test.go
@@ -88,7 +88,7 @@
 				}
 				return out
 			})
-			g := start(t, fake, func(cfg *Config) { cfg.Holds = PerRequest; module(cfg) })
+			g := start(t, fake, func(cfg *Config) { cfg.HoldMode = PerRequest; module(cfg) })
 			j := job(0)
 			j.Name = "client-1"
 			g.all(g.submit(j))
@@ -122,7 +122,7 @@
 	g := start(t, &fakeEngines{decode: func(ctx context.Context, _ string, _ *engine.Call, sink func(string) error) engine.Result {
 		<-gate
 		return stream(ctx, sink, 1)
-	}}, func(cfg *Config) { cfg.Holds = PerRequest })
+	}}, func(cfg *Config) { cfg.HoldMode = PerRequest })
 	j := job(0)
 	j.Name = "same"
 	first := g.submit(j)
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -62,7 +62,7 @@
 	Settings *decide.Settings
 	Kinds    []string // names of Settings.Kinds, by which lists refer to them
 	Engines  Engines
-	Holds    HoldMode
+	HoldMode HoldMode
 	Seed     uint64
 	Log      *slog.Logger // nil: none
 	Guard    *guard.Guard // of all requests of the process; nil: one of the router's own
@@ -178,7 +178,7 @@
 		open:  map[string]bool{},
 		drain: make(chan struct{}), table: newTable(), servers: map[decide.ServerID]*server{},
 	}
-	if r.keep = (leased{r}); cfg.Holds == PerRequest {
+	if r.keep = (leased{r}); cfg.HoldMode == PerRequest {
 		r.keep = byRequest{r}
 	}
 	r.name = cfg.Name + "-" + formatID(uint64(r.start.UnixNano()))
