--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -75,7 +75,7 @@
 		watch = append(watch, d.recorder)
 	}
 	if len(watch) > 0 {
-		cfg.Observe = watch
+		cfg.Observer = watch
 	}
 	d.Router = router.New(cfg)
 	if set.Control != "" {
--- a/internal/router/loop.go
+++ b/internal/router/loop.go
@@ -239,8 +239,8 @@
 	r.naming(f)
 	f.guarded().Accepted(f.name, q.job.Deadline)
 	r.count.arrived.Add(1)
-	if r.cfg.Observe != nil {
-		r.cfg.Observe.Arrived(&q.job)
+	if r.cfg.Observer != nil {
+		r.cfg.Observer.Arrived(&q.job)
 	}
 	f.deadline = r.at(q.job.Deadline)
 	f.guard = r.timers.add(&entry{at: f.deadline + decide.OverdueAfter, flight: f})
@@ -274,7 +274,7 @@
 	r.timers.remove(a.limit)
 	r.timers.remove(a.renewal)
 	r.takeBack(a, res)
-	if o := r.cfg.Observe; o != nil {
+	if o := r.cfg.Observer; o != nil {
 		if res.Outcome == decide.ReadDone {
 			o.Read(&f.q.job, res.Kept)
 		} else if a.streaming {
@@ -461,8 +461,8 @@
 	r.unclaim(f.q.job.Name)
 	r.count.open.Add(-1)
 	f.q.closeGuarded("over")
-	if r.cfg.Observe != nil {
-		r.cfg.Observe.Over(&f.q.job)
+	if r.cfg.Observer != nil {
+		r.cfg.Observer.Over(&f.q.job)
 	}
 }
 
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -69,8 +69,8 @@
 
 	// NewDecider makes the module; nil: decide.New.
 	NewDecider func(set *decide.Settings, seed uint64, now decide.Time) Decider
-	// Observe is told of the traffic; nil: nobody.
-	Observe Observer
+	// Observer is told of the traffic; nil: nobody.
+	Observer Observer
 	// Watch is told when the module asks for the list; nil: the source tells by itself.
 	Watch func()
 
