--- a/internal/router/actions.go
+++ b/internal/router/actions.go
@@ -53,8 +53,8 @@
 		r.probe(a.Server, a.NewConnection)
 		return
 	case decide.WatchList:
-		if r.cfg.Watch != nil {
-			r.cfg.Watch()
+		if r.cfg.WatchList != nil {
+			r.cfg.WatchList()
 		}
 		return
 	case decide.Note:
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -71,8 +71,8 @@
 	NewDecider func(set *decide.Settings, seed uint64, now decide.Time) Decider
 	// Observer is told of the traffic; nil: nobody.
 	Observer Observer
-	// Watch is told when the module asks for the list; nil: the source tells by itself.
-	Watch func()
+	// WatchList is told when the module asks for the list; nil: the source tells by itself.
+	WatchList func()
 
 	MaxOpen     int           // requests in the table
 	StreamParts int           // tokens held for a client
