--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -104,7 +104,7 @@
 	set.Decide.PauseHoldOnArrival = true     // PROTOCOL, 'The rules on sockets'
 	n.guard = guard.New(log)
 	n.Router = router.New(router.Config{Name: cfg.Name, Settings: set.Decide, Kinds: set.Kinds, Engines: n.engines,
-		HoldMode: router.PerRequest, Seed: cfg.Seed, Log: log, Guard: n.guard, MaxOpen: b.open, StreamParts: streamParts,
+		HoldMode: router.PerRequest, Seed: cfg.Seed, Log: log, Guard: n.guard, MaxOpen: b.open, StreamBuffer: streamParts,
 		NewDecider:  decider,
 		ClientStall: clientStall, Settle: settle})
 	n.planShutdown = n.Router.ShutDown
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -74,9 +74,9 @@
 	// WatchList is told when the module asks for the list; nil: the source tells by itself.
 	WatchList func()
 
-	MaxOpen     int           // requests in the table
-	StreamParts int           // tokens held for a client
-	ClientStall time.Duration // a client that takes nothing for so long has left
+	MaxOpen      int           // requests in the table
+	StreamBuffer int           // tokens held for a client
+	ClientStall  time.Duration // a client that takes nothing for so long has left
 	// Settle bounds how long Run waits at its end for attempts and releases.
 	Settle time.Duration
 }
@@ -223,7 +223,7 @@
 		return nil, ErrOpen
 	}
 	q := &Request{job: *job, router: r, arrived: now,
-		parts: make(chan string, r.cfg.StreamParts), done: make(chan struct{})}
+		parts: make(chan string, r.cfg.StreamBuffer), done: make(chan struct{})}
 	if q.ownsGuarded = job.Guarded == nil; q.ownsGuarded {
 		q.job.Guarded = r.cfg.Guard.Receive()
 	}
