--- a/internal/router/actions.go
+++ b/internal/router/actions.go
@@ -233,7 +233,7 @@
 			return nil
 		default:
 		}
-		stall := time.NewTimer(r.cfg.ClientStall)
+		stall := time.NewTimer(r.cfg.ClientStallTimeout)
 		defer stall.Stop()
 		select {
 		case q.parts <- text:
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -74,9 +74,9 @@
 	// WatchList is told when the module asks for the list; nil: the source tells by itself.
 	WatchList func()
 
-	MaxOpen      int           // requests in the table
-	StreamBuffer int           // tokens held for a client
-	ClientStall  time.Duration // a client that takes nothing for so long has left
+	MaxOpen            int           // requests in the table
+	StreamBuffer       int           // tokens held for a client
+	ClientStallTimeout time.Duration // a client that takes nothing for so long has left
 	// Settle bounds how long Run waits at its end for attempts and releases.
 	Settle time.Duration
 }
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -187,7 +187,7 @@
 
 func start(t *testing.T, fake *fakeEngines, change func(*Config)) *rig {
 	cfg := Config{Name: "r", Model: "m", Settings: settings(), Kinds: []string{"prefill", "decode"}, Engines: fake,
-		Seed: 1, MaxOpen: 1000, StreamBuffer: 4, ClientStall: time.Minute, Settle: 5 * time.Second}
+		Seed: 1, MaxOpen: 1000, StreamBuffer: 4, ClientStallTimeout: time.Minute, Settle: 5 * time.Second}
 	if change != nil {
 		change(&cfg)
 	}
@@ -389,7 +389,7 @@
 func TestClientStalls(t *testing.T) {
 	g := start(t, &fakeEngines{decode: func(ctx context.Context, _ string, _ *engine.Call, sink func(string) error) engine.Result {
 		return stream(ctx, sink, 100)
-	}}, func(c *Config) { c.ClientStall = 20 * time.Millisecond })
+	}}, func(c *Config) { c.ClientStallTimeout = 20 * time.Millisecond })
 	q := g.submit(job(0))
 	g.eventually("the stream is given up", func() bool { return g.Stats().Gone == 1 && g.Stats().Open == 0 })
 	text, end := g.all(q)
