--- a/internal/e2e/hard_test.go
+++ b/internal/e2e/hard_test.go
@@ -651,7 +651,7 @@
 	}
 	r := router.New(router.Config{Name: "broken", Model: "helpline", Settings: w.set.Decide(discovery.Number),
 		Kinds: []string{"prefill", "decode"}, Engines: engines, Seed: 1, MaxOpen: 100, StreamBuffer: 8, ClientStallTimeout: time.Second,
-		Settle: time.Second, NewDecider: func(set *decide.Settings, seed uint64, now decide.Time) router.Decider {
+		StopTimeout: time.Second, NewDecider: func(set *decide.Settings, seed uint64, now decide.Time) router.Decider {
 			return module(decide.New(set, seed, now))
 		}})
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/front/chat/chat_test.go
+++ b/internal/front/chat/chat_test.go
@@ -102,7 +102,7 @@
 	e := &engines{write: write}
 	g := guard.New(slog.New(slog.NewTextHandler(t.Output(), &slog.HandlerOptions{Level: slog.LevelError})))
 	r := router.New(router.Config{Name: "r", Settings: set, Kinds: []string{"p", "d"}, Engines: e, HoldMode: router.PerRequest, Guard: g,
-		MaxOpen: 8, StreamBuffer: 8, ClientStallTimeout: time.Second, Settle: 10 * time.Second})
+		MaxOpen: 8, StreamBuffer: 8, ClientStallTimeout: time.Second, StopTimeout: 10 * time.Second})
 	o := Options{Classes: []string{"chat", "book"}, RetryAfter: true, MaxConns: 16, BodyBytes: 8 << 20,
 		Within: 10 * time.Second, Idle: 10 * time.Second, Stall: 10 * time.Second, Log: slog.New(slog.DiscardHandler), Guard: g}
 	if change != nil {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -106,7 +106,7 @@
 	n.Router = router.New(router.Config{Name: cfg.Name, Settings: set.Decide, Kinds: set.Kinds, Engines: n.engines,
 		HoldMode: router.PerRequest, Seed: cfg.Seed, Log: log, Guard: n.guard, MaxOpen: b.open, StreamBuffer: streamParts,
 		NewDecider:         decider,
-		ClientStallTimeout: clientStall, Settle: settle})
+		ClientStallTimeout: clientStall, StopTimeout: settle})
 	n.planShutdown = n.Router.ShutDown
 	n.front = front.New(front.Options{Classes: set.Classes, Tenants: set.Tenants, RetryAfter: set.RetryAfter,
 		MaxConns: b.clients, MaxRefused: maxRefused,
--- a/internal/router/loop.go
+++ b/internal/router/loop.go
@@ -511,7 +511,7 @@
 	go func() { r.work.Wait(); close(settled) }()
 	select {
 	case <-settled:
-	case <-time.After(r.cfg.Settle):
+	case <-time.After(r.cfg.StopTimeout):
 		r.endWork()
 		<-settled
 	}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -77,8 +77,8 @@
 	MaxOpen            int           // requests in the table
 	StreamBuffer       int           // tokens held for a client
 	ClientStallTimeout time.Duration // a client that takes nothing for so long has left
-	// Settle bounds how long Run waits at its end for attempts and releases.
-	Settle time.Duration
+	// StopTimeout bounds how long Run waits at its end for attempts and releases.
+	StopTimeout time.Duration
 }
 
 // Stats are counts since the start.
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -187,7 +187,7 @@
 
 func start(t *testing.T, fake *fakeEngines, change func(*Config)) *rig {
 	cfg := Config{Name: "r", Model: "m", Settings: settings(), Kinds: []string{"prefill", "decode"}, Engines: fake,
-		Seed: 1, MaxOpen: 1000, StreamBuffer: 4, ClientStallTimeout: time.Minute, Settle: 5 * time.Second}
+		Seed: 1, MaxOpen: 1000, StreamBuffer: 4, ClientStallTimeout: time.Minute, StopTimeout: 5 * time.Second}
 	if change != nil {
 		change(&cfg)
 	}
