--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -34,25 +34,25 @@
 	Guarded *guard.Request
 }
 
-// Kind tells how a request ended.
-type Kind uint8
+// EndingKind tells how a request ended.
+type EndingKind uint8
 
 // The endings. Every request that Submit took gets exactly one.
 const (
-	Served  Kind = iota + 1
-	Refused      // nothing has run, or a repeat does no harm: the client may come again
-	Failed       // no word on its effect
-	Moved        // a running stream was ended so that its client goes on elsewhere
-	Gone         // the client left before
+	Served  EndingKind = iota + 1
+	Refused            // nothing has run, or a repeat does no harm: the client may come again
+	Failed             // no word on its effect
+	Moved              // a running stream was ended so that its client goes on elsewhere
+	Gone               // the client left before
 )
 
-func (k Kind) String() string {
+func (k EndingKind) String() string {
 	return [...]string{"none", "served", "refused", "failed", "moved", "gone"}[k]
 }
 
 // Ending is a request's final answer.
 type Ending struct {
-	Kind       Kind
+	Kind       EndingKind
 	Reason     string        // for people, of Refused, Failed and Gone
 	RetryAfter time.Duration // Refused: stay away so long; 0 no advice
 	TimedOut   bool          // Failed: for want of time
