--- a/internal/front/rest/rest.go
+++ b/internal/front/rest/rest.go
@@ -238,7 +238,7 @@
 		return
 	}
 	f.write(w, http.StatusOK, kserve.InferResponse{ModelName: f.set.Model, ModelVersion: f.set.ModelVersion,
-		ID: body.ID, Parameters: kserve.Parameters{"finish_reason": end.Finish, "tokens": end.Tokens},
+		ID: body.ID, Parameters: kserve.Parameters{"finish_reason": end.FinishReason, "tokens": end.Tokens},
 		Outputs: []kserve.Tensor{kserve.TextTensor(textOutput, text)}})
 }
 
@@ -324,7 +324,7 @@
 		return
 	}
 	f.write(w, http.StatusOK, kserve.GenerateResponse{ModelName: f.set.Model, ModelVersion: f.set.ModelVersion,
-		ID: id, TextOutput: text, Details: &kserve.Details{FinishReason: end.Finish}})
+		ID: id, TextOutput: text, Details: &kserve.Details{FinishReason: end.FinishReason}})
 }
 
 // generateStream streams an answer as server-sent events, one a token and one for the end. Before the
@@ -353,7 +353,7 @@
 			out.event(&kserve.GenerateResponse{ID: id, Error: e.Text})
 		default:
 			out.event(&kserve.GenerateResponse{ModelName: f.set.Model, ModelVersion: f.set.ModelVersion, ID: id,
-				Details: &kserve.Details{FinishReason: end.Finish}})
+				Details: &kserve.Details{FinishReason: end.FinishReason}})
 		}
 		return
 	}
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -52,13 +52,13 @@
 
 // Ending is a request's final answer.
 type Ending struct {
-	Kind       EndingKind
-	Reason     string        // for people, of Refused, Failed and Gone
-	RetryAfter time.Duration // Refused: stay away so long; 0 no advice
-	TimedOut   bool          // Failed: for want of time
-	Finish     string        // Served: why the answer ended, as the engine said
-	Tokens     int           // handed on before the end
-	Attempts   int
+	Kind         EndingKind
+	Reason       string        // for people, of Refused, Failed and Gone
+	RetryAfter   time.Duration // Refused: stay away so long; 0 no advice
+	TimedOut     bool          // Failed: for want of time
+	FinishReason string        // Served: why the answer ended, as the engine said
+	Tokens       int           // handed on before the end
+	Attempts     int
 }
 
 // Request is a request as its front sees it. One goroutine reads it.
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -247,7 +247,7 @@
 func TestServed(t *testing.T) {
 	g := start(t, &fakeEngines{}, nil)
 	text, end := g.all(g.submit(job(0)))
-	if text != "t0 t1 t2 " || end.Kind != Served || end.Finish != "stop" || end.Tokens != 3 || end.Attempts != 2 {
+	if text != "t0 t1 t2 " || end.Kind != Served || end.FinishReason != "stop" || end.Tokens != 3 || end.Attempts != 2 {
 		t.Errorf("%q, %+v", text, end)
 	}
 	g.eventually("the row is gone", func() bool { return g.Stats().Open == 0 })
