--- a/internal/front/rest/rest.go
+++ b/internal/front/rest/rest.go
@@ -340,7 +340,7 @@
 	for {
 		text, end := q.Next(r.Context())
 		if end == nil {
-			if out.token(text, !q.Waiting()) != nil {
+			if out.token(text, !q.HasToken()) != nil {
 				return
 			}
 			continue
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -176,5 +176,5 @@
 	ErrOpen     = errors.New("a request of this name is open")
 )
 
-// Waiting tells whether Next would return a token at once.
-func (q *Request) Waiting() bool { return len(q.parts) > 0 }
+// HasToken tells whether Next would return a token at once.
+func (q *Request) HasToken() bool { return len(q.parts) > 0 }
