--- a/internal/front/chat/job.go
+++ b/internal/front/chat/job.go
@@ -94,7 +94,7 @@
 			if len(value) > maxName {
 				return front.Wrong("%s: prefix is longer than %d bytes", platform.FactsHeader, maxName)
 			}
-			j.SharedText = value
+			j.SharedPrefix = value
 			continue
 		}
 		if name != "prompt_len" && name != "prefix_len" && name != "max_out" {
--- a/internal/router/actions.go
+++ b/internal/router/actions.go
@@ -160,7 +160,7 @@
 		Gate:  a.guarded,
 		Until: r.wall(a.limit.at), Params: engine.Params{
 			Stage: engine.StageDecode, Request: f.name, Client: j.ClientID, Class: j.ClassName, Tenant: j.TenantName,
-			Session: j.Session, SharedText: j.SharedText, PromptTokens: j.PromptTokens,
+			Session: j.Session, SharedText: j.SharedPrefix, PromptTokens: j.PromptTokens,
 			SharedTokens: j.SharedTokens, MaxTokens: j.MaxTokens,
 			HoldMillis: float64(r.cfg.Settings.HoldTimeout) / 1e6,
 		}}
--- a/internal/router/loop.go
+++ b/internal/router/loop.go
@@ -249,7 +249,7 @@
 	r.log.Debug("request", "request", f.name, "client", j.ClientID, "class", j.ClassName, "tenant", j.TenantName,
 		"prompt", j.PromptTokens, "left", j.Deadline.Sub(q.arrived))
 	r.tell(&decide.Event{Kind: decide.Arrived, Request: f.id, Report: engine.Untold(), RouterDelay: r.now - r.at(q.arrived), Job: decide.Job{
-		Class: j.Class, Tenant: j.Tenant, SessionID: key(j.Session), PrefixID: key(j.SharedText), Deadline: f.deadline,
+		Class: j.Class, Tenant: j.Tenant, SessionID: key(j.Session), PrefixID: key(j.SharedPrefix), Deadline: f.deadline,
 		LengthHint: decide.Duration(j.Hint), PromptTokens: j.PromptTokens, PrefixTokens: j.SharedTokens,
 		MaxOutputTokens: float64(j.MaxTokens), ClientRetry: j.Repeat, AfterInterruption: j.AfterBreak,
 	}}, f)
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -20,7 +20,7 @@
 	Tenant       int // index of the settings; past its end: none
 	TenantName   string
 	Session      string // "" none
-	SharedText   string // name of the text that the prompt shares with others; "" none
+	SharedPrefix string // name of the text that the prompt shares with others; "" none
 	Deadline     time.Time
 	Hint         time.Duration // rough length of the answer as time; 0 not told
 	Prompt       string
