--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -190,7 +190,7 @@
 		return nil, Wrong("prompt of %.0f tokens and answer of up to %.0f are more than the engines' context of %.0f",
 			j.PromptTokens, out, m.set.MaxContext)
 	}
-	j.Hint = time.Duration(hint * float64(c.TokenIntervalTarget))
+	j.LengthHint = time.Duration(hint * float64(c.TokenIntervalTarget))
 	// Without a word of the client the class's deadline holds, and long prompts get twice what their aim gets.
 	patience := time.Duration(float64(c.Deadline) + 2*float64(c.FirstTokenTargetPerK)*j.PromptTokens/1000)
 	if within > 0 {
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -22,7 +22,7 @@
 	Session      string // "" none
 	SharedPrefix string // name of the text that the prompt shares with others; "" none
 	Deadline     time.Time
-	Hint         time.Duration // rough length of the answer as time; 0 not told
+	LengthHint   time.Duration // rough length of the answer as time; 0 not told
 	Prompt       string
 	Message      *engine.Message // the client's own, where engines get it unchanged; nil else
 	PromptTokens float64
