--- a/internal/front/chat/job.go
+++ b/internal/front/chat/job.go
@@ -108,11 +108,11 @@
 		case "prompt_len":
 			j.PromptTokens = max(n, 1)
 		case "prefix_len":
-			j.SharedTokens = n
+			j.PrefixTokens = n
 		case "max_out":
 			j.MaxTokens = int(n)
 		}
 	}
-	j.SharedTokens = min(j.SharedTokens, j.PromptTokens)
+	j.PrefixTokens = min(j.PrefixTokens, j.PromptTokens)
 	return nil
 }
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -155,7 +155,7 @@
 	class, tenant := r.text(ParamClass), r.text(ParamTenant)
 	guess := float64(len(in.Prompt)) / m.set.BytesPerToken
 	j.PromptTokens = max(r.number(ParamPromptTokens, guess), 1)
-	j.SharedTokens = min(r.number(ParamSharedTokens, 0), j.PromptTokens)
+	j.PrefixTokens = min(r.number(ParamSharedTokens, 0), j.PromptTokens)
 	hint, within := r.number(ParamHint, 0), r.number(ParamDeadline, 0)
 	j.Class = 0
 	if class == "" {
--- a/internal/router/loop.go
+++ b/internal/router/loop.go
@@ -250,7 +250,7 @@
 		"prompt", j.PromptTokens, "left", j.Deadline.Sub(q.arrived))
 	r.tell(&decide.Event{Kind: decide.Arrived, Request: f.id, Report: engine.Untold(), RouterDelay: r.now - r.at(q.arrived), Job: decide.Job{
 		Class: j.Class, Tenant: j.Tenant, SessionID: key(j.Session), PrefixID: key(j.SharedPrefix), Deadline: f.deadline,
-		LengthHint: decide.Duration(j.LengthHint), PromptTokens: j.PromptTokens, PrefixTokens: j.SharedTokens,
+		LengthHint: decide.Duration(j.LengthHint), PromptTokens: j.PromptTokens, PrefixTokens: j.PrefixTokens,
 		MaxOutputTokens: float64(j.MaxTokens), ClientRetry: j.Repeat, AfterInterruption: j.AfterBreak,
 	}}, f)
 }
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -26,7 +26,7 @@
 	Prompt       string
 	Message      *engine.Message // the client's own, where engines get it unchanged; nil else
 	PromptTokens float64
-	SharedTokens float64
+	PrefixTokens float64
 	MaxTokens    int
 	Repeat       bool // the client says that it repeats
 	AfterBreak   bool // the client resumes a broken stream
--- a/internal/trace/recorder.go
+++ b/internal/trace/recorder.go
@@ -101,7 +101,7 @@
 			return
 		}
 		w := &waiting{job: n.job, at: n.at, entry: Entry{At: n.at.Sub(start), Class: n.job.Class, Prompt: int(n.job.PromptTokens),
-			Shared: min(int(n.job.SharedTokens), int(n.job.PromptTokens)), Text: n.job.SharedPrefix}}
+			Shared: min(int(n.job.PrefixTokens), int(n.job.PromptTokens)), Text: n.job.SharedPrefix}}
 		if w.entry.Text == "" {
 			w.entry.Shared = 0
 		}
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -142,7 +142,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error)
 	go func() { done <- r.Run(ctx) }()
-	jobs := []*router.Job{{Class: 0, PromptTokens: 100}, {Class: 1, PromptTokens: 200, SharedPrefix: "rates", SharedTokens: 150},
+	jobs := []*router.Job{{Class: 0, PromptTokens: 100}, {Class: 1, PromptTokens: 200, SharedPrefix: "rates", PrefixTokens: 150},
 		{Class: 0, PromptTokens: 300}, {Class: 0, PromptTokens: 300, Repeat: true}, {Class: 1, PromptTokens: 400}}
 	for _, j := range jobs {
 		r.Arrived(j)
