--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -28,7 +28,7 @@
 	PromptTokens float64
 	PrefixTokens float64
 	MaxTokens    int
-	Repeat       bool // the client says that it repeats
+	ClientRetry  bool // the client says that it repeats
 	AfterBreak   bool // the client resumes a broken stream
 	// Guarded is the request's state since its first byte, as its front has begun it; nil: the core begins it.
 	Guarded *guard.Request
--- a/internal/shift/shift.go
+++ b/internal/shift/shift.go
@@ -91,7 +91,7 @@
 
 // Arrived, Read and Written are the router.Observer. They never block: what does not fit is counted.
 func (d *Driver) Arrived(j *router.Job) {
-	d.observe(observation{kind: sawArrival, arrival: roles.Arrival{Class: j.Class, Prompt: j.PromptTokens, Retry: j.Repeat}})
+	d.observe(observation{kind: sawArrival, arrival: roles.Arrival{Class: j.Class, Prompt: j.PromptTokens, Retry: j.ClientRetry}})
 }
 
 // Read implements router.Observer.
--- a/internal/trace/recorder.go
+++ b/internal/trace/recorder.go
@@ -97,7 +97,7 @@
 	switch n.kind {
 	case came:
 		// A client's repeat is left out: whoever plays the trace brings its own.
-		if n.job.Repeat {
+		if n.job.ClientRetry {
 			return
 		}
 		w := &waiting{job: n.job, at: n.at, entry: Entry{At: n.at.Sub(start), Class: n.job.Class, Prompt: int(n.job.PromptTokens),
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -143,7 +143,7 @@
 	done := make(chan error)
 	go func() { done <- r.Run(ctx) }()
 	jobs := []*router.Job{{Class: 0, PromptTokens: 100}, {Class: 1, PromptTokens: 200, SharedPrefix: "rates", PrefixTokens: 150},
-		{Class: 0, PromptTokens: 300}, {Class: 0, PromptTokens: 300, Repeat: true}, {Class: 1, PromptTokens: 400}}
+		{Class: 0, PromptTokens: 300}, {Class: 0, PromptTokens: 300, ClientRetry: true}, {Class: 1, PromptTokens: 400}}
 	for _, j := range jobs {
 		r.Arrived(j)
 	}
