--- a/internal/front/chat/job.go
+++ b/internal/front/chat/job.go
@@ -53,7 +53,7 @@
 	}
 	j := &router.Job{Name: id, ClientID: id, Class: -1, ClassName: class, Tenant: math.MaxInt, Session: session,
 		Message:      &engine.Message{Target: target, Fields: passedOn(h), Body: body},
-		PromptTokens: max(float64(len(body))/bytesToken, 1), ClientRetry: repeat == "1", AfterBreak: repeat == "again"}
+		PromptTokens: max(float64(len(body))/bytesToken, 1), ClientRetry: repeat == "1", AfterInterruption: repeat == "again"}
 	if j.Class = slices.Index(f.opts.Classes, settings.NormalizeName(class)); j.Class < 0 {
 		return nil, front.Wrong("there is no class %.40q", class)
 	}
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -151,7 +151,7 @@
 	}
 	r := reader{p: in.Params}
 	j := &router.Job{ClientID: in.ID, Prompt: in.Prompt, Session: r.text(ParamSession),
-		SharedPrefix: r.text(ParamSharedText), ClientRetry: r.flag(ParamRepeat), AfterBreak: r.flag(ParamResume)}
+		SharedPrefix: r.text(ParamSharedText), ClientRetry: r.flag(ParamRepeat), AfterInterruption: r.flag(ParamResume)}
 	class, tenant := r.text(ParamClass), r.text(ParamTenant)
 	guess := float64(len(in.Prompt)) / m.set.BytesPerToken
 	j.PromptTokens = max(r.number(ParamPromptTokens, guess), 1)
--- a/internal/router/loop.go
+++ b/internal/router/loop.go
@@ -251,7 +251,7 @@
 	r.tell(&decide.Event{Kind: decide.Arrived, Request: f.id, Report: engine.Untold(), RouterDelay: r.now - r.at(q.arrived), Job: decide.Job{
 		Class: j.Class, Tenant: j.Tenant, SessionID: key(j.Session), PrefixID: key(j.SharedPrefix), Deadline: f.deadline,
 		LengthHint: decide.Duration(j.LengthHint), PromptTokens: j.PromptTokens, PrefixTokens: j.PrefixTokens,
-		MaxOutputTokens: float64(j.MaxTokens), ClientRetry: j.ClientRetry, AfterInterruption: j.AfterBreak,
+		MaxOutputTokens: float64(j.MaxTokens), ClientRetry: j.ClientRetry, AfterInterruption: j.AfterInterruption,
 	}}, f)
 }
 
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -13,23 +13,23 @@
 
 // Job is a request's meaning, as a front has understood it.
 type Job struct {
-	Name         string // by which engines know the request over all its attempts; "": the router makes one
-	ClientID     string // as the client gave it; echoed, and told to engines
-	Class        int    // index of the settings
-	ClassName    string
-	Tenant       int // index of the settings; past its end: none
-	TenantName   string
-	Session      string // "" none
-	SharedPrefix string // name of the text that the prompt shares with others; "" none
-	Deadline     time.Time
-	LengthHint   time.Duration // rough length of the answer as time; 0 not told
-	Prompt       string
-	Message      *engine.Message // the client's own, where engines get it unchanged; nil else
-	PromptTokens float64
-	PrefixTokens float64
-	MaxTokens    int
-	ClientRetry  bool // the client says that it repeats
-	AfterBreak   bool // the client resumes a broken stream
+	Name              string // by which engines know the request over all its attempts; "": the router makes one
+	ClientID          string // as the client gave it; echoed, and told to engines
+	Class             int    // index of the settings
+	ClassName         string
+	Tenant            int // index of the settings; past its end: none
+	TenantName        string
+	Session           string // "" none
+	SharedPrefix      string // name of the text that the prompt shares with others; "" none
+	Deadline          time.Time
+	LengthHint        time.Duration // rough length of the answer as time; 0 not told
+	Prompt            string
+	Message           *engine.Message // the client's own, where engines get it unchanged; nil else
+	PromptTokens      float64
+	PrefixTokens      float64
+	MaxTokens         int
+	ClientRetry       bool // the client says that it repeats
+	AfterInterruption bool // the client resumes a broken stream
 	// Guarded is the request's state since its first byte, as its front has begun it; nil: the core begins it.
 	Guarded *guard.Request
 }
