--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -30,8 +30,8 @@
 	MaxTokens         int
 	ClientRetry       bool // the client says that it repeats
 	AfterInterruption bool // the client resumes a broken stream
-	// Guarded is the request's state since its first byte, as its front has begun it; nil: the core begins it.
-	Guarded *guard.Request
+	// Guard is the request's state since its first byte, as its front has begun it; nil: the core begins it.
+	Guard *guard.Request
 }
 
 // EndingKind tells how a request ended.
@@ -117,7 +117,7 @@
 		select {
 		case <-q.done: // it has its ending
 		default:
-			q.job.Guarded.ClientLeft()
+			q.job.Guard.ClientLeft()
 		}
 		q.router.post(message{kind: clientLeft, q: q})
 	}
@@ -126,15 +126,15 @@
 // closeGuarded ends the guarded state of a request that came without one.
 func (q *Request) closeGuarded(reason string) {
 	if q.ownsGuarded {
-		q.job.Guarded.Over(reason)
+		q.job.Guard.Over(reason)
 	}
 }
 
 // notTaken ends the guarded state of a request that came without one: the error is its answer.
 func (q *Request) notTaken(err error) {
 	if q.ownsGuarded {
-		q.job.Guarded.Decide(Refused.String(), err.Error())
-		q.job.Guarded.Over("not taken")
+		q.job.Guard.Decide(Refused.String(), err.Error())
+		q.job.Guard.Over("not taken")
 	}
 }
 
@@ -156,12 +156,12 @@
 	if late := time.Since(due); late > time.Duration(decide.MaxPause) {
 		q.router.cfg.Guard.HeldUp(late)
 	}
-	if !q.job.Guarded.Expire(noAnswer) {
+	if !q.job.Guard.Expire(noAnswer) {
 		return
 	}
-	q.finish(Ending{Kind: Failed, Reason: noAnswer, TimedOut: true, Attempts: q.job.Guarded.Attempts()})
+	q.finish(Ending{Kind: Failed, Reason: noAnswer, TimedOut: true, Attempts: q.job.Guard.Attempts()})
 	q.router.count.ended[Failed].Add(1)
-	q.router.log.Error("the loop is late: a request was answered beside it", "request", q.job.Name, "trail", q.job.Guarded.Trail())
+	q.router.log.Error("the loop is late: a request was answered beside it", "request", q.job.Name, "trail", q.job.Guard.Trail())
 	q.router.post(message{kind: expired, q: q})
 }
 
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -224,8 +224,8 @@
 	}
 	q := &Request{job: *job, router: r, arrived: now,
 		parts: make(chan string, r.cfg.StreamBuffer), done: make(chan struct{})}
-	if q.ownsGuarded = job.Guarded == nil; q.ownsGuarded {
-		q.job.Guarded = r.cfg.Guard.Receive()
+	if q.ownsGuarded = job.Guard == nil; q.ownsGuarded {
+		q.job.Guard = r.cfg.Guard.Receive()
 	}
 	q.watch()
 	if err := r.enqueue(q); err != nil {
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -653,7 +653,7 @@
 func TestFlightStateMachine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := guard.New(nil)
-		f := &flight{q: &Request{done: make(chan struct{}), job: Job{Guarded: g.Receive()}}}
+		f := &flight{q: &Request{done: make(chan struct{}), job: Job{Guard: g.Receive()}}}
 		f.guarded().Accepted("a", time.Now().Add(time.Hour))
 		answers, granted := 0, false
 		var last *attempt
--- a/internal/router/table.go
+++ b/internal/router/table.go
@@ -31,7 +31,7 @@
 }
 
 // guarded is the request's state.
-func (f *flight) guarded() *guard.Request { return f.q.job.Guarded }
+func (f *flight) guarded() *guard.Request { return f.q.job.Guard }
 
 // answered tells whether the request has its final answer.
 func (f *flight) answered() bool { return f.guarded().IsDecided() }
