--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -208,7 +208,7 @@
 	switch {
 	case errors.Is(err, router.ErrLate):
 		return &Error{Trouble: TimedOut, Text: err.Error()}
-	case errors.Is(err, router.ErrTooMany):
+	case errors.Is(err, router.ErrTooManyRequests):
 		return &Error{Trouble: Busy, Text: err.Error(), RetryAfter: time.Second}
 	default:
 		return &Error{Trouble: Unavailable, Text: err.Error(), RetryAfter: time.Second}
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -170,10 +170,10 @@
 
 // The errors of Submit: the request was not taken, and nothing of it has run.
 var (
-	ErrStopping = errors.New("the router is stopping")
-	ErrTooMany  = errors.New("too many requests are open")
-	ErrLate     = errors.New("the deadline has passed")
-	ErrOpen     = errors.New("a request of this name is open")
+	ErrStopping        = errors.New("the router is stopping")
+	ErrTooManyRequests = errors.New("too many requests are open")
+	ErrLate            = errors.New("the deadline has passed")
+	ErrOpen            = errors.New("a request of this name is open")
 )
 
 // HasToken tells whether Next would return a token at once.
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -216,7 +216,7 @@
 	}
 	if r.count.open.Add(1) > int64(r.cfg.MaxOpen) {
 		r.count.open.Add(-1)
-		return nil, ErrTooMany
+		return nil, ErrTooManyRequests
 	}
 	if !r.claim(job.Name) {
 		r.count.open.Add(-1)
@@ -249,7 +249,7 @@
 	case r.arrivals <- message{kind: arrived, posted: time.Now(), q: q}:
 		return nil
 	default:
-		return ErrTooMany
+		return ErrTooManyRequests
 	}
 }
 
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -603,7 +603,7 @@
 		func(c *Config) { c.MaxOpen = 2 })
 	a := g.submit(job(0))
 	g.submit(job(0))
-	if _, err := g.Submit(job(0)); !errors.Is(err, ErrTooMany) {
+	if _, err := g.Submit(job(0)); !errors.Is(err, ErrTooManyRequests) {
 		t.Errorf("a third of two: %v", err)
 	}
 	late := job(0)
@@ -824,7 +824,7 @@
 	defer goOn()
 	refused := false
 	for range arrivalBox + 10 {
-		if _, err := g.Submit(job(0)); errors.Is(err, ErrTooMany) {
+		if _, err := g.Submit(job(0)); errors.Is(err, ErrTooManyRequests) {
 			refused = true
 		}
 	}
