--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -206,7 +206,7 @@
 // Submitted tells what an error of Submit is to a client.
 func Submitted(err error) *Error {
 	switch {
-	case errors.Is(err, router.ErrLate):
+	case errors.Is(err, router.ErrDeadlinePassed):
 		return &Error{Trouble: TimedOut, Text: err.Error()}
 	case errors.Is(err, router.ErrTooManyRequests):
 		return &Error{Trouble: Busy, Text: err.Error(), RetryAfter: time.Second}
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -172,7 +172,7 @@
 var (
 	ErrStopping        = errors.New("the router is stopping")
 	ErrTooManyRequests = errors.New("too many requests are open")
-	ErrLate            = errors.New("the deadline has passed")
+	ErrDeadlinePassed  = errors.New("the deadline has passed")
 	ErrOpen            = errors.New("a request of this name is open")
 )
 
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -212,7 +212,7 @@
 		return nil, ErrStopping
 	}
 	if !job.Deadline.After(now) {
-		return nil, ErrLate
+		return nil, ErrDeadlinePassed
 	}
 	if r.count.open.Add(1) > int64(r.cfg.MaxOpen) {
 		r.count.open.Add(-1)
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -608,7 +608,7 @@
 	}
 	late := job(0)
 	late.Deadline = time.Now().Add(-time.Second)
-	if _, err := g.Submit(late); !errors.Is(err, ErrLate) {
+	if _, err := g.Submit(late); !errors.Is(err, ErrDeadlinePassed) {
 		t.Errorf("past its deadline: %v", err)
 	}
 	a.Abandon()
