--- a/internal/front/chat/conn.go
+++ b/internal/front/chat/conn.go
@@ -247,7 +247,7 @@
 	c.request.Complete(job.Name, job.Deadline)
 	q, err := f.core.Submit(job)
 	if err != nil {
-		if errors.Is(err, router.ErrOpen) {
+		if errors.Is(err, router.ErrDuplicateName) {
 			return c.fail(&front.Error{Trouble: front.Bad, Text: err.Error()}, true)
 		}
 		return c.fail(front.Submitted(err), closes)
--- a/internal/router/holds_test.go
+++ b/internal/router/holds_test.go
@@ -126,7 +126,7 @@
 	j := job(0)
 	j.Name = "same"
 	first := g.submit(j)
-	if _, err := g.Submit(j); !errors.Is(err, ErrOpen) {
+	if _, err := g.Submit(j); !errors.Is(err, ErrDuplicateName) {
 		t.Errorf("the second: %v", err)
 	}
 	other := job(0)
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -173,7 +173,7 @@
 	ErrStopping        = errors.New("the router is stopping")
 	ErrTooManyRequests = errors.New("too many requests are open")
 	ErrDeadlinePassed  = errors.New("the deadline has passed")
-	ErrOpen            = errors.New("a request of this name is open")
+	ErrDuplicateName   = errors.New("a request of this name is open")
 )
 
 // HasToken tells whether Next would return a token at once.
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -220,7 +220,7 @@
 	}
 	if !r.claim(job.Name) {
 		r.count.open.Add(-1)
-		return nil, ErrOpen
+		return nil, ErrDuplicateName
 	}
 	q := &Request{job: *job, router: r, arrived: now,
 		parts: make(chan string, r.cfg.StreamBuffer), done: make(chan struct{})}
