--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -162,7 +162,7 @@
 	taken := n.signalled.Load()
 	plan := n.planShutdown(*taken)
 	n.log.Info("draining", "open", n.Router.Stats().Open, "connections", n.front.Conns(), "taken", time.Since(*taken))
-	n.guard.ShutDown(plan.TakeUntil)
+	n.guard.ShutDown(plan.AcceptUntil)
 	n.front.ShutDown()
 	look := time.NewTicker(drainLook)
 	defer look.Stop()
@@ -172,7 +172,7 @@
 	for listening || n.front.Conns() > 0 {
 		now := time.Now()
 		n.front.CloseResting(plan.RestFor)
-		if now.After(plan.TakeUntil) {
+		if now.After(plan.AcceptUntil) {
 			n.front.ExpireFresh()
 		}
 		if now.After(plan.GiveUpBy) {
--- a/internal/router/shutdown.go
+++ b/internal/router/shutdown.go
@@ -9,7 +9,7 @@
 
 // Shutdown is the plan of the router's end, as decide.Shutdown has it, on the wall clock.
 type Shutdown struct {
-	TakeUntil   time.Time
+	AcceptUntil time.Time
 	ListenUntil time.Time
 	GiveUpBy    time.Time
 	RestFor     time.Duration
@@ -20,7 +20,7 @@
 func (r *Router) ShutDown(taken time.Time) Shutdown {
 	plan := decide.PlanShutdown(r.at(taken), r.cfg.Settings.Classes)
 	r.post(message{kind: shuttingDown, plan: &plan})
-	return Shutdown{TakeUntil: r.wall(plan.AcceptUntil), ListenUntil: r.wall(plan.ListenUntil), GiveUpBy: r.wall(plan.GiveUpBy),
+	return Shutdown{AcceptUntil: r.wall(plan.AcceptUntil), ListenUntil: r.wall(plan.ListenUntil), GiveUpBy: r.wall(plan.GiveUpBy),
 		RestFor: time.Duration(plan.LingerFor)}
 }
 
