--- a/internal/router/shutdown.go
+++ b/internal/router/shutdown.go
@@ -12,7 +12,7 @@
 	AcceptUntil time.Time
 	ListenUntil time.Time
 	GiveUpBy    time.Time
-	RestFor     time.Duration
+	LingerFor   time.Duration
 }
 
 // ShutDown tells the router that the process has taken the signal to end at some time. Requests are still taken for as
@@ -21,7 +21,7 @@
 	plan := decide.PlanShutdown(r.at(taken), r.cfg.Settings.Classes)
 	r.post(message{kind: shuttingDown, plan: &plan})
 	return Shutdown{AcceptUntil: r.wall(plan.AcceptUntil), ListenUntil: r.wall(plan.ListenUntil), GiveUpBy: r.wall(plan.GiveUpBy),
-		RestFor: time.Duration(plan.LingerFor)}
+		LingerFor: time.Duration(plan.LingerFor)}
 }
 
 // shutDown bounds all that is open by the plan, and tells the module.
