--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -75,9 +75,9 @@
 	return len(g.open)
 }
 
-// HeldUp notes that the process did not run for some time, until now. What is late for that reason is logged, and not
+// ProcessPaused notes that the process did not run for some time, until now. What is late for that reason is logged, and not
 // counted as a violation.
-func (g *Guard) HeldUp(late time.Duration) {
+func (g *Guard) ProcessPaused(late time.Duration) {
 	now := time.Now()
 	g.mu.Lock()
 	g.heldFrom, g.heldUntil = now.Add(-late), now.Add(heldUpEffect)
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -238,7 +238,7 @@
 	g := New(nil)
 	r := g.Receive()
 	r.Complete("a", time.Now().Add(-2*time.Second))
-	g.HeldUp(3 * time.Second)
+	g.ProcessPaused(3 * time.Second)
 	r.Answer("504")
 	r = request(g)
 	a := begin(t, r, Limits{NotAfter: time.Now().Add(-time.Second)})
--- a/internal/router/loop.go
+++ b/internal/router/loop.go
@@ -121,7 +121,7 @@
 // wakeUp looks at the clock. If something was due long ago the process did not run meanwhile.
 func (r *Router) wakeUp(due decide.Time) {
 	if r.now = r.clock(); r.now-due > decide.MaxPause {
-		r.cfg.Guard.HeldUp(time.Duration(r.now - due))
+		r.cfg.Guard.ProcessPaused(time.Duration(r.now - due))
 	}
 }
 
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -154,7 +154,7 @@
 // expire answers a request that the loop has left without an answer up to a time.
 func (q *Request) expire(due time.Time) {
 	if late := time.Since(due); late > time.Duration(decide.MaxPause) {
-		q.router.cfg.Guard.HeldUp(late)
+		q.router.cfg.Guard.ProcessPaused(late)
 	}
 	if !q.job.Guard.Expire(noAnswer) {
 		return
