--- a/internal/front/chat/chat_test.go
+++ b/internal/front/chat/chat_test.go
@@ -128,7 +128,7 @@
 		<-w.served
 		<-stopped
 		g.Close()
-		if n := g.Violated(); n > 0 {
+		if n := g.ViolationCount(); n > 0 {
 			t.Errorf("violations: %v", g.Violations())
 		}
 	})
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -23,7 +23,7 @@
 // expect checks the counts of one kind of violation, and that there is no other.
 func expect(t *testing.T, g *Guard, kind Kind, n int64) {
 	t.Helper()
-	if got := g.Violations()[kind.String()]; got != n || g.Violated() != n {
+	if got := g.Violations()[kind.String()]; got != n || g.ViolationCount() != n {
 		t.Errorf("violations %v, want %d of %v", g.Violations(), n, kind)
 	}
 }
@@ -78,7 +78,7 @@
 			if err := a.MaySend(0); !errors.Is(err, tt.want) {
 				t.Errorf("at the last byte: %v, want %v", err, tt.want)
 			}
-			if n := g.Violated(); n != 0 || g.Denials()[denialNames[tt.want]] == 0 {
+			if n := g.ViolationCount(); n != 0 || g.Denials()[denialNames[tt.want]] == 0 {
 				t.Errorf("%d violations; denials %v", n, g.Denials())
 			}
 		})
@@ -127,7 +127,7 @@
 	if a, err := r.Begin(Limits{}); !errors.Is(err, Answered) {
 		t.Errorf("attempt %d after the answer: %v", a.Number, err)
 	}
-	if g.Violated() != 0 {
+	if g.ViolationCount() != 0 {
 		t.Error(g.Violations())
 	}
 }
@@ -228,7 +228,7 @@
 	r.Decide("served", "")
 	r.Over("")
 	g.Close()
-	if g.Violated() != 0 || g.Open() != 0 {
+	if g.ViolationCount() != 0 || g.Open() != 0 {
 		t.Errorf("%v, %d open", g.Violations(), g.Open())
 	}
 }
@@ -244,7 +244,7 @@
 	a := begin(t, r, Limits{NotAfter: time.Now().Add(-time.Second)})
 	a.cleared = time.Now().Add(-time.Second)
 	a.Sent(0)
-	if g.Violated() != 0 {
+	if g.ViolationCount() != 0 {
 		t.Error(g.Violations())
 	}
 }
@@ -268,7 +268,7 @@
 		do(r)
 		r.LetGo(time.Second)
 	}
-	if g.Violated() != 0 {
+	if g.ViolationCount() != 0 {
 		t.Error(g.Violations())
 	}
 }
@@ -367,7 +367,7 @@
 				}
 			},
 			"": func(t *rapid.T) {
-				if decisions > 1 || g.Violated() > 0 {
+				if decisions > 1 || g.ViolationCount() > 0 {
 					t.Fatalf("%d final answers, violations %v", decisions, g.Violations())
 				}
 			},
--- a/internal/guard/violation.go
+++ b/internal/guard/violation.go
@@ -43,8 +43,8 @@
 	return out
 }
 
-// Violated is the number of all violations so far.
-func (g *Guard) Violated() (n int64) {
+// ViolationCount is the number of all violations so far.
+func (g *Guard) ViolationCount() (n int64) {
 	for k := range kinds {
 		n += g.violations[k].Load()
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -152,7 +152,7 @@
 		"memory_mb", n.cfg.MemoryMB)
 	err := n.parts.Run(ctx)
 	n.guard.Close()
-	n.log.Info("guard", "violations", n.guard.Violated(), "by_kind", n.guard.Violations(), "denials", n.guard.Denials())
+	n.log.Info("guard", "violations", n.guard.ViolationCount(), "by_kind", n.guard.Violations(), "denials", n.guard.Denials())
 	return err
 }
 
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -261,7 +261,7 @@
 		stop()
 		for range w.done {
 		}
-		if w.node.guard.Violated() > 0 {
+		if w.node.guard.ViolationCount() > 0 {
 			w.t.Errorf("violations: %v\n%s", w.node.guard.Violations(), w.log.String())
 		}
 	})
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -199,7 +199,7 @@
 		stop()
 		<-r.Stopped()
 		r.cfg.Guard.Close()
-		if r.cfg.Guard.Violated() > 0 {
+		if r.cfg.Guard.ViolationCount() > 0 {
 			t.Errorf("violations: %v", r.cfg.Guard.Violations())
 		}
 	})
@@ -711,7 +711,7 @@
 				if answers > 1 || f.answered() != (answers == 1) {
 					t.Fatalf("%d answers", answers)
 				}
-				if v := g.Violated(); v > 0 {
+				if v := g.ViolationCount(); v > 0 {
 					t.Fatalf("%d violations", v)
 				}
 			},
