--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -21,7 +21,7 @@
 }
 
 // expect checks the counts of one kind of violation, and that there is no other.
-func expect(t *testing.T, g *Guard, kind Kind, n int64) {
+func expect(t *testing.T, g *Guard, kind ViolationKind, n int64) {
 	t.Helper()
 	if got := g.Violations()[kind.String()]; got != n || g.ViolationCount() != n {
 		t.Errorf("violations %v, want %d of %v", g.Violations(), n, kind)
@@ -135,7 +135,7 @@
 // What has happened although a rule forbids it is counted by its kind, with one log line that has the request's id.
 func TestViolations(t *testing.T) {
 	late := time.Duration(decide.LateAnswerGrace) + time.Second
-	for kind, do := range map[Kind]func(*Guard, *Request){
+	for kind, do := range map[ViolationKind]func(*Guard, *Request){
 		ClosedUnanswered: func(_ *Guard, r *Request) { r.Closed("") },
 		SecondAnswer: func(_ *Guard, r *Request) {
 			r.Answer("200")
--- a/internal/guard/violation.go
+++ b/internal/guard/violation.go
@@ -1,23 +1,23 @@
 package guard
 
-// Kind is a kind of violation: something that a rule forbids has happened.
-type Kind uint8
+// ViolationKind is a kind of violation: something that a rule forbids has happened.
+type ViolationKind uint8
 
 // The kinds of violations.
 const (
-	ClosedUnanswered   Kind = iota // a request was read, and its connection closed without an answer
-	SecondAnswer                   // a second final answer
-	LateAnswer                     // the final answer came too long after the deadline
-	UnansweredAtEnd                // the process ends with an open request
-	UnguardedSend                  // an attempt's last byte left without leave
-	SentAfterAnswer                // an attempt began after the final answer
-	SentAfterLeave                 // an attempt began too long after its client had left
-	SecondCopy                     // an attempt began while another was out
-	SentPastWindow                 // a repeat left after the window in which its group drops it
-	SentToWithdrawn                // an attempt began too long after its engine left the ready ones
-	SentInShutdown                 // a request that came too late in a shutdown reached an engine
-	DeadlineOverstated             // an engine was told more time than the client has left
-	HeldTooLong                    // what engines hold for a request was neither used nor let go of in time
+	ClosedUnanswered   ViolationKind = iota // a request was read, and its connection closed without an answer
+	SecondAnswer                            // a second final answer
+	LateAnswer                              // the final answer came too long after the deadline
+	UnansweredAtEnd                         // the process ends with an open request
+	UnguardedSend                           // an attempt's last byte left without leave
+	SentAfterAnswer                         // an attempt began after the final answer
+	SentAfterLeave                          // an attempt began too long after its client had left
+	SecondCopy                              // an attempt began while another was out
+	SentPastWindow                          // a repeat left after the window in which its group drops it
+	SentToWithdrawn                         // an attempt began too long after its engine left the ready ones
+	SentInShutdown                          // a request that came too late in a shutdown reached an engine
+	DeadlineOverstated                      // an engine was told more time than the client has left
+	HeldTooLong                             // what engines hold for a request was neither used nor let go of in time
 	kinds
 )
 
@@ -25,10 +25,10 @@
 	"sent_after_answer", "sent_after_leave", "second_copy", "sent_past_window", "sent_to_withdrawn", "sent_in_shutdown",
 	"deadline_overstated", "held_too_long"}
 
-func (k Kind) String() string { return kindNames[k] }
+func (k ViolationKind) String() string { return kindNames[k] }
 
 // violated counts a violation and logs it.
-func (g *Guard) violated(k Kind, r *Request, detail string) {
+func (g *Guard) violated(k ViolationKind, r *Request, detail string) {
 	g.violations[k].Add(1)
 	name, trail := r.describe()
 	g.log.Error("rule violated", "kind", k.String(), "request", name, "detail", detail, "trail", trail)
