--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -103,7 +103,7 @@
 	g := New(nil)
 	r := request(g)
 	first := begin(t, r, Limits{})
-	if a, err := r.Begin(Limits{}); !errors.Is(err, AnotherOut) || a.Number != 1 {
+	if a, err := r.Begin(Limits{}); !errors.Is(err, AnotherInFlight) || a.Number != 1 {
 		t.Errorf("beside another: %v, number %d", err, a.Number)
 	}
 	if a, err := r.Skip(Limits{}, errors.New("no use")); err == nil || a.Number != 2 {
--- a/internal/guard/request.go
+++ b/internal/guard/request.go
@@ -256,7 +256,7 @@
 	case r.state >= Decided:
 		err = r.guard.denied(Answered)
 	case r.current != nil || r.state != Waiting:
-		err = r.guard.denied(AnotherOut)
+		err = r.guard.denied(AnotherInFlight)
 	case left:
 		err = r.guard.denied(ClientLeft)
 	case !taken:
--- a/internal/guard/violation.go
+++ b/internal/guard/violation.go
@@ -56,13 +56,13 @@
 
 // The denials.
 const (
-	Answered     Denial = iota // the request has its final answer
-	AnotherOut                 // another attempt of the request is out
-	ClientLeft                 // its client has left
-	TooLate                    // its time is over, or the window for repeats
-	Withdrawn                  // the engine takes nothing new
-	ShuttingDown               // the request came too late in a shutdown
-	Stale                      // the engine would be told more time than the client has left; it may be written anew
+	Answered        Denial = iota // the request has its final answer
+	AnotherInFlight               // another attempt of the request is out
+	ClientLeft                    // its client has left
+	TooLate                       // its time is over, or the window for repeats
+	Withdrawn                     // the engine takes nothing new
+	ShuttingDown                  // the request came too late in a shutdown
+	Stale                         // the engine would be told more time than the client has left; it may be written anew
 	denialKinds
 )
 
