--- a/internal/front/chat/conn.go
+++ b/internal/front/chat/conn.go
@@ -243,7 +243,7 @@
 		return c.fail(bad, true)
 	}
 	job.Guard = c.request
-	c.request.AskWhether(c.clientGone)
+	c.request.SetClientCheck(c.clientGone)
 	c.request.Complete(job.Name, job.Deadline)
 	q, err := f.core.Submit(job)
 	if err != nil {
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -48,7 +48,7 @@
 	}{
 		"answered":                      {forbid: func(_ *Guard, r *Request) { r.Decide("failed", "") }, want: Answered},
 		"client left":                   {forbid: func(_ *Guard, r *Request) { r.ClientLeft() }, want: ClientLeft},
-		"client's connection has ended": {forbid: func(_ *Guard, r *Request) { r.AskWhether(func() bool { return true }) }, want: ClientLeft},
+		"client's connection has ended": {forbid: func(_ *Guard, r *Request) { r.SetClientCheck(func() bool { return true }) }, want: ClientLeft},
 		"the shutdown takes nothing":    {forbid: func(g *Guard, _ *Request) { g.ShutDown(time.Now().Add(-time.Hour)) }, want: ShuttingDown},
 		"window":                        {limits: Limits{NotAfter: time.Now().Add(-time.Hour)}, want: TooLate, begins: true},
 		"deadline":                      {forbid: func(_ *Guard, r *Request) { r.Bound(time.Now().Add(-time.Second)) }, want: TooLate, begins: true},
--- a/internal/guard/request.go
+++ b/internal/guard/request.go
@@ -54,8 +54,8 @@
 	r.record(stepComplete, "", "waits "+deadline.Sub(now).Round(time.Millisecond).String())
 }
 
-// AskWhether gives the guard a way to ask the client's connection whether the client has gone. gone must not block.
-func (r *Request) AskWhether(gone func() bool) {
+// SetClientCheck gives the guard a way to ask the client's connection whether the client has gone. gone must not block.
+func (r *Request) SetClientCheck(gone func() bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.gone = gone
