--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -51,7 +51,7 @@
 		"client's connection has ended": {forbid: func(_ *Guard, r *Request) { r.SetClientCheck(func() bool { return true }) }, want: ClientLeft},
 		"the shutdown takes nothing":    {forbid: func(g *Guard, _ *Request) { g.ShutDown(time.Now().Add(-time.Hour)) }, want: ShuttingDown},
 		"window":                        {limits: Limits{NotAfter: time.Now().Add(-time.Hour)}, want: TooLate, begins: true},
-		"deadline":                      {forbid: func(_ *Guard, r *Request) { r.Bound(time.Now().Add(-time.Second)) }, want: TooLate, begins: true},
+		"deadline":                      {forbid: func(_ *Guard, r *Request) { r.LimitDeadline(time.Now().Add(-time.Second)) }, want: TooLate, begins: true},
 		"engine withdrawn":              {limits: Limits{Withdrawn: func() (time.Duration, bool) { return 0, true }}, want: Withdrawn, begins: true},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/guard/request.go
+++ b/internal/guard/request.go
@@ -73,8 +73,8 @@
 	r.record(stepAccepted, "", "")
 }
 
-// Bound moves the deadline to an earlier instant.
-func (r *Request) Bound(deadline time.Time) {
+// LimitDeadline moves the deadline to an earlier instant.
+func (r *Request) LimitDeadline(deadline time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if deadline.Before(r.deadline) {
--- a/internal/router/shutdown.go
+++ b/internal/router/shutdown.go
@@ -42,7 +42,7 @@
 		return
 	}
 	f.deadline = min(f.deadline, r.shutdown.GiveUpBy)
-	f.guarded().Bound(r.wall(f.deadline))
+	f.guarded().LimitDeadline(r.wall(f.deadline))
 	r.timers.sooner(f.guard, r.shutdown.AnswerBy)
 	if f.out != nil {
 		r.timers.sooner(f.out.limit, r.shutdown.GiveUpBy)
