--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -226,7 +226,7 @@
 	r.Closed("again")
 	r = request(g)
 	r.Decide("served", "")
-	r.Over("")
+	r.Finish("")
 	g.Close()
 	if g.ViolationCount() != 0 || g.Open() != 0 {
 		t.Errorf("%v, %d open", g.Violations(), g.Open())
--- a/internal/guard/request.go
+++ b/internal/guard/request.go
@@ -161,8 +161,8 @@
 	return !second
 }
 
-// Over notes that a request without a connection of its own is over: whoever asked for it has its final answer.
-func (r *Request) Over(reason string) {
+// Finish notes that a request without a connection of its own is over: whoever asked for it has its final answer.
+func (r *Request) Finish(reason string) {
 	r.mu.Lock()
 	if r.answered.IsZero() && !r.decided.IsZero() {
 		r.answered = time.Now()
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -126,7 +126,7 @@
 // closeGuarded ends the guarded state of a request that came without one.
 func (q *Request) closeGuarded(reason string) {
 	if q.ownsGuarded {
-		q.job.Guard.Over(reason)
+		q.job.Guard.Finish(reason)
 	}
 }
 
@@ -134,7 +134,7 @@
 func (q *Request) notTaken(err error) {
 	if q.ownsGuarded {
 		q.job.Guard.Decide(Refused.String(), err.Error())
-		q.job.Guard.Over("not taken")
+		q.job.Guard.Finish("not taken")
 	}
 }
 
