--- a/internal/front/chat/answer.go
+++ b/internal/front/chat/answer.go
@@ -61,7 +61,7 @@
 	if text != "" {
 		body = []byte(text + "\n")
 	}
-	if c.request != nil && !c.request.Answer(strconv.Itoa(code)+" "+text) {
+	if c.request != nil && !c.request.BeginAnswer(strconv.Itoa(code)+" "+text) {
 		return false
 	}
 	c.SetWriteDeadline(time.Now().Add(f.opts.Stall))
@@ -91,7 +91,7 @@
 		if end == nil {
 			buf = buf[:0]
 			if !begun {
-				if begun = c.request.Answer("200"); !begun {
+				if begun = c.request.BeginAnswer("200"); !begun {
 					return false
 				}
 				closes = closes || c.front.last.Load()
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -138,14 +138,14 @@
 	for kind, do := range map[ViolationKind]func(*Guard, *Request){
 		ClosedUnanswered: func(_ *Guard, r *Request) { r.Closed("") },
 		SecondAnswer: func(_ *Guard, r *Request) {
-			r.Answer("200")
-			if r.Answer("500") {
+			r.BeginAnswer("200")
+			if r.BeginAnswer("500") {
 				t.Error("a second answer was allowed")
 			}
 		},
 		LateAnswer: func(_ *Guard, r *Request) {
 			r.Complete("a", time.Now().Add(-late))
-			r.Answer("200")
+			r.BeginAnswer("200")
 		},
 		UnansweredAtEnd: func(g *Guard, _ *Request) { g.Close() },
 		UnguardedSend:   func(_ *Guard, r *Request) { begin(t, r, Limits{}).Sent(0) },
@@ -221,7 +221,7 @@
 	r.ClientLeft() // in the moment of the answer
 	r.Closed("")
 	r = request(g)
-	r.Answer("503")
+	r.BeginAnswer("503")
 	r.Closed("")
 	r.Closed("again")
 	r = request(g)
@@ -239,7 +239,7 @@
 	r := g.Receive()
 	r.Complete("a", time.Now().Add(-2*time.Second))
 	g.ProcessPaused(3 * time.Second)
-	r.Answer("504")
+	r.BeginAnswer("504")
 	r = request(g)
 	a := begin(t, r, Limits{NotAfter: time.Now().Add(-time.Second)})
 	a.cleared = time.Now().Add(-time.Second)
@@ -356,7 +356,7 @@
 				left = true
 			},
 			"answer": func(*rapid.T) {
-				if answers == 0 && r.Answer("500") {
+				if answers == 0 && r.BeginAnswer("500") {
 					answers++
 				}
 			},
--- a/internal/guard/request.go
+++ b/internal/guard/request.go
@@ -139,9 +139,9 @@
 	return !r.decided.IsZero()
 }
 
-// Answer asks for leave to write the final answer, or its first event, to the client; what is its status. It is given
+// BeginAnswer asks for leave to write the final answer, or its first event, to the client; what is its status. It is given
 // once.
-func (r *Request) Answer(what string) bool {
+func (r *Request) BeginAnswer(what string) bool {
 	now := time.Now()
 	r.mu.Lock()
 	second := !r.answered.IsZero()
