--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -106,7 +106,7 @@
 	if a, err := r.Begin(Limits{}); !errors.Is(err, AnotherInFlight) || a.Number != 1 {
 		t.Errorf("beside another: %v, number %d", err, a.Number)
 	}
-	if a, err := r.Skip(Limits{}, errors.New("no use")); err == nil || a.Number != 2 {
+	if a, err := r.SkipAttempt(Limits{}, errors.New("no use")); err == nil || a.Number != 2 {
 		t.Errorf("skipped: %v, number %d", err, a.Number)
 	}
 	first.End("reset", nil)
--- a/internal/guard/request.go
+++ b/internal/guard/request.go
@@ -234,8 +234,8 @@
 	Withdrawn func() (time.Duration, bool)
 }
 
-// Skip counts an attempt that has no use for some reason, and returns that.
-func (r *Request) Skip(l Limits, reason error) (*Attempt, error) {
+// SkipAttempt counts an attempt that has no use for some reason, and returns that.
+func (r *Request) SkipAttempt(l Limits, reason error) (*Attempt, error) {
 	r.mu.Lock()
 	a := &Attempt{request: r, limits: l, Number: r.attempts}
 	r.attempts++
--- a/internal/router/actions.go
+++ b/internal/router/actions.go
@@ -138,11 +138,11 @@
 	}
 	switch {
 	case s == nil:
-		return f.guarded().Skip(limits, errNoServer)
+		return f.guarded().SkipAttempt(limits, errNoServer)
 	case r.now >= f.deadline:
-		return f.guarded().Skip(limits, errNoTime)
+		return f.guarded().SkipAttempt(limits, errNoTime)
 	case f.guarded().Attempts() >= r.cfg.Settings.MaxAttempts:
-		return f.guarded().Skip(limits, errAllAttempts)
+		return f.guarded().SkipAttempt(limits, errAllAttempts)
 	}
 	limits.Engine, limits.Stage = s.name, engine.StageDecode
 	if s.role == decide.Reader {
