--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -31,7 +31,7 @@
 // begin begins an attempt that has to be allowed.
 func begin(t *testing.T, r *Request, l Limits) *Attempt {
 	t.Helper()
-	a, err := r.Begin(l)
+	a, err := r.BeginAttempt(l)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -61,7 +61,7 @@
 			g := New(nil)
 			r := request(g)
 			tt.forbid(g, r)
-			a, err := r.Begin(tt.limits)
+			a, err := r.BeginAttempt(tt.limits)
 			if tt.begins && err == nil {
 				err = a.MaySend(0)
 			}
@@ -103,7 +103,7 @@
 	g := New(nil)
 	r := request(g)
 	first := begin(t, r, Limits{})
-	if a, err := r.Begin(Limits{}); !errors.Is(err, AnotherInFlight) || a.Number != 1 {
+	if a, err := r.BeginAttempt(Limits{}); !errors.Is(err, AnotherInFlight) || a.Number != 1 {
 		t.Errorf("beside another: %v, number %d", err, a.Number)
 	}
 	if a, err := r.SkipAttempt(Limits{}, errors.New("no use")); err == nil || a.Number != 2 {
@@ -117,14 +117,14 @@
 	if first.Grant() || !second.Grant() || second.Grant() {
 		t.Error("the first token belongs to the attempt that is out, once")
 	}
-	if a, err := r.Begin(Limits{}); err == nil {
+	if a, err := r.BeginAttempt(Limits{}); err == nil {
 		t.Errorf("beside a stream attempt %d began", a.Number)
 	}
 	second.End("served", nil)
 	if !r.Decide("served", "") || r.Decide("failed", "") {
 		t.Error("the final answer is decided once")
 	}
-	if a, err := r.Begin(Limits{}); !errors.Is(err, Answered) {
+	if a, err := r.BeginAttempt(Limits{}); !errors.Is(err, Answered) {
 		t.Errorf("attempt %d after the answer: %v", a.Number, err)
 	}
 	if g.ViolationCount() != 0 {
@@ -316,7 +316,7 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"complete": func(*rapid.T) { r.Complete("a", time.Now().Add(time.Hour)) },
 			"begin": func(t *rapid.T) {
-				a, err := r.Begin(Limits{})
+				a, err := r.BeginAttempt(Limits{})
 				if err == nil && (out != nil || decisions > 0 || left || closed) {
 					t.Fatalf("an attempt was allowed: out %v, decided %d, left %v, closed %v", out != nil, decisions, left, closed)
 				}
--- a/internal/guard/request.go
+++ b/internal/guard/request.go
@@ -244,8 +244,8 @@
 	return a, reason
 }
 
-// Begin asks for leave to begin an attempt. It counts as an attempt, allowed or not, and has its number.
-func (r *Request) Begin(l Limits) (*Attempt, error) {
+// BeginAttempt asks for leave to begin an attempt. It counts as an attempt, allowed or not, and has its number.
+func (r *Request) BeginAttempt(l Limits) (*Attempt, error) {
 	left := r.hasLeft()
 	taken := r.guard.taken(r.completedAt())
 	r.mu.Lock()
--- a/internal/router/actions.go
+++ b/internal/router/actions.go
@@ -149,7 +149,7 @@
 		limits.Stage = engine.StagePrefill
 	}
 	limits.Withdrawn = func() (time.Duration, bool) { return s.withdrawnFor(r.clock()) }
-	return f.guarded().Begin(limits)
+	return f.guarded().BeginAttempt(limits)
 }
 
 // fill makes what the attempt carries.
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -659,7 +659,7 @@
 		var last *attempt
 		t.Repeat(map[string]func(*rapid.T){
 			"begin": func(t *rapid.T) {
-				guarded, err := f.guarded().Begin(guard.Limits{})
+				guarded, err := f.guarded().BeginAttempt(guard.Limits{})
 				if (err == nil) != (f.out == nil && answers == 0 && !granted) {
 					t.Fatalf("an attempt: %v, after %d answers, another is out: %v, a stream has begun: %v", err, answers, f.out != nil, granted)
 				}
