--- a/internal/guard/request.go
+++ b/internal/guard/request.go
@@ -227,7 +227,7 @@
 // Limits bound when an attempt's last byte may leave.
 type Limits struct {
 	Engine, Stage string        // for the trail
-	Within        time.Duration // its time-out, for the trail
+	Timeout       time.Duration // its time-out, for the trail
 	NotAfter      time.Time     // end of the window for repeats; zero: none
 	DrainGrace    time.Duration
 	// Withdrawn tells for how long the engine has taken nothing new; false: it takes requests. nil: it always does.
@@ -269,7 +269,7 @@
 		r.record(stepDenied, strconv.Itoa(a.Number)+" "+l.Stage+" "+l.Engine, err.Error())
 		return a, err
 	}
-	r.record(stepAttempt, strconv.Itoa(a.Number)+" "+l.Stage+" "+l.Engine, "within "+l.Within.Round(time.Millisecond).String())
+	r.record(stepAttempt, strconv.Itoa(a.Number)+" "+l.Stage+" "+l.Engine, "within "+l.Timeout.Round(time.Millisecond).String())
 	return a, nil
 }
 
--- a/internal/router/actions.go
+++ b/internal/router/actions.go
@@ -132,7 +132,7 @@
 
 // begin asks the guard for an attempt at an engine, which is given up at some time. With an error it may not start.
 func (r *Router) begin(act *decide.Action, f *flight, s *server, at decide.Time) (*guard.Attempt, error) {
-	limits := guard.Limits{Within: time.Duration(at - r.now), DrainGrace: time.Duration(r.cfg.Settings.DrainGrace)}
+	limits := guard.Limits{Timeout: time.Duration(at - r.now), DrainGrace: time.Duration(r.cfg.Settings.DrainGrace)}
 	if act.SendBy != 0 {
 		limits.NotAfter = r.wall(act.SendBy)
 	}
