--- a/internal/guard/attempt.go
+++ b/internal/guard/attempt.go
@@ -38,7 +38,7 @@
 		err = r.guard.denied(Answered)
 	case withdrawn:
 		err = r.guard.denied(Withdrawn)
-	case now.After(r.deadline), !a.limits.NotAfter.IsZero() && now.After(a.limits.NotAfter):
+	case now.After(r.deadline), !a.limits.SendBy.IsZero() && now.After(a.limits.SendBy):
 		err = r.guard.denied(TooLate)
 	case !r.waits.IsZero() && now.Add(told).Sub(r.waits) > staleSlack:
 		err = r.guard.denied(Stale)
@@ -76,7 +76,7 @@
 	r.mu.Lock()
 	a.sent = now
 	cleared, current, left, deadline := a.cleared, r.current, r.left, r.waits
-	notAfter, decided := a.limits.NotAfter, r.decided
+	notAfter, decided := a.limits.SendBy, r.decided
 	r.mu.Unlock()
 	r.record(stepSent, strconv.Itoa(a.Number), "")
 	if cleared.IsZero() {
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -50,7 +50,7 @@
 		"client left":                   {forbid: func(_ *Guard, r *Request) { r.ClientLeft() }, want: ClientLeft},
 		"client's connection has ended": {forbid: func(_ *Guard, r *Request) { r.SetClientCheck(func() bool { return true }) }, want: ClientLeft},
 		"the shutdown takes nothing":    {forbid: func(g *Guard, _ *Request) { g.ShutDown(time.Now().Add(-time.Hour)) }, want: ShuttingDown},
-		"window":                        {limits: Limits{NotAfter: time.Now().Add(-time.Hour)}, want: TooLate, begins: true},
+		"window":                        {limits: Limits{SendBy: time.Now().Add(-time.Hour)}, want: TooLate, begins: true},
 		"deadline":                      {forbid: func(_ *Guard, r *Request) { r.LimitDeadline(time.Now().Add(-time.Second)) }, want: TooLate, begins: true},
 		"engine withdrawn":              {limits: Limits{Withdrawn: func() (time.Duration, bool) { return 0, true }}, want: Withdrawn, begins: true},
 	} {
@@ -167,7 +167,7 @@
 			a.Sent(0)
 		},
 		SentPastWindow: func(_ *Guard, r *Request) {
-			a := begin(t, r, Limits{NotAfter: time.Now().Add(-time.Second)})
+			a := begin(t, r, Limits{SendBy: time.Now().Add(-time.Second)})
 			a.cleared = time.Now()
 			a.Sent(0)
 		},
@@ -241,7 +241,7 @@
 	g.ProcessPaused(3 * time.Second)
 	r.BeginAnswer("504")
 	r = request(g)
-	a := begin(t, r, Limits{NotAfter: time.Now().Add(-time.Second)})
+	a := begin(t, r, Limits{SendBy: time.Now().Add(-time.Second)})
 	a.cleared = time.Now().Add(-time.Second)
 	a.Sent(0)
 	if g.ViolationCount() != 0 {
--- a/internal/guard/request.go
+++ b/internal/guard/request.go
@@ -228,7 +228,7 @@
 type Limits struct {
 	Engine, Stage string        // for the trail
 	Timeout       time.Duration // its time-out, for the trail
-	NotAfter      time.Time     // end of the window for repeats; zero: none
+	SendBy        time.Time     // end of the window for repeats; zero: none
 	DrainGrace    time.Duration
 	// Withdrawn tells for how long the engine has taken nothing new; false: it takes requests. nil: it always does.
 	Withdrawn func() (time.Duration, bool)
--- a/internal/router/actions.go
+++ b/internal/router/actions.go
@@ -134,7 +134,7 @@
 func (r *Router) begin(act *decide.Action, f *flight, s *server, at decide.Time) (*guard.Attempt, error) {
 	limits := guard.Limits{Timeout: time.Duration(at - r.now), DrainGrace: time.Duration(r.cfg.Settings.DrainGrace)}
 	if act.SendBy != 0 {
-		limits.NotAfter = r.wall(act.SendBy)
+		limits.SendBy = r.wall(act.SendBy)
 	}
 	switch {
 	case s == nil:
