--- a/internal/guard/attempt.go
+++ b/internal/guard/attempt.go
@@ -25,8 +25,8 @@
 	r := a.request
 	left := r.hasLeft()
 	withdrawn := false
-	if a.limits.Withdrawn != nil {
-		_, withdrawn = a.limits.Withdrawn()
+	if a.limits.WithdrawnFor != nil {
+		_, withdrawn = a.limits.WithdrawnFor()
 	}
 	r.mu.Lock()
 	now := time.Now()
@@ -70,8 +70,8 @@
 	now := time.Now()
 	r := a.request
 	withdrawnFor, withdrawn := time.Duration(0), false
-	if a.limits.Withdrawn != nil {
-		withdrawnFor, withdrawn = a.limits.Withdrawn()
+	if a.limits.WithdrawnFor != nil {
+		withdrawnFor, withdrawn = a.limits.WithdrawnFor()
 	}
 	r.mu.Lock()
 	a.sent = now
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -52,7 +52,7 @@
 		"the shutdown takes nothing":    {forbid: func(g *Guard, _ *Request) { g.ShutDown(time.Now().Add(-time.Hour)) }, want: ShuttingDown},
 		"window":                        {limits: Limits{SendBy: time.Now().Add(-time.Hour)}, want: TooLate, begins: true},
 		"deadline":                      {forbid: func(_ *Guard, r *Request) { r.LimitDeadline(time.Now().Add(-time.Second)) }, want: TooLate, begins: true},
-		"engine withdrawn":              {limits: Limits{Withdrawn: func() (time.Duration, bool) { return 0, true }}, want: Withdrawn, begins: true},
+		"engine withdrawn":              {limits: Limits{WithdrawnFor: func() (time.Duration, bool) { return 0, true }}, want: Withdrawn, begins: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if tt.forbid == nil {
@@ -172,7 +172,7 @@
 			a.Sent(0)
 		},
 		SentToWithdrawn: func(_ *Guard, r *Request) {
-			a := begin(t, r, Limits{DrainGrace: time.Second, Withdrawn: func() (time.Duration, bool) { return 2 * time.Second, true }})
+			a := begin(t, r, Limits{DrainGrace: time.Second, WithdrawnFor: func() (time.Duration, bool) { return 2 * time.Second, true }})
 			a.cleared = time.Now()
 			a.Sent(0)
 		},
--- a/internal/guard/request.go
+++ b/internal/guard/request.go
@@ -230,8 +230,8 @@
 	Timeout       time.Duration // its time-out, for the trail
 	SendBy        time.Time     // end of the window for repeats; zero: none
 	DrainGrace    time.Duration
-	// Withdrawn tells for how long the engine has taken nothing new; false: it takes requests. nil: it always does.
-	Withdrawn func() (time.Duration, bool)
+	// WithdrawnFor tells for how long the engine has taken nothing new; false: it takes requests. nil: it always does.
+	WithdrawnFor func() (time.Duration, bool)
 }
 
 // SkipAttempt counts an attempt that has no use for some reason, and returns that.
--- a/internal/router/actions.go
+++ b/internal/router/actions.go
@@ -148,7 +148,7 @@
 	if s.role == decide.Reader {
 		limits.Stage = engine.StagePrefill
 	}
-	limits.Withdrawn = func() (time.Duration, bool) { return s.withdrawnFor(r.clock()) }
+	limits.WithdrawnFor = func() (time.Duration, bool) { return s.withdrawnFor(r.clock()) }
 	return f.guarded().BeginAttempt(limits)
 }
 
