--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -188,7 +188,7 @@
 			a.Sent(2 * time.Hour)
 		},
 		HeldTooLong: func(_ *Guard, r *Request) {
-			r.Held(time.Now().Add(-2 * time.Second))
+			r.HoldStarted(time.Now().Add(-2 * time.Second))
 			r.LetGo(time.Second)
 			r.LetGo(time.Second) // nothing is held any more
 		},
@@ -253,13 +253,13 @@
 func TestHeldInTime(t *testing.T) {
 	g := New(nil)
 	for _, do := range []func(r *Request){
-		func(r *Request) { r.Held(time.Now().Add(-time.Second)) },
+		func(r *Request) { r.HoldStarted(time.Now().Add(-time.Second)) },
 		func(r *Request) {
-			r.Held(time.Now().Add(-time.Hour))
+			r.HoldStarted(time.Now().Add(-time.Hour))
 			r.Used()
 		},
 		func(r *Request) {
-			r.Held(time.Now().Add(-time.Hour))
+			r.HoldStarted(time.Now().Add(-time.Hour))
 			r.Consumed()
 		},
 		func(r *Request) { r.Used() },
--- a/internal/guard/held.go
+++ b/internal/guard/held.go
@@ -9,8 +9,8 @@
 // What engines hold for a request between its stages is owed like an answer: it is to be used, or let go of, within a time. The
 // time rests while an attempt is out that has reached its engine, for as much as a router can know of that.
 
-// Held notes that engines may hold something for the request, and that no attempt was out since a time. An attempt was before.
-func (r *Request) Held(since time.Time) {
+// HoldStarted notes that engines may hold something for the request, and that no attempt was out since a time. An attempt was before.
+func (r *Request) HoldStarted(since time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.heldSince = since
--- a/internal/router/holds.go
+++ b/internal/router/holds.go
@@ -148,9 +148,9 @@
 	case res.Outcome == decide.Served || a.streaming:
 		held.Consumed()
 	case res.Outcome == decide.ReadDone:
-		held.Held(time.Now())
+		held.HoldStarted(time.Now())
 	case a.prefill && res.Outcome != decide.Error && !answered(res.Outcome) && a.guarded.HasSent(): // as far as is known it was out
-		held.Held(time.Now())
+		held.HoldStarted(time.Now())
 	case a.guarded.HasSent():
 		held.Used()
 	}
