--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -256,13 +256,13 @@
 		func(r *Request) { r.HoldStarted(time.Now().Add(-time.Second)) },
 		func(r *Request) {
 			r.HoldStarted(time.Now().Add(-time.Hour))
-			r.Used()
+			r.HoldUsed()
 		},
 		func(r *Request) {
 			r.HoldStarted(time.Now().Add(-time.Hour))
 			r.Consumed()
 		},
-		func(r *Request) { r.Used() },
+		func(r *Request) { r.HoldUsed() },
 	} {
 		r := request(g)
 		do(r)
--- a/internal/guard/held.go
+++ b/internal/guard/held.go
@@ -16,8 +16,8 @@
 	r.heldSince = since
 }
 
-// Used notes that what is held was with an attempt up to now: its time begins anew.
-func (r *Request) Used() {
+// HoldUsed notes that what is held was with an attempt up to now: its time begins anew.
+func (r *Request) HoldUsed() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.heldSince.IsZero() {
--- a/internal/router/holds.go
+++ b/internal/router/holds.go
@@ -152,7 +152,7 @@
 	case a.prefill && res.Outcome != decide.Error && !answered(res.Outcome) && a.guarded.HasSent(): // as far as is known it was out
 		held.HoldStarted(time.Now())
 	case a.guarded.HasSent():
-		held.Used()
+		held.HoldUsed()
 	}
 }
 
