--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -260,7 +260,7 @@
 		},
 		func(r *Request) {
 			r.HoldStarted(time.Now().Add(-time.Hour))
-			r.Consumed()
+			r.HoldConsumed()
 		},
 		func(r *Request) { r.HoldUsed() },
 	} {
--- a/internal/guard/held.go
+++ b/internal/guard/held.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// Consumed notes that nothing is held any more.
-func (r *Request) Consumed() {
+// HoldConsumed notes that nothing is held any more.
+func (r *Request) HoldConsumed() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.heldSince = time.Time{}
--- a/internal/router/holds.go
+++ b/internal/router/holds.go
@@ -146,7 +146,7 @@
 	held := a.flight.guarded()
 	switch {
 	case res.Outcome == decide.Served || a.streaming:
-		held.Consumed()
+		held.HoldConsumed()
 	case res.Outcome == decide.ReadDone:
 		held.HoldStarted(time.Now())
 	case a.prefill && res.Outcome != decide.Error && !answered(res.Outcome) && a.guarded.HasSent(): // as far as is known it was out
