--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -189,8 +189,8 @@
 		},
 		HeldTooLong: func(_ *Guard, r *Request) {
 			r.HoldStarted(time.Now().Add(-2 * time.Second))
-			r.LetGo(time.Second)
-			r.LetGo(time.Second) // nothing is held any more
+			r.Released(time.Second)
+			r.Released(time.Second) // nothing is held any more
 		},
 	} {
 		t.Run(kind.String(), func(t *testing.T) {
@@ -266,7 +266,7 @@
 	} {
 		r := request(g)
 		do(r)
-		r.LetGo(time.Second)
+		r.Released(time.Second)
 	}
 	if g.ViolationCount() != 0 {
 		t.Error(g.Violations())
--- a/internal/guard/held.go
+++ b/internal/guard/held.go
@@ -32,8 +32,8 @@
 	r.heldSince = time.Time{}
 }
 
-// LetGo notes that the router now lets go of all that is held, which it has to do within a time.
-func (r *Request) LetGo(within time.Duration) {
+// Released notes that the router now lets go of all that is held, which it has to do within a time.
+func (r *Request) Released(within time.Duration) {
 	now := time.Now()
 	r.mu.Lock()
 	since := r.heldSince
--- a/internal/router/holds.go
+++ b/internal/router/holds.go
@@ -115,7 +115,7 @@
 
 // releaseWhileOut lets go now. The request's end lets go once more, of whatever the attempt has left.
 func (k byRequest) releaseWhileOut(f *flight) {
-	f.guarded().LetGo(time.Duration(k.r.cfg.Settings.HoldTimeout))
+	f.guarded().Released(time.Duration(k.r.cfg.Settings.HoldTimeout))
 	if s := f.state; s != nil {
 		k.r.letGo(f.name, s)
 		f.state, f.owed = nil, true
@@ -160,7 +160,7 @@
 	if f.out != nil {
 		return // the loop stops; the attempt is orphaned
 	}
-	f.guarded().LetGo(time.Duration(k.r.cfg.Settings.HoldTimeout))
+	f.guarded().Released(time.Duration(k.r.cfg.Settings.HoldTimeout))
 	if f.lost != "" {
 		k.r.callOff(f.lost, f.name) // also lets go of what is known, and of what other lost reads have left
 		return
