--- a/internal/guard/attempt.go
+++ b/internal/guard/attempt.go
@@ -105,8 +105,8 @@
 	}
 }
 
-// HasSent tells whether the attempt's last byte has left.
-func (a *Attempt) HasSent() bool {
+// WasSent tells whether the attempt's last byte has left.
+func (a *Attempt) WasSent() bool {
 	a.request.mu.Lock()
 	defer a.request.mu.Unlock()
 	return !a.sent.IsZero()
--- a/internal/router/holds.go
+++ b/internal/router/holds.go
@@ -149,9 +149,9 @@
 		held.HoldConsumed()
 	case res.Outcome == decide.ReadDone:
 		held.HoldStarted(time.Now())
-	case a.prefill && res.Outcome != decide.Error && !answered(res.Outcome) && a.guarded.HasSent(): // as far as is known it was out
+	case a.prefill && res.Outcome != decide.Error && !answered(res.Outcome) && a.guarded.WasSent(): // as far as is known it was out
 		held.HoldStarted(time.Now())
-	case a.guarded.HasSent():
+	case a.guarded.WasSent():
 		held.HoldUsed()
 	}
 }
