--- a/internal/guard/attempt.go
+++ b/internal/guard/attempt.go
@@ -112,8 +112,8 @@
 	return !a.sent.IsZero()
 }
 
-// Grant asks for leave to pass the attempt's first event on to the client. From then on the answer belongs to it.
-func (a *Attempt) Grant() bool {
+// GrantFirstToken asks for leave to pass the attempt's first event on to the client. From then on the answer belongs to it.
+func (a *Attempt) GrantFirstToken() bool {
 	r := a.request
 	r.mu.Lock()
 	ok := r.state == Attempting && r.current == a
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -114,7 +114,7 @@
 	if err := first.MaySend(0); !errors.Is(err, Answered) {
 		t.Errorf("the first after its end: %v", err)
 	}
-	if first.Grant() || !second.Grant() || second.Grant() {
+	if first.GrantFirstToken() || !second.GrantFirstToken() || second.GrantFirstToken() {
 		t.Error("the first token belongs to the attempt that is out, once")
 	}
 	if a, err := r.BeginAttempt(Limits{}); err == nil {
@@ -278,14 +278,14 @@
 	g := New(nil)
 	r := request(g)
 	a := begin(t, r, Limits{})
-	if !r.Expire("late") || r.Expire("late") || r.Decide("served", "") || a.Grant() {
+	if !r.Expire("late") || r.Expire("late") || r.Decide("served", "") || a.GrantFirstToken() {
 		t.Error("more than one answer was allowed")
 	}
 	if err := a.MaySend(0); !errors.Is(err, Answered) {
 		t.Errorf("sent after the answer: %v", err)
 	}
 	r = request(g)
-	if begin(t, r, Limits{}).Grant(); r.Expire("late") {
+	if begin(t, r, Limits{}).GrantFirstToken(); r.Expire("late") {
 		t.Error("an answer that had begun has expired")
 	}
 }
@@ -336,7 +336,7 @@
 				}
 			},
 			"grant": func(t *rapid.T) {
-				if out != nil && out.Grant() && (decisions > 0 || closed) {
+				if out != nil && out.GrantFirstToken() && (decisions > 0 || closed) {
 					t.Fatal("a first token was allowed")
 				}
 			},
--- a/internal/router/table.go
+++ b/internal/router/table.go
@@ -39,7 +39,7 @@
 // grant lets an attempt's first token through, if it is still wanted. From then on the answer belongs to
 // the client and the attempt has no time-out.
 func (f *flight) grant(a *attempt) bool {
-	if a.ending || !a.guarded.Grant() {
+	if a.ending || !a.guarded.GrantFirstToken() {
 		return false
 	}
 	a.streaming = true
