--- a/internal/guard/attempt.go
+++ b/internal/guard/attempt.go
@@ -149,8 +149,8 @@
 	r.record(stepAttemptEnded, strconv.Itoa(a.Number), outcome)
 }
 
-// Out tells whether the attempt has begun and not ended.
-func (a *Attempt) Out() bool {
+// InFlight tells whether the attempt has begun and not ended.
+func (a *Attempt) InFlight() bool {
 	a.request.mu.Lock()
 	defer a.request.mu.Unlock()
 	return !a.ended
