--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -19,14 +19,14 @@
 
 // Config is what a router is told.
 type Config struct {
-	Name      string
-	Listen    string
-	Discovery string
-	Seed      uint64
-	MemoryMB  float64
-	Sockets   int
-	Known     []byte // the list as this router last held it, in discovery's form; it may be torn or empty
-	Settings  *settings.Deployment
+	Name       string
+	Listen     string
+	Discovery  string
+	Seed       uint64
+	MemoryMB   float64
+	Sockets    int
+	CachedList []byte // the list as this router last held it, in discovery's form; it may be torn or empty
+	Settings   *settings.Deployment
 }
 
 // file is the configuration file's form.
@@ -79,7 +79,7 @@
 	if err := json.Unmarshal(data, &f); err != nil {
 		return nil, err
 	}
-	c := &Config{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Known: f.Known,
+	c := &Config{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, CachedList: f.Known,
 		MemoryMB: f.Limits.MemoryMB, Sockets: f.Limits.Sockets}
 	for _, v := range []struct {
 		into     *string
--- a/internal/node/crossings_test.go
+++ b/internal/node/crossings_test.go
@@ -132,7 +132,7 @@
 	p := newPlatform(t)
 	cfg := silentDiscovery(t)
 	var err error
-	if cfg.Known, err = json.Marshal(watch.List{Revision: 900, Complete: true, Members: p.listed}); err != nil {
+	if cfg.CachedList, err = json.Marshal(watch.List{Revision: 900, Complete: true, Members: p.listed}); err != nil {
 		t.Fatal(err)
 	}
 	w := &world{platform: p, t: t}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -87,7 +87,7 @@
 	set := cfg.Settings
 	b := share(cfg.Sockets)
 	n := &Node{cfg: cfg, log: log, listener: listener}
-	n.source = watch.New(cfg.Discovery, set.Kinds, cfg.Known, log)
+	n.source = watch.New(cfg.Discovery, set.Kinds, cfg.CachedList, log)
 	connIdle := time.Duration(set.ConnIdleTimeout)
 	if connIdle == 0 {
 		connIdle = untoldConnIdle
