--- a/cmd/mintdoor/node.go
+++ b/cmd/mintdoor/node.go
@@ -22,7 +22,7 @@
 			if err != nil {
 				return err
 			}
-			cfg.Limit()
+			cfg.ApplyLimits()
 			n, err := node.New(cfg, logging.New(os.Stderr, "text", slog.LevelInfo, nodeLogSample))
 			if err != nil {
 				return err
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -118,8 +118,8 @@
 	return n, nil
 }
 
-// Limit sets the runtime's bounds from the configuration.
-func (c *Config) Limit() {
+// ApplyLimits sets the runtime's bounds from the configuration.
+func (c *Config) ApplyLimits() {
 	runtime.GOMAXPROCS(1)
 	debug.SetMemoryLimit(int64(c.MemoryMB * (1 << 20) * 6 / 10))
 }
