--- a/internal/engine/chat/chat_test.go
+++ b/internal/engine/chat/chat_test.go
@@ -285,7 +285,7 @@
 	c.Prefill(t.Context(), p.addr, request())
 	h := p.heads[0]
 	id, _ := h.Get(platform.IDHeader)
-	left, _ := h.Get(platform.LeftHeader)
+	left, _ := h.Get(platform.TimeLeftHeader)
 	if key, n := h.Get("Idempotency-Key"); key != "k7" || n != 1 {
 		t.Errorf("%d idempotency keys, %q", n, key)
 	}
--- a/internal/engine/chat/exchange.go
+++ b/internal/engine/chat/exchange.go
@@ -137,7 +137,7 @@
 	told := time.Duration(0)
 	if !q.until.IsZero() {
 		told = time.Duration(decide.AdvertisedTimeLeft(decide.Duration(time.Until(q.until))))
-		head = append(head, platform.LeftHeader+": "+strconv.FormatInt(told.Milliseconds(), 10)+"\r\n"...)
+		head = append(head, platform.TimeLeftHeader+": "+strconv.FormatInt(told.Milliseconds(), 10)+"\r\n"...)
 	}
 	for _, f := range q.fields {
 		head = append(head, f.Name+": "+f.Value+"\r\n"...)
--- a/internal/front/chat/job.go
+++ b/internal/front/chat/job.go
@@ -40,7 +40,7 @@
 		}
 		return v
 	}
-	id, class, left, facts := get(platform.IDHeader), get(platform.ClassHeader), get(platform.LeftHeader), get(platform.FactsHeader)
+	id, class, left, facts := get(platform.IDHeader), get(platform.ClassHeader), get(platform.TimeLeftHeader), get(platform.FactsHeader)
 	session, repeat := get(platform.SessionHeader), get(platform.RepeatHeader)
 	tenant := get(platform.TenantHeader)
 	switch {
@@ -59,7 +59,7 @@
 	}
 	ms, err := strconv.ParseInt(left, 10, 64)
 	if err != nil || ms <= 0 || ms > front.MaxDeadline.Milliseconds() {
-		return nil, front.Wrong("%s %.40q is no time that a client waits", platform.LeftHeader, left)
+		return nil, front.Wrong("%s %.40q is no time that a client waits", platform.TimeLeftHeader, left)
 	}
 	j.Deadline = now.Add(time.Duration(ms) * time.Millisecond)
 	if i := slices.Index(f.opts.Tenants, settings.NormalizeName(tenant)); i >= 0 && tenant != "" {
@@ -75,7 +75,7 @@
 // idempotency key, say). The router tells the time and the id itself, and reads the stream, so it can't be encoded.
 func passedOn(h *http1.Head) []http1.Field {
 	return slices.DeleteFunc(h.EndToEnd(), func(f http1.Field) bool {
-		return strings.EqualFold(f.Name, platform.LeftHeader) || strings.EqualFold(f.Name, platform.IDHeader) ||
+		return strings.EqualFold(f.Name, platform.TimeLeftHeader) || strings.EqualFold(f.Name, platform.IDHeader) ||
 			strings.EqualFold(f.Name, "Content-Type") || strings.EqualFold(f.Name, "Accept-Encoding")
 	})
 }
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -69,7 +69,7 @@
 		strings.Repeat("x", random.IntN(2000)))
 	head := "POST " + platform.ChatPath + " HTTP/1.1\r\nHost: origin.svc\r\n" + platform.IDHeader + ": " + q.id + "\r\n" +
 		platform.ClassHeader + ": " + q.class.Name + "\r\n" + platform.SessionHeader + ": " + q.key + "\r\n" +
-		fmt.Sprintf("%s: %d\r\n", platform.LeftHeader, q.left.Milliseconds()) +
+		fmt.Sprintf("%s: %d\r\n", platform.TimeLeftHeader, q.left.Milliseconds()) +
 		fmt.Sprintf("%s: prefix=%x,prompt_len=%d,prefix_len=200,max_out=100\r\n", platform.FactsHeader, random.IntN(8), 300+random.IntN(1500))
 	if q.class.Repeat == keyed {
 		head += "Idempotency-Key: " + q.id + "\r\n"
--- a/internal/standin/chat/engine.go
+++ b/internal/standin/chat/engine.go
@@ -248,7 +248,7 @@
 		return c.answer(200, c.engine.load())
 	case path == platform.ChatPath && method == "POST":
 		id, n := head.Get(platform.IDHeader)
-		left, _ := head.Get(platform.LeftHeader)
+		left, _ := head.Get(platform.TimeLeftHeader)
 		ms, err := strconv.ParseInt(left, 10, 64)
 		if n != 1 || err != nil || len(body) == 0 {
 			c.engine.opts.Cluster.countUnknown()
