--- a/internal/engine/chat/exchange.go
+++ b/internal/engine/chat/exchange.go
@@ -267,7 +267,7 @@
 	if !x.whole {
 		x.giveUp()
 	}
-	if v, _ := x.head.Get(platform.UnrunHeader); v == "1" {
+	if v, _ := x.head.Get(platform.UnprocessedHeader); v == "1" {
 		switch x.status {
 		case 503, 504:
 			r.Outcome = decide.Full
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -11,15 +11,15 @@
 
 // The headers.
 const (
-	IDHeader       = "X-Correlation-Id"
-	ClassHeader    = "X-Service-Class"
-	TenantHeader   = "X-Account"
-	SessionHeader  = "X-Session-Key"
-	TimeLeftHeader = "X-Time-Left-Ms"
-	FactsHeader    = "X-Facts"
-	RepeatHeader   = "X-Repeat"      // 1: a client's retry; again: it asks for the rest of a broken stream
-	UnrunHeader    = "X-Unprocessed" // 1: nothing of the request has run
-	LoadHeader     = "X-Backend-Load"
+	IDHeader          = "X-Correlation-Id"
+	ClassHeader       = "X-Service-Class"
+	TenantHeader      = "X-Account"
+	SessionHeader     = "X-Session-Key"
+	TimeLeftHeader    = "X-Time-Left-Ms"
+	FactsHeader       = "X-Facts"
+	RepeatHeader      = "X-Repeat"      // 1: a client's retry; again: it asks for the rest of a broken stream
+	UnprocessedHeader = "X-Unprocessed" // 1: nothing of the request has run
+	LoadHeader        = "X-Backend-Load"
 )
 
 // EventsType is the type of a stream of events.
--- a/internal/standin/chat/run.go
+++ b/internal/standin/chat/run.go
@@ -55,7 +55,7 @@
 	e := c.engine
 	p := e.plan()
 	if p.turnAway {
-		ok := c.answer(503, "", platform.UnrunHeader+": 1")
+		ok := c.answer(503, "", platform.UnprocessedHeader+": 1")
 		e.opts.Cluster.end(a, TurnedAway)
 		return ok
 	}
@@ -119,7 +119,7 @@
 		return c.read(ctx, a, p)
 	}
 	if !e.opts.Cluster.isHeld(a.Request) {
-		c.answer(410, "", platform.UnrunHeader+": 1")
+		c.answer(410, "", platform.UnprocessedHeader+": 1")
 		return StateGone
 	}
 	return c.write(ctx, a, p)
