--- a/internal/engine/chat/events.go
+++ b/internal/engine/chat/events.go
@@ -98,5 +98,5 @@
 
 func isEvents(contentType string) bool {
 	v, _, _ := strings.Cut(contentType, ";")
-	return strings.EqualFold(strings.TrimSpace(v), platform.EventsType)
+	return strings.EqualFold(strings.TrimSpace(v), platform.EventStreamType)
 }
--- a/internal/front/chat/answer.go
+++ b/internal/front/chat/answer.go
@@ -95,7 +95,7 @@
 					return false
 				}
 				closes = closes || c.front.last.Load()
-				buf = append(buf, "HTTP/1.1 200 OK\r\nContent-Type: "+platform.EventsType+"\r\nCache-Control: no-store\r\n"...)
+				buf = append(buf, "HTTP/1.1 200 OK\r\nContent-Type: "+platform.EventStreamType+"\r\nCache-Control: no-store\r\n"...)
 				if closes {
 					buf = append(buf, "Connection: close\r\n"...)
 				}
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -22,5 +22,5 @@
 	LoadHeader        = "X-Backend-Load"
 )
 
-// EventsType is the type of a stream of events.
-const EventsType = "text/event-stream"
+// EventStreamType is the type of a stream of events.
+const EventStreamType = "text/event-stream"
--- a/internal/standin/chat/run.go
+++ b/internal/standin/chat/run.go
@@ -174,7 +174,7 @@
 		return GivenUp
 	}
 	c.engine.opts.Cluster.letGo(a.Request) // the stream has it now
-	_, err := io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Type: "+platform.EventsType+"\r\nTransfer-Encoding: chunked\r\n\r\n")
+	_, err := io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Type: "+platform.EventStreamType+"\r\nTransfer-Encoding: chunked\r\n\r\n")
 	if err != nil {
 		return GivenUp
 	}
