--- a/internal/assembly/assembly.go
+++ b/internal/assembly/assembly.go
@@ -18,8 +18,8 @@
 	Source discovery.Source
 	// Serve takes clients until its context ends, and returns when their connections are closed.
 	Serve func(ctx context.Context) error
-	// Others run beside, until their context ends.
-	Others []func(ctx context.Context) error
+	// Background run beside, until their context ends.
+	Background []func(ctx context.Context) error
 	// Drain is called once the drain was asked for. It ends the taking of clients with unlisten when that has
 	// come, and tells the router to drain; the group ends with the router. With stop the group ends at once.
 	Drain func(ctx context.Context, unlisten, stop func())
@@ -55,7 +55,7 @@
 		return p.Router.Run(ctx)
 	})
 	g.Go(func() error { return p.Serve(serving) })
-	for _, run := range p.Others {
+	for _, run := range p.Background {
 		g.Go(func() error { return run(ctx) })
 	}
 	g.Go(func() error {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -89,10 +89,10 @@
 		// Answers that the router gives at its end still have to reach their clients.
 		Serve: func(ctx context.Context) error { return d.front.Serve(ctx, d.listener, set.DrainLimit+settle) }}
 	if d.recorder != nil {
-		parts.Others = append(parts.Others, d.recorder.Run)
+		parts.Background = append(parts.Background, d.recorder.Run)
 	}
 	if d.control != nil {
-		parts.Others = append(parts.Others, d.serveControl)
+		parts.Background = append(parts.Background, d.serveControl)
 	}
 	d.parts = assembly.New(parts)
 	return d, nil
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -113,8 +113,8 @@
 		BodyBytes: int64(cfg.MemoryMB * (1 << 20) / 5), Within: requestWithin, Idle: clientIdle, Stall: clientStall,
 		Log: log, Guard: n.guard}, n.Router)
 	n.parts = assembly.New(assembly.Parts{Router: n.Router, Source: n.source, Log: log, Drain: n.finish,
-		Serve:  func(ctx context.Context) error { return n.front.Serve(ctx, n.listener) },
-		Others: []func(context.Context) error{n.engines.Run}})
+		Serve:      func(ctx context.Context) error { return n.front.Serve(ctx, n.listener) },
+		Background: []func(context.Context) error{n.engines.Run}})
 	return n, nil
 }
 
