--- a/internal/assembly/assembly.go
+++ b/internal/assembly/assembly.go
@@ -34,8 +34,8 @@
 	return &p
 }
 
-// Ask asks for the drain; more than once is once.
-func (p *Parts) Ask() {
+// RequestDrain asks for the drain; more than once is once.
+func (p *Parts) RequestDrain() {
 	select {
 	case p.drain <- struct{}{}:
 	default:
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -105,7 +105,7 @@
 func (d *Daemon) Addr() string { return d.listener.Addr().String() }
 
 // Drain stops taking requests; Run returns when those that are open have ended, or their time is over.
-func (d *Daemon) Drain() { d.parts.Ask() }
+func (d *Daemon) Drain() { d.parts.RequestDrain() }
 
 // Run runs until ctx ends, which answers what is open at once, or until Drain has done its work.
 func (d *Daemon) Run(ctx context.Context) error {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -132,7 +132,7 @@
 func (n *Node) Drain() {
 	now := time.Now()
 	n.signalled.CompareAndSwap(nil, &now)
-	n.parts.Ask()
+	n.parts.RequestDrain()
 }
 
 // Reload reads the configuration anew. Only discovery can move while a router runs; with an error all stays
