--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -16,7 +16,7 @@
 // Set is the metrics of one router. It is safe for concurrent use.
 type Set struct {
 	registry *prometheus.Registry
-	Shift    *Shift // nil until NewShift
+	Roles    *Shift // nil until NewShift
 }
 
 // New returns the metrics of a router: stats are its counts, read at each scrape.
@@ -120,7 +120,7 @@
 			m.changes.WithLabelValues(to, result)
 		}
 	}
-	s.Shift = m
+	s.Roles = m
 	return m
 }
 
