--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -16,7 +16,7 @@
 // Set is the metrics of one router. It is safe for concurrent use.
 type Set struct {
 	registry *prometheus.Registry
-	Roles    *Shift // nil until NewShift
+	Roles    *RoleMetrics // nil until NewShift
 }
 
 // New returns the metrics of a router: stats are its counts, read at each scrape.
@@ -78,9 +78,9 @@
 	ch <- prometheus.MustNewConstMetric(ready, prometheus.GaugeValue, float64(s.Engines))
 }
 
-// Shift is what is counted of shifting roles. Every router follows every change, so that each counts all that
+// RoleMetrics is what is counted of shifting roles. Every router follows every change, so that each counts all that
 // it has seen: do not add routers up.
-type Shift struct {
+type RoleMetrics struct {
 	changes  *prometheus.CounterVec
 	took     *prometheus.HistogramVec
 	lost     *prometheus.CounterVec
@@ -95,8 +95,8 @@
 var stages = [...]string{roles.Prefill: "prefill", roles.Decode: "decode"}
 
 // NewShift adds the metrics of shifting roles to a set.
-func (s *Set) NewShift() *Shift {
-	m := &Shift{
+func (s *Set) NewShift() *RoleMetrics {
+	m := &RoleMetrics{
 		changes: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "mintdoor_role_changes_total",
 			Help: "Changes of role that have ended, by the role that was asked for and by result."}, []string{"to", "result"}),
 		took: prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "mintdoor_role_change_seconds", Help: "Time of a change, from its asking to its end.",
@@ -125,7 +125,7 @@
 }
 
 // Ended counts a change that has ended. cold is what coldness will take, as full time in seconds.
-func (m *Shift) Ended(e *roles.Ended, cold float64) {
+func (m *RoleMetrics) Ended(e *roles.Ended, cold float64) {
 	if m == nil {
 		return
 	}
@@ -140,7 +140,7 @@
 }
 
 // Planned takes in a plan and the time that it took in seconds.
-func (m *Shift) Planned(r *roles.Report, took float64) {
+func (m *RoleMetrics) Planned(r *roles.Report, took float64) {
 	if m == nil {
 		return
 	}
@@ -155,7 +155,7 @@
 }
 
 // Engines takes in where all engines are.
-func (m *Shift) Engines(list []roles.Status) {
+func (m *RoleMetrics) Engines(list []roles.Status) {
 	if m == nil {
 		return
 	}
@@ -170,7 +170,7 @@
 }
 
 // Unseen counts observations that did not fit.
-func (m *Shift) Unseen() {
+func (m *RoleMetrics) Unseen() {
 	if m != nil {
 		m.unseen.Inc()
 	}
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -41,7 +41,7 @@
 	if strings.Contains(string(body), `by="cold",to="prefill"`) {
 		t.Error("a failed change is counted as cold")
 	}
-	var none *Shift // metrics are off
+	var none *RoleMetrics // metrics are off
 	none.Ended(&roles.Ended{}, 0)
 	none.Unseen()
 	none.Engines(nil)
--- a/internal/shift/shift.go
+++ b/internal/shift/shift.go
@@ -36,7 +36,7 @@
 	engines Engines
 	name    string
 	log     *slog.Logger
-	metrics *metrics.Shift // nil: none
+	metrics *metrics.RoleMetrics // nil: none
 
 	seen    chan observation
 	missed  atomic.Int64 // observations that did not fit
@@ -82,7 +82,7 @@
 )
 
 // New returns a driver for the settings, which have shifting on or dry.
-func New(set *config.Settings, source discovery.Source, engines Engines, name string, log *slog.Logger, m *metrics.Shift) *Driver {
+func New(set *config.Settings, source discovery.Source, engines Engines, name string, log *slog.Logger, m *metrics.RoleMetrics) *Driver {
 	return &Driver{set: set, source: source, engines: engines, name: name, log: log, metrics: m,
 		seen: make(chan observation, maxObservations), results: make(chan result, 64),
 		byID: map[uint64]*discovery.Engine{}, views: map[uint64]roles.View{}, asking: map[uint64]bool{},
