--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -94,8 +94,8 @@
 
 var stages = [...]string{roles.Prefill: "prefill", roles.Decode: "decode"}
 
-// NewShift adds the metrics of shifting roles to a set.
-func (s *Set) NewShift() *RoleMetrics {
+// NewRoleMetrics adds the metrics of shifting roles to a set.
+func (s *Set) NewRoleMetrics() *RoleMetrics {
 	m := &RoleMetrics{
 		changes: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "mintdoor_role_changes_total",
 			Help: "Changes of role that have ended, by the role that was asked for and by result."}, []string{"to", "result"}),
