--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -124,8 +124,8 @@
 	return m
 }
 
-// Ended counts a change that has ended. cold is what coldness will take, as full time in seconds.
-func (m *RoleMetrics) Ended(e *roles.Ended, cold float64) {
+// ChangeEnded counts a change that has ended. cold is what coldness will take, as full time in seconds.
+func (m *RoleMetrics) ChangeEnded(e *roles.Ended, cold float64) {
 	if m == nil {
 		return
 	}
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -15,8 +15,8 @@
 func TestMetrics(t *testing.T) {
 	s := New(func() router.Stats { return router.Stats{Served: 7, Refused: 2, Open: 3, Engines: 12} })
 	m := s.NewRoleMetrics()
-	m.Ended(&roles.Ended{To: roles.Decode, Done: true, Took: 6 * time.Second}, 4)
-	m.Ended(&roles.Ended{To: roles.Prefill, Took: 2 * time.Second}, 4)
+	m.ChangeEnded(&roles.Ended{To: roles.Decode, Done: true, Took: 6 * time.Second}, 4)
+	m.ChangeEnded(&roles.Ended{To: roles.Prefill, Took: 2 * time.Second}, 4)
 	m.Planned(&roles.Report{Plan: roles.Plan{Now: 0.8, Then: 0.9}, Verdict: roles.Verdict{Confidence: 0.7}}, 0.002)
 	m.Engines([]roles.Status{{Known: true, Now: roles.Standing{Role: roles.Decode}, Step: "idle"}, {Step: "idle"}})
 	m.Unseen()
@@ -42,7 +42,7 @@
 		t.Error("a failed change is counted as cold")
 	}
 	var none *RoleMetrics // metrics are off
-	none.Ended(&roles.Ended{}, 0)
+	none.ChangeEnded(&roles.Ended{}, 0)
 	none.Unseen()
 	none.Engines(nil)
 	none.Planned(&roles.Report{}, 0)
