--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -139,8 +139,8 @@
 	m.lost.WithLabelValues(stages[e.To], "away").Add(e.Took.Seconds())
 }
 
-// Planned takes in a plan and the time that it took in seconds.
-func (m *RoleMetrics) Planned(r *roles.Report, took float64) {
+// PlanMade takes in a plan and the time that it took in seconds.
+func (m *RoleMetrics) PlanMade(r *roles.Report, took float64) {
 	if m == nil {
 		return
 	}
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -17,7 +17,7 @@
 	m := s.NewRoleMetrics()
 	m.ChangeEnded(&roles.Ended{To: roles.Decode, Done: true, Took: 6 * time.Second}, 4)
 	m.ChangeEnded(&roles.Ended{To: roles.Prefill, Took: 2 * time.Second}, 4)
-	m.Planned(&roles.Report{Plan: roles.Plan{Now: 0.8, Then: 0.9}, Verdict: roles.Verdict{Confidence: 0.7}}, 0.002)
+	m.PlanMade(&roles.Report{Plan: roles.Plan{Now: 0.8, Then: 0.9}, Verdict: roles.Verdict{Confidence: 0.7}}, 0.002)
 	m.Engines([]roles.Status{{Known: true, Now: roles.Standing{Role: roles.Decode}, Step: "idle"}, {Step: "idle"}})
 	m.Unseen()
 	w := httptest.NewRecorder()
@@ -45,5 +45,5 @@
 	none.ChangeEnded(&roles.Ended{}, 0)
 	none.Unseen()
 	none.Engines(nil)
-	none.Planned(&roles.Report{}, 0)
+	none.PlanMade(&roles.Report{}, 0)
 }
--- a/internal/shift/shift.go
+++ b/internal/shift/shift.go
@@ -379,7 +379,7 @@
 		return
 	}
 	d.report.Store(&r)
-	d.metrics.Planned(&r, took.Seconds())
+	d.metrics.PlanMade(&r, took.Seconds())
 	if r.Err != nil {
 		d.log.Error("plan of roles", "err", r.Err)
 	}
