--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -154,8 +154,8 @@
 	m.planning.Observe(took)
 }
 
-// Engines takes in where all engines are.
-func (m *RoleMetrics) Engines(list []roles.Status) {
+// SetEngines takes in where all engines are.
+func (m *RoleMetrics) SetEngines(list []roles.Status) {
 	if m == nil {
 		return
 	}
--- a/internal/shift/shift.go
+++ b/internal/shift/shift.go
@@ -138,7 +138,7 @@
 func (d *Driver) keepStatus(now time.Time) {
 	st := &Status{At: now, Mode: d.set.Shift.Mode, Plan: d.manager.Last(), Unseen: d.missed.Load()}
 	list := d.manager.Status(now)
-	d.metrics.Engines(list)
+	d.metrics.SetEngines(list)
 	for _, e := range list {
 		st.Engines = append(st.Engines, EngineStatus{d.nameOf(e.Engine), e})
 	}
