--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -169,8 +169,8 @@
 	}
 }
 
-// Unseen counts observations that did not fit.
-func (m *RoleMetrics) Unseen() {
+// ObservationDropped counts observations that did not fit.
+func (m *RoleMetrics) ObservationDropped() {
 	if m != nil {
 		m.unseen.Inc()
 	}
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -19,7 +19,7 @@
 	m.ChangeEnded(&roles.Ended{To: roles.Prefill, Took: 2 * time.Second}, 4)
 	m.PlanMade(&roles.Report{Plan: roles.Plan{Now: 0.8, Then: 0.9}, Verdict: roles.Verdict{Confidence: 0.7}}, 0.002)
 	m.SetEngines([]roles.Status{{Known: true, Now: roles.Standing{Role: roles.Decode}, Step: "idle"}, {Step: "idle"}})
-	m.Unseen()
+	m.ObservationDropped()
 	w := httptest.NewRecorder()
 	s.Handler().ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/metrics", nil))
 	body, err := io.ReadAll(w.Result().Body)
@@ -43,7 +43,7 @@
 	}
 	var none *RoleMetrics // metrics are off
 	none.ChangeEnded(&roles.Ended{}, 0)
-	none.Unseen()
+	none.ObservationDropped()
 	none.SetEngines(nil)
 	none.PlanMade(&roles.Report{}, 0)
 }
--- a/internal/shift/shift.go
+++ b/internal/shift/shift.go
@@ -113,7 +113,7 @@
 	case d.seen <- o:
 	default:
 		d.missed.Add(1)
-		d.metrics.Unseen()
+		d.metrics.ObservationDropped()
 	}
 }
 
