--- a/internal/config/lines.go
+++ b/internal/config/lines.go
@@ -15,8 +15,8 @@
 	"github.com/alecthomas/participle/v2/lexer"
 )
 
-// MaxFile bounds a file that is read, in bytes.
-const MaxFile = 8 << 20
+// MaxFileSize bounds a file that is read, in bytes.
+const MaxFileSize = 8 << 20
 
 // Word is one value of a line. Quoted tells that it stood in quotes.
 type Word struct {
@@ -194,8 +194,8 @@
 	if info.IsDir() {
 		return "", fmt.Errorf("%s is a folder, expected a file", path)
 	}
-	if info.Size() > MaxFile {
-		return "", fmt.Errorf("%s has %d bytes, at most %d are read", path, info.Size(), MaxFile)
+	if info.Size() > MaxFileSize {
+		return "", fmt.Errorf("%s has %d bytes, at most %d are read", path, info.Size(), MaxFileSize)
 	}
 	text, err := os.ReadFile(path)
 	return string(text), err
