--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -172,9 +172,9 @@
 		ok   bool
 		read func(string) error
 	}{
-		{"300ms", true, func(s string) error { _, err := Duration(s); return err }},
-		{"300", false, func(s string) error { _, err := Duration(s); return err }},
-		{"-1s", false, func(s string) error { _, err := Duration(s); return err }},
+		{"300ms", true, func(s string) error { _, err := ParseDuration(s); return err }},
+		{"300", false, func(s string) error { _, err := ParseDuration(s); return err }},
+		{"-1s", false, func(s string) error { _, err := ParseDuration(s); return err }},
 		{"64KiB", true, func(s string) error { _, err := Size(s); return err }},
 		{"64kb", false, func(s string) error { _, err := Size(s); return err }},
 		{"", false, func(s string) error { _, err := Size(s); return err }},
--- a/internal/config/values.go
+++ b/internal/config/values.go
@@ -13,8 +13,8 @@
 
 func expected(found, what string) error { return fmt.Errorf("found %q, expected %s", found, what) }
 
-// Duration reads a time with its unit, such as 300ms or 1.5s. It is not negative.
-func Duration(s string) (time.Duration, error) {
+// ParseDuration reads a time with its unit, such as 300ms or 1.5s. It is not negative.
+func ParseDuration(s string) (time.Duration, error) {
 	d, err := time.ParseDuration(s)
 	if err != nil || d < 0 {
 		return 0, expected(s, "a time with its unit, such as 300ms or 1.5s")
--- a/internal/day/script.go
+++ b/internal/day/script.go
@@ -162,7 +162,7 @@
 }
 
 func dur(p *time.Duration) func(string) error {
-	return func(s string) (err error) { *p, err = config.Duration(s); return }
+	return func(s string) (err error) { *p, err = config.ParseDuration(s); return }
 }
 
 func count(p *int) func(string) error {
@@ -281,7 +281,7 @@
 		return e, false
 	}
 	var err error
-	if e.At, err = config.Duration(l.Words[1].Text); err != nil {
+	if e.At, err = config.ParseDuration(l.Words[1].Text); err != nil {
 		errs.Add(l, "at: %v", err)
 	}
 	e.Kind = l.Words[2].Text
