--- a/internal/config/values.go
+++ b/internal/config/values.go
@@ -33,8 +33,8 @@
 	return f * factor, true
 }
 
-// Size reads bytes: 512, 64KiB, 1MiB, 2GiB.
-func Size(s string) (int64, error) {
+// ParseSize reads bytes: 512, 64KiB, 1MiB, 2GiB.
+func ParseSize(s string) (int64, error) {
 	f, ok := scaled(s, map[string]float64{"": 1, "B": 1, "KiB": 1 << 10, "MiB": 1 << 20, "GiB": 1 << 30})
 	if !ok || f > math.MaxInt64/2 {
 		return 0, expected(s, "a size, such as 512, 64KiB or 1MiB")
