--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -178,7 +178,7 @@
 		{"64KiB", true, func(s string) error { _, err := ParseSize(s); return err }},
 		{"64kb", false, func(s string) error { _, err := ParseSize(s); return err }},
 		{"", false, func(s string) error { _, err := ParseSize(s); return err }},
-		{"1.5M", true, func(s string) error { _, err := Tokens(s); return err }},
+		{"1.5M", true, func(s string) error { _, err := ParseTokens(s); return err }},
 		{"20/s", true, func(s string) error { _, err := Rate(s); return err }},
 		{"20", false, func(s string) error { _, err := Rate(s); return err }},
 		{"1e999", false, func(s string) error { _, err := Number(s); return err }},
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -269,7 +269,7 @@
 	{"router", "header-within", "5s", false, "time for a client to send its headers",
 		into(within(ParseDuration, 10*time.Millisecond, time.Minute), func(t *target) *time.Duration { return &t.set.HeaderWithin })},
 	{"router", "max-context", "32k", false, "tokens of prompt and answer that an engine can hold",
-		into(Tokens, func(t *target) *float64 { return &t.set.MaxContext })},
+		into(ParseTokens, func(t *target) *float64 { return &t.set.MaxContext })},
 	{"router", "bytes-per-token", "4", false, "guess of a prompt's tokens where the client does not tell them",
 		into(within(Number, 0.1, 1000), func(t *target) *float64 { return &t.set.BytesPerToken })},
 	{"router", "stream-parts", "64", false, "tokens held for a client that reads slowly, before its engine waits",
@@ -410,12 +410,12 @@
 			return map[string]decide.Role{"prefill": decide.Reader, "decode": decide.Writer, "both": decide.Both}[s], err
 		}, func(t *target) *decide.Role { return &t.kind.Role })},
 	{"kind", "memory", "0", false, "tokens that fit into its memory; 0: not told",
-		into(Tokens, func(t *target) *float64 { return &t.kind.Memory })},
+		into(ParseTokens, func(t *target) *float64 { return &t.kind.Memory })},
 
 	{"kind", "becomes", "", false, "kind that an engine of this one is after a change of role",
 		into(text, func(t *target) *string { return &t.kind.Becomes })},
 	{"kind", "capacity", "0", false, "tokens a second that it reads, or writes; for shifting roles",
-		into(Tokens, func(t *target) *float64 { return &t.kind.Capacity })},
+		into(ParseTokens, func(t *target) *float64 { return &t.kind.Capacity })},
 
 	{"tenant", "rate", "0/s", false, "requests a second within its share, over all routers; 0/s: not told",
 		into(Rate, func(t *target) *float64 { return &t.tenant.RequestsPerSecond })},
--- a/internal/config/values.go
+++ b/internal/config/values.go
@@ -42,8 +42,8 @@
 	return int64(f), nil
 }
 
-// Tokens reads a count of tokens: 800, 280k, 1.5M.
-func Tokens(s string) (float64, error) {
+// ParseTokens reads a count of tokens: 800, 280k, 1.5M.
+func ParseTokens(s string) (float64, error) {
 	f, ok := scaled(s, map[string]float64{"": 1, "k": 1e3, "M": 1e6})
 	if !ok {
 		return 0, expected(s, "a count of tokens, such as 800, 280k or 1.5M")
--- a/internal/day/script.go
+++ b/internal/day/script.go
@@ -158,7 +158,7 @@
 }
 
 func toks(p *float64) func(string) error {
-	return func(s string) (err error) { *p, err = config.Tokens(s); return }
+	return func(s string) (err error) { *p, err = config.ParseTokens(s); return }
 }
 
 func dur(p *time.Duration) func(string) error {
