--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -181,7 +181,7 @@
 		{"1.5M", true, func(s string) error { _, err := ParseTokens(s); return err }},
 		{"20/s", true, func(s string) error { _, err := Rate(s); return err }},
 		{"20", false, func(s string) error { _, err := Rate(s); return err }},
-		{"1e999", false, func(s string) error { _, err := Number(s); return err }},
+		{"1e999", false, func(s string) error { _, err := ParseNumber(s); return err }},
 		{":80", true, func(s string) error { _, err := Address(s); return err }},
 		{"x:99999", false, func(s string) error { _, err := Address(s); return err }},
 		{"-", true, func(s string) error { _, err := Instant(s); return err }},
--- a/internal/config/values.go
+++ b/internal/config/values.go
@@ -51,8 +51,8 @@
 	return f, nil
 }
 
-// Number reads a number that is not negative.
-func Number(s string) (float64, error) {
+// ParseNumber reads a number that is not negative.
+func ParseNumber(s string) (float64, error) {
 	f, ok := scaled(s, map[string]float64{"": 1})
 	if !ok {
 		return 0, expected(s, "a number that is not negative")
--- a/internal/day/script.go
+++ b/internal/day/script.go
@@ -154,7 +154,7 @@
 }
 
 func num(p *float64) func(string) error {
-	return func(s string) (err error) { *p, err = config.Number(s); return }
+	return func(s string) (err error) { *p, err = config.ParseNumber(s); return }
 }
 
 func toks(p *float64) func(string) error {
--- a/internal/discovery/file.go
+++ b/internal/discovery/file.go
@@ -124,7 +124,7 @@
 				e.State = decide.Draining
 			}
 		case "weight":
-			e.Weight, err = config.Number(v)
+			e.Weight, err = config.ParseNumber(v)
 			note(key, err)
 		case "since":
 			e.Since, err = config.Instant(v)
