--- a/internal/config/values.go
+++ b/internal/config/values.go
@@ -60,8 +60,8 @@
 	return f, nil
 }
 
-// Count reads a whole number that is not negative.
-func Count(s string) (int, error) {
+// ParseCount reads a whole number that is not negative.
+func ParseCount(s string) (int, error) {
 	n, err := strconv.ParseUint(s, 10, 31)
 	if err != nil {
 		return 0, expected(s, "a whole number that is not negative")
--- a/internal/day/script.go
+++ b/internal/day/script.go
@@ -166,13 +166,13 @@
 }
 
 func count(p *int) func(string) error {
-	return func(s string) (err error) { *p, err = config.Count(s); return }
+	return func(s string) (err error) { *p, err = config.ParseCount(s); return }
 }
 
 func build(file string, lines []config.Line, errs config.Errors) (*Script, error) {
 	s := Default()
 	s.File = file
-	seed := func(v string) error { n, err := config.Count(v); s.Seed = uint64(n); return err }
+	seed := func(v string) error { n, err := config.ParseCount(v); s.Seed = uint64(n); return err }
 	top := []field{
 		{"length", dur(&s.Length)}, {"seed", seed}, {"speed", num(&s.Speed)}, {"routers", count(&s.Routers)},
 		{"rate", func(v string) (err error) { s.Rate, err = config.Rate(v); return }}, {"load", num(&s.Load)},
