--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -418,7 +418,7 @@
 		into(ParseTokens, func(t *target) *float64 { return &t.kind.Capacity })},
 
 	{"tenant", "rate", "0/s", false, "requests a second within its share, over all routers; 0/s: not told",
-		into(Rate, func(t *target) *float64 { return &t.tenant.RequestsPerSecond })},
+		into(ParseRate, func(t *target) *float64 { return &t.tenant.RequestsPerSecond })},
 }
 
 // sections are the words that begin a section and take its name.
--- a/internal/config/values.go
+++ b/internal/config/values.go
@@ -69,8 +69,8 @@
 	return int(n), nil
 }
 
-// Rate reads events a second: 20/s, 0.5/s.
-func Rate(s string) (float64, error) {
+// ParseRate reads events a second: 20/s, 0.5/s.
+func ParseRate(s string) (float64, error) {
 	f, ok := scaled(s, map[string]float64{"/s": 1})
 	if !ok {
 		return 0, expected(s, "a rate, such as 20/s")
--- a/internal/day/script.go
+++ b/internal/day/script.go
@@ -175,7 +175,7 @@
 	seed := func(v string) error { n, err := config.ParseCount(v); s.Seed = uint64(n); return err }
 	top := []field{
 		{"length", dur(&s.Length)}, {"seed", seed}, {"speed", num(&s.Speed)}, {"routers", count(&s.Routers)},
-		{"rate", func(v string) (err error) { s.Rate, err = config.Rate(v); return }}, {"load", num(&s.Load)},
+		{"rate", func(v string) (err error) { s.Rate, err = config.ParseRate(v); return }}, {"load", num(&s.Load)},
 		{"cells", count(&s.Cells)}, {"link", toks(&s.Link)}, {"notice", dur(&s.Notice)}, {"silent-notice", dur(&s.Silent)},
 		{"add", dur(&s.Add)}, {"front-notice", dur(&s.FrontNotice)},
 		{"answer-grace", dur(&s.AnswerGrace)}, {"drain-grace", dur(&s.DrainGrace)}, {"let-go-within", dur(&s.LetGoWithin)},
