--- a/internal/config/values.go
+++ b/internal/config/values.go
@@ -78,8 +78,8 @@
 	return f, nil
 }
 
-// Switch reads on or off.
-func Switch(s string) (bool, error) {
+// ParseSwitch reads on or off.
+func ParseSwitch(s string) (bool, error) {
 	switch s {
 	case "on":
 		return true, nil
