--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -232,13 +232,13 @@
 	{"router", "name", "router", false, "name of this router in logs and in ids sent to engines",
 		into(text, func(t *target) *string { return &t.set.Name })},
 	{"router", "listen", "127.0.0.1:8080", false, "address of the KServe V2 front",
-		into(Address, func(t *target) *string { return &t.set.Listen })},
+		into(ParseAddress, func(t *target) *string { return &t.set.Listen })},
 	{"router", "control", "", false, "address for 'mintdoor roles' and the like, on loopback; empty: none",
 		into(func(s string) (string, error) {
 			if s == "" {
 				return "", nil
 			}
-			return Address(s)
+			return ParseAddress(s)
 		}, func(t *target) *string { return &t.set.Control })},
 	{"router", "model", "helpline", false, "name of the model that is served",
 		into(text, func(t *target) *string { return &t.set.Model })},
--- a/internal/config/values.go
+++ b/internal/config/values.go
@@ -89,8 +89,8 @@
 	return false, expected(s, "on or off")
 }
 
-// Address reads host:port.
-func Address(s string) (string, error) {
+// ParseAddress reads host:port.
+func ParseAddress(s string) (string, error) {
 	host, port, err := net.SplitHostPort(s)
 	if n, e := strconv.ParseUint(port, 10, 16); err != nil || e != nil || host == "" && n == 0 {
 		return "", expected(s, "an address with its port, such as 127.0.0.1:8080")
--- a/internal/discovery/file.go
+++ b/internal/discovery/file.go
@@ -101,7 +101,7 @@
 	}
 	var err error
 	e.Name = l.Words[1].Text
-	e.Addr, err = config.Address(l.Words[2].Text)
+	e.Addr, err = config.ParseAddress(l.Words[2].Text)
 	note("address", err)
 	rest := l.Words[3:]
 	if len(rest)%2 != 0 {
