--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -310,12 +310,12 @@
 	{"router", "over-share-worth", "0.1", false, "worth of a request beyond its tenant's share, as part of the usual",
 		into(within(ParseNumber, 0, 1), func(t *target) *float64 { return &t.set.OverShareWorth })},
 	{"router", "log-format", "text", false, "text or json",
-		into(func(s string) (string, error) { return Choice(s, "text", "json") },
+		into(func(s string) (string, error) { return ParseChoice(s, "text", "json") },
 			func(t *target) *string { return &t.set.LogFormat })},
 	{"router", "log-level", "info", false, "debug, info, warn or error",
 		into(func(s string) (slog.Level, error) {
 			var l slog.Level
-			if _, err := Choice(s, "debug", "info", "warn", "error"); err != nil {
+			if _, err := ParseChoice(s, "debug", "info", "warn", "error"); err != nil {
 				return l, err
 			}
 			return l, l.UnmarshalText([]byte(s))
@@ -341,7 +341,7 @@
 		into(ParseDuration, func(t *target) *time.Duration { return &t.set.MaxRetryAfter })},
 
 	{"router", "shift", "off", false, "shift roles of engines that can do both: off, dry (only say what would be done) or on",
-		into(func(s string) (string, error) { return Choice(s, "off", "dry", "on") }, func(t *target) *string { return &t.set.Shift.Mode })},
+		into(func(s string) (string, error) { return ParseChoice(s, "off", "dry", "on") }, func(t *target) *string { return &t.set.Shift.Mode })},
 	{"router", "shift-every", "5s", false, "time between plans",
 		into(within(ParseDuration, 10*time.Millisecond, time.Hour), func(t *target) *time.Duration { return &t.set.Shift.Every })},
 	{"router", "shift-look", "1s", false, "how often engines are asked for their role; at most a quarter of shift-slot",
@@ -391,12 +391,12 @@
 		into(within(ParseNumber, 0, 1), func(t *target) *float64 { return &t.class.LateValue })},
 	{"class", "repeat", "safe", false, "safe, keyed or unsafe: what a repeat does after an attempt that may have run",
 		into(func(s string) (decide.RetryPolicy, error) {
-			_, err := Choice(s, "safe", "keyed", "unsafe")
+			_, err := ParseChoice(s, "safe", "keyed", "unsafe")
 			return map[string]decide.RetryPolicy{"safe": decide.Safe, "keyed": decide.Keyed, "unsafe": decide.Unsafe}[s], err
 		}, func(t *target) *decide.RetryPolicy { return &t.class.RetryPolicy })},
 	{"class", "scope", "all", false, "keyed: engines that drop repeats: all, or those of one zone or cell",
 		into(func(s string) (decide.DedupScope, error) {
-			_, err := Choice(s, "all", "zone", "cell")
+			_, err := ParseChoice(s, "all", "zone", "cell")
 			return map[string]decide.DedupScope{"zone": decide.ScopeZone, "cell": decide.ScopeCell}[s], err
 		}, func(t *target) *decide.DedupScope { return &t.class.DedupScope })},
 	{"class", "window", "5s", false, "keyed: how long repeats are dropped",
@@ -406,7 +406,7 @@
 
 	{"kind", "role", "", true, "prefill, decode or both",
 		into(func(s string) (decide.Role, error) {
-			_, err := Choice(s, "prefill", "decode", "both")
+			_, err := ParseChoice(s, "prefill", "decode", "both")
 			return map[string]decide.Role{"prefill": decide.Reader, "decode": decide.Writer, "both": decide.Both}[s], err
 		}, func(t *target) *decide.Role { return &t.kind.Role })},
 	{"kind", "memory", "0", false, "tokens that fit into its memory; 0: not told",
--- a/internal/config/values.go
+++ b/internal/config/values.go
@@ -98,8 +98,8 @@
 	return s, nil
 }
 
-// Choice reads one of some words.
-func Choice(s string, of ...string) (string, error) {
+// ParseChoice reads one of some words.
+func ParseChoice(s string, of ...string) (string, error) {
 	if contains(of, s) {
 		return s, nil
 	}
--- a/internal/day/script.go
+++ b/internal/day/script.go
@@ -182,7 +182,7 @@
 		{"fall-multiple", num(&s.FallMultiple)}, {"fall-within", dur(&s.FallWithin)}, {"start-capacity", num(&s.StartCapacity)},
 		{"cold-for", dur(&s.ColdFor)}, {"retry-after", dur(&s.MaxRetryAfter)},
 		{"trace", func(v string) error { s.TraceFile = v; return nil }}, {"change", dur(&s.Change)},
-		{"shift", func(v string) (err error) { s.Shift, err = config.Choice(v, "off", "dry", "on"); return }},
+		{"shift", func(v string) (err error) { s.Shift, err = config.ParseChoice(v, "off", "dry", "on"); return }},
 	}
 	for i := range lines {
 		l := &lines[i]
@@ -195,7 +195,7 @@
 			c := defaultClass(l.Words[1].Text)
 			pairs(l, 2, &errs, []field{{"share", num(&c.Share)}, {"worth", num(&c.Worth)}, {"aim", dur(&c.Aim)}, {"aim-per-1000", dur(&c.AimPerK)},
 				{"deadline", dur(&c.Deadline)}, {"token-aim", dur(&c.TokenAim)},
-				{"repeat", func(v string) (err error) { c.Repeat, err = config.Choice(v, "safe", "keyed", "unsafe"); return }},
+				{"repeat", func(v string) (err error) { c.Repeat, err = config.ParseChoice(v, "safe", "keyed", "unsafe"); return }},
 				{"new", toks(&c.New)}, {"answer", toks(&c.Answer)}, {"max-tokens", count(&c.MaxTokens)}, {"turns", num(&c.Turns)},
 				{"think", dur(&c.Think)}, {"texts", count(&c.Texts)}, {"text-tokens", toks(&c.TextTokens)}, {"text-share", num(&c.TextShare)}})
 			s.Classes = append(s.Classes, c)
--- a/internal/discovery/file.go
+++ b/internal/discovery/file.go
@@ -118,7 +118,7 @@
 		case "zone":
 			e.Zone = v
 		case "state":
-			_, err = config.Choice(v, "ready", "draining")
+			_, err = config.ParseChoice(v, "ready", "draining")
 			note(key, err)
 			if v == "draining" {
 				e.State = decide.Draining
@@ -136,7 +136,7 @@
 	if e.Kind == "" {
 		errs.Add(l, "engine %s has no kind", e.Name)
 	} else if kinds != nil {
-		_, err = config.Choice(e.Kind, kinds...)
+		_, err = config.ParseChoice(e.Kind, kinds...)
 		note("kind", err)
 	}
 	return e, len(*errs) == before
