--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -184,9 +184,9 @@
 		{"1e999", false, func(s string) error { _, err := ParseNumber(s); return err }},
 		{":80", true, func(s string) error { _, err := ParseAddress(s); return err }},
 		{"x:99999", false, func(s string) error { _, err := ParseAddress(s); return err }},
-		{"-", true, func(s string) error { _, err := Instant(s); return err }},
-		{"2026-03-01T05:00:00Z", true, func(s string) error { _, err := Instant(s); return err }},
-		{"yesterday", false, func(s string) error { _, err := Instant(s); return err }},
+		{"-", true, func(s string) error { _, err := ParseTime(s); return err }},
+		{"2026-03-01T05:00:00Z", true, func(s string) error { _, err := ParseTime(s); return err }},
+		{"yesterday", false, func(s string) error { _, err := ParseTime(s); return err }},
 	} {
 		if err := c.read(c.text); (err == nil) != c.ok {
 			t.Errorf("%q: %v", c.text, err)
--- a/internal/config/values.go
+++ b/internal/config/values.go
@@ -106,8 +106,8 @@
 	return "", expected(s, "one of "+strings.Join(of, ", "))
 }
 
-// Instant reads a point of wall time (RFC 3339), or "-" for one long ago, the zero time.
-func Instant(s string) (time.Time, error) {
+// ParseTime reads a point of wall time (RFC 3339), or "-" for one long ago, the zero time.
+func ParseTime(s string) (time.Time, error) {
 	if s == "-" {
 		return time.Time{}, nil
 	}
--- a/internal/discovery/file.go
+++ b/internal/discovery/file.go
@@ -127,7 +127,7 @@
 			e.Weight, err = config.ParseNumber(v)
 			note(key, err)
 		case "since":
-			e.Since, err = config.Instant(v)
+			e.Since, err = config.ParseTime(v)
 			note(key, err)
 		default:
 			errs.Add(l, "found %q, expected kind, cell, zone, state, weight or since", key)
