--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -27,8 +27,8 @@
 	Capacity float64 // tokens a second that it reads, or writes
 }
 
-// Shift is how roles of engines are shifted.
-type Shift struct {
+// RoleChanges is how roles of engines are shifted.
+type RoleChanges struct {
 	Mode       string // off, dry or on
 	Every      time.Duration
 	Look       time.Duration
@@ -111,7 +111,7 @@
 	// Fees of the module, in parts of the result.
 	ProbeFee float64
 
-	Shift   Shift
+	Shift   RoleChanges
 	Classes []Class
 	Kinds   []Kind
 	Tenants []Tenant
--- a/internal/day/swing.go
+++ b/internal/day/swing.go
@@ -93,7 +93,7 @@
 }
 
 // shift are the defaults of shifting roles, at the speed of a scaled script.
-func (s *Script) shift() config.Shift {
+func (s *Script) shift() config.RoleChanges {
 	h := config.Defaults().Shift
 	for _, d := range []*time.Duration{&h.Every, &h.Look, &h.Slot, &h.Horizon, &h.Away, &h.Empty, &h.Change, &h.Rest} {
 		*d = time.Duration(float64(*d) / s.Speed)
