--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -29,21 +29,21 @@
 
 // RoleChanges is how roles of engines are shifted.
 type RoleChanges struct {
-	Mode       string // off, dry or on
-	Every      time.Duration
-	Look       time.Duration
-	Horizon    time.Duration
-	Away       time.Duration
-	Confidence float64
-	Looks      int
-	AtOnce     int
-	Least      [2]int     // engines of each role, prefill first
-	Most       [2]int     // 0: no bound
-	Load       [2]float64 // prefill, decode
-	Slot       time.Duration
-	Empty      time.Duration
-	Change     time.Duration
-	Rest       time.Duration
+	Mode         string // off, dry or on
+	PlanInterval time.Duration
+	Look         time.Duration
+	Horizon      time.Duration
+	Away         time.Duration
+	Confidence   float64
+	Looks        int
+	AtOnce       int
+	Least        [2]int     // engines of each role, prefill first
+	Most         [2]int     // 0: no bound
+	Load         [2]float64 // prefill, decode
+	Slot         time.Duration
+	Empty        time.Duration
+	Change       time.Duration
+	Rest         time.Duration
 }
 
 // Tenant is one tenant with its name.
@@ -144,7 +144,7 @@
 // Roles returns the settings of the decisions on roles.
 func (s *Settings) Roles() roles.Config {
 	h := &s.Shift
-	return roles.Config{Classes: len(s.Classes), Confidence: h.Confidence, Looks: h.Looks, Every: h.Every, ColdFor: s.ColdFor,
+	return roles.Config{Classes: len(s.Classes), Confidence: h.Confidence, Looks: h.Looks, Every: h.PlanInterval, ColdFor: s.ColdFor,
 		Limits: roles.Limits{Empty: h.Empty, Change: h.Change, Rest: h.Rest, Look: h.Look, Answer: s.ProbeWithin},
 		Costs:  roles.Costs{Horizon: h.Horizon, Away: h.Away, Load: h.Load, Changes: h.AtOnce, Least: h.Least, Most: h.Most},
 		Turn:   roles.Turn{Routers: s.Routers, Index: s.Index, Slot: h.Slot}, Dry: h.Mode == "dry"}
@@ -343,7 +343,7 @@
 	{"router", "shift", "off", false, "shift roles of engines that can do both: off, dry (only say what would be done) or on",
 		into(func(s string) (string, error) { return ParseChoice(s, "off", "dry", "on") }, func(t *target) *string { return &t.set.Shift.Mode })},
 	{"router", "shift-every", "5s", false, "time between plans",
-		into(within(ParseDuration, 10*time.Millisecond, time.Hour), func(t *target) *time.Duration { return &t.set.Shift.Every })},
+		into(within(ParseDuration, 10*time.Millisecond, time.Hour), func(t *target) *time.Duration { return &t.set.Shift.PlanInterval })},
 	{"router", "shift-look", "1s", false, "how often engines are asked for their role; at most a quarter of shift-slot",
 		into(within(ParseDuration, time.Millisecond, time.Minute), func(t *target) *time.Duration { return &t.set.Shift.Look })},
 	{"router", "shift-horizon", "45s", false, "a change has to pay within this; about four times shift-away",
