--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -29,21 +29,21 @@
 
 // RoleChanges is how roles of engines are shifted.
 type RoleChanges struct {
-	Mode         string // off, dry or on
-	PlanInterval time.Duration
-	Look         time.Duration
-	Horizon      time.Duration
-	Away         time.Duration
-	Confidence   float64
-	Looks        int
-	AtOnce       int
-	Least        [2]int     // engines of each role, prefill first
-	Most         [2]int     // 0: no bound
-	Load         [2]float64 // prefill, decode
-	Slot         time.Duration
-	Empty        time.Duration
-	Change       time.Duration
-	Rest         time.Duration
+	Mode          string // off, dry or on
+	PlanInterval  time.Duration
+	CheckInterval time.Duration
+	Horizon       time.Duration
+	Away          time.Duration
+	Confidence    float64
+	Looks         int
+	AtOnce        int
+	Least         [2]int     // engines of each role, prefill first
+	Most          [2]int     // 0: no bound
+	Load          [2]float64 // prefill, decode
+	Slot          time.Duration
+	Empty         time.Duration
+	Change        time.Duration
+	Rest          time.Duration
 }
 
 // Tenant is one tenant with its name.
@@ -145,7 +145,7 @@
 func (s *Settings) Roles() roles.Config {
 	h := &s.Shift
 	return roles.Config{Classes: len(s.Classes), Confidence: h.Confidence, Looks: h.Looks, Every: h.PlanInterval, ColdFor: s.ColdFor,
-		Limits: roles.Limits{Empty: h.Empty, Change: h.Change, Rest: h.Rest, Look: h.Look, Answer: s.ProbeWithin},
+		Limits: roles.Limits{Empty: h.Empty, Change: h.Change, Rest: h.Rest, Look: h.CheckInterval, Answer: s.ProbeWithin},
 		Costs:  roles.Costs{Horizon: h.Horizon, Away: h.Away, Load: h.Load, Changes: h.AtOnce, Least: h.Least, Most: h.Most},
 		Turn:   roles.Turn{Routers: s.Routers, Index: s.Index, Slot: h.Slot}, Dry: h.Mode == "dry"}
 }
@@ -345,7 +345,7 @@
 	{"router", "shift-every", "5s", false, "time between plans",
 		into(within(ParseDuration, 10*time.Millisecond, time.Hour), func(t *target) *time.Duration { return &t.set.Shift.PlanInterval })},
 	{"router", "shift-look", "1s", false, "how often engines are asked for their role; at most a quarter of shift-slot",
-		into(within(ParseDuration, time.Millisecond, time.Minute), func(t *target) *time.Duration { return &t.set.Shift.Look })},
+		into(within(ParseDuration, time.Millisecond, time.Minute), func(t *target) *time.Duration { return &t.set.Shift.CheckInterval })},
 	{"router", "shift-horizon", "45s", false, "a change has to pay within this; about four times shift-away",
 		into(within(ParseDuration, time.Second, 24*time.Hour), func(t *target) *time.Duration { return &t.set.Shift.Horizon })},
 	{"router", "shift-away", "11s", false, "work that a change costs, as an engine's time: emptying, changing, coldness",
@@ -609,8 +609,8 @@
 				errs.Add(at("router/shift-most-"+role), "shift-most-%s: found %d, expected at least shift-least-%s, %d", role, most, role, s.Shift.Least[i])
 			}
 		}
-		if 4*s.Shift.Look > s.Shift.Slot {
-			errs.Add(at("router/shift-look"), "shift-look: found %v, expected at most a quarter of shift-slot, %v", s.Shift.Look, s.Shift.Slot)
+		if 4*s.Shift.CheckInterval > s.Shift.Slot {
+			errs.Add(at("router/shift-look"), "shift-look: found %v, expected at most a quarter of shift-slot, %v", s.Shift.CheckInterval, s.Shift.Slot)
 		}
 	}
 	return errs
--- a/internal/day/swing.go
+++ b/internal/day/swing.go
@@ -85,7 +85,7 @@
 	for _, d := range []struct {
 		name string
 		at   time.Duration
-	}{{"shift-every", h.PlanInterval}, {"shift-look", h.Look}, {"shift-slot", h.Slot}, {"shift-horizon", h.Horizon}, {"shift-away", h.Away},
+	}{{"shift-every", h.PlanInterval}, {"shift-look", h.CheckInterval}, {"shift-slot", h.Slot}, {"shift-horizon", h.Horizon}, {"shift-away", h.Away},
 		{"shift-empty", h.Empty}, {"shift-change", h.Change}, {"shift-rest", h.Rest}} {
 		fmt.Fprintf(&b, "%s %v\n", d.name, d.at.Round(time.Millisecond))
 	}
@@ -95,7 +95,7 @@
 // shift are the defaults of shifting roles, at the speed of a scaled script.
 func (s *Script) shift() config.RoleChanges {
 	h := config.Defaults().Shift
-	for _, d := range []*time.Duration{&h.PlanInterval, &h.Look, &h.Slot, &h.Horizon, &h.Away, &h.Empty, &h.Change, &h.Rest} {
+	for _, d := range []*time.Duration{&h.PlanInterval, &h.CheckInterval, &h.Slot, &h.Horizon, &h.Away, &h.Empty, &h.Change, &h.Rest} {
 		*d = time.Duration(float64(*d) / s.Speed)
 	}
 	return h
@@ -131,7 +131,7 @@
 	if n < 0 {
 		from, to, n = to, from, -n
 	}
-	limits := roles.Limits{Look: p.s.shift().Look, Answer: config.Defaults().ProbeWithin} // as the routers announce a change
+	limits := roles.Limits{Look: p.s.shift().CheckInterval, Answer: config.Defaults().ProbeWithin} // as the routers announce a change
 	for _, e := range all {
 		key := e.m.Cell + " " + from
 		if n == 0 || e.role.Role != from || e.role.Phase != engine.PhaseSteady || left[key] < 2 {
--- a/internal/shift/shift.go
+++ b/internal/shift/shift.go
@@ -166,7 +166,7 @@
 }
 
 func (d *Driver) loop(ctx context.Context, updates <-chan discovery.Update, tell func(discovery.Update)) {
-	tick, look := time.NewTicker(tickEvery), time.NewTicker(d.set.Shift.Look)
+	tick, look := time.NewTicker(tickEvery), time.NewTicker(d.set.Shift.CheckInterval)
 	defer tick.Stop()
 	defer look.Stop()
 	for {
