--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -33,7 +33,7 @@
 	PlanInterval  time.Duration
 	CheckInterval time.Duration
 	Horizon       time.Duration
-	Away          time.Duration
+	ChangeCost    time.Duration
 	Confidence    float64
 	Looks         int
 	AtOnce        int
@@ -146,7 +146,7 @@
 	h := &s.Shift
 	return roles.Config{Classes: len(s.Classes), Confidence: h.Confidence, Looks: h.Looks, Every: h.PlanInterval, ColdFor: s.ColdFor,
 		Limits: roles.Limits{Empty: h.Empty, Change: h.Change, Rest: h.Rest, Look: h.CheckInterval, Answer: s.ProbeWithin},
-		Costs:  roles.Costs{Horizon: h.Horizon, Away: h.Away, Load: h.Load, Changes: h.AtOnce, Least: h.Least, Most: h.Most},
+		Costs:  roles.Costs{Horizon: h.Horizon, Away: h.ChangeCost, Load: h.Load, Changes: h.AtOnce, Least: h.Least, Most: h.Most},
 		Turn:   roles.Turn{Routers: s.Routers, Index: s.Index, Slot: h.Slot}, Dry: h.Mode == "dry"}
 }
 
@@ -349,7 +349,7 @@
 	{"router", "shift-horizon", "45s", false, "a change has to pay within this; about four times shift-away",
 		into(within(ParseDuration, time.Second, 24*time.Hour), func(t *target) *time.Duration { return &t.set.Shift.Horizon })},
 	{"router", "shift-away", "11s", false, "work that a change costs, as an engine's time: emptying, changing, coldness",
-		into(ParseDuration, func(t *target) *time.Duration { return &t.set.Shift.Away })},
+		into(ParseDuration, func(t *target) *time.Duration { return &t.set.Shift.ChangeCost })},
 	{"router", "shift-confidence", "0.85", false, "with which a change has to pay",
 		into(within(ParseNumber, 0.5, 0.999), func(t *target) *float64 { return &t.set.Shift.Confidence })},
 	{"router", "shift-looks", "1", false, "plans in a row that have to agree before a change",
@@ -601,8 +601,8 @@
 		if pairs == 0 {
 			errs.Add(at("router/shift"), "shift: no kind becomes another, expected 'becomes NAME' in two kinds")
 		}
-		if s.Shift.Away >= s.Shift.Horizon {
-			errs.Add(at("router/shift-away"), "shift-away: found %v, expected less than shift-horizon, %v", s.Shift.Away, s.Shift.Horizon)
+		if s.Shift.ChangeCost >= s.Shift.Horizon {
+			errs.Add(at("router/shift-away"), "shift-away: found %v, expected less than shift-horizon, %v", s.Shift.ChangeCost, s.Shift.Horizon)
 		}
 		for i, role := range []string{"prefill", "decode"} {
 			if most := s.Shift.Most[i]; most > 0 && most < s.Shift.Least[i] {
