--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -35,7 +35,7 @@
 	Horizon       time.Duration
 	ChangeCost    time.Duration
 	Confidence    float64
-	Looks         int
+	AgreeingPlans int
 	AtOnce        int
 	Least         [2]int     // engines of each role, prefill first
 	Most          [2]int     // 0: no bound
@@ -144,7 +144,7 @@
 // Roles returns the settings of the decisions on roles.
 func (s *Settings) Roles() roles.Config {
 	h := &s.Shift
-	return roles.Config{Classes: len(s.Classes), Confidence: h.Confidence, Looks: h.Looks, Every: h.PlanInterval, ColdFor: s.ColdFor,
+	return roles.Config{Classes: len(s.Classes), Confidence: h.Confidence, Looks: h.AgreeingPlans, Every: h.PlanInterval, ColdFor: s.ColdFor,
 		Limits: roles.Limits{Empty: h.Empty, Change: h.Change, Rest: h.Rest, Look: h.CheckInterval, Answer: s.ProbeWithin},
 		Costs:  roles.Costs{Horizon: h.Horizon, Away: h.ChangeCost, Load: h.Load, Changes: h.AtOnce, Least: h.Least, Most: h.Most},
 		Turn:   roles.Turn{Routers: s.Routers, Index: s.Index, Slot: h.Slot}, Dry: h.Mode == "dry"}
@@ -353,7 +353,7 @@
 	{"router", "shift-confidence", "0.85", false, "with which a change has to pay",
 		into(within(ParseNumber, 0.5, 0.999), func(t *target) *float64 { return &t.set.Shift.Confidence })},
 	{"router", "shift-looks", "1", false, "plans in a row that have to agree before a change",
-		into(within(ParseCount, 1, 1000), func(t *target) *int { return &t.set.Shift.Looks })},
+		into(within(ParseCount, 1, 1000), func(t *target) *int { return &t.set.Shift.AgreeingPlans })},
 	{"router", "shift-least-prefill", "1", false, "prefill engines that stay at least, of those that can change",
 		into(within(ParseCount, 1, 100000), func(t *target) *int { return &t.set.Shift.Least[0] })},
 	{"router", "shift-least-decode", "1", false, "decode engines that stay at least, of those that can change",
