--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -36,7 +36,7 @@
 	ChangeCost    time.Duration
 	Confidence    float64
 	AgreeingPlans int
-	AtOnce        int
+	MaxConcurrent int
 	Least         [2]int     // engines of each role, prefill first
 	Most          [2]int     // 0: no bound
 	Load          [2]float64 // prefill, decode
@@ -146,7 +146,7 @@
 	h := &s.Shift
 	return roles.Config{Classes: len(s.Classes), Confidence: h.Confidence, Looks: h.AgreeingPlans, Every: h.PlanInterval, ColdFor: s.ColdFor,
 		Limits: roles.Limits{Empty: h.Empty, Change: h.Change, Rest: h.Rest, Look: h.CheckInterval, Answer: s.ProbeWithin},
-		Costs:  roles.Costs{Horizon: h.Horizon, Away: h.ChangeCost, Load: h.Load, Changes: h.AtOnce, Least: h.Least, Most: h.Most},
+		Costs:  roles.Costs{Horizon: h.Horizon, Away: h.ChangeCost, Load: h.Load, Changes: h.MaxConcurrent, Least: h.Least, Most: h.Most},
 		Turn:   roles.Turn{Routers: s.Routers, Index: s.Index, Slot: h.Slot}, Dry: h.Mode == "dry"}
 }
 
@@ -363,7 +363,7 @@
 	{"router", "shift-most-decode", "0", false, "decode engines at most, of those that can change; 0: no bound",
 		into(within(ParseCount, 0, 100000), func(t *target) *int { return &t.set.Shift.Most[1] })},
 	{"router", "shift-at-once", "2", false, "engines that may be away for a change at once, over all routers",
-		into(within(ParseCount, 1, 10000), func(t *target) *int { return &t.set.Shift.AtOnce })},
+		into(within(ParseCount, 1, 10000), func(t *target) *int { return &t.set.Shift.MaxConcurrent })},
 	{"router", "shift-load-prefill", "0.75", false, "part of their capacity to which prefill engines may be used and still answer in time",
 		into(within(ParseNumber, 0.05, 1), func(t *target) *float64 { return &t.set.Shift.Load[0] })},
 	{"router", "shift-load-decode", "0.87", false, "the same of decode engines",
