--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -37,7 +37,7 @@
 	Confidence    float64
 	AgreeingPlans int
 	MaxConcurrent int
-	Least         [2]int     // engines of each role, prefill first
+	MinEngines    [2]int     // engines of each role, prefill first
 	Most          [2]int     // 0: no bound
 	Load          [2]float64 // prefill, decode
 	Slot          time.Duration
@@ -146,7 +146,7 @@
 	h := &s.Shift
 	return roles.Config{Classes: len(s.Classes), Confidence: h.Confidence, Looks: h.AgreeingPlans, Every: h.PlanInterval, ColdFor: s.ColdFor,
 		Limits: roles.Limits{Empty: h.Empty, Change: h.Change, Rest: h.Rest, Look: h.CheckInterval, Answer: s.ProbeWithin},
-		Costs:  roles.Costs{Horizon: h.Horizon, Away: h.ChangeCost, Load: h.Load, Changes: h.MaxConcurrent, Least: h.Least, Most: h.Most},
+		Costs:  roles.Costs{Horizon: h.Horizon, Away: h.ChangeCost, Load: h.Load, Changes: h.MaxConcurrent, Least: h.MinEngines, Most: h.Most},
 		Turn:   roles.Turn{Routers: s.Routers, Index: s.Index, Slot: h.Slot}, Dry: h.Mode == "dry"}
 }
 
@@ -355,9 +355,9 @@
 	{"router", "shift-looks", "1", false, "plans in a row that have to agree before a change",
 		into(within(ParseCount, 1, 1000), func(t *target) *int { return &t.set.Shift.AgreeingPlans })},
 	{"router", "shift-least-prefill", "1", false, "prefill engines that stay at least, of those that can change",
-		into(within(ParseCount, 1, 100000), func(t *target) *int { return &t.set.Shift.Least[0] })},
+		into(within(ParseCount, 1, 100000), func(t *target) *int { return &t.set.Shift.MinEngines[0] })},
 	{"router", "shift-least-decode", "1", false, "decode engines that stay at least, of those that can change",
-		into(within(ParseCount, 1, 100000), func(t *target) *int { return &t.set.Shift.Least[1] })},
+		into(within(ParseCount, 1, 100000), func(t *target) *int { return &t.set.Shift.MinEngines[1] })},
 	{"router", "shift-most-prefill", "0", false, "prefill engines at most, of those that can change; 0: no bound",
 		into(within(ParseCount, 0, 100000), func(t *target) *int { return &t.set.Shift.Most[0] })},
 	{"router", "shift-most-decode", "0", false, "decode engines at most, of those that can change; 0: no bound",
@@ -605,8 +605,8 @@
 			errs.Add(at("router/shift-away"), "shift-away: found %v, expected less than shift-horizon, %v", s.Shift.ChangeCost, s.Shift.Horizon)
 		}
 		for i, role := range []string{"prefill", "decode"} {
-			if most := s.Shift.Most[i]; most > 0 && most < s.Shift.Least[i] {
-				errs.Add(at("router/shift-most-"+role), "shift-most-%s: found %d, expected at least shift-least-%s, %d", role, most, role, s.Shift.Least[i])
+			if most := s.Shift.Most[i]; most > 0 && most < s.Shift.MinEngines[i] {
+				errs.Add(at("router/shift-most-"+role), "shift-most-%s: found %d, expected at least shift-least-%s, %d", role, most, role, s.Shift.MinEngines[i])
 			}
 		}
 		if 4*s.Shift.CheckInterval > s.Shift.Slot {
