--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -38,7 +38,7 @@
 	AgreeingPlans int
 	MaxConcurrent int
 	MinEngines    [2]int     // engines of each role, prefill first
-	Most          [2]int     // 0: no bound
+	MaxEngines    [2]int     // 0: no bound
 	Load          [2]float64 // prefill, decode
 	Slot          time.Duration
 	Empty         time.Duration
@@ -146,7 +146,7 @@
 	h := &s.Shift
 	return roles.Config{Classes: len(s.Classes), Confidence: h.Confidence, Looks: h.AgreeingPlans, Every: h.PlanInterval, ColdFor: s.ColdFor,
 		Limits: roles.Limits{Empty: h.Empty, Change: h.Change, Rest: h.Rest, Look: h.CheckInterval, Answer: s.ProbeWithin},
-		Costs:  roles.Costs{Horizon: h.Horizon, Away: h.ChangeCost, Load: h.Load, Changes: h.MaxConcurrent, Least: h.MinEngines, Most: h.Most},
+		Costs:  roles.Costs{Horizon: h.Horizon, Away: h.ChangeCost, Load: h.Load, Changes: h.MaxConcurrent, Least: h.MinEngines, Most: h.MaxEngines},
 		Turn:   roles.Turn{Routers: s.Routers, Index: s.Index, Slot: h.Slot}, Dry: h.Mode == "dry"}
 }
 
@@ -359,9 +359,9 @@
 	{"router", "shift-least-decode", "1", false, "decode engines that stay at least, of those that can change",
 		into(within(ParseCount, 1, 100000), func(t *target) *int { return &t.set.Shift.MinEngines[1] })},
 	{"router", "shift-most-prefill", "0", false, "prefill engines at most, of those that can change; 0: no bound",
-		into(within(ParseCount, 0, 100000), func(t *target) *int { return &t.set.Shift.Most[0] })},
+		into(within(ParseCount, 0, 100000), func(t *target) *int { return &t.set.Shift.MaxEngines[0] })},
 	{"router", "shift-most-decode", "0", false, "decode engines at most, of those that can change; 0: no bound",
-		into(within(ParseCount, 0, 100000), func(t *target) *int { return &t.set.Shift.Most[1] })},
+		into(within(ParseCount, 0, 100000), func(t *target) *int { return &t.set.Shift.MaxEngines[1] })},
 	{"router", "shift-at-once", "2", false, "engines that may be away for a change at once, over all routers",
 		into(within(ParseCount, 1, 10000), func(t *target) *int { return &t.set.Shift.MaxConcurrent })},
 	{"router", "shift-load-prefill", "0.75", false, "part of their capacity to which prefill engines may be used and still answer in time",
@@ -605,7 +605,7 @@
 			errs.Add(at("router/shift-away"), "shift-away: found %v, expected less than shift-horizon, %v", s.Shift.ChangeCost, s.Shift.Horizon)
 		}
 		for i, role := range []string{"prefill", "decode"} {
-			if most := s.Shift.Most[i]; most > 0 && most < s.Shift.MinEngines[i] {
+			if most := s.Shift.MaxEngines[i]; most > 0 && most < s.Shift.MinEngines[i] {
 				errs.Add(at("router/shift-most-"+role), "shift-most-%s: found %d, expected at least shift-least-%s, %d", role, most, role, s.Shift.MinEngines[i])
 			}
 		}
