--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -39,7 +39,7 @@
 	MaxConcurrent int
 	MinEngines    [2]int     // engines of each role, prefill first
 	MaxEngines    [2]int     // 0: no bound
-	Load          [2]float64 // prefill, decode
+	MaxLoad       [2]float64 // prefill, decode
 	Slot          time.Duration
 	Empty         time.Duration
 	Change        time.Duration
@@ -146,7 +146,7 @@
 	h := &s.Shift
 	return roles.Config{Classes: len(s.Classes), Confidence: h.Confidence, Looks: h.AgreeingPlans, Every: h.PlanInterval, ColdFor: s.ColdFor,
 		Limits: roles.Limits{Empty: h.Empty, Change: h.Change, Rest: h.Rest, Look: h.CheckInterval, Answer: s.ProbeWithin},
-		Costs:  roles.Costs{Horizon: h.Horizon, Away: h.ChangeCost, Load: h.Load, Changes: h.MaxConcurrent, Least: h.MinEngines, Most: h.MaxEngines},
+		Costs:  roles.Costs{Horizon: h.Horizon, Away: h.ChangeCost, Load: h.MaxLoad, Changes: h.MaxConcurrent, Least: h.MinEngines, Most: h.MaxEngines},
 		Turn:   roles.Turn{Routers: s.Routers, Index: s.Index, Slot: h.Slot}, Dry: h.Mode == "dry"}
 }
 
@@ -365,9 +365,9 @@
 	{"router", "shift-at-once", "2", false, "engines that may be away for a change at once, over all routers",
 		into(within(ParseCount, 1, 10000), func(t *target) *int { return &t.set.Shift.MaxConcurrent })},
 	{"router", "shift-load-prefill", "0.75", false, "part of their capacity to which prefill engines may be used and still answer in time",
-		into(within(ParseNumber, 0.05, 1), func(t *target) *float64 { return &t.set.Shift.Load[0] })},
+		into(within(ParseNumber, 0.05, 1), func(t *target) *float64 { return &t.set.Shift.MaxLoad[0] })},
 	{"router", "shift-load-decode", "0.87", false, "the same of decode engines",
-		into(within(ParseNumber, 0.05, 1), func(t *target) *float64 { return &t.set.Shift.Load[1] })},
+		into(within(ParseNumber, 0.05, 1), func(t *target) *float64 { return &t.set.Shift.MaxLoad[1] })},
 	{"router", "shift-slot", "10s", false, "routers take turns in beginning changes, in slots of this length; the same at all",
 		into(within(ParseDuration, 400*time.Millisecond, time.Hour), func(t *target) *time.Duration { return &t.set.Shift.Slot })},
 	{"router", "shift-empty", "30s", false, "time for an engine to become empty, before the change is taken back",
