--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -42,7 +42,7 @@
 	MaxLoad       [2]float64 // prefill, decode
 	Slot          time.Duration
 	EmptyTimeout  time.Duration
-	Change        time.Duration
+	ChangeTimeout time.Duration
 	Rest          time.Duration
 }
 
@@ -145,7 +145,7 @@
 func (s *Settings) Roles() roles.Config {
 	h := &s.Shift
 	return roles.Config{Classes: len(s.Classes), Confidence: h.Confidence, Looks: h.AgreeingPlans, Every: h.PlanInterval, ColdFor: s.ColdFor,
-		Limits: roles.Limits{Empty: h.EmptyTimeout, Change: h.Change, Rest: h.Rest, Look: h.CheckInterval, Answer: s.ProbeWithin},
+		Limits: roles.Limits{Empty: h.EmptyTimeout, Change: h.ChangeTimeout, Rest: h.Rest, Look: h.CheckInterval, Answer: s.ProbeWithin},
 		Costs:  roles.Costs{Horizon: h.Horizon, Away: h.ChangeCost, Load: h.MaxLoad, Changes: h.MaxConcurrent, Least: h.MinEngines, Most: h.MaxEngines},
 		Turn:   roles.Turn{Routers: s.Routers, Index: s.Index, Slot: h.Slot}, Dry: h.Mode == "dry"}
 }
@@ -373,7 +373,7 @@
 	{"router", "shift-empty", "30s", false, "time for an engine to become empty, before the change is taken back",
 		into(ParseDuration, func(t *target) *time.Duration { return &t.set.Shift.EmptyTimeout })},
 	{"router", "shift-change", "1m", false, "time for the change itself",
-		into(ParseDuration, func(t *target) *time.Duration { return &t.set.Shift.Change })},
+		into(ParseDuration, func(t *target) *time.Duration { return &t.set.Shift.ChangeTimeout })},
 	{"router", "shift-rest", "30s", false, "an engine whose change failed is left alone for this; longer with each failure",
 		into(ParseDuration, func(t *target) *time.Duration { return &t.set.Shift.Rest })},
 
