--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -29,21 +29,21 @@
 
 // RoleChanges is how roles of engines are shifted.
 type RoleChanges struct {
-	Mode          string // off, dry or on
-	PlanInterval  time.Duration
-	CheckInterval time.Duration
-	Horizon       time.Duration
-	ChangeCost    time.Duration
-	Confidence    float64
-	AgreeingPlans int
-	MaxConcurrent int
-	MinEngines    [2]int     // engines of each role, prefill first
-	MaxEngines    [2]int     // 0: no bound
-	MaxLoad       [2]float64 // prefill, decode
-	Slot          time.Duration
-	EmptyTimeout  time.Duration
-	ChangeTimeout time.Duration
-	Rest          time.Duration
+	Mode           string // off, dry or on
+	PlanInterval   time.Duration
+	CheckInterval  time.Duration
+	Horizon        time.Duration
+	ChangeCost     time.Duration
+	Confidence     float64
+	AgreeingPlans  int
+	MaxConcurrent  int
+	MinEngines     [2]int     // engines of each role, prefill first
+	MaxEngines     [2]int     // 0: no bound
+	MaxLoad        [2]float64 // prefill, decode
+	Slot           time.Duration
+	EmptyTimeout   time.Duration
+	ChangeTimeout  time.Duration
+	FailureBackoff time.Duration
 }
 
 // Tenant is one tenant with its name.
@@ -145,7 +145,7 @@
 func (s *Settings) Roles() roles.Config {
 	h := &s.Shift
 	return roles.Config{Classes: len(s.Classes), Confidence: h.Confidence, Looks: h.AgreeingPlans, Every: h.PlanInterval, ColdFor: s.ColdFor,
-		Limits: roles.Limits{Empty: h.EmptyTimeout, Change: h.ChangeTimeout, Rest: h.Rest, Look: h.CheckInterval, Answer: s.ProbeWithin},
+		Limits: roles.Limits{Empty: h.EmptyTimeout, Change: h.ChangeTimeout, Rest: h.FailureBackoff, Look: h.CheckInterval, Answer: s.ProbeWithin},
 		Costs:  roles.Costs{Horizon: h.Horizon, Away: h.ChangeCost, Load: h.MaxLoad, Changes: h.MaxConcurrent, Least: h.MinEngines, Most: h.MaxEngines},
 		Turn:   roles.Turn{Routers: s.Routers, Index: s.Index, Slot: h.Slot}, Dry: h.Mode == "dry"}
 }
@@ -375,7 +375,7 @@
 	{"router", "shift-change", "1m", false, "time for the change itself",
 		into(ParseDuration, func(t *target) *time.Duration { return &t.set.Shift.ChangeTimeout })},
 	{"router", "shift-rest", "30s", false, "an engine whose change failed is left alone for this; longer with each failure",
-		into(ParseDuration, func(t *target) *time.Duration { return &t.set.Shift.Rest })},
+		into(ParseDuration, func(t *target) *time.Duration { return &t.set.Shift.FailureBackoff })},
 
 	{"class", "aim", "1s", false, "first token wanted within this",
 		into(span, func(t *target) *decide.Duration { return &t.class.FirstTokenTarget })},
--- a/internal/day/swing.go
+++ b/internal/day/swing.go
@@ -86,7 +86,7 @@
 		name string
 		at   time.Duration
 	}{{"shift-every", h.PlanInterval}, {"shift-look", h.CheckInterval}, {"shift-slot", h.Slot}, {"shift-horizon", h.Horizon}, {"shift-away", h.ChangeCost},
-		{"shift-empty", h.EmptyTimeout}, {"shift-change", h.ChangeTimeout}, {"shift-rest", h.Rest}} {
+		{"shift-empty", h.EmptyTimeout}, {"shift-change", h.ChangeTimeout}, {"shift-rest", h.FailureBackoff}} {
 		fmt.Fprintf(&b, "%s %v\n", d.name, d.at.Round(time.Millisecond))
 	}
 	return b.String()
@@ -95,7 +95,7 @@
 // shift are the defaults of shifting roles, at the speed of a scaled script.
 func (s *Script) shift() config.RoleChanges {
 	h := config.Defaults().Shift
-	for _, d := range []*time.Duration{&h.PlanInterval, &h.CheckInterval, &h.Slot, &h.Horizon, &h.ChangeCost, &h.EmptyTimeout, &h.ChangeTimeout, &h.Rest} {
+	for _, d := range []*time.Duration{&h.PlanInterval, &h.CheckInterval, &h.Slot, &h.Horizon, &h.ChangeCost, &h.EmptyTimeout, &h.ChangeTimeout, &h.FailureBackoff} {
 		*d = time.Duration(float64(*d) / s.Speed)
 	}
 	return h
