--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -136,7 +136,7 @@
 	}
 	write("more/classes.conf", "class a\nclass b\nkind r\nrole prefill\nkind w\nrole decode\n")
 	s, err := Load(write("main.conf", "list engines.list\ninclude more/classes.conf\n"))
-	if err != nil || len(s.Classes) != 2 || s.List != filepath.Join(dir, "engines.list") {
+	if err != nil || len(s.Classes) != 2 || s.ListFile != filepath.Join(dir, "engines.list") {
 		t.Errorf("%v, %+v", err, s)
 	}
 	write("a.conf", "include b.conf\n")
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -63,7 +63,7 @@
 	Routers      int
 	Index        int
 	Zone         string
-	List         string
+	ListFile     string
 	ListEvery    time.Duration
 	Record       string
 
@@ -251,7 +251,7 @@
 	{"router", "zone", "", false, "zone (hall) of this router",
 		into(text, func(t *target) *string { return &t.set.Zone })},
 	{"router", "list", "", true, "file with the list of engines",
-		into(text, func(t *target) *string { return &t.set.List })},
+		into(text, func(t *target) *string { return &t.set.ListFile })},
 	{"router", "list-every", "200ms", false, "how often the list is looked at for changes",
 		into(within(ParseDuration, time.Millisecond, time.Minute), func(t *target) *time.Duration { return &t.set.ListEvery })},
 
@@ -434,7 +434,7 @@
 	if err := append(errs, wrong...).Err(); err != nil {
 		return nil, err
 	}
-	for _, p := range []*string{&s.List, &s.Record} {
+	for _, p := range []*string{&s.ListFile, &s.Record} {
 		if *p != "" && !filepath.IsAbs(*p) {
 			*p = filepath.Join(filepath.Dir(path), *p)
 		}
