--- a/cmd/mintdoor/day.go
+++ b/cmd/mintdoor/day.go
@@ -199,7 +199,7 @@
 			if err != nil {
 				return err
 			}
-			rules := audit.Rules{AnswerGrace: set.AnswerGrace, DrainGrace: set.DrainGrace, ListEvery: set.ListEvery,
+			rules := audit.Rules{AnswerGrace: set.AnswerGrace, DrainGrace: set.DrainGrace, ListEvery: set.ListInterval,
 				FallMultiple: set.FallMultiple, FallWithin: set.FallWithin, LetGoWithin: set.LetGoWithin, RouterNotice: notice,
 				Slack: slack, Windows: map[string]time.Duration{}}
 			for _, c := range set.Classes {
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -64,7 +64,7 @@
 	Index        int
 	Zone         string
 	ListFile     string
-	ListEvery    time.Duration
+	ListInterval time.Duration
 	Record       string
 
 	// Bounds.
@@ -253,7 +253,7 @@
 	{"router", "list", "", true, "file with the list of engines",
 		into(text, func(t *target) *string { return &t.set.ListFile })},
 	{"router", "list-every", "200ms", false, "how often the list is looked at for changes",
-		into(within(ParseDuration, time.Millisecond, time.Minute), func(t *target) *time.Duration { return &t.set.ListEvery })},
+		into(within(ParseDuration, time.Millisecond, time.Minute), func(t *target) *time.Duration { return &t.set.ListInterval })},
 
 	{"router", "record", "", false, "file for a trace of the traffic: lengths and times, no texts; empty: none",
 		into(text, func(t *target) *string { return &t.set.Record })},
