--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -65,7 +65,7 @@
 	Zone         string
 	ListFile     string
 	ListInterval time.Duration
-	Record       string
+	TraceFile    string
 
 	// Bounds.
 	MaxOpen       int
@@ -256,7 +256,7 @@
 		into(within(ParseDuration, time.Millisecond, time.Minute), func(t *target) *time.Duration { return &t.set.ListInterval })},
 
 	{"router", "record", "", false, "file for a trace of the traffic: lengths and times, no texts; empty: none",
-		into(text, func(t *target) *string { return &t.set.Record })},
+		into(text, func(t *target) *string { return &t.set.TraceFile })},
 
 	{"router", "max-open", "20000", false, "requests that may be open at once; more are refused at the door",
 		into(within(ParseCount, 1, 1e6), func(t *target) *int { return &t.set.MaxOpen })},
@@ -434,7 +434,7 @@
 	if err := append(errs, wrong...).Err(); err != nil {
 		return nil, err
 	}
-	for _, p := range []*string{&s.ListFile, &s.Record} {
+	for _, p := range []*string{&s.ListFile, &s.TraceFile} {
 		if *p != "" && !filepath.IsAbs(*p) {
 			*p = filepath.Join(filepath.Dir(path), *p)
 		}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -66,12 +66,12 @@
 		driver := shift.New(set, source, d.engines, set.Name, log, d.metrics.NewRoleMetrics())
 		d.shift, d.source, watch = driver, driver, append(watch, driver)
 	}
-	if set.Record != "" {
+	if set.TraceFile != "" {
 		classes := make([]string, len(set.Classes))
 		for i, c := range set.Classes {
 			classes[i] = c.Name
 		}
-		d.recorder = trace.NewRecorder(set.Record, classes, log)
+		d.recorder = trace.NewRecorder(set.TraceFile, classes, log)
 		watch = append(watch, d.recorder)
 	}
 	if len(watch) > 0 {
