--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -68,17 +68,17 @@
 	TraceFile    string
 
 	// Bounds.
-	MaxOpen       int
-	MaxIdle       int
-	MaxBody       int64
-	MaxHeader     int64
-	HeaderWithin  time.Duration
-	MaxContext    float64
-	BytesPerToken float64
-	StreamParts   int
-	ClientStall   time.Duration
-	StreamIdle    time.Duration
-	DrainLimit    time.Duration
+	MaxOpen        int
+	MaxConnections int
+	MaxBody        int64
+	MaxHeader      int64
+	HeaderWithin   time.Duration
+	MaxContext     float64
+	BytesPerToken  float64
+	StreamParts    int
+	ClientStall    time.Duration
+	StreamIdle     time.Duration
+	DrainLimit     time.Duration
 
 	// Towards engines.
 	DialTimeout    time.Duration
@@ -261,7 +261,7 @@
 	{"router", "max-open", "20000", false, "requests that may be open at once; more are refused at the door",
 		into(within(ParseCount, 1, 1e6), func(t *target) *int { return &t.set.MaxOpen })},
 	{"router", "max-connections", "20000", false, "client connections that may be open at once",
-		into(within(ParseCount, 1, 1e6), func(t *target) *int { return &t.set.MaxIdle })},
+		into(within(ParseCount, 1, 1e6), func(t *target) *int { return &t.set.MaxConnections })},
 	{"router", "max-body", "1MiB", false, "bytes of a request's body",
 		into(within(ParseSize, 1<<10, 1<<30), func(t *target) *int64 { return &t.set.MaxBody })},
 	{"router", "max-header", "16KiB", false, "bytes of a request's headers",
--- a/internal/front/rest/rest.go
+++ b/internal/front/rest/rest.go
@@ -81,7 +81,7 @@
 		ErrorLog:          slog.NewLogLogger(f.log.Handler(), slog.LevelDebug),
 	}
 	served := make(chan error, 1)
-	go func() { served <- s.Serve(netutil.LimitListener(l, f.set.MaxIdle)) }()
+	go func() { served <- s.Serve(netutil.LimitListener(l, f.set.MaxConnections)) }()
 	select {
 	case err := <-served:
 		return fmt.Errorf("front on %s: %w", l.Addr(), err)
