--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -72,7 +72,7 @@
 	MaxConnections int
 	MaxBody        int64
 	MaxHeader      int64
-	HeaderWithin   time.Duration
+	HeaderTimeout  time.Duration
 	MaxContext     float64
 	BytesPerToken  float64
 	StreamParts    int
@@ -267,7 +267,7 @@
 	{"router", "max-header", "16KiB", false, "bytes of a request's headers",
 		into(within(ParseSize, 1<<10, 1<<20), func(t *target) *int64 { return &t.set.MaxHeader })},
 	{"router", "header-within", "5s", false, "time for a client to send its headers",
-		into(within(ParseDuration, 10*time.Millisecond, time.Minute), func(t *target) *time.Duration { return &t.set.HeaderWithin })},
+		into(within(ParseDuration, 10*time.Millisecond, time.Minute), func(t *target) *time.Duration { return &t.set.HeaderTimeout })},
 	{"router", "max-context", "32k", false, "tokens of prompt and answer that an engine can hold",
 		into(ParseTokens, func(t *target) *float64 { return &t.set.MaxContext })},
 	{"router", "bytes-per-token", "4", false, "guess of a prompt's tokens where the client does not tell them",
--- a/internal/front/rest/rest.go
+++ b/internal/front/rest/rest.go
@@ -75,7 +75,7 @@
 func (f *Front) Serve(ctx context.Context, l net.Listener, within time.Duration) error {
 	s := &http.Server{
 		Handler:           f,
-		ReadHeaderTimeout: f.set.HeaderWithin,
+		ReadHeaderTimeout: f.set.HeaderTimeout,
 		IdleTimeout:       idleFor,
 		MaxHeaderBytes:    int(f.set.MaxHeader),
 		ErrorLog:          slog.NewLogLogger(f.log.Handler(), slog.LevelDebug),
@@ -180,7 +180,7 @@
 		return f.tooLarge()
 	}
 	control := http.NewResponseController(w)
-	control.SetReadDeadline(time.Now().Add(f.set.HeaderWithin))
+	control.SetReadDeadline(time.Now().Add(f.set.HeaderTimeout))
 	err := kserve.Decode(http.MaxBytesReader(w, r.Body, f.set.MaxBody), v)
 	var large *http.MaxBytesError
 	switch {
@@ -190,7 +190,7 @@
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		// The deadline stays: the server would else wait for the rest of the body before it answers.
 		w.Header().Set("Connection", "close")
-		return &front.Error{Trouble: front.Bad, Text: fmt.Sprintf("the body did not come within %v", f.set.HeaderWithin)}
+		return &front.Error{Trouble: front.Bad, Text: fmt.Sprintf("the body did not come within %v", f.set.HeaderTimeout)}
 	case errors.As(err, &large):
 		return f.tooLarge()
 	default:
