--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -75,7 +75,7 @@
 	HeaderTimeout  time.Duration
 	MaxContext     float64
 	BytesPerToken  float64
-	StreamParts    int
+	StreamBuffer   int
 	ClientStall    time.Duration
 	StreamIdle     time.Duration
 	DrainLimit     time.Duration
@@ -273,7 +273,7 @@
 	{"router", "bytes-per-token", "4", false, "guess of a prompt's tokens where the client does not tell them",
 		into(within(ParseNumber, 0.1, 1000), func(t *target) *float64 { return &t.set.BytesPerToken })},
 	{"router", "stream-parts", "64", false, "tokens held for a client that reads slowly, before its engine waits",
-		into(within(ParseCount, 1, 4096), func(t *target) *int { return &t.set.StreamParts })},
+		into(within(ParseCount, 1, 4096), func(t *target) *int { return &t.set.StreamBuffer })},
 	{"router", "client-stall", "10s", false, "a client that takes nothing for so long has left",
 		into(within(ParseDuration, 10*time.Millisecond, time.Hour), func(t *target) *time.Duration { return &t.set.ClientStall })},
 	{"router", "stream-idle", "10s", false, "a stream without a token for so long is broken",
