--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -68,17 +68,17 @@
 	TraceFile    string
 
 	// Bounds.
-	MaxOpen        int
-	MaxConnections int
-	MaxBody        int64
-	MaxHeader      int64
-	HeaderTimeout  time.Duration
-	MaxContext     float64
-	BytesPerToken  float64
-	StreamBuffer   int
-	ClientStall    time.Duration
-	StreamIdle     time.Duration
-	DrainLimit     time.Duration
+	MaxOpen            int
+	MaxConnections     int
+	MaxBody            int64
+	MaxHeader          int64
+	HeaderTimeout      time.Duration
+	MaxContext         float64
+	BytesPerToken      float64
+	StreamBuffer       int
+	ClientStallTimeout time.Duration
+	StreamIdle         time.Duration
+	DrainLimit         time.Duration
 
 	// Towards engines.
 	DialTimeout    time.Duration
@@ -275,7 +275,7 @@
 	{"router", "stream-parts", "64", false, "tokens held for a client that reads slowly, before its engine waits",
 		into(within(ParseCount, 1, 4096), func(t *target) *int { return &t.set.StreamBuffer })},
 	{"router", "client-stall", "10s", false, "a client that takes nothing for so long has left",
-		into(within(ParseDuration, 10*time.Millisecond, time.Hour), func(t *target) *time.Duration { return &t.set.ClientStall })},
+		into(within(ParseDuration, 10*time.Millisecond, time.Hour), func(t *target) *time.Duration { return &t.set.ClientStallTimeout })},
 	{"router", "stream-idle", "10s", false, "a stream without a token for so long is broken",
 		into(within(ParseDuration, 10*time.Millisecond, time.Hour), func(t *target) *time.Duration { return &t.set.StreamIdle })},
 	{"router", "drain-limit", "30s", false, "time for open requests at a stop, before they are failed",
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -59,7 +59,7 @@
 		ProbeWithin: set.ProbeWithin})
 	cfg := router.Config{Name: set.Name, Model: set.Model, Settings: set.Decide(discovery.Number),
 		Kinds: kinds, Engines: d.engines, Seed: seed, Log: log, MaxOpen: set.MaxOpen,
-		StreamBuffer: set.StreamBuffer, ClientStallTimeout: set.ClientStall, StopTimeout: settle}
+		StreamBuffer: set.StreamBuffer, ClientStallTimeout: set.ClientStallTimeout, StopTimeout: settle}
 	var watch router.Observers
 	d.metrics = metrics.New(func() router.Stats { return d.Router.Stats() })
 	if set.Shift.Mode != "off" {
--- a/internal/front/rest/rest.go
+++ b/internal/front/rest/rest.go
@@ -375,7 +375,7 @@
 		Version string `json:"model_version"`
 		ID      string `json:"id,omitempty"`
 	}{f.set.Model, f.set.ModelVersion, id})
-	s := &stream{w: w, control: http.NewResponseController(w), stall: f.set.ClientStall}
+	s := &stream{w: w, control: http.NewResponseController(w), stall: f.set.ClientStallTimeout}
 	s.head = append(append([]byte("data: "), head[:len(head)-1]...), `,"text_output":`...)
 	return s
 }
