--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -77,7 +77,7 @@
 	BytesPerToken      float64
 	StreamBuffer       int
 	ClientStallTimeout time.Duration
-	StreamIdle         time.Duration
+	StreamIdleTimeout  time.Duration
 	DrainLimit         time.Duration
 
 	// Towards engines.
@@ -277,7 +277,7 @@
 	{"router", "client-stall", "10s", false, "a client that takes nothing for so long has left",
 		into(within(ParseDuration, 10*time.Millisecond, time.Hour), func(t *target) *time.Duration { return &t.set.ClientStallTimeout })},
 	{"router", "stream-idle", "10s", false, "a stream without a token for so long is broken",
-		into(within(ParseDuration, 10*time.Millisecond, time.Hour), func(t *target) *time.Duration { return &t.set.StreamIdle })},
+		into(within(ParseDuration, 10*time.Millisecond, time.Hour), func(t *target) *time.Duration { return &t.set.StreamIdleTimeout })},
 	{"router", "drain-limit", "30s", false, "time for open requests at a stop, before they are failed",
 		into(ParseDuration, func(t *target) *time.Duration { return &t.set.DrainLimit })},
 
