--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -78,7 +78,7 @@
 	StreamBuffer       int
 	ClientStallTimeout time.Duration
 	StreamIdleTimeout  time.Duration
-	DrainLimit         time.Duration
+	DrainTimeout       time.Duration
 
 	// Towards engines.
 	DialTimeout    time.Duration
@@ -279,7 +279,7 @@
 	{"router", "stream-idle", "10s", false, "a stream without a token for so long is broken",
 		into(within(ParseDuration, 10*time.Millisecond, time.Hour), func(t *target) *time.Duration { return &t.set.StreamIdleTimeout })},
 	{"router", "drain-limit", "30s", false, "time for open requests at a stop, before they are failed",
-		into(ParseDuration, func(t *target) *time.Duration { return &t.set.DrainLimit })},
+		into(ParseDuration, func(t *target) *time.Duration { return &t.set.DrainTimeout })},
 
 	{"router", "dial-timeout", "250ms", false, "a connection to an engine has to stand within this",
 		into(within(ParseDuration, time.Millisecond, time.Minute), func(t *target) *time.Duration { return &t.set.DialTimeout })},
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -87,7 +87,7 @@
 	d.front = rest.New(set, d.Router, log, Version)
 	parts := assembly.Parts{Router: d.Router, Source: d.source, Log: log, Drain: d.finish,
 		// Answers that the router gives at its end still have to reach their clients.
-		Serve: func(ctx context.Context) error { return d.front.Serve(ctx, d.listener, set.DrainLimit+settle) }}
+		Serve: func(ctx context.Context) error { return d.front.Serve(ctx, d.listener, set.DrainTimeout+settle) }}
 	if d.recorder != nil {
 		parts.Background = append(parts.Background, d.recorder.Run)
 	}
@@ -116,10 +116,10 @@
 
 // finish takes no more requests and waits for those that are open, as long as the settings let it.
 func (d *Daemon) finish(ctx context.Context, unlisten, stop func()) {
-	d.log.Info("draining", "open", d.Router.Stats().Open, "within", d.set.DrainLimit)
+	d.log.Info("draining", "open", d.Router.Stats().Open, "within", d.set.DrainTimeout)
 	d.Router.Drain()
 	unlisten()
-	t := time.NewTimer(d.set.DrainLimit)
+	t := time.NewTimer(d.set.DrainTimeout)
 	defer t.Stop()
 	select {
 	case <-d.Router.Stopped():
