--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -82,7 +82,7 @@
 
 	// Towards engines.
 	DialTimeout    time.Duration
-	EngineConns    int
+	MaxEngineConns int
 	ConnIdle       time.Duration
 	ReleaseWithin  time.Duration
 	ProbeWithin    time.Duration
@@ -284,7 +284,7 @@
 	{"router", "dial-timeout", "250ms", false, "a connection to an engine has to stand within this",
 		into(within(ParseDuration, time.Millisecond, time.Minute), func(t *target) *time.Duration { return &t.set.DialTimeout })},
 	{"router", "engine-connections", "512", false, "connections to one engine at most; more count as not connected",
-		into(within(ParseCount, 1, 1e6), func(t *target) *int { return &t.set.EngineConns })},
+		into(within(ParseCount, 1, 1e6), func(t *target) *int { return &t.set.MaxEngineConns })},
 	{"router", "connection-idle", "15s", false, "an idle connection to an engine is closed after this",
 		into(ParseDuration, func(t *target) *time.Duration { return &t.set.ConnIdle })},
 	{"router", "release-within", "250ms", false, "time for an engine to take a release",
