--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -81,22 +81,22 @@
 	DrainTimeout       time.Duration
 
 	// Towards engines.
-	DialTimeout    time.Duration
-	MaxEngineConns int
-	ConnIdle       time.Duration
-	ReleaseWithin  time.Duration
-	ProbeWithin    time.Duration
-	AttemptLimit   int
-	Probing        bool
-	MayReserve     bool
-	Resume         bool
-	DecodeReads    bool
-	DefaultClass   string
-	DefaultTenant  string
-	LogFormat      string
-	LogLevel       slog.Level
-	LogSample      int
-	OverShareWorth float64
+	DialTimeout     time.Duration
+	MaxEngineConns  int
+	ConnIdleTimeout time.Duration
+	ReleaseWithin   time.Duration
+	ProbeWithin     time.Duration
+	AttemptLimit    int
+	Probing         bool
+	MayReserve      bool
+	Resume          bool
+	DecodeReads     bool
+	DefaultClass    string
+	DefaultTenant   string
+	LogFormat       string
+	LogLevel        slog.Level
+	LogSample       int
+	OverShareWorth  float64
 
 	// The rules' figures.
 	AnswerGrace   time.Duration
@@ -286,7 +286,7 @@
 	{"router", "engine-connections", "512", false, "connections to one engine at most; more count as not connected",
 		into(within(ParseCount, 1, 1e6), func(t *target) *int { return &t.set.MaxEngineConns })},
 	{"router", "connection-idle", "15s", false, "an idle connection to an engine is closed after this",
-		into(ParseDuration, func(t *target) *time.Duration { return &t.set.ConnIdle })},
+		into(ParseDuration, func(t *target) *time.Duration { return &t.set.ConnIdleTimeout })},
 	{"router", "release-within", "250ms", false, "time for an engine to take a release",
 		into(ParseDuration, func(t *target) *time.Duration { return &t.set.ReleaseWithin })},
 	{"router", "probe-within", "250ms", false, "time for an engine to answer a probe",
