--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -84,7 +84,7 @@
 	DialTimeout     time.Duration
 	MaxEngineConns  int
 	ConnIdleTimeout time.Duration
-	ReleaseWithin   time.Duration
+	ReleaseTimeout  time.Duration
 	ProbeWithin     time.Duration
 	AttemptLimit    int
 	Probing         bool
@@ -288,7 +288,7 @@
 	{"router", "connection-idle", "15s", false, "an idle connection to an engine is closed after this",
 		into(ParseDuration, func(t *target) *time.Duration { return &t.set.ConnIdleTimeout })},
 	{"router", "release-within", "250ms", false, "time for an engine to take a release",
-		into(ParseDuration, func(t *target) *time.Duration { return &t.set.ReleaseWithin })},
+		into(ParseDuration, func(t *target) *time.Duration { return &t.set.ReleaseTimeout })},
 	{"router", "probe-within", "250ms", false, "time for an engine to answer a probe",
 		into(ParseDuration, func(t *target) *time.Duration { return &t.set.ProbeWithin })},
 	{"router", "attempts", "6", false, "attempts for a request at most, both stages together",
