--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -85,7 +85,7 @@
 	MaxEngineConns  int
 	ConnIdleTimeout time.Duration
 	ReleaseTimeout  time.Duration
-	ProbeWithin     time.Duration
+	ProbeTimeout    time.Duration
 	AttemptLimit    int
 	Probing         bool
 	MayReserve      bool
@@ -145,7 +145,7 @@
 func (s *Settings) Roles() roles.Config {
 	h := &s.Shift
 	return roles.Config{Classes: len(s.Classes), Confidence: h.Confidence, Looks: h.AgreeingPlans, Every: h.PlanInterval, ColdFor: s.ColdFor,
-		Limits: roles.Limits{Empty: h.EmptyTimeout, Change: h.ChangeTimeout, Rest: h.FailureBackoff, Look: h.CheckInterval, Answer: s.ProbeWithin},
+		Limits: roles.Limits{Empty: h.EmptyTimeout, Change: h.ChangeTimeout, Rest: h.FailureBackoff, Look: h.CheckInterval, Answer: s.ProbeTimeout},
 		Costs:  roles.Costs{Horizon: h.Horizon, Away: h.ChangeCost, Load: h.MaxLoad, Changes: h.MaxConcurrent, Least: h.MinEngines, Most: h.MaxEngines},
 		Turn:   roles.Turn{Routers: s.Routers, Index: s.Index, Slot: h.Slot}, Dry: h.Mode == "dry"}
 }
@@ -290,7 +290,7 @@
 	{"router", "release-within", "250ms", false, "time for an engine to take a release",
 		into(ParseDuration, func(t *target) *time.Duration { return &t.set.ReleaseTimeout })},
 	{"router", "probe-within", "250ms", false, "time for an engine to answer a probe",
-		into(ParseDuration, func(t *target) *time.Duration { return &t.set.ProbeWithin })},
+		into(ParseDuration, func(t *target) *time.Duration { return &t.set.ProbeTimeout })},
 	{"router", "attempts", "6", false, "attempts for a request at most, both stages together",
 		into(within(ParseCount, 1, 64), func(t *target) *int { return &t.set.AttemptLimit })},
 	{"router", "probing", "off", false, "probe engines; for those that tell their load only so",
