--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -86,7 +86,7 @@
 	ConnIdleTimeout time.Duration
 	ReleaseTimeout  time.Duration
 	ProbeTimeout    time.Duration
-	AttemptLimit    int
+	MaxAttempts     int
 	Probing         bool
 	MayReserve      bool
 	Resume          bool
@@ -122,7 +122,7 @@
 	d := &decide.Settings{
 		Routers: s.Routers, Index: s.Index, Zone: zone(s.Zone), OverQuotaValue: s.OverShareWorth,
 		Probing: s.Probing, MayCancel: true, MayReserve: s.MayReserve, Resume: s.Resume,
-		WritersRead: s.DecodeReads, MaxAttempts: s.AttemptLimit,
+		WritersRead: s.DecodeReads, MaxAttempts: s.MaxAttempts,
 		MaxRetryAfter: decide.Duration(s.MaxRetryAfter), DialTimeout: decide.Duration(s.DialTimeout),
 		AnswerGrace: decide.Duration(s.AnswerGrace), DrainGrace: decide.Duration(s.DrainGrace),
 		HoldTimeout: decide.Duration(s.LetGoWithin), OverloadMultiple: s.FallMultiple,
@@ -292,7 +292,7 @@
 	{"router", "probe-within", "250ms", false, "time for an engine to answer a probe",
 		into(ParseDuration, func(t *target) *time.Duration { return &t.set.ProbeTimeout })},
 	{"router", "attempts", "6", false, "attempts for a request at most, both stages together",
-		into(within(ParseCount, 1, 64), func(t *target) *int { return &t.set.AttemptLimit })},
+		into(within(ParseCount, 1, 64), func(t *target) *int { return &t.set.MaxAttempts })},
 	{"router", "probing", "off", false, "probe engines; for those that tell their load only so",
 		into(ParseSwitch, func(t *target) *bool { return &t.set.Probing })},
 	{"router", "probe-fee", "0.0026", false, "price of one probe a request, as a part of the result; paces probes",
