--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -96,7 +96,7 @@
 	LogFormat       string
 	LogLevel        slog.Level
 	LogSample       int
-	OverShareWorth  float64
+	OverQuotaValue  float64
 
 	// The rules' figures.
 	AnswerGrace   time.Duration
@@ -120,7 +120,7 @@
 // Decide returns the decision module's part of the settings.
 func (s *Settings) Decide(zone func(string) int) *decide.Settings {
 	d := &decide.Settings{
-		Routers: s.Routers, Index: s.Index, Zone: zone(s.Zone), OverQuotaValue: s.OverShareWorth,
+		Routers: s.Routers, Index: s.Index, Zone: zone(s.Zone), OverQuotaValue: s.OverQuotaValue,
 		Probing: s.Probing, MayCancel: true, MayReserve: s.MayReserve, Resume: s.Resume,
 		WritersRead: s.DecodeReads, MaxAttempts: s.MaxAttempts,
 		MaxRetryAfter: decide.Duration(s.MaxRetryAfter), DialTimeout: decide.Duration(s.DialTimeout),
@@ -308,7 +308,7 @@
 	{"router", "default-tenant", "", false, "tenant of a request that names none; empty: none",
 		into(text, func(t *target) *string { return &t.set.DefaultTenant })},
 	{"router", "over-share-worth", "0.1", false, "worth of a request beyond its tenant's share, as part of the usual",
-		into(within(ParseNumber, 0, 1), func(t *target) *float64 { return &t.set.OverShareWorth })},
+		into(within(ParseNumber, 0, 1), func(t *target) *float64 { return &t.set.OverQuotaValue })},
 	{"router", "log-format", "text", false, "text or json",
 		into(func(s string) (string, error) { return ParseChoice(s, "text", "json") },
 			func(t *target) *string { return &t.set.LogFormat })},
