--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -37,7 +37,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.LetGoWithin != 300*time.Millisecond || s.MaxBody != 64<<10 || s.MaxAttempts != 6 {
+	if s.HoldTimeout != 300*time.Millisecond || s.MaxBody != 64<<10 || s.MaxAttempts != 6 {
 		t.Errorf("values or defaults are off: %+v", s)
 	}
 	if len(s.Classes) != 2 || s.Classes[0].FirstTokenTarget != 1200*1e6 || s.Classes[1].RetryPolicy != decide.Unsafe ||
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -101,7 +101,7 @@
 	// The rules' figures.
 	AnswerGrace   time.Duration
 	DrainGrace    time.Duration
-	LetGoWithin   time.Duration
+	HoldTimeout   time.Duration
 	FallMultiple  float64
 	FallWithin    time.Duration
 	StartCapacity float64
@@ -125,7 +125,7 @@
 		WritersRead: s.DecodeReads, MaxAttempts: s.MaxAttempts,
 		MaxRetryAfter: decide.Duration(s.MaxRetryAfter), DialTimeout: decide.Duration(s.DialTimeout),
 		AnswerGrace: decide.Duration(s.AnswerGrace), DrainGrace: decide.Duration(s.DrainGrace),
-		HoldTimeout: decide.Duration(s.LetGoWithin), OverloadMultiple: s.FallMultiple,
+		HoldTimeout: decide.Duration(s.HoldTimeout), OverloadMultiple: s.FallMultiple,
 		OverloadWindow: decide.Duration(s.FallWithin), InitialCapacity: s.StartCapacity,
 		SlowStartTime: decide.Duration(s.ColdFor), ProbeCost: s.ProbeFee,
 	}
@@ -328,7 +328,7 @@
 	{"router", "drain-grace", "1s", false, "rule 3: nothing new to an engine so long after the list drains it",
 		into(ParseDuration, func(t *target) *time.Duration { return &t.set.DrainGrace })},
 	{"router", "let-go-within", "300ms", false, "rule 5: a held state is used or let go within this",
-		into(within(ParseDuration, time.Millisecond, time.Hour), func(t *target) *time.Duration { return &t.set.LetGoWithin })},
+		into(within(ParseDuration, time.Millisecond, time.Hour), func(t *target) *time.Duration { return &t.set.HoldTimeout })},
 	{"router", "fall-multiple", "3", false, "rule 4: a cold engine falls when sent this multiple of its capacity",
 		into(within(ParseNumber, 1, 1000), func(t *target) *float64 { return &t.set.FallMultiple })},
 	{"router", "fall-within", "2s", false, "rule 4: for this long",
