--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -99,14 +99,14 @@
 	OverQuotaValue  float64
 
 	// The rules' figures.
-	AnswerGrace   time.Duration
-	DrainGrace    time.Duration
-	HoldTimeout   time.Duration
-	FallMultiple  float64
-	FallWithin    time.Duration
-	StartCapacity float64
-	ColdFor       time.Duration
-	MaxRetryAfter time.Duration
+	AnswerGrace      time.Duration
+	DrainGrace       time.Duration
+	HoldTimeout      time.Duration
+	OverloadMultiple float64
+	FallWithin       time.Duration
+	StartCapacity    float64
+	ColdFor          time.Duration
+	MaxRetryAfter    time.Duration
 
 	// Fees of the module, in parts of the result.
 	ProbeFee float64
@@ -125,7 +125,7 @@
 		WritersRead: s.DecodeReads, MaxAttempts: s.MaxAttempts,
 		MaxRetryAfter: decide.Duration(s.MaxRetryAfter), DialTimeout: decide.Duration(s.DialTimeout),
 		AnswerGrace: decide.Duration(s.AnswerGrace), DrainGrace: decide.Duration(s.DrainGrace),
-		HoldTimeout: decide.Duration(s.HoldTimeout), OverloadMultiple: s.FallMultiple,
+		HoldTimeout: decide.Duration(s.HoldTimeout), OverloadMultiple: s.OverloadMultiple,
 		OverloadWindow: decide.Duration(s.FallWithin), InitialCapacity: s.StartCapacity,
 		SlowStartTime: decide.Duration(s.ColdFor), ProbeCost: s.ProbeFee,
 	}
@@ -330,7 +330,7 @@
 	{"router", "let-go-within", "300ms", false, "rule 5: a held state is used or let go within this",
 		into(within(ParseDuration, time.Millisecond, time.Hour), func(t *target) *time.Duration { return &t.set.HoldTimeout })},
 	{"router", "fall-multiple", "3", false, "rule 4: a cold engine falls when sent this multiple of its capacity",
-		into(within(ParseNumber, 1, 1000), func(t *target) *float64 { return &t.set.FallMultiple })},
+		into(within(ParseNumber, 1, 1000), func(t *target) *float64 { return &t.set.OverloadMultiple })},
 	{"router", "fall-within", "2s", false, "rule 4: for this long",
 		into(within(ParseDuration, time.Millisecond, time.Hour), func(t *target) *time.Duration { return &t.set.FallWithin })},
 	{"router", "start-capacity", "0.25", false, "part of its capacity with which an engine starts",
