--- a/cmd/mintdoor/day.go
+++ b/cmd/mintdoor/day.go
@@ -200,7 +200,7 @@
 				return err
 			}
 			rules := audit.Rules{AnswerGrace: set.AnswerGrace, DrainGrace: set.DrainGrace, ListEvery: set.ListInterval,
-				FallMultiple: set.OverloadMultiple, FallWithin: set.FallWithin, LetGoWithin: set.HoldTimeout, RouterNotice: notice,
+				FallMultiple: set.OverloadMultiple, FallWithin: set.OverloadWindow, LetGoWithin: set.HoldTimeout, RouterNotice: notice,
 				Slack: slack, Windows: map[string]time.Duration{}}
 			for _, c := range set.Classes {
 				rules.Windows[c.Name] = time.Duration(c.DedupWindow)
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -103,7 +103,7 @@
 	DrainGrace       time.Duration
 	HoldTimeout      time.Duration
 	OverloadMultiple float64
-	FallWithin       time.Duration
+	OverloadWindow   time.Duration
 	StartCapacity    float64
 	ColdFor          time.Duration
 	MaxRetryAfter    time.Duration
@@ -126,7 +126,7 @@
 		MaxRetryAfter: decide.Duration(s.MaxRetryAfter), DialTimeout: decide.Duration(s.DialTimeout),
 		AnswerGrace: decide.Duration(s.AnswerGrace), DrainGrace: decide.Duration(s.DrainGrace),
 		HoldTimeout: decide.Duration(s.HoldTimeout), OverloadMultiple: s.OverloadMultiple,
-		OverloadWindow: decide.Duration(s.FallWithin), InitialCapacity: s.StartCapacity,
+		OverloadWindow: decide.Duration(s.OverloadWindow), InitialCapacity: s.StartCapacity,
 		SlowStartTime: decide.Duration(s.ColdFor), ProbeCost: s.ProbeFee,
 	}
 	for _, c := range s.Classes {
@@ -332,7 +332,7 @@
 	{"router", "fall-multiple", "3", false, "rule 4: a cold engine falls when sent this multiple of its capacity",
 		into(within(ParseNumber, 1, 1000), func(t *target) *float64 { return &t.set.OverloadMultiple })},
 	{"router", "fall-within", "2s", false, "rule 4: for this long",
-		into(within(ParseDuration, time.Millisecond, time.Hour), func(t *target) *time.Duration { return &t.set.FallWithin })},
+		into(within(ParseDuration, time.Millisecond, time.Hour), func(t *target) *time.Duration { return &t.set.OverloadWindow })},
 	{"router", "start-capacity", "0.25", false, "part of its capacity with which an engine starts",
 		into(within(ParseNumber, 0.001, 1), func(t *target) *float64 { return &t.set.StartCapacity })},
 	{"router", "cold-for", "13s", false, "an engine is warm after this",
--- a/internal/e2e/hard_test.go
+++ b/internal/e2e/hard_test.go
@@ -42,7 +42,7 @@
 	w.t.Helper()
 	records, dropped := w.record.Records()
 	rep := audit.Check(records, dropped, audit.Rules{DrainGrace: w.set.DrainGrace, ListEvery: w.set.ListInterval,
-		FallMultiple: w.set.OverloadMultiple, FallWithin: w.set.FallWithin, LetGoWithin: w.set.HoldTimeout, Slack: 2 * time.Second})
+		FallMultiple: w.set.OverloadMultiple, FallWithin: w.set.OverloadWindow, LetGoWithin: w.set.HoldTimeout, Slack: 2 * time.Second})
 	for _, f := range rep.Findings {
 		w.t.Errorf("rule %d: %s", f.Rule, f.Text)
 	}
