--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -104,7 +104,7 @@
 	HoldTimeout      time.Duration
 	OverloadMultiple float64
 	OverloadWindow   time.Duration
-	StartCapacity    float64
+	InitialCapacity  float64
 	ColdFor          time.Duration
 	MaxRetryAfter    time.Duration
 
@@ -126,7 +126,7 @@
 		MaxRetryAfter: decide.Duration(s.MaxRetryAfter), DialTimeout: decide.Duration(s.DialTimeout),
 		AnswerGrace: decide.Duration(s.AnswerGrace), DrainGrace: decide.Duration(s.DrainGrace),
 		HoldTimeout: decide.Duration(s.HoldTimeout), OverloadMultiple: s.OverloadMultiple,
-		OverloadWindow: decide.Duration(s.OverloadWindow), InitialCapacity: s.StartCapacity,
+		OverloadWindow: decide.Duration(s.OverloadWindow), InitialCapacity: s.InitialCapacity,
 		SlowStartTime: decide.Duration(s.ColdFor), ProbeCost: s.ProbeFee,
 	}
 	for _, c := range s.Classes {
@@ -334,7 +334,7 @@
 	{"router", "fall-within", "2s", false, "rule 4: for this long",
 		into(within(ParseDuration, time.Millisecond, time.Hour), func(t *target) *time.Duration { return &t.set.OverloadWindow })},
 	{"router", "start-capacity", "0.25", false, "part of its capacity with which an engine starts",
-		into(within(ParseNumber, 0.001, 1), func(t *target) *float64 { return &t.set.StartCapacity })},
+		into(within(ParseNumber, 0.001, 1), func(t *target) *float64 { return &t.set.InitialCapacity })},
 	{"router", "cold-for", "13s", false, "an engine is warm after this",
 		into(ParseDuration, func(t *target) *time.Duration { return &t.set.ColdFor })},
 	{"router", "retry-after", "500ms", false, "longest time that clients are told to stay away; 0s: no advice",
