--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -105,7 +105,7 @@
 	OverloadMultiple float64
 	OverloadWindow   time.Duration
 	InitialCapacity  float64
-	ColdFor          time.Duration
+	SlowStartTime    time.Duration
 	MaxRetryAfter    time.Duration
 
 	// Fees of the module, in parts of the result.
@@ -127,7 +127,7 @@
 		AnswerGrace: decide.Duration(s.AnswerGrace), DrainGrace: decide.Duration(s.DrainGrace),
 		HoldTimeout: decide.Duration(s.HoldTimeout), OverloadMultiple: s.OverloadMultiple,
 		OverloadWindow: decide.Duration(s.OverloadWindow), InitialCapacity: s.InitialCapacity,
-		SlowStartTime: decide.Duration(s.ColdFor), ProbeCost: s.ProbeFee,
+		SlowStartTime: decide.Duration(s.SlowStartTime), ProbeCost: s.ProbeFee,
 	}
 	for _, c := range s.Classes {
 		d.Classes = append(d.Classes, c.Class)
@@ -144,7 +144,7 @@
 // Roles returns the settings of the decisions on roles.
 func (s *Settings) Roles() roles.Config {
 	h := &s.Shift
-	return roles.Config{Classes: len(s.Classes), Confidence: h.Confidence, Looks: h.AgreeingPlans, Every: h.PlanInterval, ColdFor: s.ColdFor,
+	return roles.Config{Classes: len(s.Classes), Confidence: h.Confidence, Looks: h.AgreeingPlans, Every: h.PlanInterval, ColdFor: s.SlowStartTime,
 		Limits: roles.Limits{Empty: h.EmptyTimeout, Change: h.ChangeTimeout, Rest: h.FailureBackoff, Look: h.CheckInterval, Answer: s.ProbeTimeout},
 		Costs:  roles.Costs{Horizon: h.Horizon, Away: h.ChangeCost, Load: h.MaxLoad, Changes: h.MaxConcurrent, Least: h.MinEngines, Most: h.MaxEngines},
 		Turn:   roles.Turn{Routers: s.Routers, Index: s.Index, Slot: h.Slot}, Dry: h.Mode == "dry"}
@@ -336,7 +336,7 @@
 	{"router", "start-capacity", "0.25", false, "part of its capacity with which an engine starts",
 		into(within(ParseNumber, 0.001, 1), func(t *target) *float64 { return &t.set.InitialCapacity })},
 	{"router", "cold-for", "13s", false, "an engine is warm after this",
-		into(ParseDuration, func(t *target) *time.Duration { return &t.set.ColdFor })},
+		into(ParseDuration, func(t *target) *time.Duration { return &t.set.SlowStartTime })},
 	{"router", "retry-after", "500ms", false, "longest time that clients are told to stay away; 0s: no advice",
 		into(ParseDuration, func(t *target) *time.Duration { return &t.set.MaxRetryAfter })},
 
--- a/internal/shift/shift.go
+++ b/internal/shift/shift.go
@@ -201,7 +201,7 @@
 			changed = d.carry(ctx, &acts[i]) || changed
 		}
 		for _, e := range d.manager.Ended() {
-			d.metrics.ChangeEnded(&e, roles.ColdLost(d.set.InitialCapacity, d.set.ColdFor).Seconds())
+			d.metrics.ChangeEnded(&e, roles.ColdLost(d.set.InitialCapacity, d.set.SlowStartTime).Seconds())
 			level := slog.LevelInfo
 			if !e.Done {
 				level = slog.LevelWarn
