--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -109,7 +109,7 @@
 	MaxRetryAfter    time.Duration
 
 	// Fees of the module, in parts of the result.
-	ProbeFee float64
+	ProbeCost float64
 
 	Shift   RoleChanges
 	Classes []Class
@@ -127,7 +127,7 @@
 		AnswerGrace: decide.Duration(s.AnswerGrace), DrainGrace: decide.Duration(s.DrainGrace),
 		HoldTimeout: decide.Duration(s.HoldTimeout), OverloadMultiple: s.OverloadMultiple,
 		OverloadWindow: decide.Duration(s.OverloadWindow), InitialCapacity: s.InitialCapacity,
-		SlowStartTime: decide.Duration(s.SlowStartTime), ProbeCost: s.ProbeFee,
+		SlowStartTime: decide.Duration(s.SlowStartTime), ProbeCost: s.ProbeCost,
 	}
 	for _, c := range s.Classes {
 		d.Classes = append(d.Classes, c.Class)
@@ -296,7 +296,7 @@
 	{"router", "probing", "off", false, "probe engines; for those that tell their load only so",
 		into(ParseSwitch, func(t *target) *bool { return &t.set.Probing })},
 	{"router", "probe-fee", "0.0026", false, "price of one probe a request, as a part of the result; paces probes",
-		into(ParseNumber, func(t *target) *float64 { return &t.set.ProbeFee })},
+		into(ParseNumber, func(t *target) *float64 { return &t.set.ProbeCost })},
 	{"router", "places-ahead", "on", false, "engines can hold a place for a request ahead",
 		into(ParseSwitch, func(t *target) *bool { return &t.set.MayReserve })},
 	{"router", "resume", "off", false, "a broken stream can be resumed elsewhere by its client",
