--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -103,7 +103,7 @@
 func TestShiftIsChecked(t *testing.T) {
 	head := "list x\nshift on\nclass a\n"
 	pair := "kind p\nrole prefill\nbecomes d\ncapacity 10k\nkind d\nrole decode\nbecomes p\ncapacity 1k\n"
-	if s, err := Parse("x", head+pair); err != nil || s.Kinds[0].Becomes != "d" || s.Shift.Horizon != 45*time.Second || s.Shift.MinEngines != [2]int{1, 1} {
+	if s, err := Parse("x", head+pair); err != nil || s.Kinds[0].Becomes != "d" || s.RoleChanges.Horizon != 45*time.Second || s.RoleChanges.MinEngines != [2]int{1, 1} {
 		t.Errorf("%v", err)
 	}
 	for text, want := range map[string]string{
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -111,10 +111,10 @@
 	// Fees of the module, in parts of the result.
 	ProbeCost float64
 
-	Shift   RoleChanges
-	Classes []Class
-	Kinds   []Kind
-	Tenants []Tenant
+	RoleChanges RoleChanges
+	Classes     []Class
+	Kinds       []Kind
+	Tenants     []Tenant
 }
 
 // Decide returns the decision module's part of the settings.
@@ -143,7 +143,7 @@
 
 // Roles returns the settings of the decisions on roles.
 func (s *Settings) Roles() roles.Config {
-	h := &s.Shift
+	h := &s.RoleChanges
 	return roles.Config{Classes: len(s.Classes), Confidence: h.Confidence, Looks: h.AgreeingPlans, Every: h.PlanInterval, ColdFor: s.SlowStartTime,
 		Limits: roles.Limits{Empty: h.EmptyTimeout, Change: h.ChangeTimeout, Rest: h.FailureBackoff, Look: h.CheckInterval, Answer: s.ProbeTimeout},
 		Costs:  roles.Costs{Horizon: h.Horizon, Away: h.ChangeCost, Load: h.MaxLoad, Changes: h.MaxConcurrent, Least: h.MinEngines, Most: h.MaxEngines},
@@ -341,41 +341,41 @@
 		into(ParseDuration, func(t *target) *time.Duration { return &t.set.MaxRetryAfter })},
 
 	{"router", "shift", "off", false, "shift roles of engines that can do both: off, dry (only say what would be done) or on",
-		into(func(s string) (string, error) { return ParseChoice(s, "off", "dry", "on") }, func(t *target) *string { return &t.set.Shift.Mode })},
+		into(func(s string) (string, error) { return ParseChoice(s, "off", "dry", "on") }, func(t *target) *string { return &t.set.RoleChanges.Mode })},
 	{"router", "shift-every", "5s", false, "time between plans",
-		into(within(ParseDuration, 10*time.Millisecond, time.Hour), func(t *target) *time.Duration { return &t.set.Shift.PlanInterval })},
+		into(within(ParseDuration, 10*time.Millisecond, time.Hour), func(t *target) *time.Duration { return &t.set.RoleChanges.PlanInterval })},
 	{"router", "shift-look", "1s", false, "how often engines are asked for their role; at most a quarter of shift-slot",
-		into(within(ParseDuration, time.Millisecond, time.Minute), func(t *target) *time.Duration { return &t.set.Shift.CheckInterval })},
+		into(within(ParseDuration, time.Millisecond, time.Minute), func(t *target) *time.Duration { return &t.set.RoleChanges.CheckInterval })},
 	{"router", "shift-horizon", "45s", false, "a change has to pay within this; about four times shift-away",
-		into(within(ParseDuration, time.Second, 24*time.Hour), func(t *target) *time.Duration { return &t.set.Shift.Horizon })},
+		into(within(ParseDuration, time.Second, 24*time.Hour), func(t *target) *time.Duration { return &t.set.RoleChanges.Horizon })},
 	{"router", "shift-away", "11s", false, "work that a change costs, as an engine's time: emptying, changing, coldness",
-		into(ParseDuration, func(t *target) *time.Duration { return &t.set.Shift.ChangeCost })},
+		into(ParseDuration, func(t *target) *time.Duration { return &t.set.RoleChanges.ChangeCost })},
 	{"router", "shift-confidence", "0.85", false, "with which a change has to pay",
-		into(within(ParseNumber, 0.5, 0.999), func(t *target) *float64 { return &t.set.Shift.Confidence })},
+		into(within(ParseNumber, 0.5, 0.999), func(t *target) *float64 { return &t.set.RoleChanges.Confidence })},
 	{"router", "shift-looks", "1", false, "plans in a row that have to agree before a change",
-		into(within(ParseCount, 1, 1000), func(t *target) *int { return &t.set.Shift.AgreeingPlans })},
+		into(within(ParseCount, 1, 1000), func(t *target) *int { return &t.set.RoleChanges.AgreeingPlans })},
 	{"router", "shift-least-prefill", "1", false, "prefill engines that stay at least, of those that can change",
-		into(within(ParseCount, 1, 100000), func(t *target) *int { return &t.set.Shift.MinEngines[0] })},
+		into(within(ParseCount, 1, 100000), func(t *target) *int { return &t.set.RoleChanges.MinEngines[0] })},
 	{"router", "shift-least-decode", "1", false, "decode engines that stay at least, of those that can change",
-		into(within(ParseCount, 1, 100000), func(t *target) *int { return &t.set.Shift.MinEngines[1] })},
+		into(within(ParseCount, 1, 100000), func(t *target) *int { return &t.set.RoleChanges.MinEngines[1] })},
 	{"router", "shift-most-prefill", "0", false, "prefill engines at most, of those that can change; 0: no bound",
-		into(within(ParseCount, 0, 100000), func(t *target) *int { return &t.set.Shift.MaxEngines[0] })},
+		into(within(ParseCount, 0, 100000), func(t *target) *int { return &t.set.RoleChanges.MaxEngines[0] })},
 	{"router", "shift-most-decode", "0", false, "decode engines at most, of those that can change; 0: no bound",
-		into(within(ParseCount, 0, 100000), func(t *target) *int { return &t.set.Shift.MaxEngines[1] })},
+		into(within(ParseCount, 0, 100000), func(t *target) *int { return &t.set.RoleChanges.MaxEngines[1] })},
 	{"router", "shift-at-once", "2", false, "engines that may be away for a change at once, over all routers",
-		into(within(ParseCount, 1, 10000), func(t *target) *int { return &t.set.Shift.MaxConcurrent })},
+		into(within(ParseCount, 1, 10000), func(t *target) *int { return &t.set.RoleChanges.MaxConcurrent })},
 	{"router", "shift-load-prefill", "0.75", false, "part of their capacity to which prefill engines may be used and still answer in time",
-		into(within(ParseNumber, 0.05, 1), func(t *target) *float64 { return &t.set.Shift.MaxLoad[0] })},
+		into(within(ParseNumber, 0.05, 1), func(t *target) *float64 { return &t.set.RoleChanges.MaxLoad[0] })},
 	{"router", "shift-load-decode", "0.87", false, "the same of decode engines",
-		into(within(ParseNumber, 0.05, 1), func(t *target) *float64 { return &t.set.Shift.MaxLoad[1] })},
+		into(within(ParseNumber, 0.05, 1), func(t *target) *float64 { return &t.set.RoleChanges.MaxLoad[1] })},
 	{"router", "shift-slot", "10s", false, "routers take turns in beginning changes, in slots of this length; the same at all",
-		into(within(ParseDuration, 400*time.Millisecond, time.Hour), func(t *target) *time.Duration { return &t.set.Shift.Slot })},
+		into(within(ParseDuration, 400*time.Millisecond, time.Hour), func(t *target) *time.Duration { return &t.set.RoleChanges.Slot })},
 	{"router", "shift-empty", "30s", false, "time for an engine to become empty, before the change is taken back",
-		into(ParseDuration, func(t *target) *time.Duration { return &t.set.Shift.EmptyTimeout })},
+		into(ParseDuration, func(t *target) *time.Duration { return &t.set.RoleChanges.EmptyTimeout })},
 	{"router", "shift-change", "1m", false, "time for the change itself",
-		into(ParseDuration, func(t *target) *time.Duration { return &t.set.Shift.ChangeTimeout })},
+		into(ParseDuration, func(t *target) *time.Duration { return &t.set.RoleChanges.ChangeTimeout })},
 	{"router", "shift-rest", "30s", false, "an engine whose change failed is left alone for this; longer with each failure",
-		into(ParseDuration, func(t *target) *time.Duration { return &t.set.Shift.FailureBackoff })},
+		into(ParseDuration, func(t *target) *time.Duration { return &t.set.RoleChanges.FailureBackoff })},
 
 	{"class", "aim", "1s", false, "first token wanted within this",
 		into(span, func(t *target) *decide.Duration { return &t.class.FirstTokenTarget })},
@@ -593,24 +593,24 @@
 		case k.Role == decide.Both || s.Kinds[i].Role == decide.Both || k.Role == s.Kinds[i].Role:
 			errs.Add(l, "becomes: kinds %s and %s have to be one of prefill and one of decode", k.Name, k.Becomes)
 		}
-		if k.Capacity <= 0 && s.Shift.Mode != "off" {
+		if k.Capacity <= 0 && s.RoleChanges.Mode != "off" {
 			errs.Add(l, "kind %s has no capacity, expected tokens a second, to plan by", k.Name)
 		}
 	}
-	if s.Shift.Mode != "off" {
+	if s.RoleChanges.Mode != "off" {
 		if pairs == 0 {
 			errs.Add(at("router/shift"), "shift: no kind becomes another, expected 'becomes NAME' in two kinds")
 		}
-		if s.Shift.ChangeCost >= s.Shift.Horizon {
-			errs.Add(at("router/shift-away"), "shift-away: found %v, expected less than shift-horizon, %v", s.Shift.ChangeCost, s.Shift.Horizon)
+		if s.RoleChanges.ChangeCost >= s.RoleChanges.Horizon {
+			errs.Add(at("router/shift-away"), "shift-away: found %v, expected less than shift-horizon, %v", s.RoleChanges.ChangeCost, s.RoleChanges.Horizon)
 		}
 		for i, role := range []string{"prefill", "decode"} {
-			if most := s.Shift.MaxEngines[i]; most > 0 && most < s.Shift.MinEngines[i] {
-				errs.Add(at("router/shift-most-"+role), "shift-most-%s: found %d, expected at least shift-least-%s, %d", role, most, role, s.Shift.MinEngines[i])
+			if most := s.RoleChanges.MaxEngines[i]; most > 0 && most < s.RoleChanges.MinEngines[i] {
+				errs.Add(at("router/shift-most-"+role), "shift-most-%s: found %d, expected at least shift-least-%s, %d", role, most, role, s.RoleChanges.MinEngines[i])
 			}
 		}
-		if 4*s.Shift.CheckInterval > s.Shift.Slot {
-			errs.Add(at("router/shift-look"), "shift-look: found %v, expected at most a quarter of shift-slot, %v", s.Shift.CheckInterval, s.Shift.Slot)
+		if 4*s.RoleChanges.CheckInterval > s.RoleChanges.Slot {
+			errs.Add(at("router/shift-look"), "shift-look: found %v, expected at most a quarter of shift-slot, %v", s.RoleChanges.CheckInterval, s.RoleChanges.Slot)
 		}
 	}
 	return errs
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -62,7 +62,7 @@
 		StreamBuffer: set.StreamBuffer, ClientStallTimeout: set.ClientStallTimeout, StopTimeout: settle}
 	var watch router.Observers
 	d.metrics = metrics.New(func() router.Stats { return d.Router.Stats() })
-	if set.Shift.Mode != "off" {
+	if set.RoleChanges.Mode != "off" {
 		driver := shift.New(set, source, d.engines, set.Name, log, d.metrics.NewRoleMetrics())
 		d.shift, d.source, watch = driver, driver, append(watch, driver)
 	}
--- a/internal/day/swing.go
+++ b/internal/day/swing.go
@@ -94,7 +94,7 @@
 
 // shift are the defaults of shifting roles, at the speed of a scaled script.
 func (s *Script) shift() config.RoleChanges {
-	h := config.Defaults().Shift
+	h := config.Defaults().RoleChanges
 	for _, d := range []*time.Duration{&h.PlanInterval, &h.CheckInterval, &h.Slot, &h.Horizon, &h.ChangeCost, &h.EmptyTimeout, &h.ChangeTimeout, &h.FailureBackoff} {
 		*d = time.Duration(float64(*d) / s.Speed)
 	}
--- a/internal/shift/shift.go
+++ b/internal/shift/shift.go
@@ -136,7 +136,7 @@
 func (d *Driver) Status() *Status { return d.status.Load() }
 
 func (d *Driver) keepStatus(now time.Time) {
-	st := &Status{At: now, Mode: d.set.Shift.Mode, Plan: d.manager.Last(), Unseen: d.missed.Load()}
+	st := &Status{At: now, Mode: d.set.RoleChanges.Mode, Plan: d.manager.Last(), Unseen: d.missed.Load()}
 	list := d.manager.Status(now)
 	d.metrics.SetEngines(list)
 	for _, e := range list {
@@ -166,7 +166,7 @@
 }
 
 func (d *Driver) loop(ctx context.Context, updates <-chan discovery.Update, tell func(discovery.Update)) {
-	tick, look := time.NewTicker(tickEvery), time.NewTicker(d.set.Shift.CheckInterval)
+	tick, look := time.NewTicker(tickEvery), time.NewTicker(d.set.RoleChanges.CheckInterval)
 	defer tick.Stop()
 	defer look.Stop()
 	for {
@@ -388,7 +388,7 @@
 	}
 	d.log.Info("plan of roles", "read/s", int(r.Demand[roles.Prefill].Mean), "write/s", int(r.Demand[roles.Decode].Mean), "moves", len(r.Plan.Moves),
 		"served", r.Plan.Now, "then", r.Plan.Then, "confidence", r.Verdict.Confidence, "why", r.Verdict.Why, "begun", r.Begun,
-		"dry", d.set.Shift.Mode == "dry", "unseen", d.missed.Load())
+		"dry", d.set.RoleChanges.Mode == "dry", "unseen", d.missed.Load())
 }
 
 func (d *Driver) nameOf(id uint64) string {
