--- a/internal/engine/chat/chat.go
+++ b/internal/engine/chat/chat.go
@@ -252,10 +252,10 @@
 		return x.failed(err)
 	}
 	if x.status != 200 {
-		return engine.Result{Outcome: decide.Error, Report: engine.Untold(), Err: fmt.Errorf("status %d", x.status)}
+		return engine.Result{Outcome: decide.Error, Report: engine.NoReport(), Err: fmt.Errorf("status %d", x.status)}
 	}
 	r := engine.Result{Outcome: decide.Served, Report: parseLoad(b)}
-	if v, n := x.head.Get(platform.LoadHeader); n > 0 && r.Report == engine.Untold() {
+	if v, n := x.head.Get(platform.LoadHeader); n > 0 && r.Report == engine.NoReport() {
 		r.Report = parseLoad([]byte(v))
 	}
 	return r
--- a/internal/engine/chat/chat_test.go
+++ b/internal/engine/chat/chat_test.go
@@ -575,7 +575,7 @@
 	}
 	for _, answer := range []string{whole("503 x", ""), whole("200 OK", "nonsense")} {
 		q := play(t, true, always(answer))
-		if r := c.Probe(t.Context(), q.addr, false); r.Report != engine.Untold() || (r.Outcome == decide.Served) != strings.Contains(answer, "200") {
+		if r := c.Probe(t.Context(), q.addr, false); r.Report != engine.NoReport() || (r.Outcome == decide.Served) != strings.Contains(answer, "200") {
 			t.Errorf("%q: %+v", answer, r)
 		}
 	}
--- a/internal/engine/chat/exchange.go
+++ b/internal/engine/chat/exchange.go
@@ -238,7 +238,7 @@
 
 // failed tells how an exchange with an error ended. What was not written to its last byte never ran.
 func (x *exchange) failed(err error) engine.Result {
-	r := engine.Result{Report: engine.Untold(), Err: err}
+	r := engine.Result{Report: engine.NoReport(), Err: err}
 	cause := context.Cause(x.ctx)
 	if x.written && !x.whole && !endedByPeer(err) {
 		x.giveUp()
@@ -288,7 +288,7 @@
 func parseLoad(b []byte) decide.Report {
 	var v map[string]any
 	if json.Unmarshal(b, &v) != nil {
-		return engine.Untold()
+		return engine.NoReport()
 	}
 	return settings.ParseReport(func(name string) (float64, bool) {
 		f, ok := v[name].(float64)
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -173,7 +173,7 @@
 
 // failed tells how an exchange that has an error ended.
 func (x *call) failed(err error) Result {
-	r := Result{Report: Untold(), Err: err}
+	r := Result{Report: NoReport(), Err: err}
 	cause := context.Cause(x.ctx)
 	denied, isDenied := Denied(err)
 	switch {
@@ -221,7 +221,7 @@
 	if v := resp.Header.Get(LoadHeader); v != "" {
 		return ParseLoadHeader(v)
 	}
-	return Untold()
+	return NoReport()
 }
 
 // discard reads what is left of a body so that its connection can be used again, or closes it.
@@ -248,7 +248,7 @@
 	body, err := json.Marshal(inferBody{ID: q.ID, Parameters: &q.Params,
 		Inputs: []kserve.Tensor{kserve.TextTensor("text_input", q.Prompt)}})
 	if err != nil {
-		return Result{Outcome: decide.NotStarted, Report: Untold(), Err: err}
+		return Result{Outcome: decide.NotStarted, Report: NoReport(), Err: err}
 	}
 	x := c.postGated(ctx, http.MethodPost, addr, "/v2/models/"+url.PathEscape(q.Model)+"/infer", body, q.Gate)
 	if x.err != nil {
@@ -286,7 +286,7 @@
 func (c *Client) Decode(ctx context.Context, addr string, q *Call, sink func(text string) error) Result {
 	body, err := json.Marshal(generateBody{ID: q.ID, TextInput: q.Prompt, Parameters: &q.Params})
 	if err != nil {
-		return Result{Outcome: decide.NotStarted, Report: Untold(), Err: err}
+		return Result{Outcome: decide.NotStarted, Report: NoReport(), Err: err}
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
--- a/internal/engine/client_test.go
+++ b/internal/engine/client_test.go
@@ -203,10 +203,10 @@
 	}
 	for value, want := range map[string]decide.Report{
 		`JSON {"named_metrics":{"latency_ms":20}}`:                         {MemoryUse: -1, QueuedKTokens: -1, Latency: 20},
-		`TEXT named_metrics.kv_cache_utilization=NaN, latency_ms=x, cpu=1`: Untold(),
-		`TEXT named_metrics.kv_cache_utilization=-1`:                       Untold(),
-		`BIN xyz`: Untold(),
-		``:        Untold(),
+		`TEXT named_metrics.kv_cache_utilization=NaN, latency_ms=x, cpu=1`: NoReport(),
+		`TEXT named_metrics.kv_cache_utilization=-1`:                       NoReport(),
+		`BIN xyz`: NoReport(),
+		``:        NoReport(),
 	} {
 		if got := ParseLoadHeader(value); got != want {
 			t.Errorf("%q is %+v, want %+v", value, got, want)
--- a/internal/engine/wire.go
+++ b/internal/engine/wire.go
@@ -133,12 +133,12 @@
 	LatencyMillis *float64 `json:"latency_ms,omitempty"`
 }
 
-// Untold is a report that tells nothing.
-func Untold() decide.Report { return decide.Report{MemoryUse: -1, QueuedKTokens: -1, Latency: -1} }
+// NoReport is a report that tells nothing.
+func NoReport() decide.Report { return decide.Report{MemoryUse: -1, QueuedKTokens: -1, Latency: -1} }
 
 // Decide turns a wire report into the module's.
 func (l *LoadReport) Decide() decide.Report {
-	r := Untold()
+	r := NoReport()
 	if l == nil {
 		return r
 	}
--- a/internal/front/chat/chat_test.go
+++ b/internal/front/chat/chat_test.go
@@ -37,7 +37,7 @@
 	e.mu.Lock()
 	e.calls = append(e.calls, q)
 	e.mu.Unlock()
-	return engine.Result{Outcome: decide.ReadDone, Report: engine.Untold(), State: &engine.State{Addr: addr, Handle: q.Params.Request}}
+	return engine.Result{Outcome: decide.ReadDone, Report: engine.NoReport(), State: &engine.State{Addr: addr, Handle: q.Params.Request}}
 }
 
 func (e *engines) Decode(ctx context.Context, _ string, _ *engine.Call, sink func(string) error) engine.Result {
@@ -54,7 +54,7 @@
 
 func (e *engines) Forget(string) {}
 func (e *engines) Probe(context.Context, string, bool) engine.Result {
-	return engine.Result{Report: engine.Untold()}
+	return engine.Result{Report: engine.NoReport()}
 }
 func (e *engines) Reserve(context.Context, string, *engine.PlaceRequest) (bool, error) {
 	return false, nil
@@ -74,12 +74,12 @@
 func served(_ context.Context, sink func(string) error) engine.Result {
 	sink(eventA)
 	sink(eventEnd)
-	return engine.Result{Outcome: decide.Served, Report: engine.Untold(), Tokens: 2}
+	return engine.Result{Outcome: decide.Served, Report: engine.NoReport(), Tokens: 2}
 }
 
 func hangs(ctx context.Context, _ func(string) error) engine.Result {
 	<-ctx.Done()
-	return engine.Result{Outcome: decide.Cancelled, Report: engine.Untold(), Err: context.Cause(ctx)}
+	return engine.Result{Outcome: decide.Cancelled, Report: engine.NoReport(), Err: context.Cause(ctx)}
 }
 
 type world struct {
@@ -297,7 +297,7 @@
 		sink(eventA)
 		<-go1
 		sink(eventEnd)
-		return engine.Result{Outcome: decide.Served, Report: engine.Untold(), Tokens: 2}
+		return engine.Result{Outcome: decide.Served, Report: engine.NoReport(), Tokens: 2}
 	}, nil)
 	c, br := w.dial()
 	io.WriteString(c, message("same"))
@@ -327,7 +327,7 @@
 func TestBrokenStream(t *testing.T) {
 	w := start(t, func(_ context.Context, sink func(string) error) engine.Result {
 		sink(eventA)
-		return engine.Result{Outcome: decide.Reset, Report: engine.Untold(), Tokens: 1, Err: io.ErrUnexpectedEOF}
+		return engine.Result{Outcome: decide.Reset, Report: engine.NoReport(), Tokens: 1, Err: io.ErrUnexpectedEOF}
 	}, nil)
 	c, br := w.dial()
 	io.WriteString(c, message("x"))
@@ -402,7 +402,7 @@
 func TestRefused(t *testing.T) {
 	for _, allowed := range []bool{true, false} {
 		w := start(t, func(context.Context, func(string) error) engine.Result {
-			return engine.Result{Outcome: decide.Full, Report: engine.Untold()}
+			return engine.Result{Outcome: decide.Full, Report: engine.NoReport()}
 		}, func(o *Options) { o.RetryAfter = allowed })
 		c, br := w.dial()
 		io.WriteString(c, message("x"))
@@ -462,7 +462,7 @@
 			sink(eventA)
 			<-go1
 		}
-		return engine.Result{Outcome: decide.Served, Report: engine.Untold(), Tokens: 3}
+		return engine.Result{Outcome: decide.Served, Report: engine.NoReport(), Tokens: 3}
 	}, nil)
 	c, br := w.dial()
 	io.WriteString(c, message("x"))
--- a/internal/router/actions.go
+++ b/internal/router/actions.go
@@ -108,7 +108,7 @@
 	guarded, err := r.begin(act, f, s, at)
 	if err != nil {
 		r.later = append(r.later, decide.Event{Kind: decide.AttemptEnded, Request: f.id, Server: act.Server,
-			Attempt: guarded.Number, Outcome: decide.NotStarted, Closed: f.answered(), Report: engine.Untold()})
+			Attempt: guarded.Number, Outcome: decide.NotStarted, Closed: f.answered(), Report: engine.NoReport()})
 		return
 	}
 	a := &attempt{flight: f, server: act.Server, addr: s.addr, prefill: s.role == decide.Reader,
@@ -194,7 +194,7 @@
 		if p := recover(); p != nil {
 			r.count.panics.Add(1)
 			r.log.Error("an attempt panicked", "request", a.flight.name, "panic", fmt.Sprint(p), "stack", string(debug.Stack()))
-			res = engine.Result{Outcome: decide.Reset, Report: engine.Untold(), Err: errPanicked}
+			res = engine.Result{Outcome: decide.Reset, Report: engine.NoReport(), Err: errPanicked}
 		}
 	}()
 	if a.prefill {
@@ -251,7 +251,7 @@
 	s := r.servers[id]
 	if s == nil {
 		r.later = append(r.later, decide.Event{Kind: decide.Probed, Server: id, NewConnection: fresh, Outcome: decide.ConnectFailed,
-			Report: engine.Untold()})
+			Report: engine.NoReport()})
 		return
 	}
 	r.count.probes.Add(1)
@@ -305,7 +305,7 @@
 	}
 	if f.out != nil && f.out.prefill {
 		r.tell(&decide.Event{Kind: decide.ReservationAnswer, Request: f.id, Server: m.server, Attempt: f.out.number,
-			Granted: m.held, Report: engine.Untold()}, f)
+			Granted: m.held, Report: engine.NoReport()}, f)
 	}
 }
 
--- a/internal/router/crossings_test.go
+++ b/internal/router/crossings_test.go
@@ -75,9 +75,9 @@
 	p1, d1, d2 := fleet()[2], fleet()[0], fleet()[1]
 	fake := &fakeEngines{decode: func(_ context.Context, addr string, _ *engine.Call, _ func(string) error) engine.Result {
 		if addr == d1.Addr {
-			return engine.Result{Outcome: decide.TimedOut, Report: engine.Untold(), Err: engine.ErrTimedOut}
+			return engine.Result{Outcome: decide.TimedOut, Report: engine.NoReport(), Err: engine.ErrTimedOut}
 		}
-		return engine.Result{Outcome: decide.Full, NoState: true, Report: engine.Untold(), Err: errors.New("410")}
+		return engine.Result{Outcome: decide.Full, NoState: true, Report: engine.NoReport(), Err: errors.New("410")}
 	}}
 	module := withModule(func(_ decide.Time, ev *decide.Event, out []decide.Action) []decide.Action {
 		send := func(e discovery.Engine) []decide.Action {
--- a/internal/router/holds_test.go
+++ b/internal/router/holds_test.go
@@ -56,7 +56,7 @@
 				if o == decide.ReadDone {
 					return readDone(addr, q)
 				}
-				return engine.Result{Outcome: o, Report: engine.Untold(), Err: errors.New("as told")}
+				return engine.Result{Outcome: o, Report: engine.NoReport(), Err: errors.New("as told")}
 			}
 			fake.decode = func(ctx context.Context, _ string, _ *engine.Call, sink func(string) error) engine.Result {
 				if r, off := calls(fake); r+off > 0 {
@@ -70,7 +70,7 @@
 				if c.write == decide.Reset { // after its first token, which lets go of all
 					sink("a ")
 				}
-				return engine.Result{Outcome: c.write, Report: engine.Untold(), Err: errors.New("as told")}
+				return engine.Result{Outcome: c.write, Report: engine.NoReport(), Err: errors.New("as told")}
 			}
 			module := withModule(func(_ decide.Time, ev *decide.Event, out []decide.Action) []decide.Action {
 				switch {
--- a/internal/router/loop.go
+++ b/internal/router/loop.go
@@ -56,7 +56,7 @@
 	defer close(r.stopped)
 	r.now = r.clock()
 	r.module = r.cfg.NewDecider(r.cfg.Settings, r.cfg.Seed, r.now)
-	r.tell(&decide.Event{Kind: decide.ListCached, Report: engine.Untold()})
+	r.tell(&decide.Event{Kind: decide.ListCached, Report: engine.NoReport()})
 	wake := time.NewTimer(lockedTick)
 	defer wake.Stop()
 	drain := r.drain
@@ -143,7 +143,7 @@
 		case e.flight != nil:
 			r.overdue(e.flight)
 		case e.generation == r.generation:
-			r.tell(&decide.Event{Kind: decide.Timer, TimerID: e.token, Report: engine.Untold()})
+			r.tell(&decide.Event{Kind: decide.Timer, TimerID: e.token, Report: engine.NoReport()})
 		}
 	}
 }
@@ -165,7 +165,7 @@
 		f.out.ending = true
 		f.out.cancel(engine.ErrTimedOut)
 	}
-	r.tell(&decide.Event{Kind: decide.ClientLeft, Request: f.id, Report: engine.Untold()}, f)
+	r.tell(&decide.Event{Kind: decide.ClientLeft, Request: f.id, Report: engine.NoReport()}, f)
 }
 
 // Of a message that has waited for the loop for lateAfter, or has taken it as long, a line is logged.
@@ -194,7 +194,7 @@
 				f.out.ending = true
 				f.out.cancel(engine.ErrCancelled)
 			}
-			r.tell(&decide.Event{Kind: decide.ClientLeft, Request: f.id, Report: engine.Untold()}, f)
+			r.tell(&decide.Event{Kind: decide.ClientLeft, Request: f.id, Report: engine.NoReport()}, f)
 		}
 	case firstToken:
 		f := m.a.flight
@@ -208,7 +208,7 @@
 		r.timers.remove(m.a.renewal)
 		r.timers.remove(f.guard)
 		r.tell(&decide.Event{Kind: decide.FirstToken, Request: f.id, Server: m.a.server, Attempt: m.a.number,
-			Elapsed: r.at(m.posted) - m.a.sentAt, Report: engine.Untold()}, f)
+			Elapsed: r.at(m.posted) - m.a.sentAt, Report: engine.NoReport()}, f)
 	case attemptEnded:
 		r.attemptEnded(m)
 	case listed:
@@ -248,7 +248,7 @@
 	j := &q.job
 	r.log.Debug("request", "request", f.name, "client", j.ClientID, "class", j.ClassName, "tenant", j.TenantName,
 		"prompt", j.PromptTokens, "left", j.Deadline.Sub(q.arrived))
-	r.tell(&decide.Event{Kind: decide.Arrived, Request: f.id, Report: engine.Untold(), RouterDelay: r.now - r.at(q.arrived), Job: decide.Job{
+	r.tell(&decide.Event{Kind: decide.Arrived, Request: f.id, Report: engine.NoReport(), RouterDelay: r.now - r.at(q.arrived), Job: decide.Job{
 		Class: j.Class, Tenant: j.Tenant, SessionID: key(j.Session), PrefixID: key(j.SharedPrefix), Deadline: f.deadline,
 		LengthHint: decide.Duration(j.LengthHint), PromptTokens: j.PromptTokens, PrefixTokens: j.PrefixTokens,
 		MaxOutputTokens: float64(j.MaxTokens), ClientRetry: j.ClientRetry, AfterInterruption: j.AfterInterruption,
@@ -310,7 +310,7 @@
 			r.log.Warn("discovery fails; the last list stays", "err", u.Err)
 		}
 		r.listFailing = true
-		r.tell(&decide.Event{Kind: decide.ListFailed, Report: engine.Untold()})
+		r.tell(&decide.Event{Kind: decide.ListFailed, Report: engine.NoReport()})
 		return
 	}
 	if r.listFailing {
@@ -356,7 +356,7 @@
 	}
 	r.count.engines.Store(ready)
 	r.log.Info("list of engines", "changes", len(changes), "listed", len(r.list), "ready", ready)
-	r.tell(&decide.Event{Kind: decide.ListChanged, Servers: r.listings(changes), Report: engine.Untold()})
+	r.tell(&decide.Event{Kind: decide.ListChanged, Servers: r.listings(changes), Report: engine.NoReport()})
 }
 
 func (r *Router) kind(name string) int {
@@ -447,7 +447,7 @@
 	r.generation++
 	r.module = r.cfg.NewDecider(r.cfg.Settings, r.cfg.Seed+uint64(r.generation), r.now)
 	r.later = append(r.later, decide.Event{Kind: decide.ListCached, Servers: r.listings(r.list),
-		Report: engine.Untold()})
+		Report: engine.NoReport()})
 }
 
 // settle removes a row that is over. What the module has not let go is let go here.
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -62,7 +62,7 @@
 }
 
 func readDone(addr string, q *engine.Call) engine.Result {
-	return engine.Result{Outcome: decide.ReadDone, Report: engine.Untold(),
+	return engine.Result{Outcome: decide.ReadDone, Report: engine.NoReport(),
 		State: &engine.State{Addr: addr, Handle: "kv-" + q.Params.Request, Tokens: 10}}
 }
 
@@ -75,10 +75,10 @@
 }
 
 func stream(ctx context.Context, sink func(string) error, n int) engine.Result {
-	res := engine.Result{Outcome: decide.Served, Report: engine.Untold(), Finish: "stop"}
+	res := engine.Result{Outcome: decide.Served, Report: engine.NoReport(), Finish: "stop"}
 	for i := range n {
 		if err := sink(fmt.Sprintf("t%d ", i)); err != nil {
-			return engine.Result{Outcome: decide.Cancelled, Report: engine.Untold(), Err: err, Tokens: i}
+			return engine.Result{Outcome: decide.Cancelled, Report: engine.NoReport(), Err: err, Tokens: i}
 		}
 		res.Tokens++
 	}
@@ -88,7 +88,7 @@
 // wait blocks until an attempt is called off and tells the cause as its outcome.
 func wait(ctx context.Context) engine.Result {
 	<-ctx.Done()
-	res := engine.Result{Outcome: decide.Cancelled, Report: engine.Untold(), Err: context.Cause(ctx)}
+	res := engine.Result{Outcome: decide.Cancelled, Report: engine.NoReport(), Err: context.Cause(ctx)}
 	if errors.Is(res.Err, engine.ErrTimedOut) {
 		res.Outcome = decide.TimedOut
 	}
@@ -335,7 +335,7 @@
 	decodes := 0
 	fake := &fakeEngines{decode: func(context.Context, string, *engine.Call, func(string) error) engine.Result {
 		decodes++
-		return engine.Result{Outcome: decide.Reset, Report: engine.Untold(), Err: errors.New("cut off")}
+		return engine.Result{Outcome: decide.Reset, Report: engine.NoReport(), Err: errors.New("cut off")}
 	}}
 	g := start(t, fake, nil)
 	_, end := g.all(g.submit(job(1)))
@@ -376,7 +376,7 @@
 func TestStreamBreaks(t *testing.T) {
 	fake := &fakeEngines{decode: func(ctx context.Context, _ string, _ *engine.Call, sink func(string) error) engine.Result {
 		stream(ctx, sink, 2)
-		return engine.Result{Outcome: decide.Reset, Report: engine.Untold(), Tokens: 2, Err: errors.New("cut off")}
+		return engine.Result{Outcome: decide.Reset, Report: engine.NoReport(), Tokens: 2, Err: errors.New("cut off")}
 	}}
 	g := start(t, fake, nil)
 	text, end := g.all(g.submit(job(0)))
--- a/internal/router/shutdown.go
+++ b/internal/router/shutdown.go
@@ -33,7 +33,7 @@
 	for _, f := range r.table.rows {
 		r.boundByShutdown(f)
 	}
-	r.tell(&decide.Event{Kind: decide.ShuttingDown, Shutdown: plan, Report: engine.Untold()})
+	r.tell(&decide.Event{Kind: decide.ShuttingDown, Shutdown: plan, Report: engine.NoReport()})
 }
 
 // boundByShutdown has a request answered by the time that the plan leaves to it. A stream that has begun runs on.
--- a/internal/sim/node.go
+++ b/internal/sim/node.go
@@ -93,7 +93,7 @@
 		cfg.Turn.Index, cfg.Turn.Routers = n.index, n.s.cfg.Settings.Routers
 		n.manager = roles.NewManager(cfg, n.s.wall())
 	}
-	n.tell(&decide.Event{Kind: decide.ListCached, Servers: servers, Report: engine.Untold()})
+	n.tell(&decide.Event{Kind: decide.ListCached, Servers: servers, Report: engine.NoReport()})
 	if n.manager != nil {
 		n.infos()
 		n.look(n.life)
@@ -163,7 +163,7 @@
 			n.views[u.index] = v
 		}
 		n.infos()
-		n.tell(&decide.Event{Kind: decide.ListChanged, Servers: []decide.Listing{n.listing(u)}, Report: engine.Untold()})
+		n.tell(&decide.Event{Kind: decide.ListChanged, Servers: []decide.Listing{n.listing(u)}, Report: engine.NoReport()})
 	}
 }
 
@@ -231,7 +231,7 @@
 				}
 			}
 			n.views[u.index] = v
-			n.tell(&decide.Event{Kind: decide.ListChanged, Servers: []decide.Listing{n.listing(u)}, Report: engine.Untold()})
+			n.tell(&decide.Event{Kind: decide.ListChanged, Servers: []decide.Listing{n.listing(u)}, Report: engine.NoReport()})
 		case roles.Ask:
 			n.s.after(net, func() {
 				if !u.up || u.faults[Mute] > 0 {
@@ -270,7 +270,7 @@
 		}
 		f.finish(0)
 		if n.flights[f.id] == f {
-			n.tell(&decide.Event{Kind: decide.ClientLeft, Request: f.id, Report: engine.Untold()})
+			n.tell(&decide.Event{Kind: decide.ClientLeft, Request: f.id, Report: engine.NoReport()})
 			n.settle(f)
 		}
 	})
@@ -278,7 +278,7 @@
 	if e.Text != "" {
 		text = max(xxhash.Sum64String(e.Text), 1)
 	}
-	n.tell(&decide.Event{Kind: decide.Arrived, Request: f.id, Report: engine.Untold(), Job: decide.Job{Class: e.Class, Tenant: 1 << 20,
+	n.tell(&decide.Event{Kind: decide.Arrived, Request: f.id, Report: engine.NoReport(), Job: decide.Job{Class: e.Class, Tenant: 1 << 20,
 		PrefixID: text, SessionID: uint64(f.id) | 1<<63, Deadline: module(f.deadline), PromptTokens: float64(e.Prompt), PrefixTokens: float64(e.Shared),
 		MaxOutputTokens: float64(n.s.cfg.MaxAnswer)}})
 	n.settle(f)
@@ -308,7 +308,7 @@
 		life, token := n.life, a.TimerID
 		s.after(time.Duration(a.After), func() {
 			if n.life == life {
-				n.tell(&decide.Event{Kind: decide.Timer, TimerID: token, Report: engine.Untold()})
+				n.tell(&decide.Event{Kind: decide.Timer, TimerID: token, Report: engine.NoReport()})
 			}
 		})
 		return
@@ -362,7 +362,7 @@
 		number := f.sends
 		f.sends++
 		n.later = append(n.later, decide.Event{Kind: decide.AttemptEnded, Request: f.id, Server: act.Server, Attempt: number, Outcome: decide.NotStarted,
-			Closed: f.answered, Report: engine.Untold()})
+			Closed: f.answered, Report: engine.NoReport()})
 		return
 	}
 	if grace := time.Duration(s.cfg.Settings.DrainGrace); v.Draining && v.drained > 0 && s.now-v.drained > grace+s.cfg.CheckDelay {
@@ -391,7 +391,7 @@
 	a.ending = true
 	s := a.f.n.s
 	s.after(s.cfg.Net, func() { a.u.leave(a) })
-	s.after(2*s.cfg.Net, func() { a.over(why, engine.Untold(), false, 0) })
+	s.after(2*s.cfg.Net, func() { a.over(why, engine.NoReport(), false, 0) })
 }
 
 // begun takes in the first token.
@@ -405,7 +405,7 @@
 	f.state = nil
 	f.began = n.s.now
 	n.tell(&decide.Event{Kind: decide.FirstToken, Request: f.id, Server: a.u.id(), Attempt: a.number, Elapsed: decide.Duration(n.s.now - a.sentAt),
-		Report: engine.Untold()})
+		Report: engine.NoReport()})
 }
 
 // over takes in an attempt's end.
--- a/internal/sim/unit.go
+++ b/internal/sim/unit.go
@@ -169,7 +169,7 @@
 		return cmp.Or(a.f.n.index-b.f.n.index, cmp.Compare(a.f.id, b.f.id), a.number-b.number)
 	})
 	for _, a := range out {
-		u.s.after(u.s.cfg.Net, func() { a.over(decide.Reset, engine.Untold(), false, 0) })
+		u.s.after(u.s.cfg.Net, func() { a.over(decide.Reset, engine.NoReport(), false, 0) })
 	}
 	clear(u.tasks)
 	clear(u.held)
@@ -220,7 +220,7 @@
 		return // called off on its way
 	}
 	if !u.up {
-		s.after(s.cfg.Net, func() { a.over(decide.ConnectFailed, engine.Untold(), false, 0) })
+		s.after(s.cfg.Net, func() { a.over(decide.ConnectFailed, engine.NoReport(), false, 0) })
 		return
 	}
 	if u.core.Weigh(s.wall()) {
