--- a/internal/engine/wire.go
+++ b/internal/engine/wire.go
@@ -28,9 +28,9 @@
 	// LoadHeader carries a load report as text (ORCA, the open request cost aggregation format).
 	LoadHeader = "Endpoint-Load-Metrics"
 	// TokensHeader and SumHeader describe a state that is fetched; the sum is its xxhash64 in hex.
-	TokensHeader = "Kv-Tokens"
-	SumHeader    = "Kv-Sum"
-	InfoHeader   = "Kv-Info"
+	TokensHeader   = "Kv-Tokens"
+	ChecksumHeader = "Kv-Sum"
+	InfoHeader     = "Kv-Info"
 )
 
 // The reasons in RefusedHeader. Each proves that nothing ran.
--- a/internal/standin/engine/places.go
+++ b/internal/standin/engine/places.go
@@ -102,7 +102,7 @@
 	if err != nil {
 		return false
 	}
-	req.Header.Set(engine.SumHeader, sum)
+	req.Header.Set(engine.ChecksumHeader, sum)
 	req.Header.Set(engine.TokensHeader, strconv.Itoa(st.prompt))
 	req.Header.Set(engine.InfoHeader, strconv.Itoa(st.answer))
 	req.Header.Set("Kv-Hold-Ms", strconv.FormatFloat(float64(st.hold)/1e6, 'f', -1, 64))
@@ -128,7 +128,7 @@
 	hold, _ := strconv.ParseFloat(r.Header.Get("Kv-Hold-Ms"), 64)
 	l.s.mu.Lock()
 	p := l.places[r.PathValue("request")]
-	ok := err == nil && p != nil && p.state == nil && strconv.FormatUint(sum.Sum64(), 16) == r.Header.Get(engine.SumHeader)
+	ok := err == nil && p != nil && p.state == nil && strconv.FormatUint(sum.Sum64(), 16) == r.Header.Get(engine.ChecksumHeader)
 	if ok {
 		p.state = &state{answer: max(answer, 1)}
 		p.lease.Reset(time.Duration(max(hold, 1) * 1e6))
--- a/internal/standin/engine/server.go
+++ b/internal/standin/engine/server.go
@@ -858,7 +858,7 @@
 	w.Header().Set("Content-Length", strconv.Itoa(st.prompt*l.s.spec.Load().TokenBytes))
 	w.Header().Set(engine.TokensHeader, strconv.Itoa(st.prompt))
 	w.Header().Set(engine.InfoHeader, strconv.Itoa(st.answer))
-	w.Header().Set(engine.SumHeader, strconv.FormatUint(stateSum(st.id, st.prompt*l.s.spec.Load().TokenBytes), 16))
+	w.Header().Set(engine.ChecksumHeader, strconv.FormatUint(stateSum(st.id, st.prompt*l.s.spec.Load().TokenBytes), 16))
 	if l.sendState(r.Context(), w, st, r.Header.Get("Kv-Cell")) != nil {
 		return
 	}
@@ -1031,8 +1031,8 @@
 	if _, err := io.Copy(sum, resp.Body); err != nil {
 		return 0, err
 	}
-	if got := strconv.FormatUint(sum.Sum64(), 16); got != resp.Header.Get(engine.SumHeader) {
-		return 0, fmt.Errorf("the state's sum is %s, want %s", got, resp.Header.Get(engine.SumHeader))
+	if got := strconv.FormatUint(sum.Sum64(), 16); got != resp.Header.Get(engine.ChecksumHeader) {
+		return 0, fmt.Errorf("the state's sum is %s, want %s", got, resp.Header.Get(engine.ChecksumHeader))
 	}
 	answer, err = strconv.Atoi(resp.Header.Get(engine.InfoHeader))
 	return max(answer, 1), err
