--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -386,7 +386,7 @@
 
 // CancelRead ends a read whose answer will not be taken, and lets go of the state that it may have left.
 func (c *Client) CancelRead(ctx context.Context, addr, request string) error {
-	return c.insist(ctx, http.MethodDelete, addr, RequestPath+url.PathEscape(request))
+	return c.insist(ctx, http.MethodDelete, addr, ReadPath+url.PathEscape(request))
 }
 
 // Listed does nothing: what is held is let go where it is.
--- a/internal/standin/engine/places.go
+++ b/internal/standin/engine/places.go
@@ -56,7 +56,7 @@
 	ctx, cancel := context.WithTimeout(l.ctx, time.Second)
 	defer cancel()
 	for range tries {
-		req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+p.Source+engine.RequestPath+p.Request+"/place",
+		req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+p.Source+engine.ReadPath+p.Request+"/place",
 			bytes.NewReader([]byte(`{"place":"`+l.s.addr+`"}`)))
 		if err != nil {
 			return
