--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -397,7 +397,7 @@
 
 // GiveUpPlace lets go of a place held ahead.
 func (c *Client) GiveUpPlace(ctx context.Context, addr, request string) error {
-	return c.insist(ctx, http.MethodDelete, addr, PlacePath+url.PathEscape(request))
+	return c.insist(ctx, http.MethodDelete, addr, ReservationPath+url.PathEscape(request))
 }
 
 func (c *Client) insist(ctx context.Context, method, addr, path string) error {
@@ -430,7 +430,7 @@
 	if err != nil {
 		return false, err
 	}
-	x := c.post(ctx, http.MethodPut, addr, PlacePath+url.PathEscape(p.Request), body)
+	x := c.post(ctx, http.MethodPut, addr, ReservationPath+url.PathEscape(p.Request), body)
 	if x.err != nil {
 		return false, x.err
 	}
--- a/internal/engine/wire.go
+++ b/internal/engine/wire.go
@@ -17,11 +17,11 @@
 
 // The paths and headers of the protocol beside KServe's own.
 const (
-	LoadPath  = "/v2/load"      // GET: the load report
-	StatePath = "/v2/kv/state/" // GET: fetch; POST .../release, .../renew, .../claim
-	PlacePath = "/v2/kv/place/" // PUT: hold; DELETE: give up; POST .../state: the state moves there
-	RolePath  = "/v2/role"      // GET: Role; POST: RoleChange; POST .../stay: RoleStay
-	ReadPath  = "/v2/kv/read/"  // DELETE: call a read off, or its state; POST .../place: where it is to go
+	LoadPath        = "/v2/load"      // GET: the load report
+	StatePath       = "/v2/kv/state/" // GET: fetch; POST .../release, .../renew, .../claim
+	ReservationPath = "/v2/kv/place/" // PUT: hold; DELETE: give up; POST .../state: the state moves there
+	RolePath        = "/v2/role"      // GET: Role; POST: RoleChange; POST .../stay: RoleStay
+	ReadPath        = "/v2/kv/read/"  // DELETE: call a read off, or its state; POST .../place: where it is to go
 
 	// RefusedHeader says why an engine has not run a request at all.
 	RefusedHeader = "Kv-Refused"
--- a/internal/standin/engine/places.go
+++ b/internal/standin/engine/places.go
@@ -98,7 +98,7 @@
 		return false
 	}
 	sum := strconv.FormatUint(xxhash.Sum64(body.Bytes()), 16)
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+engine.PlacePath+request+"/state", &body)
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+engine.ReservationPath+request+"/state", &body)
 	if err != nil {
 		return false
 	}
@@ -146,7 +146,7 @@
 func (l *life) dropPlaceAt(addr, request string) {
 	ctx, cancel := context.WithTimeout(l.ctx, time.Second)
 	defer cancel()
-	if resp, err := l.ask(ctx, http.MethodDelete, addr, engine.PlacePath+request); err == nil {
+	if resp, err := l.ask(ctx, http.MethodDelete, addr, engine.ReservationPath+request); err == nil {
 		resp.Body.Close()
 	}
 }
