--- a/internal/engine/chat/chat.go
+++ b/internal/engine/chat/chat.go
@@ -224,7 +224,7 @@
 }
 
 // Reserve asks for a place ahead and tells whether it is known to be held.
-func (c *Client) Reserve(ctx context.Context, addr string, p *engine.PlaceRequest) (bool, error) {
+func (c *Client) Reserve(ctx context.Context, addr string, p *engine.ReservationRequest) (bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.opts.ProbeWithin)
 	defer cancel()
 	x, err := c.start(ctx, addr, &call{method: "POST", target: platform.HoldsPath + p.Request})
--- a/internal/engine/chat/chat_test.go
+++ b/internal/engine/chat/chat_test.go
@@ -569,7 +569,7 @@
 		t.Errorf("%+v", r)
 	}
 	for name, want := range map[string]bool{"yes": true, "no": false, "who": false} {
-		if held, err := c.Reserve(t.Context(), p.addr, &engine.PlaceRequest{Request: name}); held != want || err != nil {
+		if held, err := c.Reserve(t.Context(), p.addr, &engine.ReservationRequest{Request: name}); held != want || err != nil {
 			t.Errorf("%s: %v %v", name, held, err)
 		}
 	}
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -423,7 +423,7 @@
 }
 
 // Reserve asks for a place ahead and tells whether it is held.
-func (c *Client) Reserve(ctx context.Context, addr string, p *PlaceRequest) (bool, error) {
+func (c *Client) Reserve(ctx context.Context, addr string, p *ReservationRequest) (bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.opts.ProbeWithin)
 	defer cancel()
 	body, err := json.Marshal(p)
--- a/internal/engine/wire.go
+++ b/internal/engine/wire.go
@@ -64,8 +64,8 @@
 	HoldMillis   float64 `json:"kv_hold_ms,omitempty"`
 }
 
-// PlaceRequest asks for a place ahead.
-type PlaceRequest struct {
+// ReservationRequest asks for a place ahead.
+type ReservationRequest struct {
 	Request    string  `json:"request"`
 	Tokens     float64 `json:"tokens"`
 	Source     string  `json:"source"` // the engine that reads
--- a/internal/front/chat/chat_test.go
+++ b/internal/front/chat/chat_test.go
@@ -56,7 +56,7 @@
 func (e *engines) Probe(context.Context, string, bool) engine.Result {
 	return engine.Result{Report: engine.NoReport()}
 }
-func (e *engines) Reserve(context.Context, string, *engine.PlaceRequest) (bool, error) {
+func (e *engines) Reserve(context.Context, string, *engine.ReservationRequest) (bool, error) {
 	return false, nil
 }
 
--- a/internal/router/actions.go
+++ b/internal/router/actions.go
@@ -278,7 +278,7 @@
 	}
 	p := &place{server: id, addr: s.addr}
 	f.place = p
-	ask := &engine.PlaceRequest{Request: f.name, Tokens: f.q.job.PromptTokens, Source: f.out.addr,
+	ask := &engine.ReservationRequest{Request: f.name, Tokens: f.q.job.PromptTokens, Source: f.out.addr,
 		HoldMillis: float64(r.cfg.Settings.HoldTimeout) / 1e6}
 	r.work.Add(1)
 	go func() {
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -38,7 +38,7 @@
 	// CallOffLater does the same for a read that may end yet though the request's answer has begun: its engine may not have
 	// seen the end of the read's connection.
 	CallOffLater(ctx context.Context, addr, request string) error
-	Reserve(ctx context.Context, addr string, p *engine.PlaceRequest) (bool, error)
+	Reserve(ctx context.Context, addr string, p *engine.ReservationRequest) (bool, error)
 	GiveUpPlace(ctx context.Context, addr, request string) error
 	// Probe asks an engine for its load; fresh: on a connection that is made for it.
 	Probe(ctx context.Context, addr string, fresh bool) engine.Result
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -102,7 +102,7 @@
 	return nil
 }
 
-func (f *fakeEngines) Reserve(_ context.Context, addr string, p *engine.PlaceRequest) (bool, error) {
+func (f *fakeEngines) Reserve(_ context.Context, addr string, p *engine.ReservationRequest) (bool, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.places = append(f.places, "hold "+addr)
--- a/internal/standin/engine/places.go
+++ b/internal/standin/engine/places.go
@@ -23,7 +23,7 @@
 
 // reserve holds a place, if a slot and memory are free at once and nothing waits.
 func (l *life) reserve(w http.ResponseWriter, r *http.Request) {
-	var p engine.PlaceRequest
+	var p engine.ReservationRequest
 	if err := kserve.Decode(http.MaxBytesReader(w, r.Body, 4096), &p); err != nil || p.Request != r.PathValue("request") {
 		writeJSON(w, http.StatusBadRequest, kserve.ErrorResponse{Error: "malformed"})
 		return
@@ -51,7 +51,7 @@
 }
 
 // tellReader tells the reading engine where the state is to go. The read may not have come there yet.
-func (l *life) tellReader(p engine.PlaceRequest) {
+func (l *life) tellReader(p engine.ReservationRequest) {
 	const tries, between = 20, 5 * time.Millisecond
 	ctx, cancel := context.WithTimeout(l.ctx, time.Second)
 	defer cancel()
