--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -438,7 +438,7 @@
 	if x.resp.StatusCode != http.StatusOK {
 		return false, refused(x.resp).Err
 	}
-	var answer PlaceResponse
+	var answer ReservationResponse
 	err = kserve.Decode(io.LimitReader(x.resp.Body, maxAnswer), &answer)
 	return answer.Held && err == nil, err
 }
--- a/internal/engine/wire.go
+++ b/internal/engine/wire.go
@@ -72,8 +72,8 @@
 	HoldMillis float64 `json:"hold_ms"`
 }
 
-// PlaceResponse answers it.
-type PlaceResponse struct {
+// ReservationResponse answers it.
+type ReservationResponse struct {
 	Held bool `json:"held"`
 }
 
--- a/internal/standin/engine/places.go
+++ b/internal/standin/engine/places.go
@@ -47,7 +47,7 @@
 		l.s.work.Add(1)
 		go func() { defer l.s.work.Done(); l.tellReader(p) }()
 	}
-	writeJSON(w, http.StatusOK, engine.PlaceResponse{Held: held})
+	writeJSON(w, http.StatusOK, engine.ReservationResponse{Held: held})
 }
 
 // tellReader tells the reading engine where the state is to go. The read may not have come there yet.
