--- a/internal/engine/wire.go
+++ b/internal/engine/wire.go
@@ -77,8 +77,8 @@
 	Held bool `json:"held"`
 }
 
-// PlaceNotice tells a reading engine where the state is to go.
-type PlaceNotice struct {
+// ReservationNotice tells a reading engine where the state is to go.
+type ReservationNotice struct {
 	Place string `json:"place"`
 }
 
--- a/internal/standin/engine/places.go
+++ b/internal/standin/engine/places.go
@@ -74,7 +74,7 @@
 }
 
 func (l *life) tellPlace(w http.ResponseWriter, r *http.Request) {
-	var p engine.PlaceNotice
+	var p engine.ReservationNotice
 	err := kserve.Decode(http.MaxBytesReader(w, r.Body, 4096), &p)
 	l.s.mu.Lock()
 	under, known := l.reads[r.PathValue("request")]
