--- a/internal/engine/wire.go
+++ b/internal/engine/wire.go
@@ -79,7 +79,7 @@
 
 // ReservationNotice tells a reading engine where the state is to go.
 type ReservationNotice struct {
-	Place string `json:"place"`
+	WriterAddr string `json:"place"`
 }
 
 // ReadParams are the parameters of a finished read.
--- a/internal/standin/engine/places.go
+++ b/internal/standin/engine/places.go
@@ -79,7 +79,7 @@
 	l.s.mu.Lock()
 	under, known := l.reads[r.PathValue("request")]
 	if known && err == nil {
-		under.place = p.Place
+		under.place = p.WriterAddr
 	}
 	l.s.mu.Unlock()
 	if err != nil || !known {
