--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -273,10 +273,10 @@
 	switch p := answer.Parameters; {
 	case answer.ID != q.ID:
 		return x.failed(fmt.Errorf("%w: it has the id %.40q, want %q", errNotAnswer, answer.ID, q.ID))
-	case p == nil || p.Handle == "" || p.Source == "" || p.Kept < 0 || p.Tokens < 0:
+	case p == nil || p.Handle == "" || p.Source == "" || p.CachedTokens < 0 || p.Tokens < 0:
 		return x.failed(fmt.Errorf("%w: it names no state", errNotAnswer))
 	default:
-		return Result{Outcome: decide.ReadDone, Kept: p.Kept, Report: report(x.resp),
+		return Result{Outcome: decide.ReadDone, Kept: p.CachedTokens, Report: report(x.resp),
 			State: &State{Addr: p.Source, Handle: p.Handle, Tokens: p.Tokens}}
 	}
 }
--- a/internal/engine/wire.go
+++ b/internal/engine/wire.go
@@ -84,10 +84,10 @@
 
 // ReadParams are the parameters of a finished read.
 type ReadParams struct {
-	Handle string  `json:"kv_handle"`
-	Source string  `json:"kv_source"`
-	Tokens float64 `json:"kv_tokens"`
-	Kept   float64 `json:"kept_tokens"`
+	Handle       string  `json:"kv_handle"`
+	Source       string  `json:"kv_source"`
+	Tokens       float64 `json:"kv_tokens"`
+	CachedTokens float64 `json:"kept_tokens"`
 }
 
 // The phases of an engine on its way from one role to another.
--- a/internal/standin/engine/server.go
+++ b/internal/standin/engine/server.go
@@ -700,7 +700,7 @@
 	st := l.holdLocked(a, q)
 	l.s.mu.Unlock()
 	a.record(audit.Ended, "read")
-	answer := engine.ReadParams{Handle: st.id, Source: l.s.addr, Tokens: float64(q.prompt), Kept: float64(q.kept)}
+	answer := engine.ReadParams{Handle: st.id, Source: l.s.addr, Tokens: float64(q.prompt), CachedTokens: float64(q.kept)}
 	if placeAt != "" && l.push(r.Context(), st, placeAt, a.p.Request) {
 		answer.Handle, answer.Source = "place-"+a.p.Request, placeAt
 	}
