--- a/internal/engine/chat/chat.go
+++ b/internal/engine/chat/chat.go
@@ -166,7 +166,7 @@
 	if err := json.Unmarshal(b, &v); err != nil || v.Cached < 0 {
 		return x.failed(fmt.Errorf("%w: no account of the read: %.60q", http1.ErrMalformed, b))
 	}
-	return engine.Result{Outcome: decide.ReadDone, Kept: v.Cached, Report: x.report(),
+	return engine.Result{Outcome: decide.ReadDone, CachedTokens: v.Cached, Report: x.report(),
 		State: &engine.State{Addr: addr, Handle: q.Params.Request, Tokens: q.Params.PromptTokens}}
 }
 
--- a/internal/engine/chat/chat_test.go
+++ b/internal/engine/chat/chat_test.go
@@ -176,7 +176,7 @@
 			if res.Outcome != c.want || res.NoState != c.noState || (c.want == decide.ReadDone) != (res.Err == nil) {
 				t.Fatalf("outcome %d, no state %v, err %v", res.Outcome, res.NoState, res.Err)
 			}
-			if c.want == decide.ReadDone && (res.Kept != 4096 || res.State.Addr != p.addr || res.State.Handle != "id1") {
+			if c.want == decide.ReadDone && (res.CachedTokens != 4096 || res.State.Addr != p.addr || res.State.Handle != "id1") {
 				t.Errorf("%+v", res)
 			}
 			if p.requests() != 1 {
--- a/internal/engine/chat/crossings_test.go
+++ b/internal/engine/chat/crossings_test.go
@@ -76,13 +76,13 @@
 		io.Copy(io.Discard, br)
 	})
 	c := newClient(t, nil)
-	if res := c.Prefill(t.Context(), addr, request()); res.Kept != 1 {
+	if res := c.Prefill(t.Context(), addr, request()); res.CachedTokens != 1 {
 		t.Fatalf("the first: %+v", res)
 	}
 	c.pool.standsAfter = 2 * time.Second // until the second answer has come
 	res := c.Prefill(t.Context(), addr, request())
-	if res.Outcome != decide.ReadDone || res.Kept != 7 {
-		t.Errorf("the second: outcome %d, %g kept, %v", res.Outcome, res.Kept, res.Err)
+	if res.Outcome != decide.ReadDone || res.CachedTokens != 7 {
+		t.Errorf("the second: outcome %d, %g kept, %v", res.Outcome, res.CachedTokens, res.Err)
 	}
 	if len(requests) != 1 || <-requests != 1 {
 		t.Errorf("the second connection did not carry it once")
@@ -130,7 +130,7 @@
 	<-reading
 	c.Forget(p.addr)
 	goOn <- true
-	if res := <-ended; res.Outcome != decide.ReadDone || res.Kept != 3 {
+	if res := <-ended; res.Outcome != decide.ReadDone || res.CachedTokens != 3 {
 		t.Errorf("%+v", res)
 	}
 	if n := c.pool.idle.Len(); n != 0 || c.pool.total != 0 || len(c.pool.out) != 0 {
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -276,7 +276,7 @@
 	case p == nil || p.Handle == "" || p.Source == "" || p.CachedTokens < 0 || p.Tokens < 0:
 		return x.failed(fmt.Errorf("%w: it names no state", errNotAnswer))
 	default:
-		return Result{Outcome: decide.ReadDone, Kept: p.CachedTokens, Report: report(x.resp),
+		return Result{Outcome: decide.ReadDone, CachedTokens: p.CachedTokens, Report: report(x.resp),
 			State: &State{Addr: p.Source, Handle: p.Handle, Tokens: p.Tokens}}
 	}
 }
--- a/internal/engine/client_test.go
+++ b/internal/engine/client_test.go
@@ -100,7 +100,7 @@
 		if res.Outcome != c.want || res.NoState != c.noState || (res.Outcome == decide.ReadDone) != (res.Err == nil) {
 			t.Errorf("%s: outcome %d (no state %v), err %v; want %d", c.name, res.Outcome, res.NoState, res.Err, c.want)
 		}
-		if c.want == decide.ReadDone && (*res.State != State{"x:1", "h", 9} || res.Kept != 4) {
+		if c.want == decide.ReadDone && (*res.State != State{"x:1", "h", 9} || res.CachedTokens != 4) {
 			t.Errorf("%s: %+v", c.name, res)
 		}
 	}
--- a/internal/engine/wire.go
+++ b/internal/engine/wire.go
@@ -255,14 +255,14 @@
 
 // Result is how an attempt ended.
 type Result struct {
-	Outcome decide.Outcome
-	NoState bool
-	Kept    float64
-	Report  decide.Report
-	State   *State // of a finished read
-	Finish  string // why the answer ended, as the engine said
-	Tokens  int    // of the answer that were handed on
-	Err     error  // what went wrong, for the log; nil when served or read
+	Outcome      decide.Outcome
+	NoState      bool
+	CachedTokens float64
+	Report       decide.Report
+	State        *State // of a finished read
+	Finish       string // why the answer ended, as the engine said
+	Tokens       int    // of the answer that were handed on
+	Err          error  // what went wrong, for the log; nil when served or read
 }
 
 // The causes by which the owner of an attempt ends it before its time. They are given to the attempt's
--- a/internal/router/loop.go
+++ b/internal/router/loop.go
@@ -276,7 +276,7 @@
 	r.takeBack(a, res)
 	if o := r.cfg.Observer; o != nil {
 		if res.Outcome == decide.ReadDone {
-			o.Read(&f.q.job, res.Kept)
+			o.Read(&f.q.job, res.CachedTokens)
 		} else if a.streaming {
 			o.Written(&f.q.job, res.Tokens, res.Outcome == decide.Served)
 		}
@@ -287,7 +287,7 @@
 		r.answer(f, Ending{Kind: Served, FinishReason: res.Finish})
 	}
 	r.tell(&decide.Event{Kind: decide.AttemptEnded, Request: f.id, Server: a.server, Attempt: a.number,
-		Outcome: res.Outcome, Closed: f.answered(), NoState: res.NoState, CachedTokens: res.Kept,
+		Outcome: res.Outcome, Closed: f.answered(), NoState: res.NoState, CachedTokens: res.CachedTokens,
 		Elapsed: r.at(m.posted) - a.sentAt, Report: res.Report}, f)
 }
 
