--- a/internal/engine/wire.go
+++ b/internal/engine/wire.go
@@ -99,12 +99,12 @@
 
 // Role is what an engine says of its role. Its own word, with its epoch, is the truth.
 type Role struct {
-	Role  string    `json:"role"` // StagePrefill, StageDecode or "both"
-	Epoch uint64    `json:"epoch"`
-	Phase string    `json:"phase"`
-	To    string    `json:"to,omitempty"`    // while it changes
-	Since time.Time `json:"since,omitzero"`  // its last start or change; zero: long ago
-	Other bool      `json:"other,omitempty"` // it can change
+	Role      string    `json:"role"` // StagePrefill, StageDecode or "both"
+	Epoch     uint64    `json:"epoch"`
+	Phase     string    `json:"phase"`
+	To        string    `json:"to,omitempty"`    // while it changes
+	Since     time.Time `json:"since,omitzero"`  // its last start or change; zero: long ago
+	CanChange bool      `json:"other,omitempty"` // it can change
 }
 
 // RoleChange asks for a change from an epoch. The engine grants it (200) only if it is steady at that epoch;
--- a/internal/standin/engine/role.go
+++ b/internal/standin/engine/role.go
@@ -82,7 +82,7 @@
 }
 
 func (s *Server) standing() engine.Role {
-	r := engine.Role{Role: stageOf(s.spec.Load()), Epoch: s.role.Epoch, Phase: s.role.Phase, Since: s.since, Other: s.cfg.OtherRole != nil}
+	r := engine.Role{Role: stageOf(s.spec.Load()), Epoch: s.role.Epoch, Phase: s.role.Phase, Since: s.since, CanChange: s.cfg.OtherRole != nil}
 	if r.Phase != engine.PhaseSteady {
 		r.To = s.role.To
 	}
--- a/internal/standin/engine/role_test.go
+++ b/internal/standin/engine/role_test.go
@@ -52,7 +52,7 @@
 func TestChangeOfRole(t *testing.T) {
 	s, c := changeable(t)
 	r, err := c.Role(t.Context(), s.Addr())
-	if err != nil || r.Role != engine.StagePrefill || r.Epoch != 1 || !steady(r) || !r.Other {
+	if err != nil || r.Role != engine.StagePrefill || r.Epoch != 1 || !steady(r) || !r.CanChange {
 		t.Fatalf("%+v, %v", r, err)
 	}
 	running := make(chan engine.Result, 1)
