--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -475,7 +475,7 @@
 }
 
 // StayRole asks an engine to take a change back, and tells whether it does.
-func (c *Client) StayRole(ctx context.Context, addr string, q *RoleStay) (Role, bool, error) {
+func (c *Client) StayRole(ctx context.Context, addr string, q *RoleChangeCancel) (Role, bool, error) {
 	return c.role(ctx, http.MethodPost, addr, RolePath+"/stay", q)
 }
 
--- a/internal/engine/wire.go
+++ b/internal/engine/wire.go
@@ -121,8 +121,8 @@
 // MaxNoticeMillis bounds what a router may ask an engine to wait for.
 const MaxNoticeMillis = 600_000
 
-// RoleStay takes a change back while the engine is still emptying: 200, else 409.
-type RoleStay struct {
+// RoleChangeCancel takes a change back while the engine is still emptying: 200, else 409.
+type RoleChangeCancel struct {
 	Epoch uint64 `json:"epoch"`
 }
 
--- a/internal/standin/engine/role.go
+++ b/internal/standin/engine/role.go
@@ -127,7 +127,7 @@
 }
 
 func (l *life) stay(w http.ResponseWriter, r *http.Request) {
-	var q engine.RoleStay
+	var q engine.RoleChangeCancel
 	if err := kserve.Decode(http.MaxBytesReader(w, r.Body, 4096), &q); err != nil {
 		writeJSON(w, http.StatusBadRequest, kserve.ErrorResponse{Error: err.Error()})
 		return
