--- a/internal/engine/wire.go
+++ b/internal/engine/wire.go
@@ -128,7 +128,7 @@
 
 // LoadReport is a load report on the wire; a field that is not told is nil.
 type LoadReport struct {
-	MemoryShare   *float64 `json:"kv_cache_utilization,omitempty"`
+	MemoryUse     *float64 `json:"kv_cache_utilization,omitempty"`
 	WaitingTokens *float64 `json:"waiting_prompt_tokens,omitempty"`
 	LatencyMillis *float64 `json:"latency_ms,omitempty"`
 }
@@ -142,8 +142,8 @@
 	if l == nil {
 		return r
 	}
-	if l.MemoryShare != nil {
-		r.MemoryUse = *l.MemoryShare
+	if l.MemoryUse != nil {
+		r.MemoryUse = *l.MemoryUse
 	}
 	if l.WaitingTokens != nil {
 		r.QueuedKTokens = *l.WaitingTokens / 1000
@@ -171,7 +171,7 @@
 		first = false
 		b.WriteString(metricPrefix + name + "=" + strconv.FormatFloat(*v, 'g', 6, 64))
 	}
-	put("kv_cache_utilization", l.MemoryShare)
+	put("kv_cache_utilization", l.MemoryUse)
 	put("waiting_prompt_tokens", l.WaitingTokens)
 	put("latency_ms", l.LatencyMillis)
 	return b.String()
@@ -199,7 +199,7 @@
 			}
 			switch strings.TrimPrefix(name, metricPrefix) {
 			case "kv_cache_utilization":
-				l.MemoryShare = &f
+				l.MemoryUse = &f
 			case "waiting_prompt_tokens":
 				l.WaitingTokens = &f
 			case "latency_ms":
@@ -207,7 +207,7 @@
 			}
 		}
 	}
-	for _, p := range []**float64{&l.MemoryShare, &l.WaitingTokens, &l.LatencyMillis} {
+	for _, p := range []**float64{&l.MemoryUse, &l.WaitingTokens, &l.LatencyMillis} {
 		if *p != nil && !(**p >= 0 && **p < 1e12) { // NaN too
 			*p = nil
 		}
