--- a/internal/engine/client_test.go
+++ b/internal/engine/client_test.go
@@ -196,7 +196,7 @@
 
 func TestLoadReports(t *testing.T) {
 	half, k := 0.5, 1500.0
-	r := &LoadReport{MemoryUse: &half, WaitingTokens: &k}
+	r := &LoadReport{MemoryUse: &half, QueuedTokens: &k}
 	want := decide.Report{MemoryUse: 0.5, QueuedKTokens: 1.5, Latency: -1}
 	if got := ParseLoadHeader(r.Header()); got != want || r.Decide() != want {
 		t.Errorf("%q is %+v", r.Header(), got)
--- a/internal/engine/wire.go
+++ b/internal/engine/wire.go
@@ -129,7 +129,7 @@
 // LoadReport is a load report on the wire; a field that is not told is nil.
 type LoadReport struct {
 	MemoryUse     *float64 `json:"kv_cache_utilization,omitempty"`
-	WaitingTokens *float64 `json:"waiting_prompt_tokens,omitempty"`
+	QueuedTokens  *float64 `json:"waiting_prompt_tokens,omitempty"`
 	LatencyMillis *float64 `json:"latency_ms,omitempty"`
 }
 
@@ -145,8 +145,8 @@
 	if l.MemoryUse != nil {
 		r.MemoryUse = *l.MemoryUse
 	}
-	if l.WaitingTokens != nil {
-		r.QueuedKTokens = *l.WaitingTokens / 1000
+	if l.QueuedTokens != nil {
+		r.QueuedKTokens = *l.QueuedTokens / 1000
 	}
 	if l.LatencyMillis != nil {
 		r.Latency = *l.LatencyMillis
@@ -172,7 +172,7 @@
 		b.WriteString(metricPrefix + name + "=" + strconv.FormatFloat(*v, 'g', 6, 64))
 	}
 	put("kv_cache_utilization", l.MemoryUse)
-	put("waiting_prompt_tokens", l.WaitingTokens)
+	put("waiting_prompt_tokens", l.QueuedTokens)
 	put("latency_ms", l.LatencyMillis)
 	return b.String()
 }
@@ -201,13 +201,13 @@
 			case "kv_cache_utilization":
 				l.MemoryUse = &f
 			case "waiting_prompt_tokens":
-				l.WaitingTokens = &f
+				l.QueuedTokens = &f
 			case "latency_ms":
 				l.LatencyMillis = &f
 			}
 		}
 	}
-	for _, p := range []**float64{&l.MemoryUse, &l.WaitingTokens, &l.LatencyMillis} {
+	for _, p := range []**float64{&l.MemoryUse, &l.QueuedTokens, &l.LatencyMillis} {
 		if *p != nil && !(**p >= 0 && **p < 1e12) { // NaN too
 			*p = nil
 		}
--- a/internal/standin/engine/core.go
+++ b/internal/standin/engine/core.go
@@ -103,7 +103,7 @@
 	spec := &c.m.spec
 	if n := len(c.reports); n == 0 || now.Sub(c.reports[n-1].at) >= spec.ReportEvery {
 		share, waiting, latency := c.m.load()
-		c.reports = append(c.reports, report{now, engine.LoadReport{MemoryUse: &share, WaitingTokens: &waiting, LatencyMillis: &latency}})
+		c.reports = append(c.reports, report{now, engine.LoadReport{MemoryUse: &share, QueuedTokens: &waiting, LatencyMillis: &latency}})
 	}
 	for len(c.reports) > 1 && now.Sub(c.reports[1].at) >= spec.ReportDelay {
 		c.reports = c.reports[1:]
--- a/internal/standin/engine/server.go
+++ b/internal/standin/engine/server.go
@@ -437,7 +437,7 @@
 		return
 	}
 	share, waiting, latency := l.model.load()
-	l.reports = append(l.reports, report{now, engine.LoadReport{MemoryUse: &share, WaitingTokens: &waiting,
+	l.reports = append(l.reports, report{now, engine.LoadReport{MemoryUse: &share, QueuedTokens: &waiting,
 		LatencyMillis: &latency}})
 	late := l.s.spec.Load().ReportDelay + time.Duration(l.s.faults.largest("report_late", 0, now)*1e9)
 	for len(l.reports) > 1 && now.Sub(l.reports[1].at) >= late {
