--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -337,7 +337,7 @@
 			return fail(fmt.Errorf("%w: an event without text", errNotAnswer))
 		}
 		if ev.Parameters != nil {
-			rep = ev.Parameters.Decide()
+			rep = ev.Parameters.Report()
 		}
 		if ev.TextOutput != nil && (*ev.TextOutput != "" || ev.Details == nil) {
 			if err := sink(*ev.TextOutput); err != nil {
@@ -460,7 +460,7 @@
 	if err := kserve.Decode(io.LimitReader(x.resp.Body, maxAnswer), &l); err != nil {
 		return x.failed(fmt.Errorf("%w: %w", errNotAnswer, err))
 	}
-	return Result{Outcome: decide.Served, Report: l.Decide()}
+	return Result{Outcome: decide.Served, Report: l.Report()}
 }
 
 // Role asks an engine for its role.
--- a/internal/engine/client_test.go
+++ b/internal/engine/client_test.go
@@ -198,7 +198,7 @@
 	half, k := 0.5, 1500.0
 	r := &LoadReport{MemoryUse: &half, QueuedTokens: &k}
 	want := decide.Report{MemoryUse: 0.5, QueuedKTokens: 1.5, Latency: -1}
-	if got := ParseLoadHeader(r.Header()); got != want || r.Decide() != want {
+	if got := ParseLoadHeader(r.Header()); got != want || r.Report() != want {
 		t.Errorf("%q is %+v", r.Header(), got)
 	}
 	for value, want := range map[string]decide.Report{
--- a/internal/engine/wire.go
+++ b/internal/engine/wire.go
@@ -136,8 +136,8 @@
 // NoReport is a report that tells nothing.
 func NoReport() decide.Report { return decide.Report{MemoryUse: -1, QueuedKTokens: -1, Latency: -1} }
 
-// Decide turns a wire report into the module's.
-func (l *LoadReport) Decide() decide.Report {
+// Report turns a wire report into the module's.
+func (l *LoadReport) Report() decide.Report {
 	r := NoReport()
 	if l == nil {
 		return r
@@ -212,7 +212,7 @@
 			*p = nil
 		}
 	}
-	return l.Decide()
+	return l.Report()
 }
 
 // State names a read state that waits at an engine. Addr is where it is fetched.
--- a/internal/standin/engine/core.go
+++ b/internal/standin/engine/core.go
@@ -108,7 +108,7 @@
 	for len(c.reports) > 1 && now.Sub(c.reports[1].at) >= spec.ReportDelay {
 		c.reports = c.reports[1:]
 	}
-	return c.reports[0].load.Decide()
+	return c.reports[0].load.Report()
 }
 
 // Capacity is the tokens a second that an engine of the spec reads, or writes with all slots in use.
