--- a/internal/engine/chat/chat_test.go
+++ b/internal/engine/chat/chat_test.go
@@ -124,7 +124,7 @@
 }
 
 func request() *engine.Call {
-	return &engine.Call{Params: engine.Params{Request: "id1"}, Until: time.Now().Add(time.Minute),
+	return &engine.Call{Params: engine.Params{Request: "id1"}, ResponseDeadline: time.Now().Add(time.Minute),
 		Message: &engine.Message{Target: "/v1/chat/completions?a=b", Fields: []http1.Field{{Name: "Idempotency-Key", Value: "k7"}}, Body: []byte(`{"x":1}`)}}
 }
 
--- a/internal/router/crossings_test.go
+++ b/internal/router/crossings_test.go
@@ -147,8 +147,8 @@
 	<-calls
 	plan := g.ShutDown(time.Now().Add(-3 * time.Second))
 	after := g.submit(long)
-	if q := <-calls; q.Until.After(plan.GiveUpBy) {
-		t.Errorf("an engine was told %v more than there is", q.Until.Sub(plan.GiveUpBy))
+	if q := <-calls; q.ResponseDeadline.After(plan.GiveUpBy) {
+		t.Errorf("an engine was told %v more than there is", q.ResponseDeadline.Sub(plan.GiveUpBy))
 	}
 	for _, q := range []*Request{before, after} {
 		if _, end := g.all(q); end.Kind != Failed || !end.TimedOut {
