--- a/internal/engine/chat/chat_test.go
+++ b/internal/engine/chat/chat_test.go
@@ -347,7 +347,7 @@
 	c := newClient(t, nil)
 	c.Prefill(t.Context(), p.addr, request())
 	once := request()
-	once.Once = true
+	once.NonIdempotent = true
 	if c.pool.idle.Len() != 1 {
 		t.Fatal("nothing was kept")
 	}
--- a/internal/router/actions.go
+++ b/internal/router/actions.go
@@ -156,7 +156,7 @@
 func (r *Router) fill(a *attempt, f *flight) {
 	j := &f.q.job
 	a.call = engine.Call{ID: f.name + "." + strconv.Itoa(a.number), Model: r.cfg.Model, Message: j.Message,
-		Once:             !a.prefill && r.cfg.Settings.Classes[j.Class].RetryPolicy == decide.Unsafe,
+		NonIdempotent:    !a.prefill && r.cfg.Settings.Classes[j.Class].RetryPolicy == decide.Unsafe,
 		Gate:             a.guarded,
 		ResponseDeadline: r.wall(a.limit.at), Params: engine.Params{
 			Stage: engine.StageDecode, Request: f.name, Client: j.ClientID, Class: j.ClassName, Tenant: j.TenantName,
