--- a/internal/engine/chat/chat.go
+++ b/internal/engine/chat/chat.go
@@ -141,7 +141,7 @@
 // attempt starts an attempt of a request.
 func (c *Client) attempt(ctx context.Context, addr string, q *engine.Call) (*exchange, error) {
 	x, err := c.start(ctx, addr, &call{method: "POST", target: q.Message.Target, id: q.Params.Request,
-		fields: q.Message.Fields, body: q.Message.Body, until: q.ResponseDeadline, fresh: q.NonIdempotent, heardWithin: q.HeardWithin, gate: q.Gate})
+		fields: q.Message.Fields, body: q.Message.Body, until: q.ResponseDeadline, fresh: q.NonIdempotent, heardWithin: q.LastResponseWithin, gate: q.Gate})
 	x.rest = c.restFor
 	return x, err
 }
--- a/internal/engine/chat/chat_test.go
+++ b/internal/engine/chat/chat_test.go
@@ -609,7 +609,7 @@
 	cl := newClient(t, nil)
 	q := request()
 	for i, within := range []time.Duration{0, time.Hour, time.Nanosecond, 0} {
-		q.HeardWithin = within
+		q.LastResponseWithin = within
 		if res := cl.Prefill(t.Context(), p.addr, q); res.Outcome != decide.ReadDone {
 			t.Fatalf("call %d: %+v", i, res)
 		}
--- a/internal/engine/wire.go
+++ b/internal/engine/wire.go
@@ -248,9 +248,9 @@
 	Message          *Message  // nil: the engine gets Prompt and Params
 	ResponseDeadline time.Time // the router waits no longer for the first sign
 	NonIdempotent    bool      // it may not be sent again if it may have run
-	// HeardWithin: a kept connection may carry it only if an answer has come on that so recently; 0: any may.
-	HeardWithin time.Duration
-	Gate        Gate // nil: nobody is asked
+	// LastResponseWithin: a kept connection may carry it only if an answer has come on that so recently; 0: any may.
+	LastResponseWithin time.Duration
+	Gate               Gate // nil: nobody is asked
 }
 
 // Result is how an attempt ended.
--- a/internal/router/actions.go
+++ b/internal/router/actions.go
@@ -117,7 +117,7 @@
 	f.out = a
 	a.limit = r.timers.add(&entry{at: at, attempt: a})
 	r.fill(a, f)
-	a.call.HeardWithin = time.Duration(act.LastResponseWithin)
+	a.call.LastResponseWithin = time.Duration(act.LastResponseWithin)
 	r.keep.sent(a)
 	r.count.sends.Add(1)
 	r.work.Add(1)
