--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -356,7 +356,7 @@
 			end := time.AfterFunc(endWithin, func() { cancel(errIdle) })
 			_, err := events.Next()
 			end.Stop()
-			r := Result{Outcome: decide.Served, Report: rep, Finish: ev.Details.FinishReason, Tokens: tokens}
+			r := Result{Outcome: decide.Served, Report: rep, FinishReason: ev.Details.FinishReason, Tokens: tokens}
 			if err == nil {
 				r.Err = fmt.Errorf("%w: more came after the end", errNotAnswer)
 			}
--- a/internal/engine/client_test.go
+++ b/internal/engine/client_test.go
@@ -135,7 +135,7 @@
 		if res.Outcome != c.want || res.Tokens != c.tokens || n != c.tokens {
 			t.Errorf("%s: outcome %d, %d tokens, err %v; want %d and %d", c.name, res.Outcome, n, res.Err, c.want, c.tokens)
 		}
-		if c.want == decide.Served && (res.Finish != "stop" || res.Report.MemoryUse != 0.5) {
+		if c.want == decide.Served && (res.FinishReason != "stop" || res.Report.MemoryUse != 0.5) {
 			t.Errorf("%s: %+v", c.name, res)
 		}
 	}
--- a/internal/engine/wire.go
+++ b/internal/engine/wire.go
@@ -260,7 +260,7 @@
 	CachedTokens float64
 	Report       decide.Report
 	State        *State // of a finished read
-	Finish       string // why the answer ended, as the engine said
+	FinishReason string // why the answer ended, as the engine said
 	Tokens       int    // of the answer that were handed on
 	Err          error  // what went wrong, for the log; nil when served or read
 }
--- a/internal/router/loop.go
+++ b/internal/router/loop.go
@@ -284,7 +284,7 @@
 	if a.streaming {
 		r.endStream(f, a, res)
 	} else if res.Outcome == decide.Served { // an answer without a token
-		r.answer(f, Ending{Kind: Served, FinishReason: res.Finish})
+		r.answer(f, Ending{Kind: Served, FinishReason: res.FinishReason})
 	}
 	r.tell(&decide.Event{Kind: decide.AttemptEnded, Request: f.id, Server: a.server, Attempt: a.number,
 		Outcome: res.Outcome, Closed: f.answered(), NoState: res.NoState, CachedTokens: res.CachedTokens,
@@ -296,7 +296,7 @@
 	e := Ending{Kind: Failed, Tokens: res.Tokens, Reason: "the stream broke"}
 	switch {
 	case res.Outcome == decide.Served:
-		e = Ending{Kind: Served, Tokens: res.Tokens, FinishReason: res.Finish}
+		e = Ending{Kind: Served, Tokens: res.Tokens, FinishReason: res.FinishReason}
 	case res.Err == errStalled:
 		e.Kind, e.Reason = Gone, errStalled.Error()
 	}
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -75,7 +75,7 @@
 }
 
 func stream(ctx context.Context, sink func(string) error, n int) engine.Result {
-	res := engine.Result{Outcome: decide.Served, Report: engine.NoReport(), Finish: "stop"}
+	res := engine.Result{Outcome: decide.Served, Report: engine.NoReport(), FinishReason: "stop"}
 	for i := range n {
 		if err := sink(fmt.Sprintf("t%d ", i)); err != nil {
 			return engine.Result{Outcome: decide.Cancelled, Report: engine.NoReport(), Err: err, Tokens: i}
