--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -54,7 +54,7 @@
 		source = &discovery.File{Path: set.ListFile, Every: set.ListInterval, Kinds: kinds}
 	}
 	d := &Daemon{set: set, log: log, source: source, listener: listener}
-	d.engines = engine.New(engine.Options{DialTimeout: set.DialTimeout, ConnIdle: set.ConnIdleTimeout,
+	d.engines = engine.New(engine.Options{DialTimeout: set.DialTimeout, IdleConnTimeout: set.ConnIdleTimeout,
 		MaxConns: set.MaxEngineConns, StreamIdle: set.StreamIdleTimeout, ReleaseWithin: set.ReleaseTimeout,
 		ProbeWithin: set.ProbeTimeout})
 	cfg := router.Config{Name: set.Name, Model: set.Model, Settings: set.Decide(discovery.Number),
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -47,7 +47,7 @@
 	c.trans = &http.Transport{
 		DialContext:            c.dial,
 		MaxIdleConnsPerHost:    opts.MaxConns,
-		IdleConnTimeout:        opts.ConnIdle,
+		IdleConnTimeout:        opts.IdleConnTimeout,
 		MaxResponseHeaderBytes: maxHeaders,
 		ReadBufferSize:         readBuffer,
 		WriteBufferSize:        readBuffer,
