--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -362,7 +362,7 @@
 			}
 			return r
 		}
-		idle.Reset(c.opts.StreamIdle)
+		idle.Reset(c.opts.StreamIdleTimeout)
 	}
 }
 
--- a/internal/engine/wire.go
+++ b/internal/engine/wire.go
@@ -277,10 +277,10 @@
 
 // Options bound what the client does.
 type Options struct {
-	DialTimeout     time.Duration
-	IdleConnTimeout time.Duration
-	MaxConns        int // to one engine
-	StreamIdle      time.Duration
-	ReleaseWithin   time.Duration
-	ProbeWithin     time.Duration
+	DialTimeout       time.Duration
+	IdleConnTimeout   time.Duration
+	MaxConns          int // to one engine
+	StreamIdleTimeout time.Duration
+	ReleaseWithin     time.Duration
+	ProbeWithin       time.Duration
 }
