--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -374,7 +374,7 @@
 // Renew tells the engine where a state waits that it is still wanted: an attempt at a writer is out, and
 // the writer may not have claimed it.
 func (c *Client) Renew(ctx context.Context, s *State) error {
-	ctx, cancel := context.WithTimeout(ctx, c.opts.ReleaseWithin)
+	ctx, cancel := context.WithTimeout(ctx, c.opts.ReleaseTimeout)
 	defer cancel()
 	x := c.post(ctx, http.MethodPost, s.Addr, StatePath+url.PathEscape(s.Handle)+"/renew", nil)
 	if x.err != nil {
@@ -401,7 +401,7 @@
 }
 
 func (c *Client) insist(ctx context.Context, method, addr, path string) error {
-	ctx, cancel := context.WithTimeout(ctx, c.opts.ReleaseWithin)
+	ctx, cancel := context.WithTimeout(ctx, c.opts.ReleaseTimeout)
 	defer cancel()
 	const first = 5 * time.Millisecond
 	for pause := first; ; pause *= 2 {
--- a/internal/engine/wire.go
+++ b/internal/engine/wire.go
@@ -281,6 +281,6 @@
 	IdleConnTimeout   time.Duration
 	MaxConns          int // to one engine
 	StreamIdleTimeout time.Duration
-	ReleaseWithin     time.Duration
+	ReleaseTimeout    time.Duration
 	ProbeWithin       time.Duration
 }
