--- a/internal/day/swing.go
+++ b/internal/day/swing.go
@@ -104,7 +104,7 @@
 // split asks engines for a split, as somebody would who knows the traffic: those that can go without leaving
 // the last of their role in a cell, in order.
 func (p *player) split(ctx context.Context, readers int) {
-	c := engine.New(engine.Options{DialTimeout: time.Second, MaxConns: 4, ProbeWithin: time.Second})
+	c := engine.New(engine.Options{DialTimeout: time.Second, MaxConns: 4, ProbeTimeout: time.Second})
 	defer c.Close()
 	type one struct {
 		m    *fleet.Member
--- a/internal/e2e/cost_test.go
+++ b/internal/e2e/cost_test.go
@@ -443,7 +443,7 @@
 // BenchmarkClient is one read and one stream by the engines' client alone.
 func BenchmarkClient(b *testing.B) {
 	s := instant(b, nil)
-	c := engine.New(engine.Options{DialTimeout: time.Second, MaxConns: 100, StreamIdleTimeout: time.Minute, ReleaseTimeout: time.Second, ProbeWithin: time.Second})
+	c := engine.New(engine.Options{DialTimeout: time.Second, MaxConns: 100, StreamIdleTimeout: time.Minute, ReleaseTimeout: time.Second, ProbeTimeout: time.Second})
 	defer c.Close()
 	addr := s.Listener.Addr().String()
 	b.ReportAllocs()
--- a/internal/e2e/hard_test.go
+++ b/internal/e2e/hard_test.go
@@ -644,7 +644,7 @@
 // brokenWorld runs a router whose module is broken on purpose over real engines.
 func brokenWorld(t *testing.T, w *world, module func(router.Decider) router.Decider, letGo bool) *router.Router {
 	client := engine.New(engine.Options{DialTimeout: time.Second, MaxConns: 100, StreamIdleTimeout: time.Second,
-		ReleaseTimeout: 250 * time.Millisecond, ProbeWithin: time.Second})
+		ReleaseTimeout: 250 * time.Millisecond, ProbeTimeout: time.Second})
 	var engines router.Engines = client
 	if !letGo {
 		engines = noRelease{client}
--- a/internal/e2e/shift_test.go
+++ b/internal/e2e/shift_test.go
@@ -96,7 +96,7 @@
 
 // roles counts engines by what they say of themselves.
 func (w *world) roles() map[string]int {
-	c := engine.New(engine.Options{DialTimeout: time.Second, MaxConns: 10, ProbeWithin: time.Second})
+	c := engine.New(engine.Options{DialTimeout: time.Second, MaxConns: 10, ProbeTimeout: time.Second})
 	defer c.Close()
 	out := map[string]int{}
 	for _, m := range w.fleet.Members() {
@@ -260,7 +260,7 @@
 // its way, and follows it to its end.
 func TestRouterFindsAChangeHalfMade(t *testing.T) {
 	w := newWorld(t, flexible(time.Second), more("shift dry"))
-	c := engine.New(engine.Options{DialTimeout: time.Second, MaxConns: 10, ProbeWithin: time.Second})
+	c := engine.New(engine.Options{DialTimeout: time.Second, MaxConns: 10, ProbeTimeout: time.Second})
 	defer c.Close()
 	p1 := w.fleet.Member("p1").Engine.Addr()
 	if _, granted, err := c.ChangeRole(t.Context(), p1, &engine.RoleChange{To: "decode", Epoch: 1, Router: "a dead one"}); err != nil || !granted {
@@ -336,7 +336,7 @@
 // An engine that is set up anew, back in its first role and at its first epoch, is believed by its later start.
 func TestEngineComesBackWithoutSayingSo(t *testing.T) {
 	w := newWorld(t, flexible(5*time.Millisecond), more("shift dry"))
-	c := engine.New(engine.Options{DialTimeout: time.Second, MaxConns: 10, ProbeWithin: time.Second})
+	c := engine.New(engine.Options{DialTimeout: time.Second, MaxConns: 10, ProbeTimeout: time.Second})
 	defer c.Close()
 	m := w.fleet.Member("p1")
 	if _, granted, err := c.ChangeRole(t.Context(), m.Engine.Addr(), &engine.RoleChange{To: "decode", Epoch: 1}); err != nil || !granted {
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -424,7 +424,7 @@
 
 // Reserve asks for a place ahead and tells whether it is held.
 func (c *Client) Reserve(ctx context.Context, addr string, p *ReservationRequest) (bool, error) {
-	ctx, cancel := context.WithTimeout(ctx, c.opts.ProbeWithin)
+	ctx, cancel := context.WithTimeout(ctx, c.opts.ProbeTimeout)
 	defer cancel()
 	body, err := json.Marshal(p)
 	if err != nil {
@@ -446,7 +446,7 @@
 // Probe asks for a load report. A connection that stands will do, whatever is asked: engines hold states under leases that
 // the router renews, so no time runs that hangs on whether they are reached.
 func (c *Client) Probe(ctx context.Context, addr string, _ bool) Result {
-	ctx, cancel := context.WithTimeoutCause(ctx, c.opts.ProbeWithin, ErrTimedOut)
+	ctx, cancel := context.WithTimeoutCause(ctx, c.opts.ProbeTimeout, ErrTimedOut)
 	defer cancel()
 	x := c.post(ctx, http.MethodGet, addr, LoadPath, nil)
 	if x.err != nil {
@@ -480,7 +480,7 @@
 }
 
 func (c *Client) role(ctx context.Context, method, addr, path string, q any) (r Role, granted bool, err error) {
-	ctx, cancel := context.WithTimeout(ctx, c.opts.ProbeWithin)
+	ctx, cancel := context.WithTimeout(ctx, c.opts.ProbeTimeout)
 	defer cancel()
 	var body []byte
 	if q != nil {
--- a/internal/engine/client_test.go
+++ b/internal/engine/client_test.go
@@ -53,7 +53,7 @@
 
 func newClient(t *testing.T, change func(*Options)) *Client {
 	o := Options{DialTimeout: time.Second, MaxConns: 10, IdleConnTimeout: time.Second, StreamIdleTimeout: 100 * time.Millisecond,
-		ReleaseTimeout: 100 * time.Millisecond, ProbeWithin: 100 * time.Millisecond}
+		ReleaseTimeout: 100 * time.Millisecond, ProbeTimeout: 100 * time.Millisecond}
 	if change != nil {
 		change(&o)
 	}
--- a/internal/engine/wire.go
+++ b/internal/engine/wire.go
@@ -282,5 +282,5 @@
 	MaxConns          int // to one engine
 	StreamIdleTimeout time.Duration
 	ReleaseTimeout    time.Duration
-	ProbeWithin       time.Duration
+	ProbeTimeout      time.Duration
 }
--- a/internal/standin/engine/role_test.go
+++ b/internal/standin/engine/role_test.go
@@ -23,7 +23,7 @@
 	if err := s.Start(); err != nil {
 		t.Fatal(err)
 	}
-	c := engine.New(engine.Options{DialTimeout: time.Second, MaxConns: 50, StreamIdleTimeout: time.Second, ReleaseTimeout: time.Second, ProbeWithin: 5 * time.Second})
+	c := engine.New(engine.Options{DialTimeout: time.Second, MaxConns: 50, StreamIdleTimeout: time.Second, ReleaseTimeout: time.Second, ProbeTimeout: 5 * time.Second})
 	t.Cleanup(func() { c.Close(); s.Close() })
 	return s, c
 }
