--- a/internal/engine/chat/exchange.go
+++ b/internal/engine/chat/exchange.go
@@ -243,7 +243,7 @@
 	if x.written && !x.whole && !endedByPeer(err) {
 		x.giveUp()
 	}
-	denied, isDenied := engine.Denied(err)
+	denied, isDenied := engine.DenialOutcome(err)
 	switch {
 	case isDenied:
 		r.Outcome = denied
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -112,9 +112,9 @@
 	err  error
 }
 
-// Denied tells how an attempt ended whose last byte the gate did not let leave, if that is what an error says. Its engine has
+// DenialOutcome tells how an attempt ended whose last byte the gate did not let leave, if that is what an error says. Its engine has
 // no part in that, unless it takes nothing new.
-func Denied(err error) (decide.Outcome, bool) {
+func DenialOutcome(err error) (decide.Outcome, bool) {
 	var denial guard.Denial
 	switch {
 	case !errors.As(err, &denial):
@@ -175,7 +175,7 @@
 func (x *call) failed(err error) Result {
 	r := Result{Report: NoReport(), Err: err}
 	cause := context.Cause(x.ctx)
-	denied, isDenied := Denied(err)
+	denied, isDenied := DenialOutcome(err)
 	switch {
 	case isDenied:
 		r.Outcome = denied
