--- a/internal/shift/shift.go
+++ b/internal/shift/shift.go
@@ -26,7 +26,7 @@
 type Engines interface {
 	Role(ctx context.Context, addr string) (engine.Role, error)
 	ChangeRole(ctx context.Context, addr string, q *engine.RoleChange) (engine.Role, bool, error)
-	StayRole(ctx context.Context, addr string, q *engine.RoleChangeCancel) (engine.Role, bool, error)
+	CancelRoleChange(ctx context.Context, addr string, q *engine.RoleChangeCancel) (engine.Role, bool, error)
 }
 
 // Driver shifts roles. It is a discovery.Source over another one, and a router.Observer.
@@ -340,7 +340,7 @@
 		go func() {
 			defer d.work.Done()
 			// What comes of it is seen at the next look.
-			if _, _, err := d.engines.StayRole(ctx, addr, &engine.RoleChangeCancel{Epoch: epoch}); err != nil {
+			if _, _, err := d.engines.CancelRoleChange(ctx, addr, &engine.RoleChangeCancel{Epoch: epoch}); err != nil {
 				d.log.Warn("call back failed", "engine", addr, "err", err)
 			}
 		}()
--- a/internal/shift/shift_test.go
+++ b/internal/shift/shift_test.go
@@ -39,7 +39,7 @@
 	return w.role, false, nil
 }
 
-func (w *words) StayRole(context.Context, string, *engine.RoleChangeCancel) (engine.Role, bool, error) {
+func (w *words) CancelRoleChange(context.Context, string, *engine.RoleChangeCancel) (engine.Role, bool, error) {
 	return w.role, false, nil
 }
 
