--- a/internal/engine/chat/chat.go
+++ b/internal/engine/chat/chat.go
@@ -60,7 +60,7 @@
 	DialTimeout   time.Duration
 	ConnIdle      time.Duration // idle connections are closed after this
 	MaxConns      int           // to all engines
-	SpareConns    int           // more for releases
+	ReleaseConns  int           // more for releases
 	StreamIdle    time.Duration // without an event for so long a stream has broken
 	ReleaseWithin time.Duration
 	CallOffAgain  time.Duration // after a read was called off it is called off once more
@@ -88,7 +88,7 @@
 	}
 	return &Client{opts: opts, readEnds: readEnds, restFor: restFor, firstTry: firstTry,
 		closeArrives: closeArrives, heard: map[string]time.Time{}, listed: map[string]struct{}{}, pool: &pool{dialTimeout: opts.DialTimeout,
-			keep: opts.ConnIdle, standsAfter: standsAfter, most: opts.MaxConns, spare: opts.SpareConns}}
+			keep: opts.ConnIdle, standsAfter: standsAfter, most: opts.MaxConns, spare: opts.ReleaseConns}}
 }
 
 // Run closes idle connections before their engines do, until ctx ends; then all.
--- a/internal/engine/chat/chat_test.go
+++ b/internal/engine/chat/chat_test.go
@@ -112,7 +112,7 @@
 }
 
 func newClient(t *testing.T, change func(*Options)) *Client {
-	o := Options{DialTimeout: time.Second, ConnIdle: time.Minute, MaxConns: 10, SpareConns: 2,
+	o := Options{DialTimeout: time.Second, ConnIdle: time.Minute, MaxConns: 10, ReleaseConns: 2,
 		StreamIdle: 10 * time.Second, ReleaseWithin: 10 * time.Second, ProbeWithin: 10 * time.Second}
 	if change != nil {
 		change(&o)
@@ -492,7 +492,7 @@
 // The bound holds over all engines: the connection unused for longest makes room, and a release finds some
 // even when attempts hold all.
 func TestBoundOfConnections(t *testing.T) {
-	c := newClient(t, func(o *Options) { o.MaxConns, o.SpareConns = 2, 1 })
+	c := newClient(t, func(o *Options) { o.MaxConns, o.ReleaseConns = 2, 1 })
 	answer := always(whole("202 x", "{}"))
 	var peers []*peer
 	for range 3 {
