--- a/internal/engine/chat/crossings_test.go
+++ b/internal/engine/chat/crossings_test.go
@@ -245,7 +245,7 @@
 		held = calls == 1 // the read ends well right after the first call
 		return "HTTP/1.1 204 x\r\n\r\n"
 	})
-	c := newClient(t, func(o *Options) { o.CallOffAgain = time.Millisecond })
+	c := newClient(t, func(o *Options) { o.CancelRetryDelay = time.Millisecond })
 	if err := c.CancelRead(t.Context(), p.addr, "id1"); err != nil {
 		t.Error(err)
 	}
@@ -274,7 +274,7 @@
 			}
 			addr := gone.Addr().String()
 			gone.Close() // nobody answers there
-			c := newClient(t, func(o *Options) { o.CallOffAgain = time.Millisecond })
+			c := newClient(t, func(o *Options) { o.CancelRetryDelay = time.Millisecond })
 			c.heard[p.addr], c.heard[addr] = time.Now(), time.Now().Add(time.Hour)
 			if err := callOff(c, t.Context(), addr); err != nil {
 				t.Error(err)
--- a/internal/engine/chat/release.go
+++ b/internal/engine/chat/release.go
@@ -26,7 +26,7 @@
 
 // CallOffLater does the same for a read whose request has an answer that has begun: what is known is let go already.
 func (c *Client) CallOffLater(ctx context.Context, addr, request string) error {
-	return c.callOff(ctx, addr, request, c.opts.CallOffAgain)
+	return c.callOff(ctx, addr, request, c.opts.CancelRetryDelay)
 }
 
 func (c *Client) callOff(ctx context.Context, addr, request string, wait time.Duration) error {
@@ -39,7 +39,7 @@
 		case <-time.After(wait):
 		}
 		err = c.letGo(ctx, addr, request, after)
-		wait, after = c.opts.CallOffAgain, c.firstTry // there may be many such calls, and most find nothing
+		wait, after = c.opts.CancelRetryDelay, c.firstTry // there may be many such calls, and most find nothing
 	}
 	return err
 }
