--- a/internal/engine/chat/chat.go
+++ b/internal/engine/chat/chat.go
@@ -58,7 +58,7 @@
 // Options bound what the client does.
 type Options struct {
 	DialTimeout      time.Duration
-	ConnIdle         time.Duration // idle connections are closed after this
+	IdleConnTimeout  time.Duration // idle connections are closed after this
 	MaxConns         int           // to all engines
 	ReleaseConns     int           // more for releases
 	StreamIdle       time.Duration // without an event for so long a stream has broken
@@ -88,7 +88,7 @@
 	}
 	return &Client{opts: opts, readEnds: readEnds, restFor: restFor, firstTry: firstTry,
 		closeArrives: closeArrives, heard: map[string]time.Time{}, listed: map[string]struct{}{}, pool: &pool{dialTimeout: opts.DialTimeout,
-			keep: opts.ConnIdle, standsAfter: standsAfter, most: opts.MaxConns, spare: opts.ReleaseConns}}
+			keep: opts.IdleConnTimeout, standsAfter: standsAfter, most: opts.MaxConns, spare: opts.ReleaseConns}}
 }
 
 // Run closes idle connections before their engines do, until ctx ends; then all.
