--- a/internal/engine/chat/chat.go
+++ b/internal/engine/chat/chat.go
@@ -57,15 +57,15 @@
 
 // Options bound what the client does.
 type Options struct {
-	DialTimeout      time.Duration
-	IdleConnTimeout  time.Duration // idle connections are closed after this
-	MaxConns         int           // to all engines
-	ReleaseConns     int           // more for releases
-	StreamIdle       time.Duration // without an event for so long a stream has broken
-	ReleaseWithin    time.Duration
-	CancelRetryDelay time.Duration // after a read was called off it is called off once more
-	ProbeWithin      time.Duration
-	Log              *slog.Logger // nil: none
+	DialTimeout       time.Duration
+	IdleConnTimeout   time.Duration // idle connections are closed after this
+	MaxConns          int           // to all engines
+	ReleaseConns      int           // more for releases
+	StreamIdleTimeout time.Duration // without an event for so long a stream has broken
+	ReleaseWithin     time.Duration
+	CancelRetryDelay  time.Duration // after a read was called off it is called off once more
+	ProbeWithin       time.Duration
+	Log               *slog.Logger // nil: none
 }
 
 // Client speaks to all engines; a router.Engines. It is safe for concurrent use.
--- a/internal/engine/chat/chat_test.go
+++ b/internal/engine/chat/chat_test.go
@@ -113,7 +113,7 @@
 
 func newClient(t *testing.T, change func(*Options)) *Client {
 	o := Options{DialTimeout: time.Second, IdleConnTimeout: time.Minute, MaxConns: 10, ReleaseConns: 2,
-		StreamIdle: 10 * time.Second, ReleaseWithin: 10 * time.Second, ProbeWithin: 10 * time.Second}
+		StreamIdleTimeout: 10 * time.Second, ReleaseWithin: 10 * time.Second, ProbeWithin: 10 * time.Second}
 	if change != nil {
 		change(&o)
 	}
@@ -240,7 +240,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := play(t, true, always(streamHead+chunk(eventA)+after))
-			c := newClient(t, func(o *Options) { o.StreamIdle = 20 * time.Millisecond })
+			c := newClient(t, func(o *Options) { o.StreamIdleTimeout = 20 * time.Millisecond })
 			res := c.Decode(t.Context(), p.addr, request(), func(string) error { return nil })
 			if res.Outcome != decide.Reset || res.Tokens != 1 || c.pool.idle.Len() != 0 {
 				t.Errorf("%+v, %d kept", res, c.pool.idle.Len())
@@ -270,7 +270,7 @@
 			_, err = io.WriteString(conn, chunk(": x\n\n"))
 		}
 	}()
-	c := newClient(t, func(o *Options) { o.StreamIdle = 50 * time.Millisecond })
+	c := newClient(t, func(o *Options) { o.StreamIdleTimeout = 50 * time.Millisecond })
 	res := c.Decode(t.Context(), l.Addr().String(), request(), func(string) error { return nil })
 	if res.Outcome != decide.Reset || res.Tokens != 1 {
 		t.Errorf("%+v", res)
--- a/internal/engine/chat/events.go
+++ b/internal/engine/chat/events.go
@@ -26,7 +26,7 @@
 // next returns the next event with data, as it came. io.EOF comes only after the last chunk.
 func (e *events) next() (string, error) {
 	// From event to event: what is neither, a drip of bytes or of comments, does not put the time off.
-	e.x.conn.SetReadDeadline(time.Now().Add(e.x.client.opts.StreamIdle))
+	e.x.conn.SetReadDeadline(time.Now().Add(e.x.client.opts.StreamIdleTimeout))
 	for {
 		if i := bytes.Index(e.buf, blankLine); i >= 0 {
 			raw := e.buf[:i+len(blankLine)]
