--- a/internal/engine/chat/chat.go
+++ b/internal/engine/chat/chat.go
@@ -62,7 +62,7 @@
 	MaxConns          int           // to all engines
 	ReleaseConns      int           // more for releases
 	StreamIdleTimeout time.Duration // without an event for so long a stream has broken
-	ReleaseWithin     time.Duration
+	ReleaseTimeout    time.Duration
 	CancelRetryDelay  time.Duration // after a read was called off it is called off once more
 	ProbeWithin       time.Duration
 	Log               *slog.Logger // nil: none
--- a/internal/engine/chat/crossings_test.go
+++ b/internal/engine/chat/crossings_test.go
@@ -203,7 +203,7 @@
 		silent = append(silent, l.Addr().String())
 	}
 	p := play(t, true, always("HTTP/1.1 204 x\r\n\r\n"))
-	c := newClient(t, func(o *Options) { o.ReleaseWithin = 8 * time.Second })
+	c := newClient(t, func(o *Options) { o.ReleaseTimeout = 8 * time.Second })
 	c.firstTry = 2 * time.Second // five in turn would take longer
 	c.heard[p.addr] = time.Now().Add(-time.Second)
 	for _, addr := range silent {
@@ -222,7 +222,7 @@
 
 // Where no engine takes a release it ends with its time, and leaves nothing behind.
 func TestReleaseThatNobodyTakes(t *testing.T) {
-	c := newClient(t, func(o *Options) { o.ReleaseWithin = 100 * time.Millisecond })
+	c := newClient(t, func(o *Options) { o.ReleaseTimeout = 100 * time.Millisecond })
 	for _, addr := range []string{"", "127.0.0.1:1"} {
 		if err := c.Release(t.Context(), &engine.State{Addr: addr, Handle: "id1"}); !errors.Is(err, context.DeadlineExceeded) {
 			t.Errorf("%q: %v", addr, err)
--- a/internal/engine/chat/release.go
+++ b/internal/engine/chat/release.go
@@ -67,7 +67,7 @@
 // those that answered last, and then any that is listed: most may be silent. What is held has to be let go within a time that a
 // few silent engines, one after the other, would use up (a zone that is cut off).
 func (c *Client) letGo(ctx context.Context, addr, request string, hedgeAfter time.Duration) error {
-	ctx, cancel := context.WithTimeout(ctx, c.opts.ReleaseWithin)
+	ctx, cancel := context.WithTimeout(ctx, c.opts.ReleaseTimeout)
 	began := time.Now()
 	type result struct {
 		addr string
