--- a/internal/engine/chat/chat.go
+++ b/internal/engine/chat/chat.go
@@ -64,7 +64,7 @@
 	StreamIdleTimeout time.Duration // without an event for so long a stream has broken
 	ReleaseTimeout    time.Duration
 	CancelRetryDelay  time.Duration // after a read was called off it is called off once more
-	ProbeWithin       time.Duration
+	ProbeTimeout      time.Duration
 	Log               *slog.Logger // nil: none
 }
 
@@ -225,7 +225,7 @@
 
 // Reserve asks for a place ahead and tells whether it is known to be held.
 func (c *Client) Reserve(ctx context.Context, addr string, p *engine.ReservationRequest) (bool, error) {
-	ctx, cancel := context.WithTimeout(ctx, c.opts.ProbeWithin)
+	ctx, cancel := context.WithTimeout(ctx, c.opts.ProbeTimeout)
 	defer cancel()
 	x, err := c.start(ctx, addr, &call{method: "POST", target: platform.HoldsPath + p.Request})
 	defer x.done()
@@ -240,7 +240,7 @@
 
 // Probe asks for a load report; fresh: on a connection that is made for it, which tells whether the engine is reached.
 func (c *Client) Probe(ctx context.Context, addr string, fresh bool) engine.Result {
-	ctx, cancel := context.WithTimeoutCause(ctx, c.opts.ProbeWithin, engine.ErrTimedOut)
+	ctx, cancel := context.WithTimeoutCause(ctx, c.opts.ProbeTimeout, engine.ErrTimedOut)
 	defer cancel()
 	x, err := c.start(ctx, addr, &call{method: "GET", target: platform.LoadPath, fresh: fresh})
 	defer x.done()
--- a/internal/engine/chat/chat_test.go
+++ b/internal/engine/chat/chat_test.go
@@ -113,7 +113,7 @@
 
 func newClient(t *testing.T, change func(*Options)) *Client {
 	o := Options{DialTimeout: time.Second, IdleConnTimeout: time.Minute, MaxConns: 10, ReleaseConns: 2,
-		StreamIdleTimeout: 10 * time.Second, ReleaseTimeout: 10 * time.Second, ProbeWithin: 10 * time.Second}
+		StreamIdleTimeout: 10 * time.Second, ReleaseTimeout: 10 * time.Second, ProbeTimeout: 10 * time.Second}
 	if change != nil {
 		change(&o)
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -94,7 +94,7 @@
 	}
 	n.engines = engines.New(engines.Options{DialTimeout: time.Duration(set.Decide.DialTimeout),
 		IdleConnTimeout: connIdle - connIdle/idleMargin, MaxConns: b.engines, ReleaseConns: b.spare, StreamIdleTimeout: streamIdle,
-		ReleaseTimeout: max(2*time.Duration(set.Decide.HoldTimeout), leastRelease), CancelRetryDelay: time.Duration(set.Decide.HoldTimeout), ProbeWithin: time.Duration(set.Decide.DialTimeout), Log: log})
+		ReleaseTimeout: max(2*time.Duration(set.Decide.HoldTimeout), leastRelease), CancelRetryDelay: time.Duration(set.Decide.HoldTimeout), ProbeTimeout: time.Duration(set.Decide.DialTimeout), Log: log})
 	zone := ""
 	if z := set.Decide.Zone; z < len(set.Zones) {
 		zone = set.Zones[z]
