--- a/internal/front/chat/answer.go
+++ b/internal/front/chat/answer.go
@@ -17,7 +17,7 @@
 	503: "Service Unavailable", 504: "Gateway Timeout"}
 
 // status maps trouble to a status. Only 429 and 503 say that trying again is harmless.
-func status(t front.Trouble) int {
+func status(t front.ErrorKind) int {
 	switch t {
 	case front.Bad:
 		return 400
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -19,24 +19,24 @@
 	Ready() bool
 }
 
-// Trouble is the kind of an answer that is no success; each front maps it to its protocol's status.
-type Trouble uint8
+// ErrorKind is the kind of an answer that is no success; each front maps it to its protocol's status.
+type ErrorKind uint8
 
 // The kinds of trouble.
 const (
-	Bad         Trouble = iota + 1 // the request itself is wrong
-	NotFound                       // no such model, version or path
-	TooLarge                       // body over the limit
-	Busy                           // refused: come again later
-	Unavailable                    // the router takes nothing now
-	Broken                         // failed, no word on the effect
-	TimedOut                       // failed for want of time
-	ClientLeft                     // nobody is there to read it
+	Bad         ErrorKind = iota + 1 // the request itself is wrong
+	NotFound                         // no such model, version or path
+	TooLarge                         // body over the limit
+	Busy                             // refused: come again later
+	Unavailable                      // the router takes nothing now
+	Broken                           // failed, no word on the effect
+	TimedOut                         // failed for want of time
+	ClientLeft                       // nobody is there to read it
 )
 
 // Error is an answer that is no success. RetryAfter is advice with Busy and Unavailable; 0 is none.
 type Error struct {
-	Trouble    Trouble
+	Trouble    ErrorKind
 	Text       string
 	RetryAfter time.Duration
 }
--- a/internal/front/rest/rest.go
+++ b/internal/front/rest/rest.go
@@ -97,7 +97,7 @@
 }
 
 // status is the HTTP status of each kind of trouble.
-var status = map[front.Trouble]int{
+var status = map[front.ErrorKind]int{
 	front.Bad:         http.StatusBadRequest,
 	front.NotFound:    http.StatusNotFound,
 	front.TooLarge:    http.StatusRequestEntityTooLarge,
