--- a/internal/front/chat/answer.go
+++ b/internal/front/chat/answer.go
@@ -71,7 +71,7 @@
 }
 
 func (c *conn) fail(e *front.Error, closes bool) bool {
-	return c.say(status(e.Trouble), e.Text, e.RetryAfter, closes)
+	return c.say(status(e.Kind), e.Text, e.RetryAfter, closes)
 }
 
 // hand hands a request's events on to its client, each as it comes, and its ending.
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -36,7 +36,7 @@
 
 // Error is an answer that is no success. RetryAfter is advice with Busy and Unavailable; 0 is none.
 type Error struct {
-	Trouble    ErrorKind
+	Kind       ErrorKind
 	Text       string
 	RetryAfter time.Duration
 }
@@ -45,7 +45,7 @@
 
 // Wrong says what is wrong with a request.
 func Wrong(format string, args ...any) *Error {
-	return &Error{Trouble: Bad, Text: fmt.Sprintf(format, args...)}
+	return &Error{Kind: Bad, Text: fmt.Sprintf(format, args...)}
 }
 
 // Input is a request as a front has decoded it.
@@ -91,10 +91,10 @@
 // Model checks a model's name and version; the empty version is any.
 func (m *Meaning) Model(name, version string) *Error {
 	if name != m.set.Model {
-		return &Error{Trouble: NotFound, Text: fmt.Sprintf("unknown model %q", clip(name))}
+		return &Error{Kind: NotFound, Text: fmt.Sprintf("unknown model %q", clip(name))}
 	}
 	if version != "" && version != m.set.ModelVersion {
-		return &Error{Trouble: NotFound, Text: fmt.Sprintf("model %q has no version %q", name, clip(version))}
+		return &Error{Kind: NotFound, Text: fmt.Sprintf("model %q has no version %q", name, clip(version))}
 	}
 	return nil
 }
@@ -207,11 +207,11 @@
 func Submitted(err error) *Error {
 	switch {
 	case errors.Is(err, router.ErrDeadlinePassed):
-		return &Error{Trouble: TimedOut, Text: err.Error()}
+		return &Error{Kind: TimedOut, Text: err.Error()}
 	case errors.Is(err, router.ErrTooManyRequests):
-		return &Error{Trouble: Busy, Text: err.Error(), RetryAfter: time.Second}
+		return &Error{Kind: Busy, Text: err.Error(), RetryAfter: time.Second}
 	default:
-		return &Error{Trouble: Unavailable, Text: err.Error(), RetryAfter: time.Second}
+		return &Error{Kind: Unavailable, Text: err.Error(), RetryAfter: time.Second}
 	}
 }
 
@@ -221,17 +221,17 @@
 	case router.Served:
 		return nil
 	case router.Refused:
-		return &Error{Trouble: Busy, Text: "refused: " + e.Reason, RetryAfter: e.RetryAfter}
+		return &Error{Kind: Busy, Text: "refused: " + e.Reason, RetryAfter: e.RetryAfter}
 	case router.Moved:
-		return &Error{Trouble: Broken, Text: "moved: " + e.Reason}
+		return &Error{Kind: Broken, Text: "moved: " + e.Reason}
 	case router.Gone:
-		return &Error{Trouble: ClientLeft, Text: e.Reason}
+		return &Error{Kind: ClientLeft, Text: e.Reason}
 	}
 	t := Broken
 	if e.TimedOut {
 		t = TimedOut
 	}
-	return &Error{Trouble: t, Text: "failed: " + e.Reason}
+	return &Error{Kind: t, Text: "failed: " + e.Reason}
 }
 
 // clip shortens what a client sent to what an error may repeat.
--- a/internal/front/rest/rest.go
+++ b/internal/front/rest/rest.go
@@ -55,7 +55,7 @@
 		f.route("POST", model+"/generate_stream", f.generateStream)
 	}
 	f.mux.HandleFunc("/", func(w http.ResponseWriter, r *http.Request) {
-		f.fail(w, r, &front.Error{Trouble: front.NotFound, Text: "no such path"})
+		f.fail(w, r, &front.Error{Kind: front.NotFound, Text: "no such path"})
 	})
 	return f
 }
@@ -115,10 +115,10 @@
 		w.Header().Set("Retry-After", strconv.Itoa(int(math.Ceil(e.RetryAfter.Seconds()))))
 		w.Header().Set("Retry-After-Ms", strconv.FormatInt(e.RetryAfter.Milliseconds(), 10))
 	}
-	if e.Trouble == front.Bad || e.Trouble == front.TooLarge {
+	if e.Kind == front.Bad || e.Kind == front.TooLarge {
 		f.log.Info("bad request", "path", r.URL.Path, "from", r.RemoteAddr, "err", e.Text)
 	}
-	f.write(w, status[e.Trouble], kserve.ErrorResponse{Error: e.Text})
+	f.write(w, status[e.Kind], kserve.ErrorResponse{Error: e.Text})
 }
 
 func (f *Front) write(w http.ResponseWriter, code int, v any) {
@@ -137,7 +137,7 @@
 
 func (f *Front) ready(w http.ResponseWriter, r *http.Request) {
 	if !f.core.Ready() {
-		f.fail(w, r, &front.Error{Trouble: front.Unavailable, Text: "not ready"})
+		f.fail(w, r, &front.Error{Kind: front.Unavailable, Text: "not ready"})
 		return
 	}
 	f.write(w, http.StatusOK, map[string]bool{"ready": true})
@@ -167,7 +167,7 @@
 		return
 	}
 	if !f.core.Ready() {
-		f.fail(w, r, &front.Error{Trouble: front.Unavailable, Text: "the model is not ready"})
+		f.fail(w, r, &front.Error{Kind: front.Unavailable, Text: "the model is not ready"})
 		return
 	}
 	f.write(w, http.StatusOK, map[string]any{"name": f.set.Model, "ready": true})
@@ -190,16 +190,16 @@
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		// The deadline stays: the server would else wait for the rest of the body before it answers.
 		w.Header().Set("Connection", "close")
-		return &front.Error{Trouble: front.Bad, Text: fmt.Sprintf("the body did not come within %v", f.set.HeaderTimeout)}
+		return &front.Error{Kind: front.Bad, Text: fmt.Sprintf("the body did not come within %v", f.set.HeaderTimeout)}
 	case errors.As(err, &large):
 		return f.tooLarge()
 	default:
-		return &front.Error{Trouble: front.Bad, Text: "the body is malformed: " + err.Error()}
+		return &front.Error{Kind: front.Bad, Text: "the body is malformed: " + err.Error()}
 	}
 }
 
 func (f *Front) tooLarge() *front.Error {
-	return &front.Error{Trouble: front.TooLarge, Text: fmt.Sprintf("the body is larger than %d bytes", f.set.MaxBody)}
+	return &front.Error{Kind: front.TooLarge, Text: fmt.Sprintf("the body is larger than %d bytes", f.set.MaxBody)}
 }
 
 // submit decodes nothing more: it hands an input to the core.
@@ -245,7 +245,7 @@
 // inferInput finds the prompt among the tensors and checks all of them.
 func inferInput(body *kserve.InferRequest) (*front.Input, *front.Error) {
 	wrong := func(err error) (*front.Input, *front.Error) {
-		return nil, &front.Error{Trouble: front.Bad, Text: err.Error()}
+		return nil, &front.Error{Kind: front.Bad, Text: err.Error()}
 	}
 	in := &front.Input{ID: body.ID, Params: body.Parameters}
 	found := false
