--- a/internal/front/chat/answer.go
+++ b/internal/front/chat/answer.go
@@ -19,7 +19,7 @@
 // status maps trouble to a status. Only 429 and 503 say that trying again is harmless.
 func status(t front.ErrorKind) int {
 	switch t {
-	case front.Bad:
+	case front.BadRequest:
 		return 400
 	case front.NotFound:
 		return 404
--- a/internal/front/chat/conn.go
+++ b/internal/front/chat/conn.go
@@ -237,7 +237,7 @@
 	}
 	job, bad := f.job(head, target, body, time.Now())
 	if bad != nil {
-		if bad.Kind == front.Bad {
+		if bad.Kind == front.BadRequest {
 			f.log.Info("bad request", "client", c.RemoteAddr().String(), "reason", bad.Text)
 		}
 		return c.fail(bad, true)
@@ -248,7 +248,7 @@
 	q, err := f.core.Submit(job)
 	if err != nil {
 		if errors.Is(err, router.ErrDuplicateName) {
-			return c.fail(&front.Error{Kind: front.Bad, Text: err.Error()}, true)
+			return c.fail(&front.Error{Kind: front.BadRequest, Text: err.Error()}, true)
 		}
 		return c.fail(front.Submitted(err), closes)
 	}
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -24,7 +24,7 @@
 
 // The kinds of trouble.
 const (
-	Bad         ErrorKind = iota + 1 // the request itself is wrong
+	BadRequest  ErrorKind = iota + 1 // the request itself is wrong
 	NotFound                         // no such model, version or path
 	TooLarge                         // body over the limit
 	Busy                             // refused: come again later
@@ -45,7 +45,7 @@
 
 // Wrong says what is wrong with a request.
 func Wrong(format string, args ...any) *Error {
-	return &Error{Kind: Bad, Text: fmt.Sprintf(format, args...)}
+	return &Error{Kind: BadRequest, Text: fmt.Sprintf(format, args...)}
 }
 
 // Input is a request as a front has decoded it.
--- a/internal/front/rest/rest.go
+++ b/internal/front/rest/rest.go
@@ -98,7 +98,7 @@
 
 // status is the HTTP status of each kind of trouble.
 var status = map[front.ErrorKind]int{
-	front.Bad:         http.StatusBadRequest,
+	front.BadRequest:  http.StatusBadRequest,
 	front.NotFound:    http.StatusNotFound,
 	front.TooLarge:    http.StatusRequestEntityTooLarge,
 	front.Busy:        http.StatusServiceUnavailable,
@@ -115,7 +115,7 @@
 		w.Header().Set("Retry-After", strconv.Itoa(int(math.Ceil(e.RetryAfter.Seconds()))))
 		w.Header().Set("Retry-After-Ms", strconv.FormatInt(e.RetryAfter.Milliseconds(), 10))
 	}
-	if e.Kind == front.Bad || e.Kind == front.TooLarge {
+	if e.Kind == front.BadRequest || e.Kind == front.TooLarge {
 		f.log.Info("bad request", "path", r.URL.Path, "from", r.RemoteAddr, "err", e.Text)
 	}
 	f.write(w, status[e.Kind], kserve.ErrorResponse{Error: e.Text})
@@ -190,11 +190,11 @@
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		// The deadline stays: the server would else wait for the rest of the body before it answers.
 		w.Header().Set("Connection", "close")
-		return &front.Error{Kind: front.Bad, Text: fmt.Sprintf("the body did not come within %v", f.set.HeaderTimeout)}
+		return &front.Error{Kind: front.BadRequest, Text: fmt.Sprintf("the body did not come within %v", f.set.HeaderTimeout)}
 	case errors.As(err, &large):
 		return f.tooLarge()
 	default:
-		return &front.Error{Kind: front.Bad, Text: "the body is malformed: " + err.Error()}
+		return &front.Error{Kind: front.BadRequest, Text: "the body is malformed: " + err.Error()}
 	}
 }
 
@@ -245,7 +245,7 @@
 // inferInput finds the prompt among the tensors and checks all of them.
 func inferInput(body *kserve.InferRequest) (*front.Input, *front.Error) {
 	wrong := func(err error) (*front.Input, *front.Error) {
-		return nil, &front.Error{Kind: front.Bad, Text: err.Error()}
+		return nil, &front.Error{Kind: front.BadRequest, Text: err.Error()}
 	}
 	in := &front.Input{ID: body.ID, Params: body.Parameters}
 	found := false
