--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -29,7 +29,7 @@
 	TooLarge                         // body over the limit
 	Busy                             // refused: come again later
 	Unavailable                      // the router takes nothing now
-	Broken                           // failed, no word on the effect
+	Failed                           // failed, no word on the effect
 	TimedOut                         // failed for want of time
 	ClientLeft                       // nobody is there to read it
 )
@@ -223,11 +223,11 @@
 	case router.Refused:
 		return &Error{Kind: Busy, Text: "refused: " + e.Reason, RetryAfter: e.RetryAfter}
 	case router.Moved:
-		return &Error{Kind: Broken, Text: "moved: " + e.Reason}
+		return &Error{Kind: Failed, Text: "moved: " + e.Reason}
 	case router.Gone:
 		return &Error{Kind: ClientLeft, Text: e.Reason}
 	}
-	t := Broken
+	t := Failed
 	if e.TimedOut {
 		t = TimedOut
 	}
--- a/internal/front/rest/rest.go
+++ b/internal/front/rest/rest.go
@@ -103,7 +103,7 @@
 	front.TooLarge:    http.StatusRequestEntityTooLarge,
 	front.Busy:        http.StatusServiceUnavailable,
 	front.Unavailable: http.StatusServiceUnavailable,
-	front.Broken:      http.StatusBadGateway,
+	front.Failed:      http.StatusBadGateway,
 	front.TimedOut:    http.StatusGatewayTimeout,
 	front.ClientLeft:  http.StatusBadGateway,
 }
