--- a/internal/front/chat/job.go
+++ b/internal/front/chat/job.go
@@ -21,14 +21,14 @@
 	one := func(name string) (string, *front.Error) {
 		v, n := h.Get(name)
 		if n > 1 {
-			return "", front.Wrong("%s stands %d times", name, n)
+			return "", front.BadRequestf("%s stands %d times", name, n)
 		}
 		limit := maxName
 		if name == platform.IDHeader {
 			limit = maxID
 		}
 		if len(v) > limit && name != platform.FactsHeader {
-			return "", front.Wrong("%s is longer than %d bytes", name, limit)
+			return "", front.BadRequestf("%s is longer than %d bytes", name, limit)
 		}
 		return v, nil
 	}
@@ -47,19 +47,19 @@
 	case first != nil:
 		return nil, first
 	case !http1.Token(id): // it becomes part of a path
-		return nil, front.Wrong("%s %.40q is no id", platform.IDHeader, id)
+		return nil, front.BadRequestf("%s %.40q is no id", platform.IDHeader, id)
 	case !json.Valid(body):
-		return nil, front.Wrong("the body is not JSON")
+		return nil, front.BadRequestf("the body is not JSON")
 	}
 	j := &router.Job{Name: id, ClientID: id, Class: -1, ClassName: class, Tenant: math.MaxInt, Session: session,
 		Message:      &engine.Message{Target: target, Fields: passedOn(h), Body: body},
 		PromptTokens: max(float64(len(body))/bytesToken, 1), ClientRetry: repeat == "1", AfterInterruption: repeat == "again"}
 	if j.Class = slices.Index(f.opts.Classes, settings.NormalizeName(class)); j.Class < 0 {
-		return nil, front.Wrong("there is no class %.40q", class)
+		return nil, front.BadRequestf("there is no class %.40q", class)
 	}
 	ms, err := strconv.ParseInt(left, 10, 64)
 	if err != nil || ms <= 0 || ms > front.MaxDeadline.Milliseconds() {
-		return nil, front.Wrong("%s %.40q is no time that a client waits", platform.TimeLeftHeader, left)
+		return nil, front.BadRequestf("%s %.40q is no time that a client waits", platform.TimeLeftHeader, left)
 	}
 	j.Deadline = now.Add(time.Duration(ms) * time.Millisecond)
 	if i := slices.Index(f.opts.Tenants, settings.NormalizeName(tenant)); i >= 0 && tenant != "" {
@@ -88,11 +88,11 @@
 	for _, pair := range strings.Split(facts, ",") {
 		name, value, ok := strings.Cut(strings.TrimSpace(pair), "=")
 		if !ok {
-			return front.Wrong("%s: %.40q has no '='", platform.FactsHeader, pair)
+			return front.BadRequestf("%s: %.40q has no '='", platform.FactsHeader, pair)
 		}
 		if name == "prefix" {
 			if len(value) > maxName {
-				return front.Wrong("%s: prefix is longer than %d bytes", platform.FactsHeader, maxName)
+				return front.BadRequestf("%s: prefix is longer than %d bytes", platform.FactsHeader, maxName)
 			}
 			j.SharedPrefix = value
 			continue
@@ -102,7 +102,7 @@
 		}
 		n, err := strconv.ParseFloat(value, 64)
 		if err != nil || !(n >= 0 && n <= maxTokens) {
-			return front.Wrong("%s: %s is no length: %.40q", platform.FactsHeader, name, value)
+			return front.BadRequestf("%s: %s is no length: %.40q", platform.FactsHeader, name, value)
 		}
 		switch name {
 		case "prompt_len":
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -43,8 +43,8 @@
 
 func (e *Error) Error() string { return e.Text }
 
-// Wrong says what is wrong with a request.
-func Wrong(format string, args ...any) *Error {
+// BadRequestf says what is wrong with a request.
+func BadRequestf(format string, args ...any) *Error {
 	return &Error{Kind: BadRequest, Text: fmt.Sprintf(format, args...)}
 }
 
@@ -141,13 +141,13 @@
 		return nil, e
 	}
 	if err := in.Params.Check(); err != nil {
-		return nil, Wrong("%v", err)
+		return nil, BadRequestf("%v", err)
 	}
 	if len(in.ID) > maxName {
-		return nil, Wrong("id is longer than %d bytes", maxName)
+		return nil, BadRequestf("id is longer than %d bytes", maxName)
 	}
 	if in.Prompt == "" {
-		return nil, Wrong("the prompt is empty")
+		return nil, BadRequestf("the prompt is empty")
 	}
 	r := reader{p: in.Params}
 	j := &router.Job{ClientID: in.ID, Prompt: in.Prompt, Session: r.text(ParamSession),
@@ -163,7 +163,7 @@
 	}
 	if class != "" {
 		if j.Class = m.set.ClassIndex(class); j.Class < 0 {
-			return nil, Wrong("parameter %q: there is no class %q", ParamClass, clip(class))
+			return nil, BadRequestf("parameter %q: there is no class %q", ParamClass, clip(class))
 		}
 	}
 	c := &m.set.Classes[j.Class]
@@ -174,20 +174,20 @@
 	j.Tenant = len(m.set.Tenants)
 	if tenant != "" {
 		if j.Tenant = m.set.TenantIndex(tenant); j.Tenant < 0 {
-			return nil, Wrong("parameter %q: there is no tenant %q", ParamTenant, clip(tenant))
+			return nil, BadRequestf("parameter %q: there is no tenant %q", ParamTenant, clip(tenant))
 		}
 		j.TenantName = tenant
 	}
 	out := r.number(ParamMaxTokens, float64(c.MaxTokens))
 	if r.err != nil {
-		return nil, Wrong("%v", r.err)
+		return nil, BadRequestf("%v", r.err)
 	}
 	if out < 1 || out != float64(int(out)) {
-		return nil, Wrong("parameter %q must be a whole number from 1", ParamMaxTokens)
+		return nil, BadRequestf("parameter %q must be a whole number from 1", ParamMaxTokens)
 	}
 	j.MaxTokens = int(out)
 	if j.PromptTokens+out > m.set.MaxContext {
-		return nil, Wrong("prompt of %.0f tokens and answer of up to %.0f are more than the engines' context of %.0f",
+		return nil, BadRequestf("prompt of %.0f tokens and answer of up to %.0f are more than the engines' context of %.0f",
 			j.PromptTokens, out, m.set.MaxContext)
 	}
 	j.LengthHint = time.Duration(hint * float64(c.TokenIntervalTarget))
