--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -48,8 +48,8 @@
 	return &Error{Kind: BadRequest, Text: fmt.Sprintf(format, args...)}
 }
 
-// Input is a request as a front has decoded it.
-type Input struct {
+// DecodedRequest is a request as a front has decoded it.
+type DecodedRequest struct {
 	ID      string
 	Model   string
 	Version string // "" any
@@ -136,7 +136,7 @@
 }
 
 // Job returns what an input asks for, or what is wrong with it. now is when it arrived.
-func (m *Meaning) Job(in *Input, now time.Time) (*router.Job, *Error) {
+func (m *Meaning) Job(in *DecodedRequest, now time.Time) (*router.Job, *Error) {
 	if e := m.Model(in.Model, in.Version); e != nil {
 		return nil, e
 	}
--- a/internal/front/rest/rest.go
+++ b/internal/front/rest/rest.go
@@ -203,7 +203,7 @@
 }
 
 // submit decodes nothing more: it hands an input to the core.
-func (f *Front) submit(w http.ResponseWriter, r *http.Request, in *front.Input) *router.Request {
+func (f *Front) submit(w http.ResponseWriter, r *http.Request, in *front.DecodedRequest) *router.Request {
 	in.Model, in.Version = r.PathValue("model"), r.PathValue("version")
 	job, e := f.meaning.Job(in, time.Now())
 	if e == nil {
@@ -243,11 +243,11 @@
 }
 
 // inferInput finds the prompt among the tensors and checks all of them.
-func inferInput(body *kserve.InferRequest) (*front.Input, *front.Error) {
-	wrong := func(err error) (*front.Input, *front.Error) {
+func inferInput(body *kserve.InferRequest) (*front.DecodedRequest, *front.Error) {
+	wrong := func(err error) (*front.DecodedRequest, *front.Error) {
 		return nil, &front.Error{Kind: front.BadRequest, Text: err.Error()}
 	}
-	in := &front.Input{ID: body.ID, Params: body.Parameters}
+	in := &front.DecodedRequest{ID: body.ID, Params: body.Parameters}
 	found := false
 	for i := range body.Inputs {
 		t := &body.Inputs[i]
@@ -310,7 +310,7 @@
 		f.fail(w, r, e)
 		return "", nil
 	}
-	return body.ID, f.submit(w, r, &front.Input{ID: body.ID, Prompt: body.TextInput, Params: body.Parameters})
+	return body.ID, f.submit(w, r, &front.DecodedRequest{ID: body.ID, Prompt: body.TextInput, Params: body.Parameters})
 }
 
 func (f *Front) generate(w http.ResponseWriter, r *http.Request) {
