--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -55,8 +55,8 @@
 	Version string // "" any
 	Prompt  string
 	Params  kserve.Parameters
-	// Within is the client's own bound where the transport tells one; 0 is none.
-	Within time.Duration
+	// Timeout is the client's own bound where the transport tells one; 0 is none.
+	Timeout time.Duration
 }
 
 // The request parameters that have a meaning to the router. All others are passed over, as the protocol
@@ -196,8 +196,8 @@
 	if within > 0 {
 		patience = time.Duration(min(within*1e6, float64(MaxDeadline)))
 	}
-	if in.Within > 0 {
-		patience = min(patience, in.Within)
+	if in.Timeout > 0 {
+		patience = min(patience, in.Timeout)
 	}
 	j.Deadline = now.Add(patience)
 	return j, nil
