--- a/internal/day/client.go
+++ b/internal/day/client.go
@@ -80,7 +80,7 @@
 		told = c.deadline(a) // the router does not know that it will go
 	}
 	p := kserve.Parameters{front.ParamClass: class.Name, front.ParamSession: a.session, front.ParamPromptTokens: a.prompt,
-		front.ParamMaxTokens: class.MaxTokens, front.ParamDeadline: float64(told) / 1e6, front.ParamHint: a.hint,
+		front.ParamMaxTokens: class.MaxTokens, front.ParamDeadline: float64(told) / 1e6, front.ParamLengthHint: a.hint,
 		front.ParamRepeat: repeat}
 	if a.text != "" {
 		p[front.ParamSharedText], p[front.ParamSharedTokens] = a.text, a.shared
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -70,7 +70,7 @@
 	ParamPromptTokens = "prompt_tokens"
 	ParamMaxTokens    = "max_tokens"
 	ParamDeadline     = "deadline_ms"
-	ParamHint         = "length_hint"
+	ParamLengthHint   = "length_hint"
 	ParamRepeat       = "repeat"
 	ParamResume       = "resume"
 )
@@ -156,7 +156,7 @@
 	guess := float64(len(in.Prompt)) / m.set.BytesPerToken
 	j.PromptTokens = max(r.number(ParamPromptTokens, guess), 1)
 	j.PrefixTokens = min(r.number(ParamSharedTokens, 0), j.PromptTokens)
-	hint, within := r.number(ParamHint, 0), r.number(ParamDeadline, 0)
+	hint, within := r.number(ParamLengthHint, 0), r.number(ParamDeadline, 0)
 	j.Class = 0
 	if class == "" {
 		class = m.set.DefaultClass
