--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -85,8 +85,8 @@
 // Meaning turns inputs into jobs by the settings. It is safe for concurrent use.
 type Meaning struct{ set *config.Settings }
 
-// NewMeaning returns the meaning of requests under some settings.
-func NewMeaning(set *config.Settings) *Meaning { return &Meaning{set: set} }
+// NewJobBuilder returns the meaning of requests under some settings.
+func NewJobBuilder(set *config.Settings) *Meaning { return &Meaning{set: set} }
 
 // Model checks a model's name and version; the empty version is any.
 func (m *Meaning) Model(name, version string) *Error {
--- a/internal/front/rest/rest.go
+++ b/internal/front/rest/rest.go
@@ -42,7 +42,7 @@
 
 // New returns a front over a core. version is the server's, for its metadata.
 func New(set *config.Settings, core front.Core, log *slog.Logger, version string) *Front {
-	f := &Front{set: set, core: core, meaning: front.NewMeaning(set), log: log, version: version,
+	f := &Front{set: set, core: core, meaning: front.NewJobBuilder(set), log: log, version: version,
 		mux: http.NewServeMux()}
 	f.route("GET", "/v2", f.serverMetadata)
 	f.route("GET", "/v2/health/live", f.live)
