--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -82,14 +82,14 @@
 	MaxDeadline = 10 * time.Minute
 )
 
-// Meaning turns inputs into jobs by the settings. It is safe for concurrent use.
-type Meaning struct{ set *config.Settings }
+// JobBuilder turns inputs into jobs by the settings. It is safe for concurrent use.
+type JobBuilder struct{ set *config.Settings }
 
 // NewJobBuilder returns the meaning of requests under some settings.
-func NewJobBuilder(set *config.Settings) *Meaning { return &Meaning{set: set} }
+func NewJobBuilder(set *config.Settings) *JobBuilder { return &JobBuilder{set: set} }
 
 // Model checks a model's name and version; the empty version is any.
-func (m *Meaning) Model(name, version string) *Error {
+func (m *JobBuilder) Model(name, version string) *Error {
 	if name != m.set.Model {
 		return &Error{Kind: NotFound, Text: fmt.Sprintf("unknown model %q", clip(name))}
 	}
@@ -136,7 +136,7 @@
 }
 
 // Job returns what an input asks for, or what is wrong with it. now is when it arrived.
-func (m *Meaning) Job(in *DecodedRequest, now time.Time) (*router.Job, *Error) {
+func (m *JobBuilder) Job(in *DecodedRequest, now time.Time) (*router.Job, *Error) {
 	if e := m.Model(in.Model, in.Version); e != nil {
 		return nil, e
 	}
--- a/internal/front/rest/rest.go
+++ b/internal/front/rest/rest.go
@@ -34,7 +34,7 @@
 type Front struct {
 	set     *config.Settings
 	core    front.Core
-	meaning *front.Meaning
+	meaning *front.JobBuilder
 	log     *slog.Logger
 	version string
 	mux     *http.ServeMux
