--- a/internal/front/chat/conn.go
+++ b/internal/front/chat/conn.go
@@ -250,7 +250,7 @@
 		if errors.Is(err, router.ErrDuplicateName) {
 			return c.fail(&front.Error{Kind: front.BadRequest, Text: err.Error()}, true)
 		}
-		return c.fail(front.Submitted(err), closes)
+		return c.fail(front.SubmitError(err), closes)
 	}
 	return c.hand(ctx, q, closes)
 }
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -203,8 +203,8 @@
 	return j, nil
 }
 
-// Submitted tells what an error of Submit is to a client.
-func Submitted(err error) *Error {
+// SubmitError tells what an error of Submit is to a client.
+func SubmitError(err error) *Error {
 	switch {
 	case errors.Is(err, router.ErrDeadlinePassed):
 		return &Error{Kind: TimedOut, Text: err.Error()}
--- a/internal/front/rest/rest.go
+++ b/internal/front/rest/rest.go
@@ -211,7 +211,7 @@
 		if err == nil {
 			return q
 		}
-		e = front.Submitted(err)
+		e = front.SubmitError(err)
 	}
 	f.fail(w, r, e)
 	return nil
