--- a/internal/front/chat/answer.go
+++ b/internal/front/chat/answer.go
@@ -109,7 +109,7 @@
 			}
 			continue
 		}
-		e := front.Ended(end)
+		e := front.EndingError(end)
 		switch {
 		case end.Kind == router.Gone && (begun || !watching.stop(c)):
 			return false
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -215,8 +215,8 @@
 	}
 }
 
-// Ended tells what an ending is to a client; nil for one that was served.
-func Ended(e *router.Ending) *Error {
+// EndingError tells what an ending is to a client; nil for one that was served.
+func EndingError(e *router.Ending) *Error {
 	switch e.Kind {
 	case router.Served:
 		return nil
--- a/internal/front/rest/rest.go
+++ b/internal/front/rest/rest.go
@@ -233,7 +233,7 @@
 		return
 	}
 	text, end := collect(r.Context(), q)
-	if e := front.Ended(end); e != nil {
+	if e := front.EndingError(end); e != nil {
 		f.fail(w, r, e)
 		return
 	}
@@ -319,7 +319,7 @@
 		return
 	}
 	text, end := collect(r.Context(), q)
-	if e := front.Ended(end); e != nil {
+	if e := front.EndingError(end); e != nil {
 		f.fail(w, r, e)
 		return
 	}
@@ -345,7 +345,7 @@
 			}
 			continue
 		}
-		e := front.Ended(end)
+		e := front.EndingError(end)
 		switch {
 		case e != nil && !out.begun:
 			f.fail(w, r, e)
