--- a/internal/front/chat/answer.go
+++ b/internal/front/chat/answer.go
@@ -42,7 +42,7 @@
 	b = strconv.AppendInt(b, int64(code), 10)
 	b = append(b, " "+reasons[code]+"\r\nContent-Type: "+contentType+"\r\nContent-Length: "...)
 	b = strconv.AppendInt(b, int64(len(body)), 10)
-	if retryAfter > 0 && f.opts.RetryAfter {
+	if retryAfter > 0 && f.opts.SendRetryAfter {
 		b = append(b, "\r\nRetry-After: "...)
 		b = strconv.AppendFloat(b, retryAfter.Seconds(), 'f', 3, 64)
 	}
--- a/internal/front/chat/chat_test.go
+++ b/internal/front/chat/chat_test.go
@@ -103,7 +103,7 @@
 	g := guard.New(slog.New(slog.NewTextHandler(t.Output(), &slog.HandlerOptions{Level: slog.LevelError})))
 	r := router.New(router.Config{Name: "r", Settings: set, Kinds: []string{"p", "d"}, Engines: e, HoldMode: router.PerRequest, Guard: g,
 		MaxOpen: 8, StreamBuffer: 8, ClientStallTimeout: time.Second, StopTimeout: 10 * time.Second})
-	o := Options{Classes: []string{"chat", "book"}, RetryAfter: true, MaxConns: 16, BodyBytes: 8 << 20,
+	o := Options{Classes: []string{"chat", "book"}, SendRetryAfter: true, MaxConns: 16, BodyBytes: 8 << 20,
 		Within: 10 * time.Second, Idle: 10 * time.Second, Stall: 10 * time.Second, Log: slog.New(slog.DiscardHandler), Guard: g}
 	if change != nil {
 		change(&o)
@@ -403,7 +403,7 @@
 	for _, allowed := range []bool{true, false} {
 		w := start(t, func(context.Context, func(string) error) engine.Result {
 			return engine.Result{Outcome: decide.Full, Report: engine.NoReport()}
-		}, func(o *Options) { o.RetryAfter = allowed })
+		}, func(o *Options) { o.SendRetryAfter = allowed })
 		c, br := w.dial()
 		io.WriteString(c, message("x"))
 		resp, _, _ := answer(t, br)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -108,7 +108,7 @@
 		NewDecider:         decider,
 		ClientStallTimeout: clientStall, StopTimeout: settle})
 	n.planShutdown = n.Router.ShutDown
-	n.front = front.New(front.Options{Classes: set.Classes, Tenants: set.Tenants, RetryAfter: set.RetryAfter,
+	n.front = front.New(front.Options{Classes: set.Classes, Tenants: set.Tenants, SendRetryAfter: set.RetryAfter,
 		MaxConns: b.clients, MaxRefused: maxRefused,
 		BodyBytes: int64(cfg.MemoryMB * (1 << 20) / 5), Within: requestWithin, Idle: clientIdle, Stall: clientStall,
 		Log: log, Guard: n.guard}, n.Router)
