--- a/internal/front/chat/chat.go
+++ b/internal/front/chat/chat.go
@@ -37,17 +37,17 @@
 
 // Options are what the front is made of.
 type Options struct {
-	Classes        []string // names of the settings' classes
-	SendRetryAfter bool     // refusals may name a time
-	Tenants        []string // names of the settings' tenants
-	MaxConns       int
-	MaxRefused     int           // connections beside MaxConns that are kept for a moment so that a refusal arrives
-	BodyBytes      int64         // of all bodies together
-	Within         time.Duration // for a request from its connection's or its first byte's time to its last
-	Idle           time.Duration // a connection between requests is closed after this
-	Stall          time.Duration // a client that takes nothing for so long has left
-	Log            *slog.Logger
-	Guard          *guard.Guard // of all requests of the process; nil: one of the front's own
+	Classes         []string // names of the settings' classes
+	SendRetryAfter  bool     // refusals may name a time
+	Tenants         []string // names of the settings' tenants
+	MaxConns        int
+	MaxRefusedConns int           // connections beside MaxConns that are kept for a moment so that a refusal arrives
+	BodyBytes       int64         // of all bodies together
+	Within          time.Duration // for a request from its connection's or its first byte's time to its last
+	Idle            time.Duration // a connection between requests is closed after this
+	Stall           time.Duration // a client that takes nothing for so long has left
+	Log             *slog.Logger
+	Guard           *guard.Guard // of all requests of the process; nil: one of the front's own
 }
 
 // Front serves clients. Make it with New.
@@ -74,7 +74,7 @@
 		opts.Guard = guard.New(opts.Log)
 	}
 	f := &Front{opts: opts, core: core, log: opts.Log, lingerFor: lingerFor, endWithin: endWithin, stopListened: make(chan struct{})}
-	f.conns.limit, f.conns.refused = opts.MaxConns, opts.MaxRefused
+	f.conns.limit, f.conns.refused = opts.MaxConns, opts.MaxRefusedConns
 	return f
 }
 
--- a/internal/front/chat/crossings_test.go
+++ b/internal/front/chat/crossings_test.go
@@ -219,7 +219,7 @@
 // bytes. The connections kept for that are few.
 func TestRefusalForRoomArrives(t *testing.T) {
 	gate := make(chan bool)
-	w := start(t, gated(gate), func(o *Options) { o.MaxConns, o.MaxRefused = 1, 1 })
+	w := start(t, gated(gate), func(o *Options) { o.MaxConns, o.MaxRefusedConns = 1, 1 })
 	w.front.lingerFor = time.Minute
 	open, openBr := w.dial()
 	io.WriteString(open, message("a"))
@@ -252,7 +252,7 @@
 // A request that is coming is not cut off for room: whoever finds none is refused, and only a client that has sent for
 // long without an end is answered as late.
 func TestRoomIsNotMadeOfRequestsThatCome(t *testing.T) {
-	w := start(t, served, func(o *Options) { o.MaxConns, o.MaxRefused = 1, 4 })
+	w := start(t, served, func(o *Options) { o.MaxConns, o.MaxRefusedConns = 1, 4 })
 	slow, slowBr := w.dial()
 	m := message("a")
 	io.WriteString(slow, m[:100])
