--- a/internal/front/chat/answer.go
+++ b/internal/front/chat/answer.go
@@ -173,7 +173,7 @@
 			return errNoRoom
 		}
 		more := int64(grown) - c.room
-		if c.front.bodies.Add(more) > c.front.opts.BodyBytes {
+		if c.front.bodies.Add(more) > c.front.opts.MaxBodyMemory {
 			c.front.bodies.Add(-more)
 			return errNoRoom
 		}
--- a/internal/front/chat/chat_test.go
+++ b/internal/front/chat/chat_test.go
@@ -103,7 +103,7 @@
 	g := guard.New(slog.New(slog.NewTextHandler(t.Output(), &slog.HandlerOptions{Level: slog.LevelError})))
 	r := router.New(router.Config{Name: "r", Settings: set, Kinds: []string{"p", "d"}, Engines: e, HoldMode: router.PerRequest, Guard: g,
 		MaxOpen: 8, StreamBuffer: 8, ClientStallTimeout: time.Second, StopTimeout: 10 * time.Second})
-	o := Options{Classes: []string{"chat", "book"}, SendRetryAfter: true, MaxConns: 16, BodyBytes: 8 << 20,
+	o := Options{Classes: []string{"chat", "book"}, SendRetryAfter: true, MaxConns: 16, MaxBodyMemory: 8 << 20,
 		Within: 10 * time.Second, Idle: 10 * time.Second, Stall: 10 * time.Second, Log: slog.New(slog.DiscardHandler), Guard: g}
 	if change != nil {
 		change(&o)
@@ -195,7 +195,7 @@
 // What a client gets that sends what it should not; nothing of it reaches an engine.
 func TestBadRequests(t *testing.T) {
 	length := fmt.Sprintf("Content-Length: %d", len(body))
-	w := start(t, served, func(o *Options) { o.BodyBytes = 1 << 20 })
+	w := start(t, served, func(o *Options) { o.MaxBodyMemory = 1 << 20 })
 	for _, c := range []struct {
 		name, in string
 		code     int
@@ -388,7 +388,7 @@
 
 // Bodies are bounded together: what is over gets a 503, not memory.
 func TestBoundOfBodies(t *testing.T) {
-	w := start(t, served, func(o *Options) { o.BodyBytes = 20 << 10 })
+	w := start(t, served, func(o *Options) { o.MaxBodyMemory = 20 << 10 })
 	c, br := w.dial()
 	big := `{"x":"` + strings.Repeat("y", 100<<10) + `"}`
 	io.WriteString(c, message("x", fmt.Sprintf("Content-Length: %d", len(body)), fmt.Sprintf("Content-Length: %d", len(big)), body, big))
--- a/internal/front/chat/conn.go
+++ b/internal/front/chat/conn.go
@@ -320,7 +320,7 @@
 			if grown == int64(cap(b)) {
 				break // as much as there may be
 			}
-			if c.front.bodies.Add(grown-int64(cap(b))) > c.front.opts.BodyBytes {
+			if c.front.bodies.Add(grown-int64(cap(b))) > c.front.opts.MaxBodyMemory {
 				c.front.bodies.Add(int64(cap(b)) - grown)
 				return b, errNoRoom
 			}
--- a/internal/front/chat/leave_test.go
+++ b/internal/front/chat/leave_test.go
@@ -83,7 +83,7 @@
 // connection is ended for sending first, and what still comes is read and not served.
 func TestLastAnswerIsNotReset(t *testing.T) {
 	gate := make(chan bool)
-	w := start(t, gated(gate), func(o *Options) { o.BodyBytes = 3 * readBuffer })
+	w := start(t, gated(gate), func(o *Options) { o.MaxBodyMemory = 3 * readBuffer })
 	c, br := w.dial()
 	io.WriteString(c, message("a"))
 	w.eventually("taken", func() bool { return w.router.Stats().Sends == 2 })
@@ -122,7 +122,7 @@
 
 // Where the bodies have no room left nothing is read ahead, and nothing is counted for it.
 func TestNoRoomToReadAhead(t *testing.T) {
-	f := New(Options{BodyBytes: readBuffer - 1}, nil)
+	f := New(Options{MaxBodyMemory: readBuffer - 1}, nil)
 	c := &conn{front: f}
 	if err := c.readAhead(); !errors.Is(err, errNoRoom) {
 		t.Errorf("got %v", err)
