--- a/internal/front/chat/chat_test.go
+++ b/internal/front/chat/chat_test.go
@@ -104,7 +104,7 @@
 	r := router.New(router.Config{Name: "r", Settings: set, Kinds: []string{"p", "d"}, Engines: e, HoldMode: router.PerRequest, Guard: g,
 		MaxOpen: 8, StreamBuffer: 8, ClientStallTimeout: time.Second, StopTimeout: 10 * time.Second})
 	o := Options{Classes: []string{"chat", "book"}, SendRetryAfter: true, MaxConns: 16, MaxBodyMemory: 8 << 20,
-		Within: 10 * time.Second, Idle: 10 * time.Second, Stall: 10 * time.Second, Log: slog.New(slog.DiscardHandler), Guard: g}
+		RequestTimeout: 10 * time.Second, Idle: 10 * time.Second, Stall: 10 * time.Second, Log: slog.New(slog.DiscardHandler), Guard: g}
 	if change != nil {
 		change(&o)
 	}
@@ -279,7 +279,7 @@
 // Half a request, or none, is closed in time.
 func TestSilence(t *testing.T) {
 	for _, in := range []string{"", "POST /v1", "POST / HTTP/1.1\r\nHost: x\r\n", message("x")[:250]} {
-		w := start(t, served, func(o *Options) { o.Within = 20 * time.Millisecond })
+		w := start(t, served, func(o *Options) { o.RequestTimeout = 20 * time.Millisecond })
 		c, br := w.dial()
 		io.WriteString(c, in)
 		if resp, err := http.ReadResponse(br, nil); err == nil && resp.StatusCode != 408 {
--- a/internal/front/chat/conn.go
+++ b/internal/front/chat/conn.go
@@ -68,9 +68,9 @@
 		if !f.conns.move(c, receiving) {
 			return
 		}
-		within := time.Now().Add(f.opts.Within)
+		within := time.Now().Add(f.opts.RequestTimeout)
 		if first { // what was waited for counts, but bytes that have come get time to be read
-			within = latest(c.began.Add(f.opts.Within), time.Now().Add(f.opts.Within/4))
+			within = latest(c.began.Add(f.opts.RequestTimeout), time.Now().Add(f.opts.RequestTimeout/4))
 		}
 		c.SetReadDeadline(within)
 		c.request = f.opts.Guard.Receive()
--- a/internal/front/chat/conns.go
+++ b/internal/front/chat/conns.go
@@ -104,7 +104,7 @@
 	}
 	for e := s.receiving.Front(); e != nil; e = e.Next() {
 		c := e.Value.(*conn)
-		if time.Since(c.entry.since) < c.front.opts.Within/2 {
+		if time.Since(c.entry.since) < c.front.opts.RequestTimeout/2 {
 			break
 		}
 		c.SetReadDeadline(past)
--- a/internal/front/chat/crossings_test.go
+++ b/internal/front/chat/crossings_test.go
@@ -271,7 +271,7 @@
 	w.inState(receiving)
 	s := &w.front.conns
 	s.mu.Lock()
-	c.entry.since = time.Now().Add(-w.front.opts.Within) // it has sent for long
+	c.entry.since = time.Now().Add(-w.front.opts.RequestTimeout) // it has sent for long
 	s.mu.Unlock()
 	third, _ := w.dial()
 	io.WriteString(third, message("c"))
--- a/internal/front/chat/listen.go
+++ b/internal/front/chat/listen.go
@@ -63,7 +63,7 @@
 // take serves a new connection, or refuses it.
 func (f *Front) take(ctx context.Context, nc net.Conn) {
 	c := &conn{Conn: nc, front: f, began: time.Now()}
-	c.SetReadDeadline(c.began.Add(f.opts.Within))
+	c.SetReadDeadline(c.began.Add(f.opts.RequestTimeout))
 	if !f.conns.add(c) {
 		f.refuse(nc)
 		return
