--- a/internal/front/chat/conn.go
+++ b/internal/front/chat/conn.go
@@ -102,7 +102,7 @@
 // rest begins the wait for a further request; false if the connection is to end now. In a shutdown it rests too: a
 // request that comes is refused, where an end of sending would cross it, and what is read and thrown away is lost.
 func (c *conn) rest() bool {
-	c.SetReadDeadline(time.Now().Add(c.front.opts.Idle))
+	c.SetReadDeadline(time.Now().Add(c.front.opts.IdleTimeout))
 	return c.front.conns.move(c, resting)
 }
 
