--- a/internal/front/chat/answer.go
+++ b/internal/front/chat/answer.go
@@ -64,7 +64,7 @@
 	if c.request != nil && !c.request.BeginAnswer(strconv.Itoa(code)+" "+text) {
 		return false
 	}
-	c.SetWriteDeadline(time.Now().Add(f.opts.Stall))
+	c.SetWriteDeadline(time.Now().Add(f.opts.WriteTimeout))
 	_, err := c.Write(f.answer(code, "text/plain", body, retryAfter, closes))
 	c.whole = err == nil
 	return c.whole && !closes
@@ -103,7 +103,7 @@
 			}
 			buf = strconv.AppendInt(buf, int64(len(event)), 16)
 			buf = append(append(append(buf, "\r\n"...), event...), "\r\n"...)
-			c.SetWriteDeadline(time.Now().Add(c.front.opts.Stall))
+			c.SetWriteDeadline(time.Now().Add(c.front.opts.WriteTimeout))
 			if _, err := c.Write(buf); err != nil {
 				return false
 			}
@@ -124,7 +124,7 @@
 		case !begun:
 			return c.say(500, "an answer without an event", 0, true)
 		}
-		c.SetWriteDeadline(time.Now().Add(c.front.opts.Stall))
+		c.SetWriteDeadline(time.Now().Add(c.front.opts.WriteTimeout))
 		_, err := c.Write([]byte("0\r\n\r\n"))
 		c.whole = err == nil
 		return c.whole && !closes
--- a/internal/front/chat/chat.go
+++ b/internal/front/chat/chat.go
@@ -45,7 +45,7 @@
 	MaxBodyMemory   int64         // of all bodies together
 	RequestTimeout  time.Duration // for a request from its connection's or its first byte's time to its last
 	IdleTimeout     time.Duration // a connection between requests is closed after this
-	Stall           time.Duration // a client that takes nothing for so long has left
+	WriteTimeout    time.Duration // a client that takes nothing for so long has left
 	Log             *slog.Logger
 	Guard           *guard.Guard // of all requests of the process; nil: one of the front's own
 }
--- a/internal/front/chat/chat_test.go
+++ b/internal/front/chat/chat_test.go
@@ -104,7 +104,7 @@
 	r := router.New(router.Config{Name: "r", Settings: set, Kinds: []string{"p", "d"}, Engines: e, HoldMode: router.PerRequest, Guard: g,
 		MaxOpen: 8, StreamBuffer: 8, ClientStallTimeout: time.Second, StopTimeout: 10 * time.Second})
 	o := Options{Classes: []string{"chat", "book"}, SendRetryAfter: true, MaxConns: 16, MaxBodyMemory: 8 << 20,
-		RequestTimeout: 10 * time.Second, IdleTimeout: 10 * time.Second, Stall: 10 * time.Second, Log: slog.New(slog.DiscardHandler), Guard: g}
+		RequestTimeout: 10 * time.Second, IdleTimeout: 10 * time.Second, WriteTimeout: 10 * time.Second, Log: slog.New(slog.DiscardHandler), Guard: g}
 	if change != nil {
 		change(&o)
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -110,7 +110,7 @@
 	n.planShutdown = n.Router.ShutDown
 	n.front = front.New(front.Options{Classes: set.Classes, Tenants: set.Tenants, SendRetryAfter: set.RetryAfter,
 		MaxConns: b.clients, MaxRefusedConns: maxRefused,
-		MaxBodyMemory: int64(cfg.MemoryMB * (1 << 20) / 5), RequestTimeout: requestWithin, IdleTimeout: clientIdle, Stall: clientStall,
+		MaxBodyMemory: int64(cfg.MemoryMB * (1 << 20) / 5), RequestTimeout: requestWithin, IdleTimeout: clientIdle, WriteTimeout: clientStall,
 		Log: log, Guard: n.guard}, n.Router)
 	n.parts = assembly.New(assembly.Parts{Router: n.Router, Source: n.source, Log: log, Drain: n.finish,
 		Serve:      func(ctx context.Context) error { return n.front.Serve(ctx, n.listener) },
