--- a/internal/front/chat/chat.go
+++ b/internal/front/chat/chat.go
@@ -78,9 +78,9 @@
 	return f
 }
 
-// ShutDown makes every answer from now on the last of its connection: clients are to go elsewhere. New connections are
+// BeginShutdown makes every answer from now on the last of its connection: clients are to go elsewhere. New connections are
 // still taken.
-func (f *Front) ShutDown() { f.last.Store(true) }
+func (f *Front) BeginShutdown() { f.last.Store(true) }
 
 // CloseResting closes the connections that have been between two requests for a time: their clients have read the last
 // answer. What crosses the close stays unread.
--- a/internal/front/chat/chat_test.go
+++ b/internal/front/chat/chat_test.go
@@ -436,7 +436,7 @@
 		}
 		return false
 	})
-	w.front.ShutDown()
+	w.front.BeginShutdown()
 	w.front.CloseResting(0)
 	if _, err := idleBr.ReadByte(); err != io.EOF {
 		t.Errorf("the idle one: %v", err)
--- a/internal/front/chat/crossings_test.go
+++ b/internal/front/chat/crossings_test.go
@@ -93,7 +93,7 @@
 			w.inState(resting)
 			io.WriteString(client, whole[:cut])
 			w.inState(receiving)
-			w.front.ShutDown()
+			w.front.BeginShutdown()
 			w.front.CloseResting(0)
 			w.front.ExpireFresh()
 			w.front.CloseResting(0)
@@ -157,7 +157,7 @@
 	w := start(t, served, nil)
 	_, silentBr := w.dial()
 	w.inState(fresh)
-	w.front.ShutDown()
+	w.front.BeginShutdown()
 	w.front.ExpireFresh()
 	if resp, _, err := answer(t, silentBr); resp.StatusCode != 503 || !resp.Close || err != nil {
 		t.Errorf("%+v %v", resp, err)
@@ -179,7 +179,7 @@
 	if err != nil || resp.Close {
 		t.Fatalf("%+v %v", resp, err)
 	}
-	w.front.ShutDown()
+	w.front.BeginShutdown()
 	close(gate)
 	if _, err := io.Copy(io.Discard, resp.Body); err != nil {
 		t.Fatal(err)
@@ -200,7 +200,7 @@
 	whole := message("a")
 	io.WriteString(c, whole[:len(whole)-1])
 	w.inState(receiving)
-	w.front.ShutDown()
+	w.front.BeginShutdown()
 	w.front.ExpireFresh() // is none of its business
 	w.front.ExpireReceiving()
 	if resp, _, err := answer(t, br); resp.StatusCode != 503 || !resp.Close || err != nil {
--- a/internal/front/chat/leave_test.go
+++ b/internal/front/chat/leave_test.go
@@ -87,7 +87,7 @@
 	c, br := w.dial()
 	io.WriteString(c, message("a"))
 	w.eventually("taken", func() bool { return w.router.Stats().Sends == 2 })
-	w.front.ShutDown()
+	w.front.BeginShutdown()
 	io.WriteString(c, big("b")) // more than is read ahead: some of it stays unread
 	close(gate)
 	resp, got, err := answer(t, br)
--- a/internal/front/chat/listen.go
+++ b/internal/front/chat/listen.go
@@ -43,7 +43,7 @@
 // end ends all connections: at once where no request is open, else after its answer.
 func (f *Front) end(l net.Listener, endAsking func()) {
 	l.Close()
-	f.ShutDown()
+	f.BeginShutdown()
 	f.conns.closeResting(0)
 	f.conns.expire(fresh)
 	f.conns.expire(receiving)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -163,7 +163,7 @@
 	plan := n.planShutdown(*taken)
 	n.log.Info("draining", "open", n.Router.Stats().Open, "connections", n.front.Conns(), "taken", time.Since(*taken))
 	n.guard.ShutDown(plan.AcceptUntil)
-	n.front.ShutDown()
+	n.front.BeginShutdown()
 	look := time.NewTicker(drainLook)
 	defer look.Stop()
 	told := time.Now()
