--- a/internal/front/chat/chat.go
+++ b/internal/front/chat/chat.go
@@ -82,9 +82,9 @@
 // still taken.
 func (f *Front) BeginShutdown() { f.last.Store(true) }
 
-// CloseResting closes the connections that have been between two requests for a time: their clients have read the last
+// CloseIdle closes the connections that have been between two requests for a time: their clients have read the last
 // answer. What crosses the close stays unread.
-func (f *Front) CloseResting(restedFor time.Duration) { f.conns.closeResting(restedFor) }
+func (f *Front) CloseIdle(restedFor time.Duration) { f.conns.closeResting(restedFor) }
 
 // ExpireFresh refuses connections that have brought no request yet.
 func (f *Front) ExpireFresh() { f.conns.expire(fresh) }
--- a/internal/front/chat/chat_test.go
+++ b/internal/front/chat/chat_test.go
@@ -437,7 +437,7 @@
 		return false
 	})
 	w.front.BeginShutdown()
-	w.front.CloseResting(0)
+	w.front.CloseIdle(0)
 	if _, err := idleBr.ReadByte(); err != io.EOF {
 		t.Errorf("the idle one: %v", err)
 	}
--- a/internal/front/chat/crossings_test.go
+++ b/internal/front/chat/crossings_test.go
@@ -94,9 +94,9 @@
 			io.WriteString(client, whole[:cut])
 			w.inState(receiving)
 			w.front.BeginShutdown()
-			w.front.CloseResting(0)
+			w.front.CloseIdle(0)
 			w.front.ExpireFresh()
-			w.front.CloseResting(0)
+			w.front.CloseIdle(0)
 			io.WriteString(client, whole[cut:])
 			resp, got, err := answer(t, br)
 			if resp.StatusCode != 200 || !resp.Close || got != eventA+eventEnd || err != nil {
@@ -185,7 +185,7 @@
 		t.Fatal(err)
 	}
 	w.inState(resting)
-	w.front.CloseResting(time.Hour) // it has not rested for so long
+	w.front.CloseIdle(time.Hour) // it has not rested for so long
 	io.WriteString(c, message("b"))
 	if resp, got, err := answer(t, br); resp.StatusCode != 200 || !resp.Close || got != eventA+eventEnd || err != nil {
 		t.Errorf("%+v %q %v", resp, got, err)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -171,7 +171,7 @@
 	var stopped <-chan struct{} // nil but for the time between StopListening and its end
 	for listening || n.front.Conns() > 0 {
 		now := time.Now()
-		n.front.CloseResting(plan.LingerFor)
+		n.front.CloseIdle(plan.LingerFor)
 		if now.After(plan.AcceptUntil) {
 			n.front.ExpireFresh()
 		}
