--- a/internal/front/chat/chat.go
+++ b/internal/front/chat/chat.go
@@ -86,8 +86,8 @@
 // answer. What crosses the close stays unread.
 func (f *Front) CloseIdle(restedFor time.Duration) { f.conns.closeResting(restedFor) }
 
-// ExpireFresh refuses connections that have brought no request yet.
-func (f *Front) ExpireFresh() { f.conns.expire(fresh) }
+// RefuseUnused refuses connections that have brought no request yet.
+func (f *Front) RefuseUnused() { f.conns.expire(fresh) }
 
 // ExpireReceiving refuses requests that have begun to come and are not complete.
 func (f *Front) ExpireReceiving() { f.conns.expire(receiving) }
--- a/internal/front/chat/crossings_test.go
+++ b/internal/front/chat/crossings_test.go
@@ -95,7 +95,7 @@
 			w.inState(receiving)
 			w.front.BeginShutdown()
 			w.front.CloseIdle(0)
-			w.front.ExpireFresh()
+			w.front.RefuseUnused()
 			w.front.CloseIdle(0)
 			io.WriteString(client, whole[cut:])
 			resp, got, err := answer(t, br)
@@ -158,7 +158,7 @@
 	_, silentBr := w.dial()
 	w.inState(fresh)
 	w.front.BeginShutdown()
-	w.front.ExpireFresh()
+	w.front.RefuseUnused()
 	if resp, _, err := answer(t, silentBr); resp.StatusCode != 503 || !resp.Close || err != nil {
 		t.Errorf("%+v %v", resp, err)
 	}
@@ -201,7 +201,7 @@
 	io.WriteString(c, whole[:len(whole)-1])
 	w.inState(receiving)
 	w.front.BeginShutdown()
-	w.front.ExpireFresh() // is none of its business
+	w.front.RefuseUnused() // is none of its business
 	w.front.ExpireReceiving()
 	if resp, _, err := answer(t, br); resp.StatusCode != 503 || !resp.Close || err != nil {
 		t.Errorf("%+v %v", resp, err)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -173,7 +173,7 @@
 		now := time.Now()
 		n.front.CloseIdle(plan.LingerFor)
 		if now.After(plan.AcceptUntil) {
-			n.front.ExpireFresh()
+			n.front.RefuseUnused()
 		}
 		if now.After(plan.GiveUpBy) {
 			n.front.ExpireReceiving()
