--- a/internal/front/chat/chat.go
+++ b/internal/front/chat/chat.go
@@ -89,8 +89,8 @@
 // RefuseUnused refuses connections that have brought no request yet.
 func (f *Front) RefuseUnused() { f.conns.expire(fresh) }
 
-// ExpireReceiving refuses requests that have begun to come and are not complete.
-func (f *Front) ExpireReceiving() { f.conns.expire(receiving) }
+// RefuseIncomplete refuses requests that have begun to come and are not complete.
+func (f *Front) RefuseIncomplete() { f.conns.expire(receiving) }
 
 // Conns tells how many connections are open.
 func (f *Front) Conns() int { return f.conns.count() }
--- a/internal/front/chat/crossings_test.go
+++ b/internal/front/chat/crossings_test.go
@@ -202,7 +202,7 @@
 	w.inState(receiving)
 	w.front.BeginShutdown()
 	w.front.RefuseUnused() // is none of its business
-	w.front.ExpireReceiving()
+	w.front.RefuseIncomplete()
 	if resp, _, err := answer(t, br); resp.StatusCode != 503 || !resp.Close || err != nil {
 		t.Errorf("%+v %v", resp, err)
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -176,7 +176,7 @@
 			n.front.RefuseUnused()
 		}
 		if now.After(plan.GiveUpBy) {
-			n.front.ExpireReceiving()
+			n.front.RefuseIncomplete()
 		}
 		if now.After(plan.ListenUntil) && !asked {
 			stopped, asked = n.front.StopListening(), true
