--- a/internal/front/chat/chat.go
+++ b/internal/front/chat/chat.go
@@ -92,5 +92,5 @@
 // RefuseIncomplete refuses requests that have begun to come and are not complete.
 func (f *Front) RefuseIncomplete() { f.conns.expire(receiving) }
 
-// Conns tells how many connections are open.
-func (f *Front) Conns() int { return f.conns.count() }
+// OpenConns tells how many connections are open.
+func (f *Front) OpenConns() int { return f.conns.count() }
--- a/internal/front/chat/chat_test.go
+++ b/internal/front/chat/chat_test.go
@@ -286,7 +286,7 @@
 			t.Errorf("%q: %d", in, resp.StatusCode)
 		}
 		io.Copy(io.Discard, br) // to its end
-		w.eventually("closed", func() bool { return w.front.Conns() == 0 })
+		w.eventually("closed", func() bool { return w.front.OpenConns() == 0 })
 	}
 }
 
@@ -374,7 +374,7 @@
 	for range 50 {
 		w.dial()
 	}
-	w.eventually("bounded", func() bool { return w.front.Conns() <= 4 })
+	w.eventually("bounded", func() bool { return w.front.OpenConns() <= 4 })
 	late, lateBr := w.dial()
 	io.WriteString(late, "GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
 	if resp, _, _ := answer(t, lateBr); resp.StatusCode != 200 {
@@ -425,7 +425,7 @@
 	io.WriteString(idle, message("a"))
 	answer(t, idleBr)
 	fresh, freshBr := w.dial()
-	w.eventually("both are there", func() bool { return w.front.Conns() == 2 })
+	w.eventually("both are there", func() bool { return w.front.OpenConns() == 2 })
 	w.eventually("one is between requests", func() bool {
 		w.front.conns.mu.Lock()
 		defer w.front.conns.mu.Unlock()
@@ -451,7 +451,7 @@
 	if resp, _, _ := answer(t, br); resp.StatusCode != 503 || !resp.Close {
 		t.Errorf("/up: %d", resp.StatusCode)
 	}
-	w.eventually("all are closed", func() bool { return w.front.Conns() == 0 })
+	w.eventually("all are closed", func() bool { return w.front.OpenConns() == 0 })
 }
 
 // Each event goes out as it comes.
--- a/internal/front/chat/crossings_test.go
+++ b/internal/front/chat/crossings_test.go
@@ -70,7 +70,7 @@
 			if b, err := br.ReadByte(); !errors.Is(err, syscall.ECONNRESET) {
 				t.Errorf("got %q, %v, want a reset", b, err)
 			}
-			w.eventually("closed", func() bool { return w.front.Conns() == 0 })
+			w.eventually("closed", func() bool { return w.front.OpenConns() == 0 })
 			if n := w.engines.sent(); n != 1 {
 				t.Errorf("%d requests were sent on, want the first alone", n)
 			}
@@ -190,7 +190,7 @@
 	if resp, got, err := answer(t, br); resp.StatusCode != 200 || !resp.Close || got != eventA+eventEnd || err != nil {
 		t.Errorf("%+v %q %v", resp, got, err)
 	}
-	w.eventually("it is closed", func() bool { return w.front.Conns() == 0 })
+	w.eventually("it is closed", func() bool { return w.front.OpenConns() == 0 })
 }
 
 // A request that has not come to its end when the router gives up is refused: its last byte may come in that moment.
@@ -235,14 +235,14 @@
 	if _, err := br.ReadByte(); err != io.EOF {
 		t.Errorf("after the refusal: %v", err)
 	}
-	w.eventually("it lingers", func() bool { return w.front.Conns() == 2 })
+	w.eventually("it lingers", func() bool { return w.front.OpenConns() == 2 })
 	_, thirdBr := w.dial() // beyond the few: closed at once
 	ends(t, thirdBr)
-	if n := w.front.Conns(); n > 2 {
+	if n := w.front.OpenConns(); n > 2 {
 		t.Errorf("%d connections", n)
 	}
 	second.Close()
-	w.eventually("room again", func() bool { return w.front.Conns() == 1 })
+	w.eventually("room again", func() bool { return w.front.OpenConns() == 1 })
 	close(gate)
 	if resp, _, err := answer(t, openBr); resp.StatusCode != 200 || err != nil {
 		t.Errorf("the open one: %+v %v", resp, err)
@@ -294,7 +294,7 @@
 			io.WriteString(c, m[:len(m)-1])
 			w.inState(receiving)
 			leave(c.(*net.TCPConn))
-			w.eventually("closed", func() bool { return w.front.Conns() == 0 })
+			w.eventually("closed", func() bool { return w.front.OpenConns() == 0 })
 			if n := w.engines.sent(); n != 0 {
 				t.Errorf("%d requests were sent on", n)
 			}
@@ -328,7 +328,7 @@
 					writing <- true
 				}
 				w.eventually("gone", func() bool { return w.router.Stats().Gone == 1 && w.router.Stats().Open == 0 })
-				w.eventually("closed", func() bool { return w.front.Conns() == 0 })
+				w.eventually("closed", func() bool { return w.front.OpenConns() == 0 })
 				if n := w.router.Stats().Sends; n != 2 {
 					t.Errorf("%d attempts", n)
 				}
--- a/internal/front/chat/leave_test.go
+++ b/internal/front/chat/leave_test.go
@@ -52,7 +52,7 @@
 			}
 			c.Close()
 			w.eventually("gone", func() bool { return w.router.Stats().Gone == 1 && w.router.Stats().Open == 0 })
-			w.eventually("closed", func() bool { return w.front.Conns() == 0 })
+			w.eventually("closed", func() bool { return w.front.OpenConns() == 0 })
 			if n := w.router.Stats().Sends; n != 2 {
 				t.Errorf("%d attempts, want the read and the write of the first request", n)
 			}
@@ -98,7 +98,7 @@
 		t.Errorf("after the answer %d bytes and %v, want the end", n, err)
 	}
 	c.Close()
-	w.eventually("closed", func() bool { return w.front.Conns() == 0 })
+	w.eventually("closed", func() bool { return w.front.OpenConns() == 0 })
 	if n := w.router.Stats().Sends; n != 2 {
 		t.Errorf("%d attempts: what was read after the end was sent on", n)
 	}
--- a/internal/node/crossings_test.go
+++ b/internal/node/crossings_test.go
@@ -162,7 +162,7 @@
 	waiting.ask("a") // for 20 s
 	w.eventually("it is written", func() bool { return w.open(writer) == 1 })
 	fresh := w.dial()
-	w.eventually("both are there", func() bool { return w.node.front.Conns() == 2 })
+	w.eventually("both are there", func() bool { return w.node.front.OpenConns() == 2 })
 	signalled := time.Now().Add(-2 * time.Second)
 	w.node.signalled.Store(&signalled)
 	w.node.Drain()
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -161,7 +161,7 @@
 func (n *Node) finish(ctx context.Context, unlisten, _ func()) {
 	taken := n.signalled.Load()
 	plan := n.planShutdown(*taken)
-	n.log.Info("draining", "open", n.Router.Stats().Open, "connections", n.front.Conns(), "taken", time.Since(*taken))
+	n.log.Info("draining", "open", n.Router.Stats().Open, "connections", n.front.OpenConns(), "taken", time.Since(*taken))
 	n.guard.ShutDown(plan.AcceptUntil)
 	n.front.BeginShutdown()
 	look := time.NewTicker(drainLook)
@@ -169,7 +169,7 @@
 	told := time.Now()
 	listening, asked := true, false
 	var stopped <-chan struct{} // nil but for the time between StopListening and its end
-	for listening || n.front.Conns() > 0 {
+	for listening || n.front.OpenConns() > 0 {
 		now := time.Now()
 		n.front.CloseIdle(plan.LingerFor)
 		if now.After(plan.AcceptUntil) {
@@ -183,7 +183,7 @@
 		}
 		if now.Sub(told) >= tellEvery { // shows that the process is alive
 			told = now
-			n.log.Info("still draining", "since", now.Sub(*taken), "open", n.guard.Open(), "connections", n.front.Conns())
+			n.log.Info("still draining", "since", now.Sub(*taken), "open", n.guard.Open(), "connections", n.front.OpenConns())
 		}
 		select {
 		case <-ctx.Done():
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -350,7 +350,7 @@
 	}
 	open.ask("b")
 	w.eventually("one is open", func() bool { return w.open(writer) == 1 })
-	w.eventually("all are there", func() bool { return w.node.front.Conns() == 3 })
+	w.eventually("all are there", func() bool { return w.node.front.OpenConns() == 3 })
 	w.node.Drain()
 	if _, err := idle.br.ReadByte(); err != io.EOF {
 		t.Errorf("a connection between requests: %v", err)
