--- a/internal/discovery/watch/watch.go
+++ b/internal/discovery/watch/watch.go
@@ -77,8 +77,8 @@
 			MaxResponseHeaderBytes: 16 << 10, ReadBufferSize: 4096, WriteBufferSize: 1024}}}
 }
 
-// Move asks at another address from now on.
-func (s *Source) Move(addr string) {
+// SetAddr asks at another address from now on.
+func (s *Source) SetAddr(addr string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if addr == s.addr {
--- a/internal/discovery/watch/watch_test.go
+++ b/internal/discovery/watch/watch_test.go
@@ -320,7 +320,7 @@
 			told <- u
 			if first { // no call is out now
 				first = false
-				s.Move(b.addr())
+				s.SetAddr(b.addr())
 			}
 		})
 	}()
@@ -391,11 +391,11 @@
 	for len(a.requests()) < 2 { // the watch is out
 		time.Sleep(time.Millisecond)
 	}
-	s.Move(b.addr())
+	s.SetAddr(b.addr())
 	if got := next(t, told); got != "s2 h:2 up 0" {
 		t.Errorf("told %q", got)
 	}
-	s.Move(b.addr()) // nothing to do
+	s.SetAddr(b.addr()) // nothing to do
 }
 
 // A watch that falls silent is a failed asking, soon; the whole list is asked for, and watched again.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -143,7 +143,7 @@
 		n.log.Error("the new configuration is not taken", "err", err)
 		return
 	}
-	n.source.Move(c.Discovery)
+	n.source.SetAddr(c.Discovery)
 }
 
 // Run runs until ctx ends, which answers what is open at once, or until Drain has done its work.
