--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -23,8 +23,8 @@
 	State decide.Condition
 	// Weight compares engines of one role; 1 when not told.
 	Weight float64
-	// Since is the last start; the zero time is long ago.
-	Since time.Time
+	// StartedAt is the last start; the zero time is long ago.
+	StartedAt time.Time
 }
 
 // ID is the engine's number towards the decision module: the same at every router, and of no meaning.
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -16,7 +16,7 @@
 	return []Engine{
 		{Name: "d1", Addr: "127.0.0.1:9002", Kind: "decode", State: decide.Draining, Weight: 1},
 		{Name: "p1", Addr: "127.0.0.1:9001", Kind: "prefill", Cell: "a", Zone: "hall one", State: decide.Ready,
-			Weight: 1.5, Since: time.Date(2026, 3, 1, 5, 0, 0, 0, time.UTC)},
+			Weight: 1.5, StartedAt: time.Date(2026, 3, 1, 5, 0, 0, 0, time.UTC)},
 	}
 }
 
--- a/internal/discovery/file.go
+++ b/internal/discovery/file.go
@@ -127,7 +127,7 @@
 			e.Weight, err = config.ParseNumber(v)
 			note(key, err)
 		case "since":
-			e.Since, err = config.ParseTime(v)
+			e.StartedAt, err = config.ParseTime(v)
 			note(key, err)
 		default:
 			errs.Add(l, "found %q, expected kind, cell, zone, state, weight or since", key)
@@ -162,8 +162,8 @@
 		if e.Weight != 1 {
 			fmt.Fprintf(&b, " weight %v", e.Weight)
 		}
-		if !e.Since.IsZero() {
-			fmt.Fprintf(&b, " since %s", e.Since.UTC().Format(time.RFC3339Nano))
+		if !e.StartedAt.IsZero() {
+			fmt.Fprintf(&b, " since %s", e.StartedAt.UTC().Format(time.RFC3339Nano))
 		}
 		b.WriteByte('\n')
 	}
--- a/internal/discovery/watch/members.go
+++ b/internal/discovery/watch/members.go
@@ -186,7 +186,7 @@
 		return e, fmt.Errorf("member %q is in the unknown phase %.40q", w.ID, w.Phase)
 	}
 	if w.SinceMS > 0 {
-		e.Since = time.UnixMilli(w.SinceMS)
+		e.StartedAt = time.UnixMilli(w.SinceMS)
 	}
 	return e, nil
 }
@@ -214,8 +214,8 @@
 
 // replaces tells whether a is the process that took over the address of b.
 func replaces(a, b discovery.Engine, before map[string]discovery.Engine) bool {
-	if !a.Since.Equal(b.Since) {
-		return a.Since.After(b.Since)
+	if !a.StartedAt.Equal(b.StartedAt) {
+		return a.StartedAt.After(b.StartedAt)
 	}
 	if (a.State == decide.Ready) != (b.State == decide.Ready) {
 		return a.State == decide.Ready
--- a/internal/discovery/watch/watch_test.go
+++ b/internal/discovery/watch/watch_test.go
@@ -98,8 +98,8 @@
 		for _, e := range u.Engines {
 			state := map[decide.Condition]string{decide.Ready: "up", decide.Draining: "draining"}[e.State]
 			since := int64(0)
-			if !e.Since.IsZero() {
-				since = e.Since.UnixMilli()
+			if !e.StartedAt.IsZero() {
+				since = e.StartedAt.UnixMilli()
 			}
 			out = append(out, fmt.Sprintf("%s %s %s %d", e.Name, e.Addr, state, since))
 		}
--- a/internal/router/holds_test.go
+++ b/internal/router/holds_test.go
@@ -150,7 +150,7 @@
 	fake := &fakeEngines{}
 	g := start(t, fake, nil)
 	list := fleet()
-	list[0].Since = time.UnixMilli(7)
+	list[0].StartedAt = time.UnixMilli(7)
 	list[1].Addr = "d2:9"
 	list[2].State = decide.Draining
 	g.Update(discovery.Update{Engines: list})
--- a/internal/router/loop.go
+++ b/internal/router/loop.go
@@ -333,9 +333,9 @@
 			r.cfg.Engines.Forget(e.Addr)
 			continue
 		}
-		s := &server{name: e.Name, addr: e.Addr, since: e.Since}
+		s := &server{name: e.Name, addr: e.Addr, since: e.StartedAt}
 		if old := r.servers[e.ID()]; old != nil {
-			anew := old.addr != e.Addr || !old.since.Equal(e.Since)
+			anew := old.addr != e.Addr || !old.since.Equal(e.StartedAt)
 			if anew {
 				r.cfg.Engines.Forget(old.addr) // its connections belong to a process that is no more
 			}
@@ -378,8 +378,8 @@
 		if l.Kind < 0 {
 			continue // of a kind that the settings do not know: nobody could say what it can do
 		}
-		if !e.Since.IsZero() {
-			l.StartedAt = decide.Time(e.Since.UnixNano())
+		if !e.StartedAt.IsZero() {
+			l.StartedAt = decide.Time(e.StartedAt.UnixNano())
 		}
 		out = append(out, l)
 	}
--- a/internal/shift/shift.go
+++ b/internal/shift/shift.go
@@ -365,8 +365,8 @@
 		if v.Draining {
 			e.State = decide.Draining
 		}
-		if v.Since.After(e.Since) {
-			e.Since = v.Since
+		if v.Since.After(e.StartedAt) {
+			e.StartedAt = v.Since
 		}
 	}
 	return out
--- a/internal/shift/shift_test.go
+++ b/internal/shift/shift_test.go
@@ -87,7 +87,7 @@
 	changed := time.Now()
 	w.say(engine.Role{Role: engine.StageDecode, Epoch: 2, Phase: engine.PhaseSteady, Since: changed})
 	until("in its new role and cold", func(e *discovery.Engine) bool {
-		return e.Kind == "d" && e.State == decide.Ready && e.Since.Equal(changed)
+		return e.Kind == "d" && e.State == decide.Ready && e.StartedAt.Equal(changed)
 	})
 	cancel()
 	if err := <-done; err != nil {
--- a/internal/standin/fleet/fleet.go
+++ b/internal/standin/fleet/fleet.go
@@ -126,7 +126,7 @@
 	m.starts++
 	f.mu.Unlock()
 	f.later(f.cfg.Add, m, func(m *Member) {
-		m.entry.State, m.entry.Since, m.listed = decide.Ready, since, true
+		m.entry.State, m.entry.StartedAt, m.listed = decide.Ready, since, true
 	})
 }
 
