--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -57,7 +57,7 @@
 	d.engines = engine.New(engine.Options{DialTimeout: set.DialTimeout, IdleConnTimeout: set.ConnIdleTimeout,
 		MaxConns: set.MaxEngineConns, StreamIdleTimeout: set.StreamIdleTimeout, ReleaseTimeout: set.ReleaseTimeout,
 		ProbeTimeout: set.ProbeTimeout})
-	cfg := router.Config{Name: set.Name, Model: set.Model, Settings: set.Decide(discovery.Number),
+	cfg := router.Config{Name: set.Name, Model: set.Model, Settings: set.Decide(discovery.LocationNumber),
 		Kinds: kinds, Engines: d.engines, Seed: seed, Log: log, MaxOpen: set.MaxOpen,
 		StreamBuffer: set.StreamBuffer, ClientStallTimeout: set.ClientStallTimeout, StopTimeout: settle}
 	var watch router.Observers
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -30,9 +30,9 @@
 // ID is the engine's number towards the decision module: the same at every router, and of no meaning.
 func (e *Engine) ID() decide.ServerID { return decide.ServerID(xxhash.Sum64String(e.Name)) }
 
-// Number maps a name of a zone or cell to the number by which the module compares them. It hangs on the
+// LocationNumber maps a name of a zone or cell to the number by which the module compares them. It hangs on the
 // name alone, so nothing has to be kept, and the empty name is 0.
-func Number(name string) int {
+func LocationNumber(name string) int {
 	if name == "" {
 		return 0
 	}
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -64,7 +64,7 @@
 }
 
 func TestNumbers(t *testing.T) {
-	if Number("") != 0 || Number("a") == Number("b") || Number("a") <= 0 {
+	if LocationNumber("") != 0 || LocationNumber("a") == LocationNumber("b") || LocationNumber("a") <= 0 {
 		t.Error("zones and cells are not told apart")
 	}
 }
--- a/internal/e2e/hard_test.go
+++ b/internal/e2e/hard_test.go
@@ -649,7 +649,7 @@
 	if !letGo {
 		engines = noRelease{client}
 	}
-	r := router.New(router.Config{Name: "broken", Model: "helpline", Settings: w.set.Decide(discovery.Number),
+	r := router.New(router.Config{Name: "broken", Model: "helpline", Settings: w.set.Decide(discovery.LocationNumber),
 		Kinds: []string{"prefill", "decode"}, Engines: engines, Seed: 1, MaxOpen: 100, StreamBuffer: 8, ClientStallTimeout: time.Second,
 		StopTimeout: time.Second, NewDecider: func(set *decide.Settings, seed uint64, now decide.Time) router.Decider {
 			return module(decide.New(set, seed, now))
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -99,9 +99,9 @@
 	if z := set.Decide.Zone; z < len(set.Zones) {
 		zone = set.Zones[z]
 	}
-	set.Decide.Zone = discovery.Number(zone) // as the list's zones are numbered
-	set.Decide.ReleaseAtEnd = true           // as router.ByRequest does
-	set.Decide.PauseHoldOnArrival = true     // PROTOCOL, 'The rules on sockets'
+	set.Decide.Zone = discovery.LocationNumber(zone) // as the list's zones are numbered
+	set.Decide.ReleaseAtEnd = true                   // as router.ByRequest does
+	set.Decide.PauseHoldOnArrival = true             // PROTOCOL, 'The rules on sockets'
 	n.guard = guard.New(log)
 	n.Router = router.New(router.Config{Name: cfg.Name, Settings: set.Decide, Kinds: set.Kinds, Engines: n.engines,
 		HoldMode: router.PerRequest, Seed: cfg.Seed, Log: log, Guard: n.guard, MaxOpen: b.open, StreamBuffer: streamParts,
--- a/internal/router/loop.go
+++ b/internal/router/loop.go
@@ -373,7 +373,7 @@
 	out := make([]decide.Listing, 0, len(list))
 	for i := range list {
 		e := &list[i]
-		l := decide.Listing{Server: e.ID(), Zone: discovery.Number(e.Zone), Cell: discovery.Number(e.Cell),
+		l := decide.Listing{Server: e.ID(), Zone: discovery.LocationNumber(e.Zone), Cell: discovery.LocationNumber(e.Cell),
 			Kind: r.kind(e.Kind), Condition: e.State, Weight: e.Weight}
 		if l.Kind < 0 {
 			continue // of a kind that the settings do not know: nobody could say what it can do
