--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -52,9 +52,9 @@
 	Run(ctx context.Context, tell func(Update)) error
 }
 
-// Check sorts a list by name and returns its first fault: a double name or address. Two entries of one
+// SortAndCheck sorts a list by name and returns its first fault: a double name or address. Two entries of one
 // address would let a router send to one engine as if it were two.
-func Check(list []Engine) error {
+func SortAndCheck(list []Engine) error {
 	slices.SortFunc(list, func(a, b Engine) int {
 		switch {
 		case a.Name < b.Name:
--- a/internal/discovery/file.go
+++ b/internal/discovery/file.go
@@ -81,7 +81,7 @@
 	if err := errs.Err(); err != nil {
 		return nil, err
 	}
-	if err := Check(list); err != nil {
+	if err := SortAndCheck(list); err != nil {
 		return nil, fmt.Errorf("%s: %w", file, err)
 	}
 	return list, nil
--- a/internal/e2e/hard_test.go
+++ b/internal/e2e/hard_test.go
@@ -661,7 +661,7 @@
 	for _, m := range w.fleet.Members() {
 		list = append(list, discovery.Engine{Name: m.Name, Addr: m.Engine.Addr(), Kind: m.Group.Kind, State: decide.Ready, Weight: 1})
 	}
-	if err := discovery.Check(list); err != nil {
+	if err := discovery.SortAndCheck(list); err != nil {
 		t.Fatal(err)
 	}
 	r.Update(discovery.Update{Engines: list})
