--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -82,9 +82,9 @@
 	return nil
 }
 
-// Changes returns what to tell of the way from one list to another: entries new or changed, and those
+// Diff returns what to tell of the way from one list to another: entries new or changed, and those
 // gone, with State Gone. Both lists are sorted by name.
-func Changes(old, now []Engine) []Engine {
+func Diff(old, now []Engine) []Engine {
 	var out []Engine
 	i, j := 0, 0
 	for i < len(old) || j < len(now) {
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -53,12 +53,12 @@
 	old := sample()
 	now := []Engine{old[0], {Name: "p2", Addr: "127.0.0.1:9003", Kind: "prefill", State: decide.Ready}}
 	now[0].State = decide.Ready
-	got := Changes(old, now)
+	got := Diff(old, now)
 	if len(got) != 3 || got[0].Name != "d1" || got[0].State != decide.Ready || got[1].Name != "p1" ||
 		got[1].State != decide.Gone || got[2].Name != "p2" {
 		t.Errorf("%+v", got)
 	}
-	if got := Changes(old, old); len(got) != 0 {
+	if got := Diff(old, old); len(got) != 0 {
 		t.Errorf("no change, but %+v", got)
 	}
 }
--- a/internal/router/loop.go
+++ b/internal/router/loop.go
@@ -317,7 +317,7 @@
 		r.log.Info("discovery answers again")
 	}
 	r.listFailing = false
-	changes := discovery.Changes(r.list, u.Engines)
+	changes := discovery.Diff(r.list, u.Engines)
 	if len(changes) == 0 {
 		return
 	}
