--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -51,7 +51,7 @@
 		kinds[i] = k.Name
 	}
 	if source == nil {
-		source = &discovery.File{Path: set.ListFile, Every: set.ListInterval, Kinds: kinds}
+		source = &discovery.File{Path: set.ListFile, Interval: set.ListInterval, Kinds: kinds}
 	}
 	d := &Daemon{set: set, log: log, source: source, listener: listener}
 	d.engines = engine.New(engine.Options{DialTimeout: set.DialTimeout, IdleConnTimeout: set.ConnIdleTimeout,
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -79,7 +79,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	updates := make(chan Update, 16)
 	done := make(chan error, 1)
-	f := &File{Path: path, Every: time.Millisecond}
+	f := &File{Path: path, Interval: time.Millisecond}
 	go func() { done <- f.Run(ctx, func(u Update) { updates <- u }) }()
 	next := func() Update {
 		t.Helper()
--- a/internal/discovery/file.go
+++ b/internal/discovery/file.go
@@ -23,14 +23,14 @@
 // An engine that is gone has no line. A list without a single line is taken at its word only if it says
 // so with the line 'empty', lest a truncated file empty the router.
 type File struct {
-	Path  string
-	Every time.Duration // how often the file is looked at
-	Kinds []string      // kinds that are known; nil: all are
+	Path     string
+	Interval time.Duration // how often the file is looked at
+	Kinds    []string      // kinds that are known; nil: all are
 }
 
 // Run reads the file until ctx ends.
 func (f *File) Run(ctx context.Context, tell func(Update)) error {
-	tick := time.NewTicker(f.Every)
+	tick := time.NewTicker(f.Interval)
 	defer tick.Stop()
 	var last string
 	var failed string
