--- a/internal/front/chat/job.go
+++ b/internal/front/chat/job.go
@@ -46,7 +46,7 @@
 	switch {
 	case first != nil:
 		return nil, first
-	case !http1.Token(id): // it becomes part of a path
+	case !http1.IsToken(id): // it becomes part of a path
 		return nil, front.BadRequestf("%s %.40q is no id", platform.IDHeader, id)
 	case !json.Valid(body):
 		return nil, front.BadRequestf("the body is not JSON")
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -113,7 +113,7 @@
 
 func field(b []byte) (Field, error) {
 	name, value, ok := strings.Cut(string(b), ":")
-	if !ok || !Token(name) { // a folded line and a space before the colon end here too
+	if !ok || !IsToken(name) { // a folded line and a space before the colon end here too
 		return Field{}, malformed("header line %.40q", b)
 	}
 	value = strings.Trim(value, " \t")
@@ -125,8 +125,8 @@
 	return Field{name, value}, nil
 }
 
-// Token tells whether s is a token of RFC 9110, 5.6.2.
-func Token(s string) bool {
+// IsToken tells whether s is a token of RFC 9110, 5.6.2.
+func IsToken(s string) bool {
 	for i := 0; i < len(s); i++ {
 		c := s[i]
 		if !('a' <= c && c <= 'z' || 'A' <= c && c <= 'Z' || '0' <= c && c <= '9' ||
@@ -142,7 +142,7 @@
 	method, rest, _ := strings.Cut(h.Line, " ")
 	target, version, ok := strings.Cut(rest, " ")
 	target = originForm(target)
-	if !ok || !Token(method) || !strings.HasPrefix(target, "/") ||
+	if !ok || !IsToken(method) || !strings.HasPrefix(target, "/") ||
 		version != "HTTP/1.1" && version != "HTTP/1.0" {
 		return "", "", false, malformed("request line %.60q", h.Line)
 	}
