--- a/internal/engine/chat/exchange.go
+++ b/internal/engine/chat/exchange.go
@@ -215,7 +215,7 @@
 		}
 		x.whole = err == nil
 		return b, err
-	case length == http1.Untold: // to the connection's end
+	case length == http1.UnknownLength: // to the connection's end
 		return io.ReadAll(io.LimitReader(x.conn.br, maxBody))
 	}
 	b := make([]byte, length)
--- a/internal/front/chat/conn.go
+++ b/internal/front/chat/conn.go
@@ -294,7 +294,7 @@
 	if length > MaxBody {
 		return nil, fmt.Errorf("%w: body of %d bytes", http1.ErrTooLarge, length)
 	}
-	if length == 0 || length == http1.Untold && !chunked {
+	if length == 0 || length == http1.UnknownLength && !chunked {
 		return nil, nil
 	}
 	if v, n := h.Get("Expect"); n > 0 {
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -214,8 +214,8 @@
 	return out
 }
 
-// Untold is the length of a body about which a head says nothing.
-const Untold = -1
+// UnknownLength is the length of a body about which a head says nothing.
+const UnknownLength = -1
 
 // Framing tells how a body is framed: in chunks, or length bytes of it. A message that has both lengths, or
 // one of them twice, may be read in two ways, and the other reader would see another request in its body
@@ -232,9 +232,9 @@
 		if !strings.EqualFold(te, "chunked") {
 			return 0, false, malformed("Transfer-Encoding %.40q", te)
 		}
-		return Untold, true, nil
+		return UnknownLength, true, nil
 	case lengths == 0:
-		return Untold, false, nil
+		return UnknownLength, false, nil
 	}
 	if cl == "" || strings.Trim(cl, "0123456789") != "" { // ParseInt would take a sign
 		return 0, false, malformed("Content-Length %.40q", cl)
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -72,9 +72,9 @@
 		chunked bool
 		want    error
 	}{
-		{"", Untold, false, nil},
+		{"", UnknownLength, false, nil},
 		{"Content-Length: 5\r\n", 5, false, nil},
-		{"Transfer-Encoding: Chunked\r\n", Untold, true, nil},
+		{"Transfer-Encoding: Chunked\r\n", UnknownLength, true, nil},
 		{"Content-Length: 5\r\nTransfer-Encoding: chunked\r\n", 0, false, ErrMalformed},
 		{"Transfer-Encoding: chunked\r\nContent-Length: 0\r\n", 0, false, ErrMalformed},
 		{"Content-Length: 5\r\nContent-Length: 5\r\n", 0, false, ErrMalformed},
