--- a/internal/engine/chat/events.go
+++ b/internal/engine/chat/events.go
@@ -16,7 +16,7 @@
 // events takes a stream of server-sent events apart and checks it, so that nothing spoilt reaches a client.
 type events struct {
 	x      *exchange
-	chunks *http1.Chunks
+	chunks *http1.ChunkedReader
 	buf    []byte // what came and is no whole event yet
 	report decide.Report
 }
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -246,8 +246,8 @@
 	return length, false, nil
 }
 
-// Chunks reads a body in chunks.
-type Chunks struct {
+// ChunkedReader reads a body in chunks.
+type ChunkedReader struct {
 	br   *bufio.Reader
 	max  int64 // bytes of one chunk
 	left int64 // of the chunk under way
@@ -256,11 +256,11 @@
 }
 
 // NewChunks returns a reader of the chunks in br, none of them over max bytes.
-func NewChunks(br *bufio.Reader, max int64) *Chunks { return &Chunks{br: br, max: max} }
+func NewChunks(br *bufio.Reader, max int64) *ChunkedReader { return &ChunkedReader{br: br, max: max} }
 
 // Read implements io.Reader. It never crosses from one chunk into the next, and returns io.EOF only after
 // the last chunk and its trailer.
-func (c *Chunks) Read(p []byte) (int, error) {
+func (c *ChunkedReader) Read(p []byte) (int, error) {
 	if c.done {
 		return 0, io.EOF
 	}
@@ -296,7 +296,7 @@
 	return err
 }
 
-func (c *Chunks) next() error {
+func (c *ChunkedReader) next() error {
 	b, err := line(c.br)
 	if err != nil {
 		return err
