--- a/internal/engine/chat/chat.go
+++ b/internal/engine/chat/chat.go
@@ -195,7 +195,7 @@
 	if err != nil {
 		return x.failed(err)
 	}
-	e := events{x: x, chunks: http1.NewChunks(x.conn.br, maxChunk), report: x.report()}
+	e := events{x: x, chunks: http1.NewChunkedReader(x.conn.br, maxChunk), report: x.report()}
 	tokens := 0
 	for {
 		event, err := e.next()
--- a/internal/engine/chat/exchange.go
+++ b/internal/engine/chat/exchange.go
@@ -209,7 +209,7 @@
 	case length > maxBody:
 		return nil, fmt.Errorf("%w: body of %d bytes", http1.ErrTooLarge, length)
 	case chunked:
-		b, err := io.ReadAll(io.LimitReader(http1.NewChunks(x.conn.br, maxChunk), maxBody+1))
+		b, err := io.ReadAll(io.LimitReader(http1.NewChunkedReader(x.conn.br, maxChunk), maxBody+1))
 		if err == nil && len(b) > maxBody {
 			err = fmt.Errorf("%w: body", http1.ErrTooLarge)
 		}
--- a/internal/front/chat/conn.go
+++ b/internal/front/chat/conn.go
@@ -308,7 +308,7 @@
 	var r io.Reader
 	most := int64(MaxBody) + 1
 	if chunked {
-		r = http1.NewChunks(c.br, MaxBody)
+		r = http1.NewChunkedReader(c.br, MaxBody)
 	} else {
 		r = io.LimitReader(c.br, length)
 		most = length
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -255,8 +255,10 @@
 	done bool
 }
 
-// NewChunks returns a reader of the chunks in br, none of them over max bytes.
-func NewChunks(br *bufio.Reader, max int64) *ChunkedReader { return &ChunkedReader{br: br, max: max} }
+// NewChunkedReader returns a reader of the chunks in br, none of them over max bytes.
+func NewChunkedReader(br *bufio.Reader, max int64) *ChunkedReader {
+	return &ChunkedReader{br: br, max: max}
+}
 
 // Read implements io.Reader. It never crosses from one chunk into the next, and returns io.EOF only after
 // the last chunk and its trailer.
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -116,7 +116,7 @@
 		{"trailer without end", "0\r\n" + strings.Repeat("a: b\r\n", maxFields+1), "", ErrTooLarge},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			got, err := io.ReadAll(NewChunks(reader(c.in), 100))
+			got, err := io.ReadAll(NewChunkedReader(reader(c.in), 100))
 			if string(got) != c.out || !errors.Is(err, c.want) {
 				t.Errorf("%q, %v; want %q, %v", got, err, c.out, c.want)
 			}
--- a/internal/standin/chat/engine.go
+++ b/internal/standin/chat/engine.go
@@ -284,7 +284,7 @@
 	case err != nil:
 		return nil, err
 	case chunked:
-		return io.ReadAll(io.LimitReader(http1.NewChunks(c.br, engineMaxBody), engineMaxBody))
+		return io.ReadAll(io.LimitReader(http1.NewChunkedReader(c.br, engineMaxBody), engineMaxBody))
 	case length <= 0:
 		return nil, nil
 	case length > engineMaxBody:
