--- a/internal/kserve/sse.go
+++ b/internal/kserve/sse.go
@@ -8,9 +8,9 @@
 	"io"
 )
 
-// Events reads server-sent events (WHATWG HTML, section 9.2 "Server-sent events") and yields the data
+// EventReader reads server-sent events (WHATWG HTML, section 9.2 "Server-sent events") and yields the data
 // of each. Only the data field is meant here; comments and other fields are passed over.
-type Events struct {
+type EventReader struct {
 	r     *bufio.Reader
 	limit int
 	data  []byte
@@ -20,13 +20,13 @@
 var ErrEventTooLong = errors.New("event is too long")
 
 // NewEvents reads from r; no event may be longer than limit bytes.
-func NewEvents(r io.Reader, limit int) *Events {
-	return &Events{r: bufio.NewReaderSize(r, 4096), limit: limit}
+func NewEvents(r io.Reader, limit int) *EventReader {
+	return &EventReader{r: bufio.NewReaderSize(r, 4096), limit: limit}
 }
 
 // Next returns the data of the next event; it is valid until the next call. The end of the stream is
 // io.EOF between events, and io.ErrUnexpectedEOF within one.
-func (e *Events) Next() ([]byte, error) {
+func (e *EventReader) Next() ([]byte, error) {
 	e.data = e.data[:0]
 	seen := false
 	for {
@@ -59,7 +59,7 @@
 }
 
 // line returns one line without its end.
-func (e *Events) line() ([]byte, error) {
+func (e *EventReader) line() ([]byte, error) {
 	line, err := e.r.ReadSlice('\n')
 	if err == nil {
 		return bytes.TrimSuffix(line[:len(line)-1], []byte("\r")), nil
