--- a/cmd/mintdoor/ask.go
+++ b/cmd/mintdoor/ask.go
@@ -80,7 +80,7 @@
 		}
 		return fmt.Errorf("%s: %s", resp.Status, e.Error)
 	}
-	events := kserve.NewEvents(resp.Body, 1<<20)
+	events := kserve.NewEventReader(resp.Body, 1<<20)
 	for {
 		data, err := events.Next()
 		if err != nil {
--- a/internal/day/client.go
+++ b/internal/day/client.go
@@ -130,7 +130,7 @@
 	if resp.StatusCode != http.StatusOK {
 		return refusal(resp)
 	}
-	events := kserve.NewEvents(resp.Body, 1<<16)
+	events := kserve.NewEventReader(resp.Body, 1<<16)
 	for first := true; ; first = false {
 		data, err := events.Next()
 		if err != nil {
--- a/internal/e2e/cost_test.go
+++ b/internal/e2e/cost_test.go
@@ -119,7 +119,7 @@
 }
 
 func readStream(r io.Reader) error {
-	events := kserve.NewEvents(r, 1<<16)
+	events := kserve.NewEventReader(r, 1<<16)
 	for n := 0; ; n++ {
 		if _, err := events.Next(); err != nil {
 			if n != tokensPerAnswer+1 {
@@ -354,7 +354,7 @@
 					}
 					err := post(context.Background(), c, base+"/v2/models/helpline/generate_stream",
 						`{"id":"a","text_input":"x","parameters":{"prompt_tokens":10,"max_tokens":50}}`, func(r io.Reader) error {
-							events := kserve.NewEvents(r, 1<<16)
+							events := kserve.NewEventReader(r, 1<<16)
 							_, err := events.Next()
 							for begin(err); err == nil; {
 								_, err = events.Next()
--- a/internal/e2e/e2e_test.go
+++ b/internal/e2e/e2e_test.go
@@ -233,7 +233,7 @@
 		a.failure = e.Error
 		return a
 	}
-	events := kserve.NewEvents(resp.Body, 1<<16)
+	events := kserve.NewEventReader(resp.Body, 1<<16)
 	for {
 		data, err := events.Next()
 		if err != nil {
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -302,7 +302,7 @@
 	idle := time.AfterFunc(time.Hour, func() { cancel(errIdle) })
 	idle.Stop() // before its first token an attempt is bounded by its owner alone
 	defer idle.Stop()
-	events := kserve.NewEvents(x.resp.Body, maxEvent)
+	events := kserve.NewEventReader(x.resp.Body, maxEvent)
 	tokens := 0
 	fail := func(err error) Result {
 		r := x.failed(err)
--- a/internal/kserve/kserve_test.go
+++ b/internal/kserve/kserve_test.go
@@ -75,7 +75,7 @@
 	long := strings.Repeat("x", 9000)
 	text := ": hello\nevent: token\ndata: a\n\n\ndata:b\r\ndata: c\r\n\r\ndata: " + long + "\n\n"
 	for _, r := range []io.Reader{strings.NewReader(text), iotest.OneByteReader(strings.NewReader(text))} {
-		ev := NewEvents(r, 10000)
+		ev := NewEventReader(r, 10000)
 		var got []string
 		for {
 			data, err := ev.Next()
@@ -91,10 +91,10 @@
 			t.Errorf("read %d events: %.40q", len(got), got)
 		}
 	}
-	if _, err := NewEvents(strings.NewReader("data: half"), 100).Next(); !errors.Is(err, io.ErrUnexpectedEOF) {
+	if _, err := NewEventReader(strings.NewReader("data: half"), 100).Next(); !errors.Is(err, io.ErrUnexpectedEOF) {
 		t.Errorf("half an event: %v", err)
 	}
-	if _, err := NewEvents(strings.NewReader("data: "+long+"\n\n"), 5000).Next(); !errors.Is(err, ErrEventTooLong) {
+	if _, err := NewEventReader(strings.NewReader("data: "+long+"\n\n"), 5000).Next(); !errors.Is(err, ErrEventTooLong) {
 		t.Errorf("a long line: %v", err)
 	}
 }
--- a/internal/kserve/sse.go
+++ b/internal/kserve/sse.go
@@ -19,8 +19,8 @@
 // ErrEventTooLong is returned for an event whose data or line is over the limit.
 var ErrEventTooLong = errors.New("event is too long")
 
-// NewEvents reads from r; no event may be longer than limit bytes.
-func NewEvents(r io.Reader, limit int) *EventReader {
+// NewEventReader reads from r; no event may be longer than limit bytes.
+func NewEventReader(r io.Reader, limit int) *EventReader {
 	return &EventReader{r: bufio.NewReaderSize(r, 4096), limit: limit}
 }
 
