--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -265,7 +265,7 @@
 	if err := kserve.Decode(io.LimitReader(x.resp.Body, maxAnswer), &answer); err != nil {
 		var syntax *json.SyntaxError
 		var kind *json.UnmarshalTypeError
-		if errors.As(err, &syntax) || errors.As(err, &kind) || errors.Is(err, kserve.ErrTrailing) {
+		if errors.As(err, &syntax) || errors.As(err, &kind) || errors.Is(err, kserve.ErrTrailingData) {
 			err = fmt.Errorf("%w: %w", errNotAnswer, err)
 		}
 		return x.failed(err)
--- a/internal/kserve/kserve.go
+++ b/internal/kserve/kserve.go
@@ -318,8 +318,8 @@
 	return fmt.Errorf("element %v does not fit the datatype", tok)
 }
 
-// ErrTrailing is returned for a body in which something follows its one value.
-var ErrTrailing = errors.New("more than one JSON value")
+// ErrTrailingData is returned for a body in which something follows its one value.
+var ErrTrailingData = errors.New("more than one JSON value")
 
 // Decode reads exactly one JSON value from r into v; what follows it is an error.
 func Decode(r io.Reader, v any) error {
@@ -332,7 +332,7 @@
 		if err != nil {
 			return err
 		}
-		return ErrTrailing
+		return ErrTrailingData
 	}
 	return nil
 }
