--- a/internal/front/rest/rest.go
+++ b/internal/front/rest/rest.go
@@ -254,7 +254,7 @@
 		if err := t.Check(maxElements); err != nil {
 			return wrong(err)
 		}
-		if n, _ := kserve.Elements(t.Shape, maxElements); n != 1 {
+		if n, _ := kserve.ElementCount(t.Shape, maxElements); n != 1 {
 			return wrong(fmt.Errorf("tensor %q has %d elements, want 1", t.Name, n))
 		}
 		switch t.Name {
--- a/internal/kserve/kserve.go
+++ b/internal/kserve/kserve.go
@@ -185,9 +185,9 @@
 	"FP16": {kindFloat, 16}, "FP32": {kindFloat, 32}, "FP64": {kindFloat, 64}, "BF16": {kindFloat, 16},
 }
 
-// Elements is the product of a shape's dimensions. A negative dimension, or a product over limit, is
+// ElementCount is the product of a shape's dimensions. A negative dimension, or a product over limit, is
 // an error.
-func Elements(shape []int64, limit int64) (int64, error) {
+func ElementCount(shape []int64, limit int64) (int64, error) {
 	n := int64(1)
 	for _, d := range shape {
 		if d < 0 {
@@ -214,7 +214,7 @@
 	if t.Shape == nil {
 		return fmt.Errorf("tensor %q: shape is missing", t.Name)
 	}
-	want, err := Elements(t.Shape, limit)
+	want, err := ElementCount(t.Shape, limit)
 	if err != nil {
 		return fmt.Errorf("tensor %q: %w", t.Name, err)
 	}
