--- a/internal/shift/shift.go
+++ b/internal/shift/shift.go
@@ -91,12 +91,12 @@
 
 // Arrived, Read and Written are the router.Observer. They never block: what does not fit is counted.
 func (d *Driver) Arrived(j *router.Job) {
-	d.observe(observation{kind: sawArrival, arrival: roles.Arrival{Class: j.Class, Prompt: j.PromptTokens, Retry: j.ClientRetry}})
+	d.observe(observation{kind: sawArrival, arrival: roles.Arrival{Class: j.Class, PromptTokens: j.PromptTokens, Retry: j.ClientRetry}})
 }
 
 // Read implements router.Observer.
 func (d *Driver) Read(j *router.Job, kept float64) {
-	d.observe(observation{kind: sawRead, arrival: roles.Arrival{Class: j.Class, Prompt: j.PromptTokens, Kept: kept}})
+	d.observe(observation{kind: sawRead, arrival: roles.Arrival{Class: j.Class, PromptTokens: j.PromptTokens, Kept: kept}})
 }
 
 // Written implements router.Observer.
--- a/internal/sim/node.go
+++ b/internal/sim/node.go
@@ -262,7 +262,7 @@
 	n.flights[f.id] = f
 	n.s.open++
 	if n.manager != nil {
-		n.manager.Arrived(n.s.wall(), roles.Arrival{Class: e.Class, Prompt: float64(e.Prompt)})
+		n.manager.Arrived(n.s.wall(), roles.Arrival{Class: e.Class, PromptTokens: float64(e.Prompt)})
 	}
 	n.s.after(f.deadline-n.s.now, func() {
 		if f.answered || f.out != nil && f.out.streaming {
@@ -424,7 +424,7 @@
 	case out == decide.ReadDone:
 		f.state = a.state
 		if n.manager != nil {
-			n.manager.Read(roles.Arrival{Class: e.Class, Prompt: float64(e.Prompt), Kept: kept})
+			n.manager.Read(roles.Arrival{Class: e.Class, PromptTokens: float64(e.Prompt), Kept: kept})
 		}
 	case out == decide.Served || noState:
 		f.state = nil
--- a/roles/demand.go
+++ b/roles/demand.go
@@ -22,12 +22,12 @@
 
 // Arrival is one request as it was asked, whatever became of it.
 type Arrival struct {
-	Class  int
-	Prompt float64 // tokens of the prompt
-	Kept   float64 // of them, found kept by the engine that read it; negative while not known
-	Answer float64 // tokens written; 0 while not known
-	Cut    bool    // the answer was longer than Answer: it was cut off, or the client left
-	Retry  bool    // a client's repeat: it is part of a request that was counted
+	Class        int
+	PromptTokens float64 // tokens of the prompt
+	Kept         float64 // of them, found kept by the engine that read it; negative while not known
+	Answer       float64 // tokens written; 0 while not known
+	Cut          bool    // the answer was longer than Answer: it was cut off, or the client left
+	Retry        bool    // a client's repeat: it is part of a request that was counted
 }
 
 // Work is a forecast of one stage's work, in tokens a second.
@@ -203,8 +203,8 @@
 
 // Read takes in what had to be read of a prompt.
 func (d *Demand) Read(a Arrival) {
-	if a.Class >= 0 && a.Class < len(d.classes) && a.Prompt > 0 {
-		d.classes[a.Class].fresh.learn(math.Max(a.Prompt-math.Max(a.Kept, 0), 1), false)
+	if a.Class >= 0 && a.Class < len(d.classes) && a.PromptTokens > 0 {
+		d.classes[a.Class].fresh.learn(math.Max(a.PromptTokens-math.Max(a.Kept, 0), 1), false)
 	}
 }
 
--- a/roles/demand_test.go
+++ b/roles/demand_test.go
@@ -20,7 +20,7 @@
 			return from + length
 		}
 		d.Arrived(at, Arrival{Class: class})
-		d.Read(Arrival{Class: class, Prompt: p.Rand()})
+		d.Read(Arrival{Class: class, PromptTokens: p.Rand()})
 		d.Written(Arrival{Class: class, Answer: a.Rand()})
 	}
 }
@@ -71,7 +71,7 @@
 	now := feed(d, source(1), 0, 5*time.Minute, 10, 0, 800, 100)
 	before := d.Forecast(now)
 	for range 5 {
-		d.Read(Arrival{Prompt: 30000})
+		d.Read(Arrival{PromptTokens: 30000})
 	}
 	if after := d.Forecast(now); after[Prefill].Mean > 1.25*before[Prefill].Mean {
 		t.Errorf("five long prompts: %.0f to %.0f", before[Prefill].Mean, after[Prefill].Mean)
@@ -118,7 +118,7 @@
 		}
 	}
 	d.Arrived(0, Arrival{Class: 9}) // of no class that is known
-	d.Read(Arrival{Class: -1, Prompt: 1})
+	d.Read(Arrival{Class: -1, PromptTokens: 1})
 	d.Arrived(time.Hour, Arrival{Class: 1})
 	if w := d.Forecast(2 * time.Hour); math.IsNaN(w[Decode].Mean) || w[Decode].Mean > 100 {
 		t.Errorf("an hour after the last arrival: %+v", w)
--- a/roles/manager_test.go
+++ b/roles/manager_test.go
@@ -55,7 +55,7 @@
 				continue
 			}
 			m.Arrived(s.now, Arrival{})
-			m.Read(Arrival{Prompt: prompt * math.Exp(0.6*s.rng.NormFloat64()-0.18)})
+			m.Read(Arrival{PromptTokens: prompt * math.Exp(0.6*s.rng.NormFloat64()-0.18)})
 			m.Written(Arrival{Answer: answer * math.Exp(0.6*s.rng.NormFloat64()-0.18)})
 		}
 		away := 0
