--- a/internal/shift/shift.go
+++ b/internal/shift/shift.go
@@ -96,7 +96,7 @@
 
 // Read implements router.Observer.
 func (d *Driver) Read(j *router.Job, kept float64) {
-	d.observe(observation{kind: sawRead, arrival: roles.Arrival{Class: j.Class, PromptTokens: j.PromptTokens, Kept: kept}})
+	d.observe(observation{kind: sawRead, arrival: roles.Arrival{Class: j.Class, PromptTokens: j.PromptTokens, CachedTokens: kept}})
 }
 
 // Written implements router.Observer.
--- a/internal/sim/node.go
+++ b/internal/sim/node.go
@@ -424,7 +424,7 @@
 	case out == decide.ReadDone:
 		f.state = a.state
 		if n.manager != nil {
-			n.manager.Read(roles.Arrival{Class: e.Class, PromptTokens: float64(e.Prompt), Kept: kept})
+			n.manager.Read(roles.Arrival{Class: e.Class, PromptTokens: float64(e.Prompt), CachedTokens: kept})
 		}
 	case out == decide.Served || noState:
 		f.state = nil
--- a/roles/demand.go
+++ b/roles/demand.go
@@ -24,7 +24,7 @@
 type Arrival struct {
 	Class        int
 	PromptTokens float64 // tokens of the prompt
-	Kept         float64 // of them, found kept by the engine that read it; negative while not known
+	CachedTokens float64 // of them, found kept by the engine that read it; negative while not known
 	Answer       float64 // tokens written; 0 while not known
 	Cut          bool    // the answer was longer than Answer: it was cut off, or the client left
 	Retry        bool    // a client's repeat: it is part of a request that was counted
@@ -204,7 +204,7 @@
 // Read takes in what had to be read of a prompt.
 func (d *Demand) Read(a Arrival) {
 	if a.Class >= 0 && a.Class < len(d.classes) && a.PromptTokens > 0 {
-		d.classes[a.Class].fresh.learn(math.Max(a.PromptTokens-math.Max(a.Kept, 0), 1), false)
+		d.classes[a.Class].fresh.learn(math.Max(a.PromptTokens-math.Max(a.CachedTokens, 0), 1), false)
 	}
 }
 
