--- a/roles/demand.go
+++ b/roles/demand.go
@@ -25,7 +25,7 @@
 	Class        int
 	PromptTokens float64 // tokens of the prompt
 	CachedTokens float64 // of them, found kept by the engine that read it; negative while not known
-	Answer       float64 // tokens written; 0 while not known
+	OutputTokens float64 // tokens written; 0 while not known
 	Cut          bool    // the answer was longer than Answer: it was cut off, or the client left
 	Retry        bool    // a client's repeat: it is part of a request that was counted
 }
@@ -210,8 +210,8 @@
 
 // Written takes in how long an answer was, as far as it is known.
 func (d *Demand) Written(a Arrival) {
-	if a.Class >= 0 && a.Class < len(d.classes) && a.Answer > 0 {
-		d.classes[a.Class].answer.learn(a.Answer, a.Cut)
+	if a.Class >= 0 && a.Class < len(d.classes) && a.OutputTokens > 0 {
+		d.classes[a.Class].answer.learn(a.OutputTokens, a.Cut)
 	}
 }
 
--- a/roles/demand_test.go
+++ b/roles/demand_test.go
@@ -21,7 +21,7 @@
 		}
 		d.Arrived(at, Arrival{Class: class})
 		d.Read(Arrival{Class: class, PromptTokens: p.Rand()})
-		d.Written(Arrival{Class: class, Answer: a.Rand()})
+		d.Written(Arrival{Class: class, OutputTokens: a.Rand()})
 	}
 }
 
