--- a/internal/shift/shift.go
+++ b/internal/shift/shift.go
@@ -101,7 +101,7 @@
 
 // Written implements router.Observer.
 func (d *Driver) Written(j *router.Job, tokens int, whole bool) {
-	d.observe(observation{kind: sawWritten, arrival: roles.Arrival{Class: j.Class, OutputTokens: float64(tokens), Cut: !whole}})
+	d.observe(observation{kind: sawWritten, arrival: roles.Arrival{Class: j.Class, OutputTokens: float64(tokens), Truncated: !whole}})
 }
 
 // Over implements router.Observer.
--- a/internal/sim/node.go
+++ b/internal/sim/node.go
@@ -431,7 +431,7 @@
 	}
 	if a.streaming {
 		if n.manager != nil {
-			n.manager.Written(roles.Arrival{Class: e.Class, OutputTokens: float64(s.answer(e.Answer)), Cut: out != decide.Served})
+			n.manager.Written(roles.Arrival{Class: e.Class, OutputTokens: float64(s.answer(e.Answer)), Truncated: out != decide.Served})
 		}
 		if out == decide.Served {
 			c := &s.cfg.Settings.Classes[e.Class]
--- a/roles/demand.go
+++ b/roles/demand.go
@@ -26,7 +26,7 @@
 	PromptTokens float64 // tokens of the prompt
 	CachedTokens float64 // of them, found kept by the engine that read it; negative while not known
 	OutputTokens float64 // tokens written; 0 while not known
-	Cut          bool    // the answer was longer than Answer: it was cut off, or the client left
+	Truncated    bool    // the answer was longer than Answer: it was cut off, or the client left
 	Retry        bool    // a client's repeat: it is part of a request that was counted
 }
 
@@ -211,7 +211,7 @@
 // Written takes in how long an answer was, as far as it is known.
 func (d *Demand) Written(a Arrival) {
 	if a.Class >= 0 && a.Class < len(d.classes) && a.OutputTokens > 0 {
-		d.classes[a.Class].answer.learn(a.OutputTokens, a.Cut)
+		d.classes[a.Class].answer.learn(a.OutputTokens, a.Truncated)
 	}
 }
 
