--- a/internal/shift/shift.go
+++ b/internal/shift/shift.go
@@ -57,7 +57,7 @@
 type observation struct {
 	kind    uint8
 	at      time.Time
-	arrival roles.Arrival
+	arrival roles.RequestInfo
 }
 
 const (
@@ -91,17 +91,17 @@
 
 // Arrived, Read and Written are the router.Observer. They never block: what does not fit is counted.
 func (d *Driver) Arrived(j *router.Job) {
-	d.observe(observation{kind: sawArrival, arrival: roles.Arrival{Class: j.Class, PromptTokens: j.PromptTokens, Retry: j.ClientRetry}})
+	d.observe(observation{kind: sawArrival, arrival: roles.RequestInfo{Class: j.Class, PromptTokens: j.PromptTokens, Retry: j.ClientRetry}})
 }
 
 // Read implements router.Observer.
 func (d *Driver) Read(j *router.Job, kept float64) {
-	d.observe(observation{kind: sawRead, arrival: roles.Arrival{Class: j.Class, PromptTokens: j.PromptTokens, CachedTokens: kept}})
+	d.observe(observation{kind: sawRead, arrival: roles.RequestInfo{Class: j.Class, PromptTokens: j.PromptTokens, CachedTokens: kept}})
 }
 
 // Written implements router.Observer.
 func (d *Driver) Written(j *router.Job, tokens int, whole bool) {
-	d.observe(observation{kind: sawWritten, arrival: roles.Arrival{Class: j.Class, OutputTokens: float64(tokens), Truncated: !whole}})
+	d.observe(observation{kind: sawWritten, arrival: roles.RequestInfo{Class: j.Class, OutputTokens: float64(tokens), Truncated: !whole}})
 }
 
 // Over implements router.Observer.
--- a/internal/sim/node.go
+++ b/internal/sim/node.go
@@ -262,7 +262,7 @@
 	n.flights[f.id] = f
 	n.s.open++
 	if n.manager != nil {
-		n.manager.Arrived(n.s.wall(), roles.Arrival{Class: e.Class, PromptTokens: float64(e.Prompt)})
+		n.manager.Arrived(n.s.wall(), roles.RequestInfo{Class: e.Class, PromptTokens: float64(e.Prompt)})
 	}
 	n.s.after(f.deadline-n.s.now, func() {
 		if f.answered || f.out != nil && f.out.streaming {
@@ -424,14 +424,14 @@
 	case out == decide.ReadDone:
 		f.state = a.state
 		if n.manager != nil {
-			n.manager.Read(roles.Arrival{Class: e.Class, PromptTokens: float64(e.Prompt), CachedTokens: kept})
+			n.manager.Read(roles.RequestInfo{Class: e.Class, PromptTokens: float64(e.Prompt), CachedTokens: kept})
 		}
 	case out == decide.Served || noState:
 		f.state = nil
 	}
 	if a.streaming {
 		if n.manager != nil {
-			n.manager.Written(roles.Arrival{Class: e.Class, OutputTokens: float64(s.answer(e.Answer)), Truncated: out != decide.Served})
+			n.manager.Written(roles.RequestInfo{Class: e.Class, OutputTokens: float64(s.answer(e.Answer)), Truncated: out != decide.Served})
 		}
 		if out == decide.Served {
 			c := &s.cfg.Settings.Classes[e.Class]
--- a/roles/demand.go
+++ b/roles/demand.go
@@ -20,8 +20,8 @@
 	stages
 )
 
-// Arrival is one request as it was asked, whatever became of it.
-type Arrival struct {
+// RequestInfo is one request as it was asked, whatever became of it.
+type RequestInfo struct {
 	Class        int
 	PromptTokens float64 // tokens of the prompt
 	CachedTokens float64 // of them, found kept by the engine that read it; negative while not known
@@ -189,7 +189,7 @@
 }
 
 // Arrived takes in a request at its arrival. now does not go back.
-func (d *Demand) Arrived(now time.Duration, a Arrival) {
+func (d *Demand) Arrived(now time.Duration, a RequestInfo) {
 	if a.Class < 0 || a.Class >= len(d.classes) || a.Retry {
 		return
 	}
@@ -202,14 +202,14 @@
 }
 
 // Read takes in what had to be read of a prompt.
-func (d *Demand) Read(a Arrival) {
+func (d *Demand) Read(a RequestInfo) {
 	if a.Class >= 0 && a.Class < len(d.classes) && a.PromptTokens > 0 {
 		d.classes[a.Class].fresh.learn(math.Max(a.PromptTokens-math.Max(a.CachedTokens, 0), 1), false)
 	}
 }
 
 // Written takes in how long an answer was, as far as it is known.
-func (d *Demand) Written(a Arrival) {
+func (d *Demand) Written(a RequestInfo) {
 	if a.Class >= 0 && a.Class < len(d.classes) && a.OutputTokens > 0 {
 		d.classes[a.Class].answer.learn(a.OutputTokens, a.Truncated)
 	}
--- a/roles/demand_test.go
+++ b/roles/demand_test.go
@@ -19,9 +19,9 @@
 		if at > from+length {
 			return from + length
 		}
-		d.Arrived(at, Arrival{Class: class})
-		d.Read(Arrival{Class: class, PromptTokens: p.Rand()})
-		d.Written(Arrival{Class: class, OutputTokens: a.Rand()})
+		d.Arrived(at, RequestInfo{Class: class})
+		d.Read(RequestInfo{Class: class, PromptTokens: p.Rand()})
+		d.Written(RequestInfo{Class: class, OutputTokens: a.Rand()})
 	}
 }
 
@@ -56,8 +56,8 @@
 	d := NewDemand(1, time.Minute)
 	for i := range 1000 {
 		at := time.Duration(i) * 100 * time.Millisecond
-		d.Arrived(at, Arrival{})
-		d.Arrived(at, Arrival{Retry: true})
+		d.Arrived(at, RequestInfo{})
+		d.Arrived(at, RequestInfo{Retry: true})
 	}
 	mean, _ := d.classes[0].long.rate(100 * time.Second)
 	if math.Abs(mean-10) > 0.5 {
@@ -71,7 +71,7 @@
 	now := feed(d, source(1), 0, 5*time.Minute, 10, 0, 800, 100)
 	before := d.Forecast(now)
 	for range 5 {
-		d.Read(Arrival{PromptTokens: 30000})
+		d.Read(RequestInfo{PromptTokens: 30000})
 	}
 	if after := d.Forecast(now); after[Prefill].Mean > 1.25*before[Prefill].Mean {
 		t.Errorf("five long prompts: %.0f to %.0f", before[Prefill].Mean, after[Prefill].Mean)
@@ -117,9 +117,9 @@
 			t.Errorf("nothing was seen, and the forecast is %+v", w)
 		}
 	}
-	d.Arrived(0, Arrival{Class: 9}) // of no class that is known
-	d.Read(Arrival{Class: -1, PromptTokens: 1})
-	d.Arrived(time.Hour, Arrival{Class: 1})
+	d.Arrived(0, RequestInfo{Class: 9}) // of no class that is known
+	d.Read(RequestInfo{Class: -1, PromptTokens: 1})
+	d.Arrived(time.Hour, RequestInfo{Class: 1})
 	if w := d.Forecast(2 * time.Hour); math.IsNaN(w[Decode].Mean) || w[Decode].Mean > 100 {
 		t.Errorf("an hour after the last arrival: %+v", w)
 	}
--- a/roles/manager.go
+++ b/roles/manager.go
@@ -84,13 +84,13 @@
 }
 
 // Arrived, Read and Written take in what this router sees of the traffic.
-func (m *Manager) Arrived(now time.Time, a Arrival) { m.demand.Arrived(now.Sub(m.start), a) }
+func (m *Manager) Arrived(now time.Time, a RequestInfo) { m.demand.Arrived(now.Sub(m.start), a) }
 
 // Read takes in a finished read.
-func (m *Manager) Read(a Arrival) { m.demand.Read(a) }
+func (m *Manager) Read(a RequestInfo) { m.demand.Read(a) }
 
 // Written takes in an answer, as far as it is known.
-func (m *Manager) Written(a Arrival) { m.demand.Written(a) }
+func (m *Manager) Written(a RequestInfo) { m.demand.Written(a) }
 
 // Listed takes in all engines that there are. Those that are not among them are gone.
 func (m *Manager) Listed(now time.Time, list []Info, out []Action) []Action {
--- a/roles/manager_test.go
+++ b/roles/manager_test.go
@@ -54,9 +54,9 @@
 			if m == nil {
 				continue
 			}
-			m.Arrived(s.now, Arrival{})
-			m.Read(Arrival{PromptTokens: prompt * math.Exp(0.6*s.rng.NormFloat64()-0.18)})
-			m.Written(Arrival{OutputTokens: answer * math.Exp(0.6*s.rng.NormFloat64()-0.18)})
+			m.Arrived(s.now, RequestInfo{})
+			m.Read(RequestInfo{PromptTokens: prompt * math.Exp(0.6*s.rng.NormFloat64()-0.18)})
+			m.Written(RequestInfo{OutputTokens: answer * math.Exp(0.6*s.rng.NormFloat64()-0.18)})
 		}
 		away := 0
 		for id, e := range s.engines {
--- a/roles/predict_test.go
+++ b/roles/predict_test.go
@@ -123,7 +123,7 @@
 	now := feed(d, source(1), 0, 5*time.Minute, 100, 0, 800, 100)
 	b.ResetTimer()
 	for i := 0; b.Loop(); i++ {
-		d.Arrived(now+time.Duration(i)*10*time.Millisecond, Arrival{Class: i % 4})
+		d.Arrived(now+time.Duration(i)*10*time.Millisecond, RequestInfo{Class: i % 4})
 		if i%500 == 0 {
 			d.Forecast(now + time.Duration(i)*10*time.Millisecond)
 		}
