--- a/internal/shift/shift.go
+++ b/internal/shift/shift.go
@@ -316,7 +316,7 @@
 	phases := map[string]roles.Phase{engine.PhaseSteady: roles.Steady, engine.PhaseEmptying: roles.Emptying, engine.PhaseChanging: roles.Changing}
 	role, ok := stages[r.Role]
 	phase, known := phases[r.Phase]
-	return roles.Standing{Role: role, Epoch: roles.Epoch(r.Epoch), To: stages[r.To], Phase: phase, Starts: r.Since}, ok && known
+	return roles.Standing{Role: role, Epoch: roles.Epoch(r.Epoch), To: stages[r.To], Phase: phase, StartedAt: r.Since}, ok && known
 }
 
 // carry carries out an action and tells whether the list has changed.
--- a/roles/change.go
+++ b/roles/change.go
@@ -20,11 +20,11 @@
 
 // Standing is what an engine says of itself.
 type Standing struct {
-	Role   Stage
-	Epoch  Epoch
-	To     Stage // while it changes
-	Phase  Phase
-	Starts time.Time // its last start or change; zero: long ago
+	Role      Stage
+	Epoch     Epoch
+	To        Stage // while it changes
+	Phase     Phase
+	StartedAt time.Time // its last start or change; zero: long ago
 }
 
 // Phase is where an engine is on its way.
@@ -224,7 +224,7 @@
 	if c.known && c.stale(&s) {
 		return out
 	}
-	restarted := c.known && s.Starts.After(c.now.Starts)
+	restarted := c.known && s.StartedAt.After(c.now.StartedAt)
 	c.known, c.now, c.doubt = true, s, false
 	switch s.Phase {
 	case Steady:
@@ -245,9 +245,9 @@
 // before the epoch, since an engine that was set up anew counts from the beginning again.
 func (c *change) stale(s *Standing) bool {
 	if s.Epoch < c.now.Epoch {
-		return !s.Starts.After(c.now.Starts)
+		return !s.StartedAt.After(c.now.StartedAt)
 	}
-	return s.Epoch == c.now.Epoch && s.Starts.Before(c.now.Starts)
+	return s.Epoch == c.now.Epoch && s.StartedAt.Before(c.now.StartedAt)
 }
 
 // Listed takes in an engine of the list with the role that the list gives. Until it has said itself what it
@@ -361,7 +361,7 @@
 // show lists an engine when that is a change. One that is on its way, or of which it is not known what it
 // does, is listed as draining, with the start that the module knows.
 func (f *Follower) show(c *change, out []Action) []Action {
-	v := View{Role: c.now.Role, Since: c.now.Starts}
+	v := View{Role: c.now.Role, Since: c.now.StartedAt}
 	if !c.known || c.doubt || c.step == asking || c.now.Phase != Steady {
 		v.Draining, v.Since = true, c.view.Since
 	}
--- a/roles/change_test.go
+++ b/roles/change_test.go
@@ -18,7 +18,7 @@
 // follow returns a follower that knows engine 1 as a reader at epoch 3.
 func follow(t *testing.T) *Follower {
 	f := NewFollower(limits)
-	out := f.Seen(t0, 1, Standing{Role: Prefill, Epoch: 3, Starts: at(-100)}, nil)
+	out := f.Seen(t0, 1, Standing{Role: Prefill, Epoch: 3, StartedAt: at(-100)}, nil)
 	if len(out) != 1 || out[0].Kind != List || out[0].View != (View{Role: Prefill, Since: at(-100)}) {
 		t.Fatalf("%+v", out)
 	}
@@ -45,9 +45,9 @@
 		t.Error("it may change while it changes")
 	}
 	f.Answered(at(0.1), 1, true, Standing{}, nil)
-	f.Seen(at(0.2), 1, Standing{Role: Prefill, Epoch: 3, To: Decode, Phase: Emptying, Starts: at(-100)}, nil)
-	f.Seen(at(4), 1, Standing{Role: Prefill, Epoch: 3, To: Decode, Phase: Changing, Starts: at(-100)}, nil)
-	out = f.Seen(at(9), 1, Standing{Role: Decode, Epoch: 4, Starts: at(9)}, nil)
+	f.Seen(at(0.2), 1, Standing{Role: Prefill, Epoch: 3, To: Decode, Phase: Emptying, StartedAt: at(-100)}, nil)
+	f.Seen(at(4), 1, Standing{Role: Prefill, Epoch: 3, To: Decode, Phase: Changing, StartedAt: at(-100)}, nil)
+	out = f.Seen(at(9), 1, Standing{Role: Decode, Epoch: 4, StartedAt: at(9)}, nil)
 	if len(out) != 1 || out[0].View != (View{Role: Decode, Since: at(9)}) {
 		t.Errorf("it is to come back as a cold writer: %+v", out)
 	}
@@ -58,7 +58,7 @@
 		t.Error("it is not free again")
 	}
 	// A word from before is passed over.
-	if out = f.Seen(at(10), 1, Standing{Role: Prefill, Epoch: 3, Starts: at(-100)}, nil); len(out) != 0 {
+	if out = f.Seen(at(10), 1, Standing{Role: Prefill, Epoch: 3, StartedAt: at(-100)}, nil); len(out) != 0 {
 		t.Errorf("%+v", out)
 	}
 }
@@ -66,11 +66,11 @@
 // Each step's failure has its exit: the change ends, with its reason, the engine is listed as what it is,
 // and it rests.
 func TestFailuresOfAChange(t *testing.T) {
-	old := Standing{Role: Prefill, Epoch: 3, Starts: at(-100)}
-	empty := Standing{Role: Prefill, Epoch: 3, To: Decode, Phase: Emptying, Starts: at(-100)}
-	busy := Standing{Role: Prefill, Epoch: 3, To: Decode, Phase: Changing, Starts: at(-100)}
-	anew := Standing{Role: Prefill, Epoch: 3, Starts: at(2)}
-	other := Standing{Role: Prefill, Epoch: 5, Starts: at(2)}
+	old := Standing{Role: Prefill, Epoch: 3, StartedAt: at(-100)}
+	empty := Standing{Role: Prefill, Epoch: 3, To: Decode, Phase: Emptying, StartedAt: at(-100)}
+	busy := Standing{Role: Prefill, Epoch: 3, To: Decode, Phase: Changing, StartedAt: at(-100)}
+	anew := Standing{Role: Prefill, Epoch: 3, StartedAt: at(2)}
+	other := Standing{Role: Prefill, Epoch: 5, StartedAt: at(2)}
 	for _, c := range []struct {
 		name string
 		play func(f *Follower)
@@ -149,11 +149,11 @@
 // A router that starts while a change is half made follows it as if it were its own.
 func TestChangeOfAnotherRouter(t *testing.T) {
 	f := NewFollower(limits)
-	out := f.Seen(at(0), 1, Standing{Role: Prefill, Epoch: 3, To: Decode, Phase: Changing, Starts: at(-100)}, nil)
+	out := f.Seen(at(0), 1, Standing{Role: Prefill, Epoch: 3, To: Decode, Phase: Changing, StartedAt: at(-100)}, nil)
 	if len(out) != 1 || !out[0].View.Draining || f.Away() != 1 {
 		t.Errorf("%+v", out)
 	}
-	f.Seen(at(3), 1, Standing{Role: Decode, Epoch: 4, Starts: at(3)}, nil)
+	f.Seen(at(3), 1, Standing{Role: Decode, Epoch: 4, StartedAt: at(3)}, nil)
 	if e := last(t, f); !e.Done {
 		t.Errorf("%+v", e)
 	}
@@ -179,7 +179,7 @@
 func TestManyRoutersAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := t0
-		e := &truth{s: Standing{Role: Prefill, Epoch: 1, Starts: at(-100)}, alive: true}
+		e := &truth{s: Standing{Role: Prefill, Epoch: 1, StartedAt: at(-100)}, alive: true}
 		routers := make([]*Follower, 3)
 		views := make([]View, 3)
 		begun, ended := make([]int, 3), make([]int, 3)
@@ -267,14 +267,14 @@
 				case e.s.Phase == Emptying:
 					e.s.Phase = Changing
 				case e.s.Phase == Changing:
-					e.s = Standing{Role: e.s.To, Epoch: e.s.Epoch + 1, Starts: now}
+					e.s = Standing{Role: e.s.To, Epoch: e.s.Epoch + 1, StartedAt: now}
 				}
 			},
 			"engine dies": func(t *rapid.T) { e.alive = false },
 			"engine restarts": func(t *rapid.T) {
 				if !e.alive {
 					e.alive = true
-					e.s = Standing{Role: e.s.Role, Epoch: e.s.Epoch, Starts: now}
+					e.s = Standing{Role: e.s.Role, Epoch: e.s.Epoch, StartedAt: now}
 				}
 			},
 			"router restarts": func(t *rapid.T) { fresh(which()) },
@@ -288,9 +288,9 @@
 		mail = nil
 		now = now.Add(time.Millisecond)
 		if !e.alive {
-			e.s = Standing{Role: e.s.Role, Epoch: e.s.Epoch, Starts: now}
+			e.s = Standing{Role: e.s.Role, Epoch: e.s.Epoch, StartedAt: now}
 		} else if e.s.Phase != Steady {
-			e.s = Standing{Role: e.s.To, Epoch: e.s.Epoch + 1, Starts: now}
+			e.s = Standing{Role: e.s.To, Epoch: e.s.Epoch + 1, StartedAt: now}
 		}
 		for range 20 {
 			now = now.Add(10 * time.Second)
@@ -304,7 +304,7 @@
 			if r.Away() != 0 || !r.May(1) {
 				t.Fatalf("router %d is left at step %v", i, r.list[1].step)
 			}
-			if views[i] != (View{Role: e.s.Role, Since: e.s.Starts}) {
+			if views[i] != (View{Role: e.s.Role, Since: e.s.StartedAt}) {
 				t.Fatalf("router %d lists it as %+v, it is %+v", i, views[i], e.s)
 			}
 			if ended[i] < begun[i] {
@@ -336,10 +336,10 @@
 // is passed over all the same.
 func TestWordsInDisorder(t *testing.T) {
 	f := follow(t)
-	if out := f.Seen(at(1), 1, Standing{Role: Decode, Epoch: 1, Starts: at(-1)}, nil); len(out) != 1 || out[0].View.Role != Decode {
+	if out := f.Seen(at(1), 1, Standing{Role: Decode, Epoch: 1, StartedAt: at(-1)}, nil); len(out) != 1 || out[0].View.Role != Decode {
 		t.Errorf("set up anew: %+v", out)
 	}
-	for _, old := range []Standing{{Role: Prefill, Epoch: 1, Starts: at(-2)}, {Role: Prefill, Epoch: 0, Starts: at(-1)}} {
+	for _, old := range []Standing{{Role: Prefill, Epoch: 1, StartedAt: at(-2)}, {Role: Prefill, Epoch: 0, StartedAt: at(-1)}} {
 		if out := f.Seen(at(2), 1, old, nil); len(out) != 0 {
 			t.Errorf("%+v was believed: %+v", old, out)
 		}
--- a/roles/manager.go
+++ b/roles/manager.go
@@ -154,7 +154,7 @@
 		if !e.Absent && (c.now.Phase != Steady || c.step == asking) {
 			e.Coming, e.Role = true, c.to
 		}
-		cold := !c.now.Starts.IsZero() && now.Sub(c.now.Starts) < m.cfg.ColdFor
+		cold := !c.now.StartedAt.IsZero() && now.Sub(c.now.StartedAt) < m.cfg.ColdFor
 		e.Fixed = cold || !m.follow.May(id)
 		out = append(out, e)
 	}
@@ -258,7 +258,7 @@
 			st.WhyNot = "it is on its way"
 		case m.infos[id].Draining:
 			st.WhyNot = "it is draining"
-		case !c.now.Starts.IsZero() && now.Sub(c.now.Starts) < m.cfg.ColdFor:
+		case !c.now.StartedAt.IsZero() && now.Sub(c.now.StartedAt) < m.cfg.ColdFor:
 			st.WhyNot = "it is cold"
 		}
 		out = append(out, st)
--- a/roles/manager_test.go
+++ b/roles/manager_test.go
@@ -69,7 +69,7 @@
 					s.ready[id] = s.now.Add(3 * time.Second)
 				} else {
 					if e.s.Phase == Changing {
-						e.s = Standing{Role: e.s.To, Epoch: e.s.Epoch + 1, Starts: s.now}
+						e.s = Standing{Role: e.s.To, Epoch: e.s.Epoch + 1, StartedAt: s.now}
 					}
 					delete(s.ready, id)
 				}
@@ -277,7 +277,7 @@
 func TestColdEnginesStay(t *testing.T) {
 	s := newSite(t, 1, 6, 6, func(c *Config) { c.ColdFor = time.Hour })
 	for _, e := range s.engines {
-		e.s.Starts = s.now
+		e.s.StartedAt = s.now
 	}
 	s.run(15*time.Minute, 40, 1800, 40)
 	if s.begun != 0 {
