--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -18,7 +18,7 @@
 	m.ChangeEnded(&roles.Ended{To: roles.Decode, Done: true, Took: 6 * time.Second}, 4)
 	m.ChangeEnded(&roles.Ended{To: roles.Prefill, Took: 2 * time.Second}, 4)
 	m.PlanMade(&roles.Report{Plan: roles.Plan{Now: 0.8, Then: 0.9}, Verdict: roles.Verdict{Confidence: 0.7}}, 0.002)
-	m.SetEngines([]roles.Status{{Known: true, Now: roles.Standing{Role: roles.Decode}, Step: "idle"}, {Step: "idle"}})
+	m.SetEngines([]roles.Status{{Known: true, Now: roles.RoleState{Role: roles.Decode}, Step: "idle"}, {Step: "idle"}})
 	m.ObservationDropped()
 	w := httptest.NewRecorder()
 	s.Handler().ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/metrics", nil))
--- a/internal/shift/shift.go
+++ b/internal/shift/shift.go
@@ -311,12 +311,12 @@
 }
 
 // standing turns an engine's word into the decisions' terms.
-func standing(r *engine.Role) (roles.Standing, bool) {
+func standing(r *engine.Role) (roles.RoleState, bool) {
 	stages := map[string]roles.Stage{engine.StagePrefill: roles.Prefill, engine.StageDecode: roles.Decode}
 	phases := map[string]roles.Phase{engine.PhaseSteady: roles.Steady, engine.PhaseEmptying: roles.Emptying, engine.PhaseChanging: roles.Changing}
 	role, ok := stages[r.Role]
 	phase, known := phases[r.Phase]
-	return roles.Standing{Role: role, Epoch: roles.Epoch(r.Epoch), To: stages[r.To], Phase: phase, StartedAt: r.Since}, ok && known
+	return roles.RoleState{Role: role, Epoch: roles.Epoch(r.Epoch), To: stages[r.To], Phase: phase, StartedAt: r.Since}, ok && known
 }
 
 // carry carries out an action and tells whether the list has changed.
--- a/roles/change.go
+++ b/roles/change.go
@@ -18,8 +18,8 @@
 // Epoch counts an engine's changes of role.
 type Epoch uint64
 
-// Standing is what an engine says of itself.
-type Standing struct {
+// RoleState is what an engine says of itself.
+type RoleState struct {
 	Role      Stage
 	Epoch     Epoch
 	To        Stage // while it changes
@@ -123,7 +123,7 @@
 type change struct {
 	engine uint64
 	known  bool
-	now    Standing
+	now    RoleState
 	view   View
 	shown  bool
 	step   step
@@ -188,7 +188,7 @@
 }
 
 // Answered takes in the engine's answer to Ask. A refusal may come with what the engine is now.
-func (f *Follower) Answered(now time.Time, engine uint64, granted bool, s Standing, out []Action) []Action {
+func (f *Follower) Answered(now time.Time, engine uint64, granted bool, s RoleState, out []Action) []Action {
 	c := f.list[engine]
 	if c == nil || c.step != asking {
 		return out
@@ -214,7 +214,7 @@
 
 // Seen takes in what an engine says of itself, whoever changed it. What is older than what is known (an
 // answer that was overtaken) is passed over.
-func (f *Follower) Seen(now time.Time, engine uint64, s Standing, out []Action) []Action {
+func (f *Follower) Seen(now time.Time, engine uint64, s RoleState, out []Action) []Action {
 	c := f.list[engine]
 	if c == nil {
 		c = &change{engine: engine}
@@ -243,7 +243,7 @@
 
 // stale tells whether a word is older than the one that is known: overtaken on its way. A later start comes
 // before the epoch, since an engine that was set up anew counts from the beginning again.
-func (c *change) stale(s *Standing) bool {
+func (c *change) stale(s *RoleState) bool {
 	if s.Epoch < c.now.Epoch {
 		return !s.StartedAt.After(c.now.StartedAt)
 	}
@@ -256,7 +256,7 @@
 	if f.list[engine] != nil {
 		return out
 	}
-	c := &change{engine: engine, now: Standing{Role: role}}
+	c := &change{engine: engine, now: RoleState{Role: role}}
 	f.list[engine] = c
 	return f.show(c, out)
 }
--- a/roles/change_test.go
+++ b/roles/change_test.go
@@ -18,7 +18,7 @@
 // follow returns a follower that knows engine 1 as a reader at epoch 3.
 func follow(t *testing.T) *Follower {
 	f := NewFollower(limits)
-	out := f.Seen(t0, 1, Standing{Role: Prefill, Epoch: 3, StartedAt: at(-100)}, nil)
+	out := f.Seen(t0, 1, RoleState{Role: Prefill, Epoch: 3, StartedAt: at(-100)}, nil)
 	if len(out) != 1 || out[0].Kind != List || out[0].View != (View{Role: Prefill, Since: at(-100)}) {
 		t.Fatalf("%+v", out)
 	}
@@ -44,10 +44,10 @@
 	if f.May(1) || f.Away() != 1 {
 		t.Error("it may change while it changes")
 	}
-	f.Answered(at(0.1), 1, true, Standing{}, nil)
-	f.Seen(at(0.2), 1, Standing{Role: Prefill, Epoch: 3, To: Decode, Phase: Emptying, StartedAt: at(-100)}, nil)
-	f.Seen(at(4), 1, Standing{Role: Prefill, Epoch: 3, To: Decode, Phase: Changing, StartedAt: at(-100)}, nil)
-	out = f.Seen(at(9), 1, Standing{Role: Decode, Epoch: 4, StartedAt: at(9)}, nil)
+	f.Answered(at(0.1), 1, true, RoleState{}, nil)
+	f.Seen(at(0.2), 1, RoleState{Role: Prefill, Epoch: 3, To: Decode, Phase: Emptying, StartedAt: at(-100)}, nil)
+	f.Seen(at(4), 1, RoleState{Role: Prefill, Epoch: 3, To: Decode, Phase: Changing, StartedAt: at(-100)}, nil)
+	out = f.Seen(at(9), 1, RoleState{Role: Decode, Epoch: 4, StartedAt: at(9)}, nil)
 	if len(out) != 1 || out[0].View != (View{Role: Decode, Since: at(9)}) {
 		t.Errorf("it is to come back as a cold writer: %+v", out)
 	}
@@ -58,7 +58,7 @@
 		t.Error("it is not free again")
 	}
 	// A word from before is passed over.
-	if out = f.Seen(at(10), 1, Standing{Role: Prefill, Epoch: 3, StartedAt: at(-100)}, nil); len(out) != 0 {
+	if out = f.Seen(at(10), 1, RoleState{Role: Prefill, Epoch: 3, StartedAt: at(-100)}, nil); len(out) != 0 {
 		t.Errorf("%+v", out)
 	}
 }
@@ -66,11 +66,11 @@
 // Each step's failure has its exit: the change ends, with its reason, the engine is listed as what it is,
 // and it rests.
 func TestFailuresOfAChange(t *testing.T) {
-	old := Standing{Role: Prefill, Epoch: 3, StartedAt: at(-100)}
-	empty := Standing{Role: Prefill, Epoch: 3, To: Decode, Phase: Emptying, StartedAt: at(-100)}
-	busy := Standing{Role: Prefill, Epoch: 3, To: Decode, Phase: Changing, StartedAt: at(-100)}
-	anew := Standing{Role: Prefill, Epoch: 3, StartedAt: at(2)}
-	other := Standing{Role: Prefill, Epoch: 5, StartedAt: at(2)}
+	old := RoleState{Role: Prefill, Epoch: 3, StartedAt: at(-100)}
+	empty := RoleState{Role: Prefill, Epoch: 3, To: Decode, Phase: Emptying, StartedAt: at(-100)}
+	busy := RoleState{Role: Prefill, Epoch: 3, To: Decode, Phase: Changing, StartedAt: at(-100)}
+	anew := RoleState{Role: Prefill, Epoch: 3, StartedAt: at(2)}
+	other := RoleState{Role: Prefill, Epoch: 5, StartedAt: at(2)}
 	for _, c := range []struct {
 		name string
 		play func(f *Follower)
@@ -149,11 +149,11 @@
 // A router that starts while a change is half made follows it as if it were its own.
 func TestChangeOfAnotherRouter(t *testing.T) {
 	f := NewFollower(limits)
-	out := f.Seen(at(0), 1, Standing{Role: Prefill, Epoch: 3, To: Decode, Phase: Changing, StartedAt: at(-100)}, nil)
+	out := f.Seen(at(0), 1, RoleState{Role: Prefill, Epoch: 3, To: Decode, Phase: Changing, StartedAt: at(-100)}, nil)
 	if len(out) != 1 || !out[0].View.Draining || f.Away() != 1 {
 		t.Errorf("%+v", out)
 	}
-	f.Seen(at(3), 1, Standing{Role: Decode, Epoch: 4, StartedAt: at(3)}, nil)
+	f.Seen(at(3), 1, RoleState{Role: Decode, Epoch: 4, StartedAt: at(3)}, nil)
 	if e := last(t, f); !e.Done {
 		t.Errorf("%+v", e)
 	}
@@ -161,7 +161,7 @@
 
 // truth is an engine: it grants one change from its epoch, and refuses all else.
 type truth struct {
-	s     Standing
+	s     RoleState
 	alive bool
 }
 
@@ -179,7 +179,7 @@
 func TestManyRoutersAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := t0
-		e := &truth{s: Standing{Role: Prefill, Epoch: 1, StartedAt: at(-100)}, alive: true}
+		e := &truth{s: RoleState{Role: Prefill, Epoch: 1, StartedAt: at(-100)}, alive: true}
 		routers := make([]*Follower, 3)
 		views := make([]View, 3)
 		begun, ended := make([]int, 3), make([]int, 3)
@@ -210,7 +210,7 @@
 				}
 			}
 		}
-		look := func(i int, s Standing) {
+		look := func(i int, s RoleState) {
 			do(i, routers[i].Seen(now, 1, s, nil))
 			c := routers[i].list[1]
 			if !views[i].Draining && (c.now.Phase != Steady || views[i].Role != c.now.Role) {
@@ -267,14 +267,14 @@
 				case e.s.Phase == Emptying:
 					e.s.Phase = Changing
 				case e.s.Phase == Changing:
-					e.s = Standing{Role: e.s.To, Epoch: e.s.Epoch + 1, StartedAt: now}
+					e.s = RoleState{Role: e.s.To, Epoch: e.s.Epoch + 1, StartedAt: now}
 				}
 			},
 			"engine dies": func(t *rapid.T) { e.alive = false },
 			"engine restarts": func(t *rapid.T) {
 				if !e.alive {
 					e.alive = true
-					e.s = Standing{Role: e.s.Role, Epoch: e.s.Epoch, StartedAt: now}
+					e.s = RoleState{Role: e.s.Role, Epoch: e.s.Epoch, StartedAt: now}
 				}
 			},
 			"router restarts": func(t *rapid.T) { fresh(which()) },
@@ -288,9 +288,9 @@
 		mail = nil
 		now = now.Add(time.Millisecond)
 		if !e.alive {
-			e.s = Standing{Role: e.s.Role, Epoch: e.s.Epoch, StartedAt: now}
+			e.s = RoleState{Role: e.s.Role, Epoch: e.s.Epoch, StartedAt: now}
 		} else if e.s.Phase != Steady {
-			e.s = Standing{Role: e.s.To, Epoch: e.s.Epoch + 1, StartedAt: now}
+			e.s = RoleState{Role: e.s.To, Epoch: e.s.Epoch + 1, StartedAt: now}
 		}
 		for range 20 {
 			now = now.Add(10 * time.Second)
@@ -324,7 +324,7 @@
 	if out = f.Listed(1, Prefill, nil); len(out) != 0 {
 		t.Errorf("told again: %+v", out)
 	}
-	if out = f.Seen(at(1), 1, Standing{Role: Prefill, Epoch: 1}, nil); len(out) != 1 || out[0].View != (View{Role: Prefill}) {
+	if out = f.Seen(at(1), 1, RoleState{Role: Prefill, Epoch: 1}, nil); len(out) != 1 || out[0].View != (View{Role: Prefill}) {
 		t.Errorf("%+v", out)
 	}
 	if out = f.Listed(1, Decode, nil); len(out) != 0 {
@@ -336,10 +336,10 @@
 // is passed over all the same.
 func TestWordsInDisorder(t *testing.T) {
 	f := follow(t)
-	if out := f.Seen(at(1), 1, Standing{Role: Decode, Epoch: 1, StartedAt: at(-1)}, nil); len(out) != 1 || out[0].View.Role != Decode {
+	if out := f.Seen(at(1), 1, RoleState{Role: Decode, Epoch: 1, StartedAt: at(-1)}, nil); len(out) != 1 || out[0].View.Role != Decode {
 		t.Errorf("set up anew: %+v", out)
 	}
-	for _, old := range []Standing{{Role: Prefill, Epoch: 1, StartedAt: at(-2)}, {Role: Prefill, Epoch: 0, StartedAt: at(-1)}} {
+	for _, old := range []RoleState{{Role: Prefill, Epoch: 1, StartedAt: at(-2)}, {Role: Prefill, Epoch: 0, StartedAt: at(-1)}} {
 		if out := f.Seen(at(2), 1, old, nil); len(out) != 0 {
 			t.Errorf("%+v was believed: %+v", old, out)
 		}
@@ -353,11 +353,11 @@
 	l.Look, l.Answer = time.Second, 100*time.Millisecond
 	f := NewFollower(l)
 	for id := range uint64(4) {
-		f.Seen(at(0), id, Standing{Role: Prefill, Epoch: 1}, nil)
+		f.Seen(at(0), id, RoleState{Role: Prefill, Epoch: 1}, nil)
 	}
 	speak := func(s float64, ids ...uint64) (out []Action) {
 		for _, id := range ids {
-			out = f.Seen(at(s), id, Standing{Role: Prefill, Epoch: 1}, out)
+			out = f.Seen(at(s), id, RoleState{Role: Prefill, Epoch: 1}, out)
 		}
 		return f.Tick(at(s), out)
 	}
--- a/roles/manager.go
+++ b/roles/manager.go
@@ -112,7 +112,7 @@
 }
 
 // Standing takes in an engine's word on its role.
-func (m *Manager) Standing(now time.Time, id uint64, s Standing, out []Action) []Action {
+func (m *Manager) Standing(now time.Time, id uint64, s RoleState, out []Action) []Action {
 	if m.infos[id] == nil {
 		return out
 	}
@@ -120,7 +120,7 @@
 }
 
 // Answered takes in an engine's answer to Ask.
-func (m *Manager) Answered(now time.Time, id uint64, granted bool, s Standing, out []Action) []Action {
+func (m *Manager) Answered(now time.Time, id uint64, granted bool, s RoleState, out []Action) []Action {
 	return m.follow.Answered(now, id, granted, s, out)
 }
 
@@ -232,7 +232,7 @@
 type Status struct {
 	Engine uint64
 	Known  bool // it has said what it does
-	Now    Standing
+	Now    RoleState
 	Step   string // of a change that is followed: idle, asking, emptying, changing, resting
 	Since  time.Time
 	WhyNot string // why it would not be changed now; "" it could be
--- a/roles/manager_test.go
+++ b/roles/manager_test.go
@@ -29,7 +29,7 @@
 			role = Decode
 		}
 		id := uint64(i + 1)
-		s.engines[id] = &truth{s: Standing{Role: role, Epoch: 1}, alive: true}
+		s.engines[id] = &truth{s: RoleState{Role: role, Epoch: 1}, alive: true}
 		infos = append(infos, Info{ID: id, Cell: i % 2, Cap: [stages]float64{10000, 1000}})
 	}
 	for i := range routers {
@@ -69,7 +69,7 @@
 					s.ready[id] = s.now.Add(3 * time.Second)
 				} else {
 					if e.s.Phase == Changing {
-						e.s = Standing{Role: e.s.To, Epoch: e.s.Epoch + 1, StartedAt: s.now}
+						e.s = RoleState{Role: e.s.To, Epoch: e.s.Epoch + 1, StartedAt: s.now}
 					}
 					delete(s.ready, id)
 				}
