--- a/roles/change.go
+++ b/roles/change.go
@@ -54,10 +54,10 @@
 
 // Limits are the deadlines of a change's steps, and how long a failed one rests.
 type Limits struct {
-	AskTimeout time.Duration // for the engine's answer, at least; twice Answer where that is more
-	Empty      time.Duration // for what runs to end
-	Change     time.Duration // for the change itself
-	Rest       time.Duration // after a failure; doubled with each in a row, up to eight times
+	AskTimeout   time.Duration // for the engine's answer, at least; twice Answer where that is more
+	EmptyTimeout time.Duration // for what runs to end
+	Change       time.Duration // for the change itself
+	Rest         time.Duration // after a failure; doubled with each in a row, up to eight times
 	// Look is how often routers ask an engine for its role, Answer how long its word may take. They set how
 	// long an engine that is to change takes nothing new before it does.
 	Look, Answer time.Duration
@@ -80,7 +80,7 @@
 func (l *Limits) ask() time.Duration { return max(l.AskTimeout, 2*l.Answer) }
 
 // empty is the deadline of the step in which what runs ends.
-func (l *Limits) empty() time.Duration { return l.Notice() + l.Empty }
+func (l *Limits) empty() time.Duration { return l.Notice() + l.EmptyTimeout }
 
 // ActionKind tells what a change asks of its surroundings.
 type ActionKind uint8
--- a/roles/manager_test.go
+++ b/roles/manager_test.go
@@ -208,7 +208,7 @@
 
 // Half of the readers die while a reader is on its way to write: it is called back.
 func TestChangeIsCalledBack(t *testing.T) {
-	s := newSite(t, 1, 6, 6, func(c *Config) { c.Limits.Empty = time.Hour; c.Costs.Changes = 1 })
+	s := newSite(t, 1, 6, 6, func(c *Config) { c.Limits.EmptyTimeout = time.Hour; c.Costs.Changes = 1 })
 	s.run(2*time.Minute, 40, 500, 100)
 	for i := 0; s.begun == 0 && i < 900; i++ {
 		s.run(time.Second, 40, 900, 165) // 36,000 and 6,600: a writer more would help
