--- a/roles/change.go
+++ b/roles/change.go
@@ -54,10 +54,10 @@
 
 // Limits are the deadlines of a change's steps, and how long a failed one rests.
 type Limits struct {
-	AskTimeout   time.Duration // for the engine's answer, at least; twice Answer where that is more
-	EmptyTimeout time.Duration // for what runs to end
-	Change       time.Duration // for the change itself
-	Rest         time.Duration // after a failure; doubled with each in a row, up to eight times
+	AskTimeout    time.Duration // for the engine's answer, at least; twice Answer where that is more
+	EmptyTimeout  time.Duration // for what runs to end
+	ChangeTimeout time.Duration // for the change itself
+	Rest          time.Duration // after a failure; doubled with each in a row, up to eight times
 	// Look is how often routers ask an engine for its role, Answer how long its word may take. They set how
 	// long an engine that is to change takes nothing new before it does.
 	Look, Answer time.Duration
@@ -235,7 +235,7 @@
 		}
 	case Changing:
 		if c.step != changing {
-			f.enter(now, c, changing, s.To, now.Add(f.limits.Change))
+			f.enter(now, c, changing, s.To, now.Add(f.limits.ChangeTimeout))
 		}
 	}
 	return f.show(c, out)
