--- a/roles/change.go
+++ b/roles/change.go
@@ -57,7 +57,7 @@
 	AskTimeout    time.Duration // for the engine's answer, at least; twice Answer where that is more
 	EmptyTimeout  time.Duration // for what runs to end
 	ChangeTimeout time.Duration // for the change itself
-	Rest          time.Duration // after a failure; doubled with each in a row, up to eight times
+	Backoff       time.Duration // after a failure; doubled with each in a row, up to eight times
 	// Look is how often routers ask an engine for its role, Answer how long its word may take. They set how
 	// long an engine that is to change takes nothing new before it does.
 	Look, Answer time.Duration
@@ -348,7 +348,7 @@
 func (f *Follower) fail(now time.Time, c *change, why string, out []Action) []Action {
 	f.end(now, c, false, why)
 	const mostDoubled = 3
-	rest := f.limits.Rest << min(c.fails, mostDoubled)
+	rest := f.limits.Backoff << min(c.fails, mostDoubled)
 	c.fails++
 	c.step, c.by = resting, now.Add(rest)
 	return out
