--- a/roles/change.go
+++ b/roles/change.go
@@ -58,18 +58,20 @@
 	EmptyTimeout  time.Duration // for what runs to end
 	ChangeTimeout time.Duration // for the change itself
 	Backoff       time.Duration // after a failure; doubled with each in a row, up to eight times
-	// Look is how often routers ask an engine for its role, Answer how long its word may take. They set how
+	// CheckInterval is how often routers ask an engine for its role, Answer how long its word may take. They set how
 	// long an engine that is to change takes nothing new before it does.
-	Look, Answer time.Duration
+	CheckInterval, Answer time.Duration
 }
 
 // missed is how many looks may go unanswered before an engine's word is doubted.
 const missed = 4
 
 // doubt is the age at which a word is too old to send work by; 0: none is.
-func (l *Limits) doubt() time.Duration { return missed * l.Look }
+func (l *Limits) doubt() time.Duration { return missed * l.CheckInterval }
 
-func (l *Limits) old(now, heard time.Time) bool { return l.Look > 0 && now.Sub(heard) >= l.doubt() }
+func (l *Limits) old(now, heard time.Time) bool {
+	return l.CheckInterval > 0 && now.Sub(heard) >= l.doubt()
+}
 
 // Notice is how long a change is announced. A word that a router still sends by was given before the grant
 // and heard at most Answer later; it is doubted before the notice ends. So no router sends work of the old
--- a/roles/change_test.go
+++ b/roles/change_test.go
@@ -350,7 +350,7 @@
 // it is the way to them that fails, and none is doubted.
 func TestOldWordsAreDoubted(t *testing.T) {
 	l := limits
-	l.Look, l.Answer = time.Second, 100*time.Millisecond
+	l.CheckInterval, l.Answer = time.Second, 100*time.Millisecond
 	f := NewFollower(l)
 	for id := range uint64(4) {
 		f.Seen(at(0), id, RoleState{Role: Prefill, Epoch: 1}, nil)
