--- a/internal/sim/sim.go
+++ b/internal/sim/sim.go
@@ -180,7 +180,7 @@
 	}
 	if cfg.Roles != nil {
 		r := *cfg.Roles
-		r.Limits.CheckInterval, r.Limits.Answer = cfg.Look, 2*cfg.Net
+		r.Limits.CheckInterval, r.Limits.ReplyTimeout = cfg.Look, 2*cfg.Net
 		cfg.Roles = &r
 	}
 	s := &Sim{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 0x73696d)), links: map[int]time.Duration{}}
--- a/roles/change.go
+++ b/roles/change.go
@@ -58,9 +58,9 @@
 	EmptyTimeout  time.Duration // for what runs to end
 	ChangeTimeout time.Duration // for the change itself
 	Backoff       time.Duration // after a failure; doubled with each in a row, up to eight times
-	// CheckInterval is how often routers ask an engine for its role, Answer how long its word may take. They set how
+	// CheckInterval is how often routers ask an engine for its role, ReplyTimeout how long its word may take. They set how
 	// long an engine that is to change takes nothing new before it does.
-	CheckInterval, Answer time.Duration
+	CheckInterval, ReplyTimeout time.Duration
 }
 
 // missed is how many looks may go unanswered before an engine's word is doubted.
@@ -76,10 +76,10 @@
 // Notice is how long a change is announced. A word that a router still sends by was given before the grant
 // and heard at most Answer later; it is doubted before the notice ends. So no router sends work of the old
 // role to an engine that has left it, however many looks are lost.
-func (l *Limits) Notice() time.Duration { return l.doubt() + 2*l.Answer }
+func (l *Limits) Notice() time.Duration { return l.doubt() + 2*l.ReplyTimeout }
 
 // ask is the deadline of the question.
-func (l *Limits) ask() time.Duration { return max(l.AskTimeout, 2*l.Answer) }
+func (l *Limits) ask() time.Duration { return max(l.AskTimeout, 2*l.ReplyTimeout) }
 
 // empty is the deadline of the step in which what runs ends.
 func (l *Limits) empty() time.Duration { return l.Notice() + l.EmptyTimeout }
--- a/roles/change_test.go
+++ b/roles/change_test.go
@@ -350,7 +350,7 @@
 // it is the way to them that fails, and none is doubted.
 func TestOldWordsAreDoubted(t *testing.T) {
 	l := limits
-	l.CheckInterval, l.Answer = time.Second, 100*time.Millisecond
+	l.CheckInterval, l.ReplyTimeout = time.Second, 100*time.Millisecond
 	f := NewFollower(l)
 	for id := range uint64(4) {
 		f.Seen(at(0), id, RoleState{Role: Prefill, Epoch: 1}, nil)
@@ -374,7 +374,7 @@
 	if out := speak(20, 0); len(out) != 0 {
 		t.Errorf("most are silent: %+v", out)
 	}
-	if n := l.Notice(); n <= l.doubt()+l.Answer {
+	if n := l.Notice(); n <= l.doubt()+l.ReplyTimeout {
 		t.Errorf("a change is announced for %v, a word believed for %v", n, l.doubt())
 	}
 }
