--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -145,7 +145,7 @@
 func (s *Settings) Roles() roles.Config {
 	h := &s.RoleChanges
 	return roles.Config{Classes: len(s.Classes), Confidence: h.Confidence, Looks: h.AgreeingPlans, Every: h.PlanInterval, ColdFor: s.SlowStartTime,
-		Limits: roles.Limits{EmptyTimeout: h.EmptyTimeout, ChangeTimeout: h.ChangeTimeout, Backoff: h.FailureBackoff, CheckInterval: h.CheckInterval, ReplyTimeout: s.ProbeTimeout},
+		Limits: roles.Timeouts{EmptyTimeout: h.EmptyTimeout, ChangeTimeout: h.ChangeTimeout, Backoff: h.FailureBackoff, CheckInterval: h.CheckInterval, ReplyTimeout: s.ProbeTimeout},
 		Costs:  roles.Costs{Horizon: h.Horizon, Away: h.ChangeCost, Load: h.MaxLoad, Changes: h.MaxConcurrent, Least: h.MinEngines, Most: h.MaxEngines},
 		Turn:   roles.Turn{Routers: s.Routers, Index: s.Index, Slot: h.Slot}, Dry: h.Mode == "dry"}
 }
--- a/internal/day/swing.go
+++ b/internal/day/swing.go
@@ -131,7 +131,7 @@
 	if n < 0 {
 		from, to, n = to, from, -n
 	}
-	limits := roles.Limits{CheckInterval: p.s.shift().CheckInterval, ReplyTimeout: config.Defaults().ProbeTimeout} // as the routers announce a change
+	limits := roles.Timeouts{CheckInterval: p.s.shift().CheckInterval, ReplyTimeout: config.Defaults().ProbeTimeout} // as the routers announce a change
 	for _, e := range all {
 		key := e.m.Cell + " " + from
 		if n == 0 || e.role.Role != from || e.role.Phase != engine.PhaseSteady || left[key] < 2 {
--- a/internal/swing/compare.go
+++ b/internal/swing/compare.go
@@ -64,7 +64,7 @@
 
 // pace is what an engine of the standard scene does.
 func pace(cfg *sim.Config) Pace {
-	limits := roles.Limits{CheckInterval: cfg.Look, ReplyTimeout: 2 * cfg.Net}
+	limits := roles.Timeouts{CheckInterval: cfg.Look, ReplyTimeout: 2 * cfg.Net}
 	return Pace{Read: cfg.Prefill.Capacity(), Write: cfg.Decode.Capacity(), Away: limits.Notice() + cfg.Change + roles.ColdLost(cfg.Prefill.ColdFrom, cfg.Prefill.ColdFor)}
 }
 
--- a/roles/change.go
+++ b/roles/change.go
@@ -52,8 +52,8 @@
 	return [...]string{"idle", "asking", "emptying", "changing", "resting"}[s]
 }
 
-// Limits are the deadlines of a change's steps, and how long a failed one rests.
-type Limits struct {
+// Timeouts are the deadlines of a change's steps, and how long a failed one rests.
+type Timeouts struct {
 	AskTimeout    time.Duration // for the engine's answer, at least; twice Answer where that is more
 	EmptyTimeout  time.Duration // for what runs to end
 	ChangeTimeout time.Duration // for the change itself
@@ -67,22 +67,22 @@
 const missed = 4
 
 // doubt is the age at which a word is too old to send work by; 0: none is.
-func (l *Limits) doubt() time.Duration { return missed * l.CheckInterval }
+func (l *Timeouts) doubt() time.Duration { return missed * l.CheckInterval }
 
-func (l *Limits) old(now, heard time.Time) bool {
+func (l *Timeouts) old(now, heard time.Time) bool {
 	return l.CheckInterval > 0 && now.Sub(heard) >= l.doubt()
 }
 
 // Notice is how long a change is announced. A word that a router still sends by was given before the grant
 // and heard at most Answer later; it is doubted before the notice ends. So no router sends work of the old
 // role to an engine that has left it, however many looks are lost.
-func (l *Limits) Notice() time.Duration { return l.doubt() + 2*l.ReplyTimeout }
+func (l *Timeouts) Notice() time.Duration { return l.doubt() + 2*l.ReplyTimeout }
 
 // ask is the deadline of the question.
-func (l *Limits) ask() time.Duration { return max(l.AskTimeout, 2*l.ReplyTimeout) }
+func (l *Timeouts) ask() time.Duration { return max(l.AskTimeout, 2*l.ReplyTimeout) }
 
 // empty is the deadline of the step in which what runs ends.
-func (l *Limits) empty() time.Duration { return l.Notice() + l.EmptyTimeout }
+func (l *Timeouts) empty() time.Duration { return l.Notice() + l.EmptyTimeout }
 
 // ActionKind tells what a change asks of its surroundings.
 type ActionKind uint8
@@ -142,13 +142,13 @@
 // Follower follows all engines' roles, and changes under way. Its calls append the actions that answer
 // them. It is a pure state machine: times come in, and it is not safe for concurrent use.
 type Follower struct {
-	limits Limits
+	limits Timeouts
 	list   map[uint64]*change
 	ended  []Ended
 }
 
 // NewFollower returns a Follower that knows no engine.
-func NewFollower(l Limits) *Follower { return &Follower{limits: l, list: map[uint64]*change{}} }
+func NewFollower(l Timeouts) *Follower { return &Follower{limits: l, list: map[uint64]*change{}} }
 
 // Ended returns the changes that have ended since the last call.
 func (f *Follower) Ended() []Ended {
--- a/roles/change_test.go
+++ b/roles/change_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-var limits = Limits{AskTimeout: time.Second, EmptyTimeout: 10 * time.Second, ChangeTimeout: 20 * time.Second, Backoff: 5 * time.Second}
+var limits = Timeouts{AskTimeout: time.Second, EmptyTimeout: 10 * time.Second, ChangeTimeout: 20 * time.Second, Backoff: 5 * time.Second}
 
 var t0 = time.Unix(1000, 0)
 
--- a/roles/manager.go
+++ b/roles/manager.go
@@ -43,7 +43,7 @@
 // Config is what a Manager works by.
 type Config struct {
 	Classes    int
-	Limits     Limits
+	Limits     Timeouts
 	Costs      Costs
 	Confidence float64       // with which a change has to pay, in (0.5, 1)
 	Looks      int           // plans in a row that have to agree; 0: one
