--- a/internal/shift/shift.go
+++ b/internal/shift/shift.go
@@ -329,7 +329,7 @@
 	case roles.List:
 		d.views[a.Engine] = a.View
 		return true
-	case roles.Ask:
+	case roles.RequestChange:
 		d.log.Info("change of role asked for", "engine", e.Name, "to", stageName(a.To), "epoch", a.Epoch)
 		d.ask(ctx, a.Engine, e.Addr, &engine.RoleChange{To: stageName(a.To), Epoch: uint64(a.Epoch), Router: d.name,
 			NoticeMillis: float64(a.Notice) / 1e6})
--- a/internal/sim/node.go
+++ b/internal/sim/node.go
@@ -232,7 +232,7 @@
 			}
 			n.views[u.index] = v
 			n.tell(&decide.Event{Kind: decide.ListChanged, Servers: []decide.Listing{n.listing(u)}, Report: engine.NoReport()})
-		case roles.Ask:
+		case roles.RequestChange:
 			n.s.after(net, func() {
 				if !u.up || u.faults[Mute] > 0 {
 					return
--- a/roles/change.go
+++ b/roles/change.go
@@ -89,9 +89,9 @@
 
 // The kinds of actions.
 const (
-	Ask      ActionKind = iota // ask the engine to change to To, from Epoch
-	CallBack                   // ask it to stay, while it is still emptying
-	List                       // list it as View says
+	RequestChange ActionKind = iota // ask the engine to change to To, from Epoch
+	CallBack                        // ask it to stay, while it is still emptying
+	List                            // list it as View says
 )
 
 // View is how an engine is to be listed to the decision module.
@@ -186,7 +186,7 @@
 	c.step, c.to, c.from, c.began, c.by, c.back = asking, to, c.now.Epoch, now, now.Add(f.limits.ask()), false
 	// The module stops sending at once: work that is on its way when the engine grants would be refused.
 	out = f.show(c, out)
-	return append(out, Action{Kind: Ask, Engine: engine, To: to, Epoch: c.from, Notice: f.limits.Notice()}), nil
+	return append(out, Action{Kind: RequestChange, Engine: engine, To: to, Epoch: c.from, Notice: f.limits.Notice()}), nil
 }
 
 // Answered takes in the engine's answer to Ask. A refusal may come with what the engine is now.
--- a/roles/change_test.go
+++ b/roles/change_test.go
@@ -38,7 +38,7 @@
 	f := follow(t)
 	out, err := f.Begin(at(0), 1, Decode, nil)
 	if err != nil || len(out) != 2 || out[0].View != (View{Role: Prefill, Draining: true, Since: at(-100)}) ||
-		out[1].Kind != Ask || out[1].To != Decode || out[1].Epoch != 3 {
+		out[1].Kind != RequestChange || out[1].To != Decode || out[1].Epoch != 3 {
 		t.Fatalf("%v %+v", err, out)
 	}
 	if f.May(1) || f.Away() != 1 {
@@ -190,7 +190,7 @@
 				switch a.Kind {
 				case List:
 					views[i] = a.View
-				case Ask:
+				case RequestChange:
 					mail = append(mail, func() {
 						granted := e.ask(a.To, a.Epoch)
 						s := e.s
--- a/roles/manager_test.go
+++ b/roles/manager_test.go
@@ -97,7 +97,7 @@
 	for _, a := range acts {
 		e := s.engines[a.Engine]
 		switch a.Kind {
-		case Ask:
+		case RequestChange:
 			granted := e.ask(a.To, a.Epoch)
 			if granted {
 				s.begun++
