--- a/internal/sim/node.go
+++ b/internal/sim/node.go
@@ -245,7 +245,7 @@
 					}
 				})
 			})
-		case roles.CallBack:
+		case roles.CancelChange:
 			n.s.after(net, func() { u.stay(uint64(a.Epoch)) })
 		}
 	}
--- a/roles/change.go
+++ b/roles/change.go
@@ -90,7 +90,7 @@
 // The kinds of actions.
 const (
 	RequestChange ActionKind = iota // ask the engine to change to To, from Epoch
-	CallBack                        // ask it to stay, while it is still emptying
+	CancelChange                    // ask it to stay, while it is still emptying
 	List                            // list it as View says
 )
 
@@ -211,7 +211,7 @@
 		return out
 	}
 	c.back = true
-	return append(out, Action{Kind: CallBack, Engine: engine, Epoch: c.from, Why: why})
+	return append(out, Action{Kind: CancelChange, Engine: engine, Epoch: c.from, Why: why})
 }
 
 // Seen takes in what an engine says of itself, whoever changed it. What is older than what is known (an
--- a/roles/change_test.go
+++ b/roles/change_test.go
@@ -116,7 +116,7 @@
 		{"it is called back", func(f *Follower) {
 			f.Answered(at(0.1), 1, true, old, nil)
 			f.Seen(at(1), 1, empty, nil)
-			if out := f.CallOff(1, "half of the readers died", nil); len(out) != 1 || out[0].Kind != CallBack || out[0].Epoch != 3 {
+			if out := f.CallOff(1, "half of the readers died", nil); len(out) != 1 || out[0].Kind != CancelChange || out[0].Epoch != 3 {
 				panic(out)
 			}
 			f.Seen(at(2), 1, old, nil)
@@ -201,7 +201,7 @@
 							}
 						})
 					})
-				case CallBack:
+				case CancelChange:
 					mail = append(mail, func() {
 						if e.alive && e.s.Phase == Emptying && e.s.Epoch == a.Epoch {
 							e.s.Phase = Steady
--- a/roles/manager_test.go
+++ b/roles/manager_test.go
@@ -104,7 +104,7 @@
 				s.ready[a.Engine] = s.now.Add(2 * time.Second)
 			}
 			s.do(m, m.Answered(s.now, a.Engine, granted, e.s, nil))
-		case CallBack:
+		case CancelChange:
 			if e.alive && e.s.Phase == Emptying && e.s.Epoch == a.Epoch {
 				e.s.Phase = Steady
 			}
