--- a/internal/shift/shift.go
+++ b/internal/shift/shift.go
@@ -326,7 +326,7 @@
 		return false
 	}
 	switch a.Kind {
-	case roles.List:
+	case roles.UpdateListing:
 		d.views[a.Engine] = a.View
 		return true
 	case roles.RequestChange:
--- a/internal/sim/node.go
+++ b/internal/sim/node.go
@@ -223,7 +223,7 @@
 	for _, a := range acts {
 		u := n.s.units[a.Engine-1]
 		switch a.Kind {
-		case roles.List:
+		case roles.UpdateListing:
 			v := view{View: a.View}
 			if old := n.views[u.index]; a.View.Draining {
 				if v.drained = old.drained; !old.Draining {
--- a/roles/change.go
+++ b/roles/change.go
@@ -91,7 +91,7 @@
 const (
 	RequestChange ActionKind = iota // ask the engine to change to To, from Epoch
 	CancelChange                    // ask it to stay, while it is still emptying
-	List                            // list it as View says
+	UpdateListing                   // list it as View says
 )
 
 // View is how an engine is to be listed to the decision module.
@@ -371,5 +371,5 @@
 		return out
 	}
 	c.view, c.shown = v, true
-	return append(out, Action{Kind: List, Engine: c.engine, View: v})
+	return append(out, Action{Kind: UpdateListing, Engine: c.engine, View: v})
 }
--- a/roles/change_test.go
+++ b/roles/change_test.go
@@ -19,7 +19,7 @@
 func follow(t *testing.T) *Follower {
 	f := NewFollower(limits)
 	out := f.Seen(t0, 1, RoleState{Role: Prefill, Epoch: 3, StartedAt: at(-100)}, nil)
-	if len(out) != 1 || out[0].Kind != List || out[0].View != (View{Role: Prefill, Since: at(-100)}) {
+	if len(out) != 1 || out[0].Kind != UpdateListing || out[0].View != (View{Role: Prefill, Since: at(-100)}) {
 		t.Fatalf("%+v", out)
 	}
 	return f
@@ -188,7 +188,7 @@
 		do = func(i int, acts []Action) {
 			for _, a := range acts {
 				switch a.Kind {
-				case List:
+				case UpdateListing:
 					views[i] = a.View
 				case RequestChange:
 					mail = append(mail, func() {
