--- a/internal/shift/shift.go
+++ b/internal/shift/shift.go
@@ -365,8 +365,8 @@
 		if v.Draining {
 			e.State = decide.Draining
 		}
-		if v.Since.After(e.StartedAt) {
-			e.StartedAt = v.Since
+		if v.StartedAt.After(e.StartedAt) {
+			e.StartedAt = v.StartedAt
 		}
 	}
 	return out
--- a/internal/sim/node.go
+++ b/internal/sim/node.go
@@ -85,7 +85,7 @@
 			n.gone[u.index] = true
 			continue
 		}
-		n.views[u.index] = view{View: roles.View{Role: u.first, Since: u.since}} // the list knows of no changes
+		n.views[u.index] = view{View: roles.View{Role: u.first, StartedAt: u.since}} // the list knows of no changes
 		servers = append(servers, n.listing(u))
 	}
 	if n.s.cfg.Roles != nil {
@@ -142,8 +142,8 @@
 	case v.Draining:
 		l.Condition = decide.Draining
 	}
-	if !v.Since.IsZero() {
-		l.StartedAt = decide.Time(v.Since.UnixNano())
+	if !v.StartedAt.IsZero() {
+		l.StartedAt = decide.Time(v.StartedAt.UnixNano())
 	}
 	return l
 }
@@ -157,9 +157,9 @@
 		was := n.gone[u.index]
 		n.gone[u.index] = !there
 		if v := n.views[u.index]; there && was {
-			n.views[u.index] = view{View: roles.View{Role: u.first, Since: u.since}} // the list knows of no changes
-		} else if there && u.since.After(v.Since) { // it never left the list: what it said itself still counts
-			v.Since = u.since
+			n.views[u.index] = view{View: roles.View{Role: u.first, StartedAt: u.since}} // the list knows of no changes
+		} else if there && u.since.After(v.StartedAt) { // it never left the list: what it said itself still counts
+			v.StartedAt = u.since
 			n.views[u.index] = v
 		}
 		n.infos()
--- a/roles/change.go
+++ b/roles/change.go
@@ -96,9 +96,9 @@
 
 // View is how an engine is to be listed to the decision module.
 type View struct {
-	Role     Stage
-	Draining bool
-	Since    time.Time
+	Role      Stage
+	Draining  bool
+	StartedAt time.Time
 }
 
 // Action is one thing to do.
@@ -363,9 +363,9 @@
 // show lists an engine when that is a change. One that is on its way, or of which it is not known what it
 // does, is listed as draining, with the start that the module knows.
 func (f *Follower) show(c *change, out []Action) []Action {
-	v := View{Role: c.now.Role, Since: c.now.StartedAt}
+	v := View{Role: c.now.Role, StartedAt: c.now.StartedAt}
 	if !c.known || c.doubt || c.step == asking || c.now.Phase != Steady {
-		v.Draining, v.Since = true, c.view.Since
+		v.Draining, v.StartedAt = true, c.view.StartedAt
 	}
 	if c.view == v && c.shown {
 		return out
--- a/roles/change_test.go
+++ b/roles/change_test.go
@@ -19,7 +19,7 @@
 func follow(t *testing.T) *Follower {
 	f := NewFollower(limits)
 	out := f.Seen(t0, 1, RoleState{Role: Prefill, Epoch: 3, StartedAt: at(-100)}, nil)
-	if len(out) != 1 || out[0].Kind != UpdateListing || out[0].View != (View{Role: Prefill, Since: at(-100)}) {
+	if len(out) != 1 || out[0].Kind != UpdateListing || out[0].View != (View{Role: Prefill, StartedAt: at(-100)}) {
 		t.Fatalf("%+v", out)
 	}
 	return f
@@ -37,7 +37,7 @@
 func TestWayOfAChange(t *testing.T) {
 	f := follow(t)
 	out, err := f.Begin(at(0), 1, Decode, nil)
-	if err != nil || len(out) != 2 || out[0].View != (View{Role: Prefill, Draining: true, Since: at(-100)}) ||
+	if err != nil || len(out) != 2 || out[0].View != (View{Role: Prefill, Draining: true, StartedAt: at(-100)}) ||
 		out[1].Kind != RequestChange || out[1].To != Decode || out[1].Epoch != 3 {
 		t.Fatalf("%v %+v", err, out)
 	}
@@ -48,7 +48,7 @@
 	f.Seen(at(0.2), 1, RoleState{Role: Prefill, Epoch: 3, To: Decode, Phase: Emptying, StartedAt: at(-100)}, nil)
 	f.Seen(at(4), 1, RoleState{Role: Prefill, Epoch: 3, To: Decode, Phase: Changing, StartedAt: at(-100)}, nil)
 	out = f.Seen(at(9), 1, RoleState{Role: Decode, Epoch: 4, StartedAt: at(9)}, nil)
-	if len(out) != 1 || out[0].View != (View{Role: Decode, Since: at(9)}) {
+	if len(out) != 1 || out[0].View != (View{Role: Decode, StartedAt: at(9)}) {
 		t.Errorf("it is to come back as a cold writer: %+v", out)
 	}
 	if e := last(t, f); !e.Done || e.Took != 9*time.Second {
@@ -78,41 +78,41 @@
 		view View
 	}{
 		{"it refuses", func(f *Follower) { f.Answered(at(0.1), 1, false, old, nil) }, "the engine refused: it is at another epoch, or busy with another change",
-			View{Role: Prefill, Since: at(-100)}},
+			View{Role: Prefill, StartedAt: at(-100)}},
 		{"it refuses, for it has changed meanwhile", func(f *Follower) { f.Answered(at(0.1), 1, false, other, nil) },
-			"the engine refused: it is at another epoch, or busy with another change", View{Role: Prefill, Since: at(2)}},
-		{"no answer", func(f *Follower) { f.Tick(at(1), nil) }, "no answer to the question", View{Role: Prefill, Since: at(-100)}},
+			"the engine refused: it is at another epoch, or busy with another change", View{Role: Prefill, StartedAt: at(2)}},
+		{"no answer", func(f *Follower) { f.Tick(at(1), nil) }, "no answer to the question", View{Role: Prefill, StartedAt: at(-100)}},
 		{"it dies while it empties, and is started anew", func(f *Follower) {
 			f.Answered(at(0.1), 1, true, old, nil)
 			f.Seen(at(1), 1, empty, nil)
 			f.Seen(at(2), 1, anew, nil)
-		}, "it was started anew in its old role", View{Role: Prefill, Since: at(2)}},
+		}, "it was started anew in its old role", View{Role: Prefill, StartedAt: at(2)}},
 		{"it changes its mind", func(f *Follower) {
 			f.Answered(at(0.1), 1, true, old, nil)
 			f.Seen(at(1), 1, empty, nil)
 			f.Seen(at(2), 1, old, nil)
-		}, "it went on in its old role", View{Role: Prefill, Since: at(-100)}},
+		}, "it went on in its old role", View{Role: Prefill, StartedAt: at(-100)}},
 		{"it does not empty, nor stay", func(f *Follower) {
 			f.Answered(at(0.1), 1, true, old, nil)
 			f.Seen(at(1), 1, empty, nil)
 			f.Tick(at(11), nil)
 			f.Tick(at(13), nil)
-		}, "it neither empties nor stays", View{Role: Prefill, Draining: true, Since: at(-100)}},
+		}, "it neither empties nor stays", View{Role: Prefill, Draining: true, StartedAt: at(-100)}},
 		{"it hangs in the change", func(f *Follower) {
 			f.Answered(at(0.1), 1, true, old, nil)
 			f.Seen(at(1), 1, busy, nil)
 			f.Tick(at(22), nil)
-		}, "the change takes too long", View{Role: Prefill, Draining: true, Since: at(-100)}},
+		}, "the change takes too long", View{Role: Prefill, Draining: true, StartedAt: at(-100)}},
 		{"it comes back in its old role", func(f *Follower) {
 			f.Answered(at(0.1), 1, true, old, nil)
 			f.Seen(at(1), 1, busy, nil)
 			f.Seen(at(2), 1, old, nil)
-		}, "it came back in its old role", View{Role: Prefill, Since: at(-100)}},
+		}, "it came back in its old role", View{Role: Prefill, StartedAt: at(-100)}},
 		{"it comes back in another role", func(f *Follower) {
 			f.Answered(at(0.1), 1, true, old, nil)
 			f.Seen(at(1), 1, busy, nil)
 			f.Seen(at(2), 1, other, nil)
-		}, "it came back in another role", View{Role: Prefill, Since: at(2)}},
+		}, "it came back in another role", View{Role: Prefill, StartedAt: at(2)}},
 		{"it is called back", func(f *Follower) {
 			f.Answered(at(0.1), 1, true, old, nil)
 			f.Seen(at(1), 1, empty, nil)
@@ -120,7 +120,7 @@
 				panic(out)
 			}
 			f.Seen(at(2), 1, old, nil)
-		}, "called back", View{Role: Prefill, Since: at(-100)}},
+		}, "called back", View{Role: Prefill, StartedAt: at(-100)}},
 		{"it is gone", func(f *Follower) { f.Gone(at(2), 1) }, "it is gone", View{}},
 	} {
 		f := follow(t)
@@ -304,7 +304,7 @@
 			if r.Away() != 0 || !r.May(1) {
 				t.Fatalf("router %d is left at step %v", i, r.list[1].step)
 			}
-			if views[i] != (View{Role: e.s.Role, Since: e.s.StartedAt}) {
+			if views[i] != (View{Role: e.s.Role, StartedAt: e.s.StartedAt}) {
 				t.Fatalf("router %d lists it as %+v, it is %+v", i, views[i], e.s)
 			}
 			if ended[i] < begun[i] {
