--- a/internal/shift/shift.go
+++ b/internal/shift/shift.go
@@ -327,7 +327,7 @@
 	}
 	switch a.Kind {
 	case roles.UpdateListing:
-		d.views[a.Engine] = a.View
+		d.views[a.Engine] = a.Listing
 		return true
 	case roles.RequestChange:
 		d.log.Info("change of role asked for", "engine", e.Name, "to", stageName(a.To), "epoch", a.Epoch)
--- a/internal/sim/node.go
+++ b/internal/sim/node.go
@@ -224,8 +224,8 @@
 		u := n.s.units[a.Engine-1]
 		switch a.Kind {
 		case roles.UpdateListing:
-			v := view{View: a.View}
-			if old := n.views[u.index]; a.View.Draining {
+			v := view{View: a.Listing}
+			if old := n.views[u.index]; a.Listing.Draining {
 				if v.drained = old.drained; !old.Draining {
 					v.drained = n.s.now
 				}
--- a/roles/change.go
+++ b/roles/change.go
@@ -103,13 +103,13 @@
 
 // Action is one thing to do.
 type Action struct {
-	Kind   ActionKind
-	Engine uint64
-	To     Stage
-	Epoch  Epoch
-	Notice time.Duration // Ask: it takes nothing new for so long before it changes
-	View   View
-	Why    string
+	Kind    ActionKind
+	Engine  uint64
+	To      Stage
+	Epoch   Epoch
+	Notice  time.Duration // Ask: it takes nothing new for so long before it changes
+	Listing View
+	Why     string
 }
 
 // Ended is a change that is over, for logs and counts.
@@ -371,5 +371,5 @@
 		return out
 	}
 	c.view, c.shown = v, true
-	return append(out, Action{Kind: UpdateListing, Engine: c.engine, View: v})
+	return append(out, Action{Kind: UpdateListing, Engine: c.engine, Listing: v})
 }
--- a/roles/change_test.go
+++ b/roles/change_test.go
@@ -19,7 +19,7 @@
 func follow(t *testing.T) *Follower {
 	f := NewFollower(limits)
 	out := f.Seen(t0, 1, RoleState{Role: Prefill, Epoch: 3, StartedAt: at(-100)}, nil)
-	if len(out) != 1 || out[0].Kind != UpdateListing || out[0].View != (View{Role: Prefill, StartedAt: at(-100)}) {
+	if len(out) != 1 || out[0].Kind != UpdateListing || out[0].Listing != (View{Role: Prefill, StartedAt: at(-100)}) {
 		t.Fatalf("%+v", out)
 	}
 	return f
@@ -37,7 +37,7 @@
 func TestWayOfAChange(t *testing.T) {
 	f := follow(t)
 	out, err := f.Begin(at(0), 1, Decode, nil)
-	if err != nil || len(out) != 2 || out[0].View != (View{Role: Prefill, Draining: true, StartedAt: at(-100)}) ||
+	if err != nil || len(out) != 2 || out[0].Listing != (View{Role: Prefill, Draining: true, StartedAt: at(-100)}) ||
 		out[1].Kind != RequestChange || out[1].To != Decode || out[1].Epoch != 3 {
 		t.Fatalf("%v %+v", err, out)
 	}
@@ -48,7 +48,7 @@
 	f.Seen(at(0.2), 1, RoleState{Role: Prefill, Epoch: 3, To: Decode, Phase: Emptying, StartedAt: at(-100)}, nil)
 	f.Seen(at(4), 1, RoleState{Role: Prefill, Epoch: 3, To: Decode, Phase: Changing, StartedAt: at(-100)}, nil)
 	out = f.Seen(at(9), 1, RoleState{Role: Decode, Epoch: 4, StartedAt: at(9)}, nil)
-	if len(out) != 1 || out[0].View != (View{Role: Decode, StartedAt: at(9)}) {
+	if len(out) != 1 || out[0].Listing != (View{Role: Decode, StartedAt: at(9)}) {
 		t.Errorf("it is to come back as a cold writer: %+v", out)
 	}
 	if e := last(t, f); !e.Done || e.Took != 9*time.Second {
@@ -150,7 +150,7 @@
 func TestChangeOfAnotherRouter(t *testing.T) {
 	f := NewFollower(limits)
 	out := f.Seen(at(0), 1, RoleState{Role: Prefill, Epoch: 3, To: Decode, Phase: Changing, StartedAt: at(-100)}, nil)
-	if len(out) != 1 || !out[0].View.Draining || f.Away() != 1 {
+	if len(out) != 1 || !out[0].Listing.Draining || f.Away() != 1 {
 		t.Errorf("%+v", out)
 	}
 	f.Seen(at(3), 1, RoleState{Role: Decode, Epoch: 4, StartedAt: at(3)}, nil)
@@ -189,7 +189,7 @@
 			for _, a := range acts {
 				switch a.Kind {
 				case UpdateListing:
-					views[i] = a.View
+					views[i] = a.Listing
 				case RequestChange:
 					mail = append(mail, func() {
 						granted := e.ask(a.To, a.Epoch)
@@ -318,13 +318,13 @@
 func TestListedUntilItSpeaks(t *testing.T) {
 	f := NewFollower(limits)
 	out := f.Listed(1, Prefill, nil)
-	if len(out) != 1 || !out[0].View.Draining {
+	if len(out) != 1 || !out[0].Listing.Draining {
 		t.Fatalf("%+v", out)
 	}
 	if out = f.Listed(1, Prefill, nil); len(out) != 0 {
 		t.Errorf("told again: %+v", out)
 	}
-	if out = f.Seen(at(1), 1, RoleState{Role: Prefill, Epoch: 1}, nil); len(out) != 1 || out[0].View != (View{Role: Prefill}) {
+	if out = f.Seen(at(1), 1, RoleState{Role: Prefill, Epoch: 1}, nil); len(out) != 1 || out[0].Listing != (View{Role: Prefill}) {
 		t.Errorf("%+v", out)
 	}
 	if out = f.Listed(1, Decode, nil); len(out) != 0 {
@@ -336,7 +336,7 @@
 // is passed over all the same.
 func TestWordsInDisorder(t *testing.T) {
 	f := follow(t)
-	if out := f.Seen(at(1), 1, RoleState{Role: Decode, Epoch: 1, StartedAt: at(-1)}, nil); len(out) != 1 || out[0].View.Role != Decode {
+	if out := f.Seen(at(1), 1, RoleState{Role: Decode, Epoch: 1, StartedAt: at(-1)}, nil); len(out) != 1 || out[0].Listing.Role != Decode {
 		t.Errorf("set up anew: %+v", out)
 	}
 	for _, old := range []RoleState{{Role: Prefill, Epoch: 1, StartedAt: at(-2)}, {Role: Prefill, Epoch: 0, StartedAt: at(-1)}} {
@@ -365,10 +365,10 @@
 		t.Errorf("%+v", out)
 	}
 	out := speak(4, 0, 1, 2)
-	if len(out) != 1 || out[0].Engine != 3 || !out[0].View.Draining || f.May(3) {
+	if len(out) != 1 || out[0].Engine != 3 || !out[0].Listing.Draining || f.May(3) {
 		t.Errorf("%+v", out)
 	}
-	if out := speak(5, 0, 1, 2, 3); len(out) != 1 || out[0].View.Draining || !f.May(3) {
+	if out := speak(5, 0, 1, 2, 3); len(out) != 1 || out[0].Listing.Draining || !f.May(3) {
 		t.Errorf("it speaks again: %+v", out)
 	}
 	if out := speak(20, 0); len(out) != 0 {
