--- a/internal/shift/shift.go
+++ b/internal/shift/shift.go
@@ -334,7 +334,7 @@
 		d.ask(ctx, a.Engine, e.Addr, &engine.RoleChange{To: stageName(a.To), Epoch: uint64(a.Epoch), Router: d.name,
 			NoticeMillis: float64(a.Notice) / 1e6})
 	case roles.CancelChange:
-		d.log.Info("change of role called back", "engine", e.Name, "why", a.Why)
+		d.log.Info("change of role called back", "engine", e.Name, "why", a.Reason)
 		addr, epoch := e.Addr, uint64(a.Epoch)
 		d.work.Add(1)
 		go func() {
--- a/roles/change.go
+++ b/roles/change.go
@@ -109,7 +109,7 @@
 	Epoch   Epoch
 	Notice  time.Duration // Ask: it takes nothing new for so long before it changes
 	Listing View
-	Why     string
+	Reason  string
 }
 
 // Ended is a change that is over, for logs and counts.
@@ -211,7 +211,7 @@
 		return out
 	}
 	c.back = true
-	return append(out, Action{Kind: CancelChange, Engine: engine, Epoch: c.from, Why: why})
+	return append(out, Action{Kind: CancelChange, Engine: engine, Epoch: c.from, Reason: why})
 }
 
 // Seen takes in what an engine says of itself, whoever changed it. What is older than what is known (an
