--- a/internal/shift/shift.go
+++ b/internal/shift/shift.go
@@ -48,7 +48,7 @@
 	manager *roles.Manager
 	base    []discovery.Engine
 	byID    map[uint64]*discovery.Engine
-	views   map[uint64]roles.View
+	views   map[uint64]roles.Listing
 	asking  map[uint64]bool // a question about its role is out
 	work    sync.WaitGroup
 }
@@ -85,7 +85,7 @@
 func New(set *config.Settings, source discovery.Source, engines Engines, name string, log *slog.Logger, m *metrics.RoleMetrics) *Driver {
 	return &Driver{set: set, source: source, engines: engines, name: name, log: log, metrics: m,
 		seen: make(chan observation, maxObservations), results: make(chan result, 64),
-		byID: map[uint64]*discovery.Engine{}, views: map[uint64]roles.View{}, asking: map[uint64]bool{},
+		byID: map[uint64]*discovery.Engine{}, views: map[uint64]roles.Listing{}, asking: map[uint64]bool{},
 		manager: roles.NewManager(set.Roles(), time.Now())}
 }
 
--- a/internal/sim/node.go
+++ b/internal/sim/node.go
@@ -34,7 +34,7 @@
 
 // view is how an engine is listed to the module.
 type view struct {
-	roles.View
+	roles.Listing
 	drained time.Duration // since when it is draining; 0: it is not
 }
 
@@ -85,7 +85,7 @@
 			n.gone[u.index] = true
 			continue
 		}
-		n.views[u.index] = view{View: roles.View{Role: u.first, StartedAt: u.since}} // the list knows of no changes
+		n.views[u.index] = view{Listing: roles.Listing{Role: u.first, StartedAt: u.since}} // the list knows of no changes
 		servers = append(servers, n.listing(u))
 	}
 	if n.s.cfg.Roles != nil {
@@ -157,7 +157,7 @@
 		was := n.gone[u.index]
 		n.gone[u.index] = !there
 		if v := n.views[u.index]; there && was {
-			n.views[u.index] = view{View: roles.View{Role: u.first, StartedAt: u.since}} // the list knows of no changes
+			n.views[u.index] = view{Listing: roles.Listing{Role: u.first, StartedAt: u.since}} // the list knows of no changes
 		} else if there && u.since.After(v.StartedAt) { // it never left the list: what it said itself still counts
 			v.StartedAt = u.since
 			n.views[u.index] = v
@@ -224,7 +224,7 @@
 		u := n.s.units[a.Engine-1]
 		switch a.Kind {
 		case roles.UpdateListing:
-			v := view{View: a.Listing}
+			v := view{Listing: a.Listing}
 			if old := n.views[u.index]; a.Listing.Draining {
 				if v.drained = old.drained; !old.Draining {
 					v.drained = n.s.now
--- a/roles/change.go
+++ b/roles/change.go
@@ -94,8 +94,8 @@
 	UpdateListing                   // list it as View says
 )
 
-// View is how an engine is to be listed to the decision module.
-type View struct {
+// Listing is how an engine is to be listed to the decision module.
+type Listing struct {
 	Role      Stage
 	Draining  bool
 	StartedAt time.Time
@@ -108,7 +108,7 @@
 	To      Stage
 	Epoch   Epoch
 	Notice  time.Duration // Ask: it takes nothing new for so long before it changes
-	Listing View
+	Listing Listing
 	Reason  string
 }
 
@@ -126,7 +126,7 @@
 	engine uint64
 	known  bool
 	now    RoleState
-	view   View
+	view   Listing
 	shown  bool
 	step   step
 	to     Stage
@@ -363,7 +363,7 @@
 // show lists an engine when that is a change. One that is on its way, or of which it is not known what it
 // does, is listed as draining, with the start that the module knows.
 func (f *Follower) show(c *change, out []Action) []Action {
-	v := View{Role: c.now.Role, StartedAt: c.now.StartedAt}
+	v := Listing{Role: c.now.Role, StartedAt: c.now.StartedAt}
 	if !c.known || c.doubt || c.step == asking || c.now.Phase != Steady {
 		v.Draining, v.StartedAt = true, c.view.StartedAt
 	}
--- a/roles/change_test.go
+++ b/roles/change_test.go
@@ -19,7 +19,7 @@
 func follow(t *testing.T) *Follower {
 	f := NewFollower(limits)
 	out := f.Seen(t0, 1, RoleState{Role: Prefill, Epoch: 3, StartedAt: at(-100)}, nil)
-	if len(out) != 1 || out[0].Kind != UpdateListing || out[0].Listing != (View{Role: Prefill, StartedAt: at(-100)}) {
+	if len(out) != 1 || out[0].Kind != UpdateListing || out[0].Listing != (Listing{Role: Prefill, StartedAt: at(-100)}) {
 		t.Fatalf("%+v", out)
 	}
 	return f
@@ -37,7 +37,7 @@
 func TestWayOfAChange(t *testing.T) {
 	f := follow(t)
 	out, err := f.Begin(at(0), 1, Decode, nil)
-	if err != nil || len(out) != 2 || out[0].Listing != (View{Role: Prefill, Draining: true, StartedAt: at(-100)}) ||
+	if err != nil || len(out) != 2 || out[0].Listing != (Listing{Role: Prefill, Draining: true, StartedAt: at(-100)}) ||
 		out[1].Kind != RequestChange || out[1].To != Decode || out[1].Epoch != 3 {
 		t.Fatalf("%v %+v", err, out)
 	}
@@ -48,7 +48,7 @@
 	f.Seen(at(0.2), 1, RoleState{Role: Prefill, Epoch: 3, To: Decode, Phase: Emptying, StartedAt: at(-100)}, nil)
 	f.Seen(at(4), 1, RoleState{Role: Prefill, Epoch: 3, To: Decode, Phase: Changing, StartedAt: at(-100)}, nil)
 	out = f.Seen(at(9), 1, RoleState{Role: Decode, Epoch: 4, StartedAt: at(9)}, nil)
-	if len(out) != 1 || out[0].Listing != (View{Role: Decode, StartedAt: at(9)}) {
+	if len(out) != 1 || out[0].Listing != (Listing{Role: Decode, StartedAt: at(9)}) {
 		t.Errorf("it is to come back as a cold writer: %+v", out)
 	}
 	if e := last(t, f); !e.Done || e.Took != 9*time.Second {
@@ -75,44 +75,44 @@
 		name string
 		play func(f *Follower)
 		why  string
-		view View
+		view Listing
 	}{
 		{"it refuses", func(f *Follower) { f.Answered(at(0.1), 1, false, old, nil) }, "the engine refused: it is at another epoch, or busy with another change",
-			View{Role: Prefill, StartedAt: at(-100)}},
+			Listing{Role: Prefill, StartedAt: at(-100)}},
 		{"it refuses, for it has changed meanwhile", func(f *Follower) { f.Answered(at(0.1), 1, false, other, nil) },
-			"the engine refused: it is at another epoch, or busy with another change", View{Role: Prefill, StartedAt: at(2)}},
-		{"no answer", func(f *Follower) { f.Tick(at(1), nil) }, "no answer to the question", View{Role: Prefill, StartedAt: at(-100)}},
+			"the engine refused: it is at another epoch, or busy with another change", Listing{Role: Prefill, StartedAt: at(2)}},
+		{"no answer", func(f *Follower) { f.Tick(at(1), nil) }, "no answer to the question", Listing{Role: Prefill, StartedAt: at(-100)}},
 		{"it dies while it empties, and is started anew", func(f *Follower) {
 			f.Answered(at(0.1), 1, true, old, nil)
 			f.Seen(at(1), 1, empty, nil)
 			f.Seen(at(2), 1, anew, nil)
-		}, "it was started anew in its old role", View{Role: Prefill, StartedAt: at(2)}},
+		}, "it was started anew in its old role", Listing{Role: Prefill, StartedAt: at(2)}},
 		{"it changes its mind", func(f *Follower) {
 			f.Answered(at(0.1), 1, true, old, nil)
 			f.Seen(at(1), 1, empty, nil)
 			f.Seen(at(2), 1, old, nil)
-		}, "it went on in its old role", View{Role: Prefill, StartedAt: at(-100)}},
+		}, "it went on in its old role", Listing{Role: Prefill, StartedAt: at(-100)}},
 		{"it does not empty, nor stay", func(f *Follower) {
 			f.Answered(at(0.1), 1, true, old, nil)
 			f.Seen(at(1), 1, empty, nil)
 			f.Tick(at(11), nil)
 			f.Tick(at(13), nil)
-		}, "it neither empties nor stays", View{Role: Prefill, Draining: true, StartedAt: at(-100)}},
+		}, "it neither empties nor stays", Listing{Role: Prefill, Draining: true, StartedAt: at(-100)}},
 		{"it hangs in the change", func(f *Follower) {
 			f.Answered(at(0.1), 1, true, old, nil)
 			f.Seen(at(1), 1, busy, nil)
 			f.Tick(at(22), nil)
-		}, "the change takes too long", View{Role: Prefill, Draining: true, StartedAt: at(-100)}},
+		}, "the change takes too long", Listing{Role: Prefill, Draining: true, StartedAt: at(-100)}},
 		{"it comes back in its old role", func(f *Follower) {
 			f.Answered(at(0.1), 1, true, old, nil)
 			f.Seen(at(1), 1, busy, nil)
 			f.Seen(at(2), 1, old, nil)
-		}, "it came back in its old role", View{Role: Prefill, StartedAt: at(-100)}},
+		}, "it came back in its old role", Listing{Role: Prefill, StartedAt: at(-100)}},
 		{"it comes back in another role", func(f *Follower) {
 			f.Answered(at(0.1), 1, true, old, nil)
 			f.Seen(at(1), 1, busy, nil)
 			f.Seen(at(2), 1, other, nil)
-		}, "it came back in another role", View{Role: Prefill, StartedAt: at(2)}},
+		}, "it came back in another role", Listing{Role: Prefill, StartedAt: at(2)}},
 		{"it is called back", func(f *Follower) {
 			f.Answered(at(0.1), 1, true, old, nil)
 			f.Seen(at(1), 1, empty, nil)
@@ -120,8 +120,8 @@
 				panic(out)
 			}
 			f.Seen(at(2), 1, old, nil)
-		}, "called back", View{Role: Prefill, StartedAt: at(-100)}},
-		{"it is gone", func(f *Follower) { f.Gone(at(2), 1) }, "it is gone", View{}},
+		}, "called back", Listing{Role: Prefill, StartedAt: at(-100)}},
+		{"it is gone", func(f *Follower) { f.Gone(at(2), 1) }, "it is gone", Listing{}},
 	} {
 		f := follow(t)
 		f.Begin(at(0), 1, Decode, nil)
@@ -181,7 +181,7 @@
 		now := t0
 		e := &truth{s: RoleState{Role: Prefill, Epoch: 1, StartedAt: at(-100)}, alive: true}
 		routers := make([]*Follower, 3)
-		views := make([]View, 3)
+		views := make([]Listing, 3)
 		begun, ended := make([]int, 3), make([]int, 3)
 		var mail []func() // on its way: it comes in any order, or never
 		var do func(i int, acts []Action)
@@ -304,7 +304,7 @@
 			if r.Away() != 0 || !r.May(1) {
 				t.Fatalf("router %d is left at step %v", i, r.list[1].step)
 			}
-			if views[i] != (View{Role: e.s.Role, StartedAt: e.s.StartedAt}) {
+			if views[i] != (Listing{Role: e.s.Role, StartedAt: e.s.StartedAt}) {
 				t.Fatalf("router %d lists it as %+v, it is %+v", i, views[i], e.s)
 			}
 			if ended[i] < begun[i] {
@@ -324,7 +324,7 @@
 	if out = f.Listed(1, Prefill, nil); len(out) != 0 {
 		t.Errorf("told again: %+v", out)
 	}
-	if out = f.Seen(at(1), 1, RoleState{Role: Prefill, Epoch: 1}, nil); len(out) != 1 || out[0].Listing != (View{Role: Prefill}) {
+	if out = f.Seen(at(1), 1, RoleState{Role: Prefill, Epoch: 1}, nil); len(out) != 1 || out[0].Listing != (Listing{Role: Prefill}) {
 		t.Errorf("%+v", out)
 	}
 	if out = f.Listed(1, Decode, nil); len(out) != 0 {
