--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -130,7 +130,7 @@
 		return
 	}
 	result := "failed"
-	if e.Done {
+	if e.Succeeded {
 		result = "done"
 		m.lost.WithLabelValues(stages[e.To], "cold").Add(cold)
 	}
--- a/internal/shift/shift.go
+++ b/internal/shift/shift.go
@@ -203,10 +203,10 @@
 		for _, e := range d.manager.Ended() {
 			d.metrics.ChangeEnded(&e, roles.ColdLost(d.set.InitialCapacity, d.set.SlowStartTime).Seconds())
 			level := slog.LevelInfo
-			if !e.Done {
+			if !e.Succeeded {
 				level = slog.LevelWarn
 			}
-			d.log.Log(ctx, level, "change of role ended", "engine", d.nameOf(e.Engine), "to", stageName(e.To), "done", e.Done, "why", e.Why, "took", e.Took)
+			d.log.Log(ctx, level, "change of role ended", "engine", d.nameOf(e.Engine), "to", stageName(e.To), "done", e.Succeeded, "why", e.Why, "took", e.Took)
 		}
 		if changed {
 			tell(discovery.Update{Engines: d.overlay(), At: now})
--- a/roles/change.go
+++ b/roles/change.go
@@ -114,11 +114,11 @@
 
 // Ended is a change that is over, for logs and counts.
 type Ended struct {
-	Engine uint64
-	To     Stage
-	Done   bool
-	Why    string
-	Took   time.Duration
+	Engine    uint64
+	To        Stage
+	Succeeded bool
+	Why       string
+	Took      time.Duration
 }
 
 // change is one engine as this router follows it.
--- a/roles/change_test.go
+++ b/roles/change_test.go
@@ -51,7 +51,7 @@
 	if len(out) != 1 || out[0].Listing != (Listing{Role: Decode, StartedAt: at(9)}) {
 		t.Errorf("it is to come back as a cold writer: %+v", out)
 	}
-	if e := last(t, f); !e.Done || e.Took != 9*time.Second {
+	if e := last(t, f); !e.Succeeded || e.Took != 9*time.Second {
 		t.Errorf("%+v", e)
 	}
 	if !f.May(1) || f.Away() != 0 {
@@ -127,7 +127,7 @@
 		f.Begin(at(0), 1, Decode, nil)
 		c.play(f)
 		e := f.Ended()
-		if len(e) != 1 || e[0].Done || e[0].Why != c.why {
+		if len(e) != 1 || e[0].Succeeded || e[0].Why != c.why {
 			t.Errorf("%s: %+v", c.name, e)
 		}
 		if f.Away() != 0 {
@@ -154,7 +154,7 @@
 		t.Errorf("%+v", out)
 	}
 	f.Seen(at(3), 1, RoleState{Role: Decode, Epoch: 4, StartedAt: at(3)}, nil)
-	if e := last(t, f); !e.Done {
+	if e := last(t, f); !e.Succeeded {
 		t.Errorf("%+v", e)
 	}
 }
