--- a/roles/change.go
+++ b/roles/change.go
@@ -117,7 +117,7 @@
 	Engine    uint64
 	To        Stage
 	Succeeded bool
-	Why       string
+	Reason    string
 	Took      time.Duration
 }
 
--- a/roles/change_test.go
+++ b/roles/change_test.go
@@ -127,7 +127,7 @@
 		f.Begin(at(0), 1, Decode, nil)
 		c.play(f)
 		e := f.Ended()
-		if len(e) != 1 || e[0].Succeeded || e[0].Why != c.why {
+		if len(e) != 1 || e[0].Succeeded || e[0].Reason != c.why {
 			t.Errorf("%s: %+v", c.name, e)
 		}
 		if f.Away() != 0 {
--- a/roles/manager_test.go
+++ b/roles/manager_test.go
@@ -241,7 +241,7 @@
 	}
 	found := false
 	for _, e := range s.managers[0].Ended() {
-		found = found || e.Why == "called back"
+		found = found || e.Reason == "called back"
 	}
 	if !found {
 		t.Error("nobody said so")
