--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -135,8 +135,8 @@
 		m.lost.WithLabelValues(stages[e.To], "cold").Add(cold)
 	}
 	m.changes.WithLabelValues(stages[e.To], result).Inc()
-	m.took.WithLabelValues(result).Observe(e.Took.Seconds())
-	m.lost.WithLabelValues(stages[e.To], "away").Add(e.Took.Seconds())
+	m.took.WithLabelValues(result).Observe(e.Elapsed.Seconds())
+	m.lost.WithLabelValues(stages[e.To], "away").Add(e.Elapsed.Seconds())
 }
 
 // PlanMade takes in a plan and the time that it took in seconds.
--- a/internal/shift/shift.go
+++ b/internal/shift/shift.go
@@ -206,7 +206,7 @@
 			if !e.Succeeded {
 				level = slog.LevelWarn
 			}
-			d.log.Log(ctx, level, "change of role ended", "engine", d.nameOf(e.Engine), "to", stageName(e.To), "done", e.Succeeded, "why", e.Reason, "took", e.Took)
+			d.log.Log(ctx, level, "change of role ended", "engine", d.nameOf(e.Engine), "to", stageName(e.To), "done", e.Succeeded, "why", e.Reason, "took", e.Elapsed)
 		}
 		if changed {
 			tell(discovery.Update{Engines: d.overlay(), At: now})
--- a/roles/change.go
+++ b/roles/change.go
@@ -118,7 +118,7 @@
 	To        Stage
 	Succeeded bool
 	Reason    string
-	Took      time.Duration
+	Elapsed   time.Duration
 }
 
 // change is one engine as this router follows it.
--- a/roles/change_test.go
+++ b/roles/change_test.go
@@ -51,7 +51,7 @@
 	if len(out) != 1 || out[0].Listing != (Listing{Role: Decode, StartedAt: at(9)}) {
 		t.Errorf("it is to come back as a cold writer: %+v", out)
 	}
-	if e := last(t, f); !e.Succeeded || e.Took != 9*time.Second {
+	if e := last(t, f); !e.Succeeded || e.Elapsed != 9*time.Second {
 		t.Errorf("%+v", e)
 	}
 	if !f.May(1) || f.Away() != 0 {
