--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -125,7 +125,7 @@
 }
 
 // ChangeEnded counts a change that has ended. cold is what coldness will take, as full time in seconds.
-func (m *RoleMetrics) ChangeEnded(e *roles.Ended, cold float64) {
+func (m *RoleMetrics) ChangeEnded(e *roles.ChangeResult, cold float64) {
 	if m == nil {
 		return
 	}
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -15,8 +15,8 @@
 func TestMetrics(t *testing.T) {
 	s := New(func() router.Stats { return router.Stats{Served: 7, Refused: 2, Open: 3, Engines: 12} })
 	m := s.NewRoleMetrics()
-	m.ChangeEnded(&roles.Ended{To: roles.Decode, Succeeded: true, Elapsed: 6 * time.Second}, 4)
-	m.ChangeEnded(&roles.Ended{To: roles.Prefill, Elapsed: 2 * time.Second}, 4)
+	m.ChangeEnded(&roles.ChangeResult{To: roles.Decode, Succeeded: true, Elapsed: 6 * time.Second}, 4)
+	m.ChangeEnded(&roles.ChangeResult{To: roles.Prefill, Elapsed: 2 * time.Second}, 4)
 	m.PlanMade(&roles.Report{Plan: roles.Plan{Now: 0.8, Then: 0.9}, Verdict: roles.Verdict{Confidence: 0.7}}, 0.002)
 	m.SetEngines([]roles.Status{{Known: true, Now: roles.RoleState{Role: roles.Decode}, Step: "idle"}, {Step: "idle"}})
 	m.ObservationDropped()
@@ -42,7 +42,7 @@
 		t.Error("a failed change is counted as cold")
 	}
 	var none *RoleMetrics // metrics are off
-	none.ChangeEnded(&roles.Ended{}, 0)
+	none.ChangeEnded(&roles.ChangeResult{}, 0)
 	none.ObservationDropped()
 	none.SetEngines(nil)
 	none.PlanMade(&roles.Report{}, 0)
--- a/roles/change.go
+++ b/roles/change.go
@@ -112,8 +112,8 @@
 	Reason  string
 }
 
-// Ended is a change that is over, for logs and counts.
-type Ended struct {
+// ChangeResult is a change that is over, for logs and counts.
+type ChangeResult struct {
 	Engine    uint64
 	To        Stage
 	Succeeded bool
@@ -144,14 +144,14 @@
 type Follower struct {
 	limits Timeouts
 	list   map[uint64]*change
-	ended  []Ended
+	ended  []ChangeResult
 }
 
 // NewFollower returns a Follower that knows no engine.
 func NewFollower(l Timeouts) *Follower { return &Follower{limits: l, list: map[uint64]*change{}} }
 
 // Ended returns the changes that have ended since the last call.
-func (f *Follower) Ended() []Ended {
+func (f *Follower) Ended() []ChangeResult {
 	out := f.ended
 	f.ended = nil
 	return out
@@ -357,7 +357,7 @@
 }
 
 func (f *Follower) end(now time.Time, c *change, done bool, why string) {
-	f.ended = append(f.ended, Ended{c.engine, c.to, done, why, now.Sub(c.began)})
+	f.ended = append(f.ended, ChangeResult{c.engine, c.to, done, why, now.Sub(c.began)})
 }
 
 // show lists an engine when that is a change. One that is on its way, or of which it is not known what it
--- a/roles/change_test.go
+++ b/roles/change_test.go
@@ -25,7 +25,7 @@
 	return f
 }
 
-func last(t *testing.T, f *Follower) Ended {
+func last(t *testing.T, f *Follower) ChangeResult {
 	t.Helper()
 	e := f.Ended()
 	if len(e) != 1 {
--- a/roles/manager.go
+++ b/roles/manager.go
@@ -125,7 +125,7 @@
 }
 
 // Ended returns the changes that have ended since the last call.
-func (m *Manager) Ended() []Ended { return m.follow.Ended() }
+func (m *Manager) Ended() []ChangeResult { return m.follow.Ended() }
 
 // Last returns the last plan as it was judged.
 func (m *Manager) Last() Report { return m.last }
