--- a/roles/manager.go
+++ b/roles/manager.go
@@ -12,18 +12,18 @@
 // they look at the engines' roles at least four times a slot and clocks differ by less than a quarter of
 // one: a router begins only in the middle half of its slot. The turn of a dead router passes unused.
 type Turn struct {
-	Routers int
-	Index   int
-	Slot    time.Duration
+	Routers    int
+	Index      int
+	SlotLength time.Duration
 }
 
 // May tells whether it is this router's turn at a point of wall time.
 func (t Turn) May(now time.Time) bool {
-	if t.Routers <= 1 || t.Slot <= 0 {
+	if t.Routers <= 1 || t.SlotLength <= 0 {
 		return true
 	}
 	at := now.UnixNano()
-	slot := int64(t.Slot)
+	slot := int64(t.SlotLength)
 	into := at % slot
 	return (at/slot)%int64(t.Routers) == int64(t.Index) && into >= slot/4 && into < slot-slot/4
 }
--- a/roles/manager_test.go
+++ b/roles/manager_test.go
@@ -288,7 +288,7 @@
 // A router whose plans never fall into its turn plans again when the turn comes.
 func TestPlanThatWaitsForItsTurn(t *testing.T) {
 	// Slots of five seconds and plans every ten: each plan is made at the start of the other router's slot.
-	s := newSite(t, 2, 6, 6, func(c *Config) { c.Every, c.Turn.Slot = 10*time.Second, 5*time.Second })
+	s := newSite(t, 2, 6, 6, func(c *Config) { c.Every, c.Turn.SlotLength = 10*time.Second, 5*time.Second })
 	for i := range s.managers {
 		s.managers[i].cfg.Turn.Index = 1
 		s.managers[i].next = s.now.Add(10 * time.Second)
