--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -147,7 +147,7 @@
 	return roles.Config{Classes: len(s.Classes), Confidence: h.Confidence, Looks: h.AgreeingPlans, Every: h.PlanInterval, ColdFor: s.SlowStartTime,
 		Limits: roles.Timeouts{EmptyTimeout: h.EmptyTimeout, ChangeTimeout: h.ChangeTimeout, Backoff: h.FailureBackoff, CheckInterval: h.CheckInterval, ReplyTimeout: s.ProbeTimeout},
 		Costs:  roles.Costs{Horizon: h.Horizon, Away: h.ChangeCost, Load: h.MaxLoad, Changes: h.MaxConcurrent, Least: h.MinEngines, Most: h.MaxEngines},
-		Turn:   roles.Turn{Routers: s.Routers, Index: s.Index, SlotLength: h.Slot}, Dry: h.Mode == "dry"}
+		Turn:   roles.TurnOrder{Routers: s.Routers, Index: s.Index, SlotLength: h.Slot}, Dry: h.Mode == "dry"}
 }
 
 // ClassIndex returns the index of a class by name, or -1.
--- a/roles/manager.go
+++ b/roles/manager.go
@@ -7,18 +7,18 @@
 	"time"
 )
 
-// Turn shares out the right to begin changes among routers that do not talk: time is cut into slots, and in
+// TurnOrder shares out the right to begin changes among routers that do not talk: time is cut into slots, and in
 // each slot one router may begin, by its index. What it begins is seen by the others before their turn, if
 // they look at the engines' roles at least four times a slot and clocks differ by less than a quarter of
 // one: a router begins only in the middle half of its slot. The turn of a dead router passes unused.
-type Turn struct {
+type TurnOrder struct {
 	Routers    int
 	Index      int
 	SlotLength time.Duration
 }
 
 // May tells whether it is this router's turn at a point of wall time.
-func (t Turn) May(now time.Time) bool {
+func (t TurnOrder) May(now time.Time) bool {
 	if t.Routers <= 1 || t.SlotLength <= 0 {
 		return true
 	}
@@ -49,7 +49,7 @@
 	Looks      int           // plans in a row that have to agree; 0: one
 	Every      time.Duration // between plans
 	ColdFor    time.Duration // an engine is not changed again before it is warm
-	Turn       Turn
+	Turn       TurnOrder
 	Dry        bool // plan and tell, change nothing
 }
 
--- a/roles/manager_test.go
+++ b/roles/manager_test.go
@@ -34,7 +34,7 @@
 	}
 	for i := range routers {
 		cfg := Config{Classes: 1, Limits: limits, Costs: Costs{Horizon: 45 * time.Second, Away: 11 * time.Second, Load: [stages]float64{0.8, 0.8}, Changes: 2},
-			Confidence: 0.85, Every: 5 * time.Second, ColdFor: 13 * time.Second, Turn: Turn{routers, i, 10 * time.Second}}
+			Confidence: 0.85, Every: 5 * time.Second, ColdFor: 13 * time.Second, Turn: TurnOrder{routers, i, 10 * time.Second}}
 		if change != nil {
 			change(&cfg)
 		}
@@ -249,7 +249,7 @@
 }
 
 func TestTurns(t *testing.T) {
-	turns := []Turn{{3, 0, 10 * time.Second}, {3, 1, 10 * time.Second}, {3, 2, 10 * time.Second}}
+	turns := []TurnOrder{{3, 0, 10 * time.Second}, {3, 1, 10 * time.Second}, {3, 2, 10 * time.Second}}
 	had := make([]int, 3)
 	for ms := 0; ms < 60000; ms += 100 {
 		now := t0.Add(time.Duration(ms) * time.Millisecond)
@@ -268,7 +268,7 @@
 	if had[0] == 0 || had[1] == 0 || had[2] == 0 {
 		t.Errorf("turns %v", had)
 	}
-	if !(Turn{}).May(t0) {
+	if !(TurnOrder{}).May(t0) {
 		t.Error("a router alone waits for its turn")
 	}
 }
