--- a/internal/shift/shift.go
+++ b/internal/shift/shift.go
@@ -240,7 +240,7 @@
 		d.byID[id] = e
 		kind, other := &d.set.Kinds[k], &d.set.Kinds[d.set.KindIndex(d.set.Kinds[k].Becomes)]
 		info := roles.Info{ID: id, Kind: min(k, d.set.KindIndex(other.Name)), Cell: discovery.LocationNumber(e.Cell), Role: stageOf(kind), Draining: e.State != decide.Ready}
-		info.Cap[stageOf(kind)], info.Cap[stageOf(other)] = kind.Capacity, other.Capacity
+		info.Capacity[stageOf(kind)], info.Capacity[stageOf(other)] = kind.Capacity, other.Capacity
 		infos = append(infos, info)
 	}
 	acts := d.manager.Listed(time.Now(), infos, nil)
--- a/internal/sim/node.go
+++ b/internal/sim/node.go
@@ -178,7 +178,7 @@
 			continue
 		}
 		list = append(list, roles.Info{ID: uint64(u.id()), Cell: u.cell, Role: u.first,
-			Cap: [2]float64{roles.Prefill: n.s.cfg.Prefill.Capacity(), roles.Decode: n.s.cfg.Decode.Capacity()}})
+			Capacity: [2]float64{roles.Prefill: n.s.cfg.Prefill.Capacity(), roles.Decode: n.s.cfg.Decode.Capacity()}})
 	}
 	n.carry(n.manager.Listed(n.s.wall(), list, nil))
 }
--- a/roles/manager.go
+++ b/roles/manager.go
@@ -34,7 +34,7 @@
 	Kind     int
 	Cell     int
 	Role     Stage           // by the list
-	Cap      [stages]float64 // tokens a second by role; 0: it can't
+	Capacity [stages]float64 // tokens a second by role; 0: it can't
 	Draining bool            // somebody else drains it
 	Unsound  bool            // it is held to be failing
 	Held     float64         // tokens that a change would lose
@@ -149,7 +149,7 @@
 		if c == nil || !c.known {
 			continue // it has not said what it does
 		}
-		e := Engine{ID: id, Kind: info.Kind, Cell: info.Cell, Role: c.now.Role, Cap: info.Cap, Held: info.Held}
+		e := Engine{ID: id, Kind: info.Kind, Cell: info.Cell, Role: c.now.Role, Cap: info.Capacity, Held: info.Held}
 		e.Absent = info.Unsound || info.Draining || c.doubt
 		if !e.Absent && (c.now.Phase != Steady || c.step == asking) {
 			e.Coming, e.Role = true, c.to
--- a/roles/manager_test.go
+++ b/roles/manager_test.go
@@ -30,7 +30,7 @@
 		}
 		id := uint64(i + 1)
 		s.engines[id] = &truth{s: RoleState{Role: role, Epoch: 1}, alive: true}
-		infos = append(infos, Info{ID: id, Cell: i % 2, Cap: [stages]float64{10000, 1000}})
+		infos = append(infos, Info{ID: id, Cell: i % 2, Capacity: [stages]float64{10000, 1000}})
 	}
 	for i := range routers {
 		cfg := Config{Classes: 1, Limits: limits, Costs: Costs{Horizon: 45 * time.Second, Away: 11 * time.Second, Load: [stages]float64{0.8, 0.8}, Changes: 2},
