--- a/roles/manager.go
+++ b/roles/manager.go
@@ -30,14 +30,14 @@
 
 // Info is what discovery and the settings tell of an engine.
 type Info struct {
-	ID        uint64
-	Kind      int
-	Cell      int
-	Role      Stage           // by the list
-	Capacity  [stages]float64 // tokens a second by role; 0: it can't
-	Draining  bool            // somebody else drains it
-	Unhealthy bool            // it is held to be failing
-	Held      float64         // tokens that a change would lose
+	ID         uint64
+	Kind       int
+	Cell       int
+	Role       Stage           // by the list
+	Capacity   [stages]float64 // tokens a second by role; 0: it can't
+	Draining   bool            // somebody else drains it
+	Unhealthy  bool            // it is held to be failing
+	HeldTokens float64         // tokens that a change would lose
 }
 
 // Config is what a Manager works by.
@@ -149,7 +149,7 @@
 		if c == nil || !c.known {
 			continue // it has not said what it does
 		}
-		e := Engine{ID: id, Kind: info.Kind, Cell: info.Cell, Role: c.now.Role, Cap: info.Capacity, Held: info.Held}
+		e := Engine{ID: id, Kind: info.Kind, Cell: info.Cell, Role: c.now.Role, Cap: info.Capacity, Held: info.HeldTokens}
 		e.Absent = info.Unhealthy || info.Draining || c.doubt
 		if !e.Absent && (c.now.Phase != Steady || c.step == asking) {
 			e.Coming, e.Role = true, c.to
