--- a/internal/shift/shift.go
+++ b/internal/shift/shift.go
@@ -229,7 +229,7 @@
 func (d *Driver) listed(ctx context.Context, list []discovery.Engine) []roles.Action {
 	d.base = list
 	clear(d.byID)
-	var infos []roles.Info
+	var infos []roles.EngineInfo
 	for i := range d.base {
 		e := &d.base[i]
 		k := d.set.KindIndex(e.Kind)
@@ -239,7 +239,7 @@
 		id := uint64(e.ID())
 		d.byID[id] = e
 		kind, other := &d.set.Kinds[k], &d.set.Kinds[d.set.KindIndex(d.set.Kinds[k].Becomes)]
-		info := roles.Info{ID: id, Kind: min(k, d.set.KindIndex(other.Name)), Cell: discovery.LocationNumber(e.Cell), Role: stageOf(kind), Draining: e.State != decide.Ready}
+		info := roles.EngineInfo{ID: id, Kind: min(k, d.set.KindIndex(other.Name)), Cell: discovery.LocationNumber(e.Cell), Role: stageOf(kind), Draining: e.State != decide.Ready}
 		info.Capacity[stageOf(kind)], info.Capacity[stageOf(other)] = kind.Capacity, other.Capacity
 		infos = append(infos, info)
 	}
--- a/internal/sim/node.go
+++ b/internal/sim/node.go
@@ -172,12 +172,12 @@
 	if n.manager == nil {
 		return
 	}
-	var list []roles.Info
+	var list []roles.EngineInfo
 	for _, u := range n.s.units {
 		if u.fixed || n.gone[u.index] {
 			continue
 		}
-		list = append(list, roles.Info{ID: uint64(u.id()), Cell: u.cell, Role: u.first,
+		list = append(list, roles.EngineInfo{ID: uint64(u.id()), Cell: u.cell, Role: u.first,
 			Capacity: [2]float64{roles.Prefill: n.s.cfg.Prefill.Capacity(), roles.Decode: n.s.cfg.Decode.Capacity()}})
 	}
 	n.carry(n.manager.Listed(n.s.wall(), list, nil))
--- a/roles/manager.go
+++ b/roles/manager.go
@@ -28,8 +28,8 @@
 	return (at/slot)%int64(t.Routers) == int64(t.Index) && into >= slot/4 && into < slot-slot/4
 }
 
-// Info is what discovery and the settings tell of an engine.
-type Info struct {
+// EngineInfo is what discovery and the settings tell of an engine.
+type EngineInfo struct {
 	ID         uint64
 	Kind       int
 	Cell       int
@@ -71,7 +71,7 @@
 	demand *Demand
 	judge  Judge
 	follow *Follower
-	infos  map[uint64]*Info
+	infos  map[uint64]*EngineInfo
 	next   time.Time
 	waits  bool // for its turn, with a plan that pays
 	last   Report
@@ -80,7 +80,7 @@
 // NewManager returns a Manager that has seen nothing.
 func NewManager(cfg Config, now time.Time) *Manager {
 	return &Manager{cfg: cfg, start: now, demand: NewDemand(cfg.Classes, cfg.Costs.Horizon), follow: NewFollower(cfg.Limits),
-		judge: Judge{Confidence: cfg.Confidence, Looks: cfg.Looks}, infos: map[uint64]*Info{}, next: now.Add(cfg.Every)}
+		judge: Judge{Confidence: cfg.Confidence, Looks: cfg.Looks}, infos: map[uint64]*EngineInfo{}, next: now.Add(cfg.Every)}
 }
 
 // Arrived, Read and Written take in what this router sees of the traffic.
@@ -93,8 +93,8 @@
 func (m *Manager) Written(a RequestInfo) { m.demand.Written(a) }
 
 // Listed takes in all engines that there are. Those that are not among them are gone.
-func (m *Manager) Listed(now time.Time, list []Info, out []Action) []Action {
-	seen := make(map[uint64]*Info, len(list))
+func (m *Manager) Listed(now time.Time, list []EngineInfo, out []Action) []Action {
+	seen := make(map[uint64]*EngineInfo, len(list))
 	for i := range list {
 		info := list[i]
 		seen[info.ID] = &info
--- a/roles/manager_test.go
+++ b/roles/manager_test.go
@@ -22,7 +22,7 @@
 
 func newSite(t *testing.T, routers, readers, writers int, change func(*Config)) *site {
 	s := &site{t: t, now: at(0), rng: rand.New(rand.NewPCG(1, 2)), engines: map[uint64]*truth{}, ready: map[uint64]time.Time{}}
-	var infos []Info
+	var infos []EngineInfo
 	for i := range readers + writers {
 		role := Prefill
 		if i >= readers {
@@ -30,7 +30,7 @@
 		}
 		id := uint64(i + 1)
 		s.engines[id] = &truth{s: RoleState{Role: role, Epoch: 1}, alive: true}
-		infos = append(infos, Info{ID: id, Cell: i % 2, Capacity: [stages]float64{10000, 1000}})
+		infos = append(infos, EngineInfo{ID: id, Cell: i % 2, Capacity: [stages]float64{10000, 1000}})
 	}
 	for i := range routers {
 		cfg := Config{Classes: 1, Limits: limits, Costs: Costs{Horizon: 45 * time.Second, Away: 11 * time.Second, Load: [stages]float64{0.8, 0.8}, Changes: 2},
@@ -223,7 +223,7 @@
 			s.ready[id] = s.now.Add(time.Hour) // it empties slowly
 		}
 	}
-	var left []Info
+	var left []EngineInfo
 	dead := 0
 	for id := range uint64(12) {
 		info := *s.managers[0].infos[id+1]
