--- a/roles/manager.go
+++ b/roles/manager.go
@@ -43,7 +43,7 @@
 // Config is what a Manager works by.
 type Config struct {
 	Classes    int
-	Limits     Timeouts
+	Timeouts   Timeouts
 	Costs      Costs
 	Confidence float64       // with which a change has to pay, in (0.5, 1)
 	Looks      int           // plans in a row that have to agree; 0: one
@@ -79,7 +79,7 @@
 
 // NewManager returns a Manager that has seen nothing.
 func NewManager(cfg Config, now time.Time) *Manager {
-	return &Manager{cfg: cfg, start: now, demand: NewDemand(cfg.Classes, cfg.Costs.Horizon), follow: NewFollower(cfg.Limits),
+	return &Manager{cfg: cfg, start: now, demand: NewDemand(cfg.Classes, cfg.Costs.Horizon), follow: NewFollower(cfg.Timeouts),
 		judge: Judge{Confidence: cfg.Confidence, Looks: cfg.Looks}, infos: map[uint64]*EngineInfo{}, next: now.Add(cfg.Every)}
 }
 
