--- a/roles/manager.go
+++ b/roles/manager.go
@@ -42,15 +42,15 @@
 
 // Config is what a Manager works by.
 type Config struct {
-	Classes    int
-	Timeouts   Timeouts
-	Costs      Costs
-	Confidence float64       // with which a change has to pay, in (0.5, 1)
-	Looks      int           // plans in a row that have to agree; 0: one
-	Every      time.Duration // between plans
-	ColdFor    time.Duration // an engine is not changed again before it is warm
-	Turn       TurnOrder
-	Dry        bool // plan and tell, change nothing
+	Classes          int
+	Timeouts         Timeouts
+	Costs            Costs
+	Confidence       float64       // with which a change has to pay, in (0.5, 1)
+	ConsecutivePlans int           // plans in a row that have to agree; 0: one
+	Every            time.Duration // between plans
+	ColdFor          time.Duration // an engine is not changed again before it is warm
+	Turn             TurnOrder
+	Dry              bool // plan and tell, change nothing
 }
 
 // Report is a plan as it was judged, for people.
@@ -80,7 +80,7 @@
 // NewManager returns a Manager that has seen nothing.
 func NewManager(cfg Config, now time.Time) *Manager {
 	return &Manager{cfg: cfg, start: now, demand: NewDemand(cfg.Classes, cfg.Costs.Horizon), follow: NewFollower(cfg.Timeouts),
-		judge: Judge{Confidence: cfg.Confidence, Looks: cfg.Looks}, infos: map[uint64]*EngineInfo{}, next: now.Add(cfg.Every)}
+		judge: Judge{Confidence: cfg.Confidence, Looks: cfg.ConsecutivePlans}, infos: map[uint64]*EngineInfo{}, next: now.Add(cfg.Every)}
 }
 
 // Arrived, Read and Written take in what this router sees of the traffic.
