--- a/roles/manager.go
+++ b/roles/manager.go
@@ -47,7 +47,7 @@
 	Costs            Costs
 	Confidence       float64       // with which a change has to pay, in (0.5, 1)
 	ConsecutivePlans int           // plans in a row that have to agree; 0: one
-	Every            time.Duration // between plans
+	PlanInterval     time.Duration // between plans
 	ColdFor          time.Duration // an engine is not changed again before it is warm
 	Turn             TurnOrder
 	Dry              bool // plan and tell, change nothing
@@ -80,7 +80,7 @@
 // NewManager returns a Manager that has seen nothing.
 func NewManager(cfg Config, now time.Time) *Manager {
 	return &Manager{cfg: cfg, start: now, demand: NewDemand(cfg.Classes, cfg.Costs.Horizon), follow: NewFollower(cfg.Timeouts),
-		judge: Judge{Confidence: cfg.Confidence, Looks: cfg.ConsecutivePlans}, infos: map[uint64]*EngineInfo{}, next: now.Add(cfg.Every)}
+		judge: Judge{Confidence: cfg.Confidence, Looks: cfg.ConsecutivePlans}, infos: map[uint64]*EngineInfo{}, next: now.Add(cfg.PlanInterval)}
 }
 
 // Arrived, Read and Written take in what this router sees of the traffic.
@@ -137,7 +137,7 @@
 	if now.Before(m.next) && !(m.waits && m.cfg.Turn.May(now)) {
 		return out
 	}
-	m.next = now.Add(m.cfg.Every)
+	m.next = now.Add(m.cfg.PlanInterval)
 	return m.plan(now, out)
 }
 
