--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -144,7 +144,7 @@
 // Roles returns the settings of the decisions on roles.
 func (s *Settings) Roles() roles.Config {
 	h := &s.RoleChanges
-	return roles.Config{Classes: len(s.Classes), Confidence: h.Confidence, ConsecutivePlans: h.AgreeingPlans, PlanInterval: h.PlanInterval, ColdFor: s.SlowStartTime,
+	return roles.Config{Classes: len(s.Classes), Confidence: h.Confidence, ConsecutivePlans: h.AgreeingPlans, PlanInterval: h.PlanInterval, SlowStartTime: s.SlowStartTime,
 		Timeouts: roles.Timeouts{EmptyTimeout: h.EmptyTimeout, ChangeTimeout: h.ChangeTimeout, Backoff: h.FailureBackoff, CheckInterval: h.CheckInterval, ReplyTimeout: s.ProbeTimeout},
 		Costs:    roles.Costs{Horizon: h.Horizon, Away: h.ChangeCost, Load: h.MaxLoad, Changes: h.MaxConcurrent, Least: h.MinEngines, Most: h.MaxEngines},
 		Turn:     roles.TurnOrder{Routers: s.Routers, Index: s.Index, SlotLength: h.Slot}, Dry: h.Mode == "dry"}
--- a/roles/manager.go
+++ b/roles/manager.go
@@ -48,7 +48,7 @@
 	Confidence       float64       // with which a change has to pay, in (0.5, 1)
 	ConsecutivePlans int           // plans in a row that have to agree; 0: one
 	PlanInterval     time.Duration // between plans
-	ColdFor          time.Duration // an engine is not changed again before it is warm
+	SlowStartTime    time.Duration // an engine is not changed again before it is warm
 	Turn             TurnOrder
 	Dry              bool // plan and tell, change nothing
 }
@@ -154,7 +154,7 @@
 		if !e.Absent && (c.now.Phase != Steady || c.step == asking) {
 			e.Coming, e.Role = true, c.to
 		}
-		cold := !c.now.StartedAt.IsZero() && now.Sub(c.now.StartedAt) < m.cfg.ColdFor
+		cold := !c.now.StartedAt.IsZero() && now.Sub(c.now.StartedAt) < m.cfg.SlowStartTime
 		e.Fixed = cold || !m.follow.May(id)
 		out = append(out, e)
 	}
@@ -258,7 +258,7 @@
 			st.WhyNot = "it is on its way"
 		case m.infos[id].Draining:
 			st.WhyNot = "it is draining"
-		case !c.now.StartedAt.IsZero() && now.Sub(c.now.StartedAt) < m.cfg.ColdFor:
+		case !c.now.StartedAt.IsZero() && now.Sub(c.now.StartedAt) < m.cfg.SlowStartTime:
 			st.WhyNot = "it is cold"
 		}
 		out = append(out, st)
--- a/roles/manager_test.go
+++ b/roles/manager_test.go
@@ -34,7 +34,7 @@
 	}
 	for i := range routers {
 		cfg := Config{Classes: 1, Timeouts: limits, Costs: Costs{Horizon: 45 * time.Second, Away: 11 * time.Second, Load: [stages]float64{0.8, 0.8}, Changes: 2},
-			Confidence: 0.85, PlanInterval: 5 * time.Second, ColdFor: 13 * time.Second, Turn: TurnOrder{routers, i, 10 * time.Second}}
+			Confidence: 0.85, PlanInterval: 5 * time.Second, SlowStartTime: 13 * time.Second, Turn: TurnOrder{routers, i, 10 * time.Second}}
 		if change != nil {
 			change(&cfg)
 		}
@@ -275,7 +275,7 @@
 
 // An engine that is still cold is not changed again, however great the need.
 func TestColdEnginesStay(t *testing.T) {
-	s := newSite(t, 1, 6, 6, func(c *Config) { c.ColdFor = time.Hour })
+	s := newSite(t, 1, 6, 6, func(c *Config) { c.SlowStartTime = time.Hour })
 	for _, e := range s.engines {
 		e.s.StartedAt = s.now
 	}
