--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -145,9 +145,9 @@
 func (s *Settings) Roles() roles.Config {
 	h := &s.RoleChanges
 	return roles.Config{Classes: len(s.Classes), Confidence: h.Confidence, ConsecutivePlans: h.AgreeingPlans, PlanInterval: h.PlanInterval, SlowStartTime: s.SlowStartTime,
-		Timeouts: roles.Timeouts{EmptyTimeout: h.EmptyTimeout, ChangeTimeout: h.ChangeTimeout, Backoff: h.FailureBackoff, CheckInterval: h.CheckInterval, ReplyTimeout: s.ProbeTimeout},
-		Costs:    roles.Costs{Horizon: h.Horizon, Away: h.ChangeCost, Load: h.MaxLoad, Changes: h.MaxConcurrent, Least: h.MinEngines, Most: h.MaxEngines},
-		Turn:     roles.TurnOrder{Routers: s.Routers, Index: s.Index, SlotLength: h.Slot}, Dry: h.Mode == "dry"}
+		Timeouts:  roles.Timeouts{EmptyTimeout: h.EmptyTimeout, ChangeTimeout: h.ChangeTimeout, Backoff: h.FailureBackoff, CheckInterval: h.CheckInterval, ReplyTimeout: s.ProbeTimeout},
+		Costs:     roles.Costs{Horizon: h.Horizon, Away: h.ChangeCost, Load: h.MaxLoad, Changes: h.MaxConcurrent, Least: h.MinEngines, Most: h.MaxEngines},
+		TurnOrder: roles.TurnOrder{Routers: s.Routers, Index: s.Index, SlotLength: h.Slot}, Dry: h.Mode == "dry"}
 }
 
 // ClassIndex returns the index of a class by name, or -1.
--- a/internal/sim/node.go
+++ b/internal/sim/node.go
@@ -90,7 +90,7 @@
 	}
 	if n.s.cfg.Roles != nil {
 		cfg := *n.s.cfg.Roles
-		cfg.Turn.Index, cfg.Turn.Routers = n.index, n.s.cfg.Settings.Routers
+		cfg.TurnOrder.Index, cfg.TurnOrder.Routers = n.index, n.s.cfg.Settings.Routers
 		n.manager = roles.NewManager(cfg, n.s.wall())
 	}
 	n.tell(&decide.Event{Kind: decide.ListCached, Servers: servers, Report: engine.NoReport()})
--- a/roles/manager.go
+++ b/roles/manager.go
@@ -49,7 +49,7 @@
 	ConsecutivePlans int           // plans in a row that have to agree; 0: one
 	PlanInterval     time.Duration // between plans
 	SlowStartTime    time.Duration // an engine is not changed again before it is warm
-	Turn             TurnOrder
+	TurnOrder        TurnOrder
 	Dry              bool // plan and tell, change nothing
 }
 
@@ -134,7 +134,7 @@
 // to be called some times a second.
 func (m *Manager) Tick(now time.Time, out []Action) []Action {
 	out = m.follow.Tick(now, out)
-	if now.Before(m.next) && !(m.waits && m.cfg.Turn.May(now)) {
+	if now.Before(m.next) && !(m.waits && m.cfg.TurnOrder.May(now)) {
 		return out
 	}
 	m.next = now.Add(m.cfg.PlanInterval)
@@ -164,7 +164,7 @@
 func (m *Manager) plan(now time.Time, out []Action) []Action {
 	// Each router sees its part of the traffic; the front layer spreads it evenly but for chance, which the
 	// forecast's own spread grows with.
-	all := math.Max(float64(m.cfg.Turn.Routers), 1)
+	all := math.Max(float64(m.cfg.TurnOrder.Routers), 1)
 	demand := m.demand.Forecast(now.Sub(m.start))
 	for st := range demand {
 		demand[st].Mean *= all
@@ -178,7 +178,7 @@
 	}
 	m.last.Verdict = m.judge.Look(&p, demand)
 	out = m.callOff(engines, demand, out)
-	m.waits = m.last.Verdict.Change && !m.cfg.Dry && !m.cfg.Turn.May(now)
+	m.waits = m.last.Verdict.Change && !m.cfg.Dry && !m.cfg.TurnOrder.May(now)
 	if !m.last.Verdict.Change || m.cfg.Dry || m.waits {
 		return out
 	}
--- a/roles/manager_test.go
+++ b/roles/manager_test.go
@@ -34,7 +34,7 @@
 	}
 	for i := range routers {
 		cfg := Config{Classes: 1, Timeouts: limits, Costs: Costs{Horizon: 45 * time.Second, Away: 11 * time.Second, Load: [stages]float64{0.8, 0.8}, Changes: 2},
-			Confidence: 0.85, PlanInterval: 5 * time.Second, SlowStartTime: 13 * time.Second, Turn: TurnOrder{routers, i, 10 * time.Second}}
+			Confidence: 0.85, PlanInterval: 5 * time.Second, SlowStartTime: 13 * time.Second, TurnOrder: TurnOrder{routers, i, 10 * time.Second}}
 		if change != nil {
 			change(&cfg)
 		}
@@ -288,9 +288,9 @@
 // A router whose plans never fall into its turn plans again when the turn comes.
 func TestPlanThatWaitsForItsTurn(t *testing.T) {
 	// Slots of five seconds and plans every ten: each plan is made at the start of the other router's slot.
-	s := newSite(t, 2, 6, 6, func(c *Config) { c.PlanInterval, c.Turn.SlotLength = 10*time.Second, 5*time.Second })
+	s := newSite(t, 2, 6, 6, func(c *Config) { c.PlanInterval, c.TurnOrder.SlotLength = 10*time.Second, 5*time.Second })
 	for i := range s.managers {
-		s.managers[i].cfg.Turn.Index = 1
+		s.managers[i].cfg.TurnOrder.Index = 1
 		s.managers[i].next = s.now.Add(10 * time.Second)
 		if i > 0 {
 			s.managers[i] = nil
