--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -147,7 +147,7 @@
 	return roles.Config{Classes: len(s.Classes), Confidence: h.Confidence, ConsecutivePlans: h.AgreeingPlans, PlanInterval: h.PlanInterval, SlowStartTime: s.SlowStartTime,
 		Timeouts:  roles.Timeouts{EmptyTimeout: h.EmptyTimeout, ChangeTimeout: h.ChangeTimeout, Backoff: h.FailureBackoff, CheckInterval: h.CheckInterval, ReplyTimeout: s.ProbeTimeout},
 		Costs:     roles.Costs{Horizon: h.Horizon, Away: h.ChangeCost, Load: h.MaxLoad, Changes: h.MaxConcurrent, Least: h.MinEngines, Most: h.MaxEngines},
-		TurnOrder: roles.TurnOrder{Routers: s.Routers, Index: s.Index, SlotLength: h.Slot}, Dry: h.Mode == "dry"}
+		TurnOrder: roles.TurnOrder{Routers: s.Routers, Index: s.Index, SlotLength: h.Slot}, DryRun: h.Mode == "dry"}
 }
 
 // ClassIndex returns the index of a class by name, or -1.
--- a/internal/swing/compare.go
+++ b/internal/swing/compare.go
@@ -127,7 +127,7 @@
 		first, steps := Oracle(t, e.Engines, p, load, max(e.Engines/6, 2))
 		play(first, func(c *sim.Config) {
 			c.Roles = scene.Shifting()
-			c.Roles.Dry = true
+			c.Roles.DryRun = true
 			c.Schedule = steps
 			if c.Schedule == nil {
 				c.Schedule = []sim.Step{}
--- a/roles/manager.go
+++ b/roles/manager.go
@@ -50,7 +50,7 @@
 	PlanInterval     time.Duration // between plans
 	SlowStartTime    time.Duration // an engine is not changed again before it is warm
 	TurnOrder        TurnOrder
-	Dry              bool // plan and tell, change nothing
+	DryRun           bool // plan and tell, change nothing
 }
 
 // Report is a plan as it was judged, for people.
@@ -178,8 +178,8 @@
 	}
 	m.last.Verdict = m.judge.Look(&p, demand)
 	out = m.callOff(engines, demand, out)
-	m.waits = m.last.Verdict.Change && !m.cfg.Dry && !m.cfg.TurnOrder.May(now)
-	if !m.last.Verdict.Change || m.cfg.Dry || m.waits {
+	m.waits = m.last.Verdict.Change && !m.cfg.DryRun && !m.cfg.TurnOrder.May(now)
+	if !m.last.Verdict.Change || m.cfg.DryRun || m.waits {
 		return out
 	}
 	for _, mv := range p.Moves {
--- a/roles/manager_test.go
+++ b/roles/manager_test.go
@@ -173,7 +173,7 @@
 	if s.begun != 0 {
 		t.Errorf("%d changes", s.begun)
 	}
-	dry := newSite(t, 1, 6, 6, func(c *Config) { c.Dry = true })
+	dry := newSite(t, 1, 6, 6, func(c *Config) { c.DryRun = true })
 	dry.run(10*time.Minute, 40, 1800, 40)
 	if r := dry.managers[0].Last(); dry.begun != 0 || len(r.Plan.Moves) == 0 || !r.Verdict.Change {
 		t.Errorf("%d changes; last plan %+v", dry.begun, r)
