--- a/internal/shift/shift.go
+++ b/internal/shift/shift.go
@@ -387,7 +387,7 @@
 		return
 	}
 	d.log.Info("plan of roles", "read/s", int(r.Demand[roles.Prefill].Mean), "write/s", int(r.Demand[roles.Decode].Mean), "moves", len(r.Plan.Moves),
-		"served", r.Plan.Now, "then", r.Plan.Then, "confidence", r.Verdict.Confidence, "why", r.Verdict.Why, "begun", r.Begun,
+		"served", r.Plan.Now, "then", r.Plan.Then, "confidence", r.Verdict.Confidence, "why", r.Verdict.Why, "begun", r.ChangesBegun,
 		"dry", d.set.RoleChanges.Mode == "dry", "unseen", d.missed.Load())
 }
 
--- a/roles/manager.go
+++ b/roles/manager.go
@@ -55,12 +55,12 @@
 
 // Report is a plan as it was judged, for people.
 type Report struct {
-	At      time.Time
-	Demand  [stages]Work // over all routers
-	Plan    Plan
-	Verdict Verdict
-	Begun   int
-	Err     error
+	At           time.Time
+	Demand       [stages]Work // over all routers
+	Plan         Plan
+	Verdict      Verdict
+	ChangesBegun int
+	Err          error
 }
 
 // Manager ties demand, planner, judge and follower together. Times come in, actions go out; it is not safe
@@ -189,7 +189,7 @@
 			continue
 		}
 		out = next
-		m.last.Begun++
+		m.last.ChangesBegun++
 	}
 	return out
 }
--- a/roles/manager_test.go
+++ b/roles/manager_test.go
@@ -191,7 +191,7 @@
 		t.Fatal("no change was begun")
 	}
 	for i, m := range s.managers {
-		if m.last.Begun > 0 {
+		if m.last.ChangesBegun > 0 {
 			s.managers[i] = nil
 		}
 	}
