--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -140,7 +140,7 @@
 }
 
 // PlanMade takes in a plan and the time that it took in seconds.
-func (m *RoleMetrics) PlanMade(r *roles.Report, took float64) {
+func (m *RoleMetrics) PlanMade(r *roles.PlanReport, took float64) {
 	if m == nil {
 		return
 	}
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -17,7 +17,7 @@
 	m := s.NewRoleMetrics()
 	m.ChangeEnded(&roles.ChangeResult{To: roles.Decode, Succeeded: true, Elapsed: 6 * time.Second}, 4)
 	m.ChangeEnded(&roles.ChangeResult{To: roles.Prefill, Elapsed: 2 * time.Second}, 4)
-	m.PlanMade(&roles.Report{Plan: roles.Plan{Now: 0.8, Then: 0.9}, Verdict: roles.Verdict{Confidence: 0.7}}, 0.002)
+	m.PlanMade(&roles.PlanReport{Plan: roles.Plan{Now: 0.8, Then: 0.9}, Verdict: roles.Verdict{Confidence: 0.7}}, 0.002)
 	m.SetEngines([]roles.Status{{Known: true, Now: roles.RoleState{Role: roles.Decode}, Step: "idle"}, {Step: "idle"}})
 	m.ObservationDropped()
 	w := httptest.NewRecorder()
@@ -45,5 +45,5 @@
 	none.ChangeEnded(&roles.ChangeResult{}, 0)
 	none.ObservationDropped()
 	none.SetEngines(nil)
-	none.PlanMade(&roles.Report{}, 0)
+	none.PlanMade(&roles.PlanReport{}, 0)
 }
--- a/internal/shift/shift.go
+++ b/internal/shift/shift.go
@@ -41,7 +41,7 @@
 	seen    chan observation
 	missed  atomic.Int64 // observations that did not fit
 	results chan result
-	report  atomic.Pointer[roles.Report]
+	report  atomic.Pointer[roles.PlanReport]
 	status  atomic.Pointer[Status]
 
 	// What follows belongs to Run's loop.
@@ -121,7 +121,7 @@
 type Status struct {
 	At      time.Time
 	Mode    string
-	Plan    roles.Report
+	Plan    roles.PlanReport
 	Engines []EngineStatus
 	Unseen  int64 // observations of the traffic that did not fit
 }
--- a/roles/manager.go
+++ b/roles/manager.go
@@ -53,8 +53,8 @@
 	DryRun           bool // plan and tell, change nothing
 }
 
-// Report is a plan as it was judged, for people.
-type Report struct {
+// PlanReport is a plan as it was judged, for people.
+type PlanReport struct {
 	At           time.Time
 	Demand       [stages]Work // over all routers
 	Plan         Plan
@@ -74,7 +74,7 @@
 	infos  map[uint64]*EngineInfo
 	next   time.Time
 	waits  bool // for its turn, with a plan that pays
-	last   Report
+	last   PlanReport
 }
 
 // NewManager returns a Manager that has seen nothing.
@@ -128,7 +128,7 @@
 func (m *Manager) Ended() []ChangeResult { return m.follow.Ended() }
 
 // Last returns the last plan as it was judged.
-func (m *Manager) Last() Report { return m.last }
+func (m *Manager) Last() PlanReport { return m.last }
 
 // Tick looks after deadlines, and plans when it is time, or when its turn has come for a plan that pays. It is
 // to be called some times a second.
@@ -172,7 +172,7 @@
 	}
 	engines := m.engines(now)
 	p, err := Solve(engines, demand, m.cfg.Costs)
-	m.last = Report{At: now, Demand: demand, Plan: p, Err: err}
+	m.last = PlanReport{At: now, Demand: demand, Plan: p, Err: err}
 	if err != nil {
 		return out
 	}
