--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -474,8 +474,8 @@
 	return c.role(ctx, http.MethodPost, addr, RolePath, q)
 }
 
-// StayRole asks an engine to take a change back, and tells whether it does.
-func (c *Client) StayRole(ctx context.Context, addr string, q *RoleChangeCancel) (Role, bool, error) {
+// CancelRoleChange asks an engine to take a change back, and tells whether it does.
+func (c *Client) CancelRoleChange(ctx context.Context, addr string, q *RoleChangeCancel) (Role, bool, error) {
 	return c.role(ctx, http.MethodPost, addr, RolePath+"/stay", q)
 }
 
--- a/internal/standin/engine/role_test.go
+++ b/internal/standin/engine/role_test.go
@@ -119,10 +119,10 @@
 		time.Sleep(time.Millisecond)
 	}
 	c.ChangeRole(t.Context(), s.Addr(), &engine.RoleChange{To: engine.StageDecode, Epoch: 1})
-	if r, ok, err := c.StayRole(t.Context(), s.Addr(), &engine.RoleChangeCancel{Epoch: 1}); !ok || err != nil || !steady(r) || r.Role != engine.StagePrefill {
+	if r, ok, err := c.CancelRoleChange(t.Context(), s.Addr(), &engine.RoleChangeCancel{Epoch: 1}); !ok || err != nil || !steady(r) || r.Role != engine.StagePrefill {
 		t.Errorf("%+v, %v, %v", r, ok, err)
 	}
-	if _, ok, _ := c.StayRole(t.Context(), s.Addr(), &engine.RoleChangeCancel{Epoch: 1}); ok {
+	if _, ok, _ := c.CancelRoleChange(t.Context(), s.Addr(), &engine.RoleChangeCancel{Epoch: 1}); ok {
 		t.Error("a change was taken back that there is not")
 	}
 	cancel()
