--- a/internal/shift/shift.go
+++ b/internal/shift/shift.go
@@ -200,7 +200,7 @@
 		for i := range acts {
 			changed = d.carry(ctx, &acts[i]) || changed
 		}
-		for _, e := range d.manager.Ended() {
+		for _, e := range d.manager.TakeResults() {
 			d.metrics.ChangeEnded(&e, roles.ColdLost(d.set.InitialCapacity, d.set.SlowStartTime).Seconds())
 			level := slog.LevelInfo
 			if !e.Succeeded {
--- a/internal/sim/node.go
+++ b/internal/sim/node.go
@@ -250,7 +250,7 @@
 		}
 	}
 	if n.manager != nil {
-		n.manager.Ended()
+		n.manager.TakeResults()
 	}
 }
 
--- a/roles/manager.go
+++ b/roles/manager.go
@@ -124,8 +124,8 @@
 	return m.follow.Answered(now, id, granted, s, out)
 }
 
-// Ended returns the changes that have ended since the last call.
-func (m *Manager) Ended() []ChangeResult { return m.follow.Ended() }
+// TakeResults returns the changes that have ended since the last call.
+func (m *Manager) TakeResults() []ChangeResult { return m.follow.Ended() }
 
 // Last returns the last plan as it was judged.
 func (m *Manager) Last() PlanReport { return m.last }
--- a/roles/manager_test.go
+++ b/roles/manager_test.go
@@ -240,7 +240,7 @@
 		t.Errorf("it is %+v", e.s)
 	}
 	found := false
-	for _, e := range s.managers[0].Ended() {
+	for _, e := range s.managers[0].TakeResults() {
 		found = found || e.Reason == "called back"
 	}
 	if !found {
