--- a/internal/shift/shift.go
+++ b/internal/shift/shift.go
@@ -136,7 +136,7 @@
 func (d *Driver) Status() *Status { return d.status.Load() }
 
 func (d *Driver) keepStatus(now time.Time) {
-	st := &Status{At: now, Mode: d.set.RoleChanges.Mode, Plan: d.manager.Last(), Unseen: d.missed.Load()}
+	st := &Status{At: now, Mode: d.set.RoleChanges.Mode, Plan: d.manager.LastReport(), Unseen: d.missed.Load()}
 	list := d.manager.Status(now)
 	d.metrics.SetEngines(list)
 	for _, e := range list {
@@ -374,7 +374,7 @@
 
 // tellPlan logs a plan that would move something, once.
 func (d *Driver) tellPlan(took time.Duration) {
-	r := d.manager.Last()
+	r := d.manager.LastReport()
 	if last := d.report.Load(); last != nil && last.At.Equal(r.At) {
 		return
 	}
--- a/roles/manager.go
+++ b/roles/manager.go
@@ -127,8 +127,8 @@
 // TakeResults returns the changes that have ended since the last call.
 func (m *Manager) TakeResults() []ChangeResult { return m.follow.Ended() }
 
-// Last returns the last plan as it was judged.
-func (m *Manager) Last() PlanReport { return m.last }
+// LastReport returns the last plan as it was judged.
+func (m *Manager) LastReport() PlanReport { return m.last }
 
 // Tick looks after deadlines, and plans when it is time, or when its turn has come for a plan that pays. It is
 // to be called some times a second.
--- a/roles/manager_test.go
+++ b/roles/manager_test.go
@@ -175,7 +175,7 @@
 	}
 	dry := newSite(t, 1, 6, 6, func(c *Config) { c.DryRun = true })
 	dry.run(10*time.Minute, 40, 1800, 40)
-	if r := dry.managers[0].Last(); dry.begun != 0 || len(r.Plan.Moves) == 0 || !r.Verdict.Change {
+	if r := dry.managers[0].LastReport(); dry.begun != 0 || len(r.Plan.Moves) == 0 || !r.Verdict.Change {
 		t.Errorf("%d changes; last plan %+v", dry.begun, r)
 	}
 }
@@ -301,6 +301,6 @@
 	}
 	s.run(15*time.Minute, 40, 1800, 40)
 	if s.begun == 0 {
-		t.Errorf("no change was begun: %+v", s.managers[0].Last().Verdict)
+		t.Errorf("no change was begun: %+v", s.managers[0].LastReport().Verdict)
 	}
 }
