--- a/cmd/mintdoor/roles.go
+++ b/cmd/mintdoor/roles.go
@@ -62,9 +62,9 @@
 	for _, e := range st.Engines {
 		role := "?"
 		if e.Known {
-			role = stageNames[e.Now.Role]
+			role = stageNames[e.State.Role]
 		}
-		fmt.Fprintf(t, "%s\t%s\t%d\t%s\t%s\t%s\n", e.Name, role, e.Now.Epoch, e.Step, planned[e.Engine], e.WhyNot)
+		fmt.Fprintf(t, "%s\t%s\t%d\t%s\t%s\t%s\n", e.Name, role, e.State.Epoch, e.Step, planned[e.Engine], e.WhyNot)
 	}
 	return t.Flush()
 }
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -163,7 +163,7 @@
 	for _, e := range list {
 		role := "unknown"
 		if e.Known {
-			role = stages[e.Now.Role]
+			role = stages[e.State.Role]
 		}
 		m.engines.WithLabelValues(role, e.Step).Inc()
 	}
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -18,7 +18,7 @@
 	m.ChangeEnded(&roles.ChangeResult{To: roles.Decode, Succeeded: true, Elapsed: 6 * time.Second}, 4)
 	m.ChangeEnded(&roles.ChangeResult{To: roles.Prefill, Elapsed: 2 * time.Second}, 4)
 	m.PlanMade(&roles.PlanReport{Plan: roles.Plan{Now: 0.8, Then: 0.9}, Verdict: roles.Verdict{Confidence: 0.7}}, 0.002)
-	m.SetEngines([]roles.Status{{Known: true, Now: roles.RoleState{Role: roles.Decode}, Step: "idle"}, {Step: "idle"}})
+	m.SetEngines([]roles.Status{{Known: true, State: roles.RoleState{Role: roles.Decode}, Step: "idle"}, {Step: "idle"}})
 	m.ObservationDropped()
 	w := httptest.NewRecorder()
 	s.Handler().ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/metrics", nil))
