--- a/roles/manager.go
+++ b/roles/manager.go
@@ -230,12 +230,12 @@
 
 // Status is one engine as a Manager sees it, for people.
 type Status struct {
-	Engine uint64
-	Known  bool // it has said what it does
-	State  RoleState
-	Step   string // of a change that is followed: idle, asking, emptying, changing, resting
-	Since  time.Time
-	WhyNot string // why it would not be changed now; "" it could be
+	Engine          uint64
+	Known           bool // it has said what it does
+	State           RoleState
+	Step            string // of a change that is followed: idle, asking, emptying, changing, resting
+	ChangeStartedAt time.Time
+	WhyNot          string // why it would not be changed now; "" it could be
 }
 
 // Status returns all engines, by number.
@@ -245,7 +245,7 @@
 		st := Status{Engine: id, Step: idle.String()}
 		c := m.follow.list[id]
 		if c != nil && c.known {
-			st.Known, st.State, st.Step, st.Since = true, c.now, c.step.String(), c.began
+			st.Known, st.State, st.Step, st.ChangeStartedAt = true, c.now, c.step.String(), c.began
 		}
 		switch {
 		case !st.Known:
