--- a/cmd/mintdoor/roles.go
+++ b/cmd/mintdoor/roles.go
@@ -64,7 +64,7 @@
 		if e.Known {
 			role = stageNames[e.State.Role]
 		}
-		fmt.Fprintf(t, "%s\t%s\t%d\t%s\t%s\t%s\n", e.Name, role, e.State.Epoch, e.Step, planned[e.Engine], e.WhyNot)
+		fmt.Fprintf(t, "%s\t%s\t%d\t%s\t%s\t%s\n", e.Name, role, e.State.Epoch, e.Step, planned[e.Engine], e.BlockedReason)
 	}
 	return t.Flush()
 }
--- a/roles/manager.go
+++ b/roles/manager.go
@@ -235,7 +235,7 @@
 	State           RoleState
 	Step            string // of a change that is followed: idle, asking, emptying, changing, resting
 	ChangeStartedAt time.Time
-	WhyNot          string // why it would not be changed now; "" it could be
+	BlockedReason   string // why it would not be changed now; "" it could be
 }
 
 // Status returns all engines, by number.
@@ -249,17 +249,17 @@
 		}
 		switch {
 		case !st.Known:
-			st.WhyNot = "it has not said what it does"
+			st.BlockedReason = "it has not said what it does"
 		case c.doubt:
-			st.WhyNot = "it does not tell its role any more"
+			st.BlockedReason = "it does not tell its role any more"
 		case c.step == resting:
-			st.WhyNot = "a change of it failed; it rests until " + c.by.UTC().Format(time.TimeOnly)
+			st.BlockedReason = "a change of it failed; it rests until " + c.by.UTC().Format(time.TimeOnly)
 		case c.step != idle || c.now.Phase != Steady:
-			st.WhyNot = "it is on its way"
+			st.BlockedReason = "it is on its way"
 		case m.infos[id].Draining:
-			st.WhyNot = "it is draining"
+			st.BlockedReason = "it is draining"
 		case !c.now.StartedAt.IsZero() && now.Sub(c.now.StartedAt) < m.cfg.SlowStartTime:
-			st.WhyNot = "it is cold"
+			st.BlockedReason = "it is cold"
 		}
 		out = append(out, st)
 	}
