--- a/roles/plan.go
+++ b/roles/plan.go
@@ -21,9 +21,9 @@
 
 // Costs are what a change costs, and bounds of a plan.
 type Costs struct {
-	Horizon time.Duration // over which a plan has to pay
-	Away    time.Duration // of a change: drained, changed, and what coldness takes, as full time lost
-	Reread  float64       // work a token held that is lost, in tokens to read; 0 to 1
+	Horizon  time.Duration // over which a plan has to pay
+	AwayTime time.Duration // of a change: drained, changed, and what coldness takes, as full time lost
+	Reread   float64       // work a token held that is lost, in tokens to read; 0 to 1
 	// Load is the part of its capacity to which a stage may be used and still answer in time. A queue of readers
 	// shows in the first token, one of writers at a free place hardly.
 	Load [stages]float64
@@ -34,7 +34,7 @@
 }
 
 // left is the part of the horizon that a change leaves of an engine.
-func (c *Costs) left() float64 { return 1 - c.Away.Seconds()/c.Horizon.Seconds() }
+func (c *Costs) left() float64 { return 1 - c.AwayTime.Seconds()/c.Horizon.Seconds() }
 
 // ColdLost is the work that an engine lacks while it is cold, as full time: it starts with a part of its capacity
 // and has all of it after coldFor, growing evenly.
@@ -139,7 +139,7 @@
 // it keeps the most that the writers could do. What is lost by moving is part of the capacity. The result
 // hangs on the arguments alone, not on the order of the engines.
 func Solve(engines []Engine, demand [stages]Work, costs Costs) (Plan, error) {
-	if costs.Away >= costs.Horizon || costs.Horizon <= 0 {
+	if costs.AwayTime >= costs.Horizon || costs.Horizon <= 0 {
 		return Plan{}, ErrHorizon
 	}
 	cases := scenarios(demand)
--- a/roles/plan_test.go
+++ b/roles/plan_test.go
@@ -16,7 +16,7 @@
 }
 
 func costs() Costs {
-	return Costs{Horizon: 5 * time.Minute, Away: 30 * time.Second, Reread: 0.5, Load: [stages]float64{0.8, 0.8}, Changes: 3}
+	return Costs{Horizon: 5 * time.Minute, AwayTime: 30 * time.Second, Reread: 0.5, Load: [stages]float64{0.8, 0.8}, Changes: 3}
 }
 
 // fleet is engines that can do both, in two cells.
@@ -100,7 +100,7 @@
 	if p, _ := Solve(f, work(90000, 500), costs()); len(p.Moves) != 0 {
 		t.Errorf("all are fixed: %+v", p)
 	}
-	c.Away = c.Horizon
+	c.AwayTime = c.Horizon
 	if _, err := Solve(f, work(1, 1), c); !errors.Is(err, ErrHorizon) {
 		t.Error(err)
 	}
@@ -114,9 +114,9 @@
 	for i := range f {
 		f[i].Held = 1e6 // tokens that have to be read again
 	}
-	c.Away = 5 * time.Second
+	c.AwayTime = 5 * time.Second
 	cheap, _ := Solve(f, work(52000, 3700), c)
-	c.Away = 280 * time.Second
+	c.AwayTime = 280 * time.Second
 	dear, _ := Solve(f, work(52000, 3700), c)
 	if len(cheap.Moves) == 0 || len(dear.Moves) != 0 {
 		t.Errorf("cheap %+v, dear %+v", cheap, dear)
@@ -154,7 +154,7 @@
 // brute tries every subset of moves.
 func brute(f []Engine, demand [stages]Work, c Costs) float64 {
 	cases := scenarios(demand)
-	here := 1 - c.Away.Seconds()/c.Horizon.Seconds()
+	here := 1 - c.AwayTime.Seconds()/c.Horizon.Seconds()
 	best := 0.0
 	for set := range 1 << len(f) {
 		if bits.OnesCount(uint(set)) > c.Changes {
