--- a/roles/manager.go
+++ b/roles/manager.go
@@ -220,8 +220,8 @@
 		// As sure as a change has to be, and worth more than the change was expected to bring, else plans chase
 		// each other.
 		const least = 0.05
-		if served(back, m.cfg.Costs.Load, cases) > served(cap, m.cfg.Costs.Load, cases)+least &&
-			sure(cap, back, m.cfg.Costs.Load, cases) >= m.cfg.Confidence {
+		if served(back, m.cfg.Costs.MaxLoad, cases) > served(cap, m.cfg.Costs.MaxLoad, cases)+least &&
+			sure(cap, back, m.cfg.Costs.MaxLoad, cases) >= m.cfg.Confidence {
 			out = m.follow.CallOff(e.ID, "the work is where the engine was", out)
 		}
 	}
--- a/roles/manager_test.go
+++ b/roles/manager_test.go
@@ -33,7 +33,7 @@
 		infos = append(infos, EngineInfo{ID: id, Cell: i % 2, Capacity: [stages]float64{10000, 1000}})
 	}
 	for i := range routers {
-		cfg := Config{Classes: 1, Timeouts: limits, Costs: Costs{Horizon: 45 * time.Second, AwayTime: 11 * time.Second, Load: [stages]float64{0.8, 0.8}, Changes: 2},
+		cfg := Config{Classes: 1, Timeouts: limits, Costs: Costs{Horizon: 45 * time.Second, AwayTime: 11 * time.Second, MaxLoad: [stages]float64{0.8, 0.8}, Changes: 2},
 			Confidence: 0.85, PlanInterval: 5 * time.Second, SlowStartTime: 13 * time.Second, TurnOrder: TurnOrder{routers, i, 10 * time.Second}}
 		if change != nil {
 			change(&cfg)
--- a/roles/plan.go
+++ b/roles/plan.go
@@ -24,9 +24,9 @@
 	Horizon  time.Duration // over which a plan has to pay
 	AwayTime time.Duration // of a change: drained, changed, and what coldness takes, as full time lost
 	Reread   float64       // work a token held that is lost, in tokens to read; 0 to 1
-	// Load is the part of its capacity to which a stage may be used and still answer in time. A queue of readers
+	// MaxLoad is the part of its capacity to which a stage may be used and still answer in time. A queue of readers
 	// shows in the first token, one of writers at a free place hardly.
-	Load [stages]float64
+	MaxLoad [stages]float64
 	// Changes is how many engines may be away at once; those that are away already count.
 	Changes int
 	Least   [stages]int // engines of each role, at least
@@ -150,7 +150,7 @@
 			base[e.Role] += e.Cap[e.Role]
 		}
 	}
-	plan := Plan{Now: served(base, costs.Load, cases)}
+	plan := Plan{Now: served(base, costs.MaxLoad, cases)}
 	plan.Then = plan.Now
 	if moves <= 0 {
 		return plan, nil
@@ -159,7 +159,7 @@
 	last := layers[len(layers)-1]
 	best := -1
 	for i, o := range last {
-		got := served(o.cap, costs.Load, cases)
+		got := served(o.cap, costs.MaxLoad, cases)
 		// An equal plan with more moves, or one that is better by no more than rounding, is no better.
 		const least = 1e-9
 		if got > plan.Then+least {
@@ -167,7 +167,7 @@
 		}
 	}
 	if best >= 0 {
-		plan.Sure = sure(base, last[best].cap, costs.Load, cases)
+		plan.Sure = sure(base, last[best].cap, costs.MaxLoad, cases)
 	}
 	for layer := len(layers) - 1; layer > 0 && best >= 0; layer-- {
 		o := layers[layer][best]
--- a/roles/plan_test.go
+++ b/roles/plan_test.go
@@ -16,7 +16,7 @@
 }
 
 func costs() Costs {
-	return Costs{Horizon: 5 * time.Minute, AwayTime: 30 * time.Second, Reread: 0.5, Load: [stages]float64{0.8, 0.8}, Changes: 3}
+	return Costs{Horizon: 5 * time.Minute, AwayTime: 30 * time.Second, Reread: 0.5, MaxLoad: [stages]float64{0.8, 0.8}, Changes: 3}
 }
 
 // fleet is engines that can do both, in two cells.
@@ -186,7 +186,7 @@
 			ok = ok && (had[st] == 0 || total[st] > 0)
 		}
 		if ok {
-			best = math.Max(best, served(cap, c.Load, cases))
+			best = math.Max(best, served(cap, c.MaxLoad, cases))
 		}
 	}
 	return best
