--- a/roles/manager_test.go
+++ b/roles/manager_test.go
@@ -33,7 +33,7 @@
 		infos = append(infos, EngineInfo{ID: id, Cell: i % 2, Capacity: [stages]float64{10000, 1000}})
 	}
 	for i := range routers {
-		cfg := Config{Classes: 1, Timeouts: limits, Costs: Costs{Horizon: 45 * time.Second, AwayTime: 11 * time.Second, MaxLoad: [stages]float64{0.8, 0.8}, Changes: 2},
+		cfg := Config{Classes: 1, Timeouts: limits, Costs: Costs{Horizon: 45 * time.Second, AwayTime: 11 * time.Second, MaxLoad: [stages]float64{0.8, 0.8}, MaxChanging: 2},
 			Confidence: 0.85, PlanInterval: 5 * time.Second, SlowStartTime: 13 * time.Second, TurnOrder: TurnOrder{routers, i, 10 * time.Second}}
 		if change != nil {
 			change(&cfg)
@@ -208,7 +208,7 @@
 
 // Half of the readers die while a reader is on its way to write: it is called back.
 func TestChangeIsCalledBack(t *testing.T) {
-	s := newSite(t, 1, 6, 6, func(c *Config) { c.Timeouts.EmptyTimeout = time.Hour; c.Costs.Changes = 1 })
+	s := newSite(t, 1, 6, 6, func(c *Config) { c.Timeouts.EmptyTimeout = time.Hour; c.Costs.MaxChanging = 1 })
 	s.run(2*time.Minute, 40, 500, 100)
 	for i := 0; s.begun == 0 && i < 900; i++ {
 		s.run(time.Second, 40, 900, 165) // 36,000 and 6,600: a writer more would help
--- a/roles/plan.go
+++ b/roles/plan.go
@@ -27,10 +27,10 @@
 	// MaxLoad is the part of its capacity to which a stage may be used and still answer in time. A queue of readers
 	// shows in the first token, one of writers at a free place hardly.
 	MaxLoad [stages]float64
-	// Changes is how many engines may be away at once; those that are away already count.
-	Changes int
-	Least   [stages]int // engines of each role, at least
-	Most    [stages]int // and at most; 0: no bound
+	// MaxChanging is how many engines may be away at once; those that are away already count.
+	MaxChanging int
+	Least       [stages]int // engines of each role, at least
+	Most        [stages]int // and at most; 0: no bound
 }
 
 // left is the part of the horizon that a change leaves of an engine.
@@ -214,7 +214,7 @@
 		return 1
 	})
 	sound := map[[2]int]int{} // by cell and role
-	moves = costs.Changes
+	moves = costs.MaxChanging
 	for _, e := range sorted {
 		if e.Absent {
 			moves--
--- a/roles/plan_test.go
+++ b/roles/plan_test.go
@@ -16,7 +16,7 @@
 }
 
 func costs() Costs {
-	return Costs{Horizon: 5 * time.Minute, AwayTime: 30 * time.Second, Reread: 0.5, MaxLoad: [stages]float64{0.8, 0.8}, Changes: 3}
+	return Costs{Horizon: 5 * time.Minute, AwayTime: 30 * time.Second, Reread: 0.5, MaxLoad: [stages]float64{0.8, 0.8}, MaxChanging: 3}
 }
 
 // fleet is engines that can do both, in two cells.
@@ -90,7 +90,7 @@
 	f[11].Fixed = true
 	f[10].Cap[Prefill] = 0
 	c = costs()
-	c.Changes = 1
+	c.MaxChanging = 1
 	if p, _ := Solve(f, work(90000, 500), c); len(p.Moves) != 1 || p.Moves[0] != (Move{10, Prefill}) {
 		t.Errorf("%+v", p)
 	}
@@ -139,13 +139,13 @@
 		}
 		demand := work(rapid.Float64Range(0, 120000).Draw(t, "read"), rapid.Float64Range(0, 9000).Draw(t, "write"))
 		c := costs()
-		c.Changes = rapid.IntRange(0, 4).Draw(t, "changes")
+		c.MaxChanging = rapid.IntRange(0, 4).Draw(t, "changes")
 		p, err := Solve(f, demand, c)
 		if err != nil {
 			t.Fatal(err)
 		}
 		best := brute(f, demand, c)
-		if p.Then < best-0.01 || p.Then > best+1e-9 || len(p.Moves) > c.Changes {
+		if p.Then < best-0.01 || p.Then > best+1e-9 || len(p.Moves) > c.MaxChanging {
 			t.Fatalf("found %.4f with %v, the best is %.4f", p.Then, p.Moves, best)
 		}
 	})
@@ -157,7 +157,7 @@
 	here := 1 - c.AwayTime.Seconds()/c.Horizon.Seconds()
 	best := 0.0
 	for set := range 1 << len(f) {
-		if bits.OnesCount(uint(set)) > c.Changes {
+		if bits.OnesCount(uint(set)) > c.MaxChanging {
 			continue
 		}
 		var cap [stages]float64
@@ -214,7 +214,7 @@
 				f = append(f, Engine{ID: uint64(i + 1), Kind: i % 2, Cell: i / 6, Role: Stage(i / 2 % 2), Cap: [stages]float64{10000, 1000}})
 			}
 			c := costs()
-			c.Changes = n / 10
+			c.MaxChanging = n / 10
 			for b.Loop() {
 				if _, err := Solve(f, work(float64(n)*7000, float64(n)*200), c); err != nil {
 					b.Fatal(err)
