--- a/roles/plan.go
+++ b/roles/plan.go
@@ -29,7 +29,7 @@
 	MaxLoad [stages]float64
 	// MaxChanging is how many engines may be away at once; those that are away already count.
 	MaxChanging int
-	Least       [stages]int // engines of each role, at least
+	MinEngines  [stages]int // engines of each role, at least
 	Most        [stages]int // and at most; 0: no bound
 }
 
@@ -335,7 +335,7 @@
 func within(o *option, from Stage, count [stages]int, costs Costs) bool {
 	left := count[from] - o.moved[from] + o.moved[1-from] - 1
 	grown := count[1-from] - o.moved[1-from] + o.moved[from] + 1
-	if left < costs.Least[from] || costs.Most[1-from] > 0 && grown > costs.Most[1-from] {
+	if left < costs.MinEngines[from] || costs.Most[1-from] > 0 && grown > costs.Most[1-from] {
 		return false
 	}
 	return left > 0
--- a/roles/plan_test.go
+++ b/roles/plan_test.go
@@ -62,7 +62,7 @@
 
 func TestPlanKeepsItsBounds(t *testing.T) {
 	c := costs()
-	c.Least[Decode] = 5
+	c.MinEngines[Decode] = 5
 	if p, _ := Solve(fleet(6, 6), work(90000, 500), c); len(p.Moves) != 1 {
 		t.Errorf("five writers at least: %+v", p)
 	}
