--- a/internal/day/swing.go
+++ b/internal/day/swing.go
@@ -138,7 +138,7 @@
 			continue
 		}
 		_, granted, err := c.ChangeRole(ctx, e.m.Engine.Addr(), &engine.RoleChange{To: to, Epoch: e.role.Epoch, Router: "split",
-			NoticeMillis: float64(limits.Notice()) / 1e6})
+			NoticeMillis: float64(limits.NoticePeriod()) / 1e6})
 		if err == nil && granted {
 			left[key]--
 			n--
--- a/internal/sim/sim.go
+++ b/internal/sim/sim.go
@@ -359,7 +359,7 @@
 		if best == nil {
 			return
 		}
-		best.grant(best.turns.Epoch, 1-from, s.cfg.Roles.Timeouts.Notice())
+		best.grant(best.turns.Epoch, 1-from, s.cfg.Roles.Timeouts.NoticePeriod())
 	}
 }
 
--- a/roles/change.go
+++ b/roles/change.go
@@ -73,16 +73,16 @@
 	return l.CheckInterval > 0 && now.Sub(heard) >= l.doubt()
 }
 
-// Notice is how long a change is announced. A word that a router still sends by was given before the grant
+// NoticePeriod is how long a change is announced. A word that a router still sends by was given before the grant
 // and heard at most Answer later; it is doubted before the notice ends. So no router sends work of the old
 // role to an engine that has left it, however many looks are lost.
-func (l *Timeouts) Notice() time.Duration { return l.doubt() + 2*l.ReplyTimeout }
+func (l *Timeouts) NoticePeriod() time.Duration { return l.doubt() + 2*l.ReplyTimeout }
 
 // ask is the deadline of the question.
 func (l *Timeouts) ask() time.Duration { return max(l.AskTimeout, 2*l.ReplyTimeout) }
 
 // empty is the deadline of the step in which what runs ends.
-func (l *Timeouts) empty() time.Duration { return l.Notice() + l.EmptyTimeout }
+func (l *Timeouts) empty() time.Duration { return l.NoticePeriod() + l.EmptyTimeout }
 
 // ActionKind tells what a change asks of its surroundings.
 type ActionKind uint8
@@ -186,7 +186,7 @@
 	c.step, c.to, c.from, c.began, c.by, c.back = asking, to, c.now.Epoch, now, now.Add(f.limits.ask()), false
 	// The module stops sending at once: work that is on its way when the engine grants would be refused.
 	out = f.show(c, out)
-	return append(out, Action{Kind: RequestChange, Engine: engine, To: to, Epoch: c.from, Notice: f.limits.Notice()}), nil
+	return append(out, Action{Kind: RequestChange, Engine: engine, To: to, Epoch: c.from, Notice: f.limits.NoticePeriod()}), nil
 }
 
 // Answered takes in the engine's answer to Ask. A refusal may come with what the engine is now.
--- a/roles/change_test.go
+++ b/roles/change_test.go
@@ -374,7 +374,7 @@
 	if out := speak(20, 0); len(out) != 0 {
 		t.Errorf("most are silent: %+v", out)
 	}
-	if n := l.Notice(); n <= l.doubt()+l.ReplyTimeout {
+	if n := l.NoticePeriod(); n <= l.doubt()+l.ReplyTimeout {
 		t.Errorf("a change is announced for %v, a word believed for %v", n, l.doubt())
 	}
 }
--- a/roles/manager.go
+++ b/roles/manager.go
@@ -17,8 +17,8 @@
 	SlotLength time.Duration
 }
 
-// May tells whether it is this router's turn at a point of wall time.
-func (t TurnOrder) May(now time.Time) bool {
+// Allows tells whether it is this router's turn at a point of wall time.
+func (t TurnOrder) Allows(now time.Time) bool {
 	if t.Routers <= 1 || t.SlotLength <= 0 {
 		return true
 	}
@@ -134,7 +134,7 @@
 // to be called some times a second.
 func (m *Manager) Tick(now time.Time, out []Action) []Action {
 	out = m.follow.Tick(now, out)
-	if now.Before(m.next) && !(m.waits && m.cfg.TurnOrder.May(now)) {
+	if now.Before(m.next) && !(m.waits && m.cfg.TurnOrder.Allows(now)) {
 		return out
 	}
 	m.next = now.Add(m.cfg.PlanInterval)
@@ -178,7 +178,7 @@
 	}
 	m.last.Verdict = m.judge.Look(&p, demand)
 	out = m.callOff(engines, demand, out)
-	m.waits = m.last.Verdict.Change && !m.cfg.DryRun && !m.cfg.TurnOrder.May(now)
+	m.waits = m.last.Verdict.Change && !m.cfg.DryRun && !m.cfg.TurnOrder.Allows(now)
 	if !m.last.Verdict.Change || m.cfg.DryRun || m.waits {
 		return out
 	}
--- a/roles/manager_test.go
+++ b/roles/manager_test.go
@@ -256,7 +256,7 @@
 		n := 0
 		for i, turn := range turns {
 			// Clocks that are off by up to a fifth of a slot.
-			if turn.May(now.Add(time.Duration(i-1) * 2 * time.Second)) {
+			if turn.Allows(now.Add(time.Duration(i-1) * 2 * time.Second)) {
 				had[i]++
 				n++
 			}
@@ -268,7 +268,7 @@
 	if had[0] == 0 || had[1] == 0 || had[2] == 0 {
 		t.Errorf("turns %v", had)
 	}
-	if !(TurnOrder{}).May(t0) {
+	if !(TurnOrder{}).Allows(t0) {
 		t.Error("a router alone waits for its turn")
 	}
 }
