--- a/cmd/mintdoor/engine.go
+++ b/cmd/mintdoor/engine.go
@@ -52,11 +52,11 @@
 					put()
 				}
 			}
-			set("slots", func() { spec.Slots = slots })
-			set("queue", func() { spec.Queue = queue })
-			set("memory", func() { spec.Memory = memory })
-			set("read", func() { spec.ReadPerS = read })
-			spec.Faster(speed)
+			set("slots", func() { spec.MaxRunning = slots })
+			set("queue", func() { spec.MaxQueued = queue })
+			set("memory", func() { spec.MemoryTokens = memory })
+			set("read", func() { spec.ReadTokensPerSecond = read })
+			spec.SpeedUp(speed)
 			log := logging.New(os.Stderr, "text", slog.LevelInfo, 100)
 			e := standin.New(standin.Config{Name: name, Addr: listen, Cell: cell, Spec: spec, Seed: seed, StartCold: cold, Log: log}, nil)
 			if err := e.Start(); err != nil {
--- a/internal/day/bench.go
+++ b/internal/day/bench.go
@@ -149,10 +149,10 @@
 	for i, g := range []*Group{&s.Prefill, &s.Decode} {
 		e := d.Fam.Engines[i]
 		sp := &g.Spec
-		sp.Slots, sp.Queue, sp.Memory, sp.Block, sp.Chunk = e.Slots, e.Queue, int(e.Memory), max(e.Block, 1), e.Chunk
-		sp.ReadPerS, sp.Step, sp.PerSeq = e.ReadPerS, us(e.Step*1000), time.Duration(e.PerSeq*1e6)
-		sp.PortPerS = d.Fam.Near
-		sp.ReportEvery, sp.ReportDelay = us(d.Tiers[0].ReportPeriod), us(d.Tiers[0].ReportDelay)
+		sp.MaxRunning, sp.MaxQueued, sp.MemoryTokens, sp.BlockTokens, sp.ChunkTokens = e.Slots, e.Queue, int(e.Memory), max(e.Block, 1), e.Chunk
+		sp.ReadTokensPerSecond, sp.StepTime, sp.StepTimePerWriter = e.ReadPerS, us(e.Step*1000), time.Duration(e.PerSeq*1e6)
+		sp.PortTokensPerSecond = d.Fam.Near
+		sp.ReportInterval, sp.ReportDelay = us(d.Tiers[0].ReportPeriod), us(d.Tiers[0].ReportDelay)
 	}
 	for i, c := range d.Classes {
 		t := d.Fam.Talks[i]
@@ -238,7 +238,7 @@
 			continue
 		case "slow", "fast_errors", "crash", "vanish", "report_late", "origin_slow", "ageing", "burst", "give_up":
 		default:
-			if standin.Kinds[t.Kind] == "" && otherKinds[t.Kind] == "" {
+			if standin.FaultKinds[t.Kind] == "" && otherKinds[t.Kind] == "" {
 				s.note("%s, which the stand-ins can't play", t.Kind)
 				continue
 			}
--- a/internal/day/day_test.go
+++ b/internal/day/day_test.go
@@ -109,7 +109,7 @@
 		t.Fatal(err)
 	}
 	if s.Length != 40*time.Second || s.Routers != 2 || s.Prefill.Count != 2 || s.Decode.Count != 4 || s.Clients.Backoff != 0 ||
-		s.Classes[1].RetryPolicy != "unsafe" || s.Decode.Spec.Step != 15*time.Millisecond || s.HoldTimeout != 300*time.Millisecond {
+		s.Classes[1].RetryPolicy != "unsafe" || s.Decode.Spec.StepTime != 15*time.Millisecond || s.HoldTimeout != 300*time.Millisecond {
 		t.Errorf("%+v", s)
 	}
 	var got []string
--- a/internal/day/run.go
+++ b/internal/day/run.go
@@ -247,7 +247,7 @@
 		p.split(ctx, int(e.Size))
 		return
 	}
-	if standin.Kinds[e.Kind] == "" && e.Kind != "drain" && e.Kind != "unlist" {
+	if standin.FaultKinds[e.Kind] == "" && e.Kind != "drain" && e.Kind != "unlist" {
 		return // played by the traffic
 	}
 	var struck []*fleet.Member
@@ -263,7 +263,7 @@
 		case "unlist":
 			p.fleet.Unlist(m)
 		default:
-			f := standin.Fault{Kind: e.Kind, For: e.Duration, Size: e.Size, Class: e.Class, How: e.How}
+			f := standin.Fault{Kind: e.Kind, Duration: e.Duration, Size: e.Size, Class: e.Class, Mode: e.How}
 			if err := p.fleet.Play(m, f); err != nil {
 				p.o.Log.Error("trouble", "err", err)
 			}
--- a/internal/day/script.go
+++ b/internal/day/script.go
@@ -211,10 +211,10 @@
 			if l.Name() == "decode" {
 				g = &s.Decode
 			}
-			memory, readPerS := float64(g.Spec.Memory), g.Spec.ReadPerS
-			pairs(l, 1, &errs, []field{{"count", count(&g.Count)}, {"slots", count(&g.Spec.Slots)}, {"queue", count(&g.Spec.Queue)},
-				{"memory", toks(&memory)}, {"read", toks(&readPerS)}, {"step", dur(&g.Spec.Step)}, {"per-sequence", dur(&g.Spec.PerSeq)}})
-			g.Spec.Memory, g.Spec.ReadPerS = int(memory), readPerS
+			memory, readPerS := float64(g.Spec.MemoryTokens), g.Spec.ReadTokensPerSecond
+			pairs(l, 1, &errs, []field{{"count", count(&g.Count)}, {"slots", count(&g.Spec.MaxRunning)}, {"queue", count(&g.Spec.MaxQueued)},
+				{"memory", toks(&memory)}, {"read", toks(&readPerS)}, {"step", dur(&g.Spec.StepTime)}, {"per-sequence", dur(&g.Spec.StepTimePerWriter)}})
+			g.Spec.MemoryTokens, g.Spec.ReadTokensPerSecond = int(memory), readPerS
 		case "at":
 			if e, ok := event(l, &errs); ok {
 				s.Events = append(s.Events, e)
@@ -299,7 +299,7 @@
 	for i := range s.Events {
 		e := &s.Events[i]
 		l := &config.Line{File: file, Number: e.Line}
-		if standin.Kinds[e.Kind] == "" && otherKinds[e.Kind] == "" {
+		if standin.FaultKinds[e.Kind] == "" && otherKinds[e.Kind] == "" {
 			errs.Add(l, "there is no trouble %q", e.Kind)
 		}
 		if e.Duration <= 0 && e.Kind != "split" {
@@ -356,14 +356,14 @@
 		k := &c.Classes[i]
 		f(&k.FirstTokenTarget, &k.FirstTokenTargetPerK, &k.Deadline, &k.TokenIntervalTarget, &k.ThinkTime)
 	}
-	c.Prefill.Spec.Faster(s.Speed)
-	c.Decode.Spec.Faster(s.Speed)
+	c.Prefill.Spec.SpeedUp(s.Speed)
+	c.Decode.Spec.SpeedUp(s.Speed)
 	c.LinkRate *= s.Speed
 	c.Rate = s.rate() * s.Speed
 	for _, g := range []*Group{&c.Prefill, &c.Decode} {
-		g.Spec.FallMultiple, g.Spec.FallWithin = c.OverloadMultiple, c.OverloadWindow
-		g.Spec.ColdFrom, g.Spec.ColdFor = min(c.InitialCapacity*1.15, 1), c.SlowStartTime*9/10
-		g.Spec.MeanPrompt, g.Spec.MeanAnswer = s.means()
+		g.Spec.OverloadMultiple, g.Spec.OverloadWindow = c.OverloadMultiple, c.OverloadWindow
+		g.Spec.InitialCapacity, g.Spec.SlowStartTime = min(c.InitialCapacity*1.15, 1), c.SlowStartTime*9/10
+		g.Spec.MeanPromptTokens, g.Spec.MeanAnswerTokens = s.means()
 	}
 	return &c
 }
@@ -388,15 +388,15 @@
 		return s.Rate
 	}
 	read, answer := s.means()
-	readers := s.Prefill.Spec.ReadPerS * float64(s.Prefill.Count) / read
-	step := s.Decode.Spec.Step + time.Duration(s.Decode.Spec.Slots)*s.Decode.Spec.PerSeq
-	writers := float64(s.Decode.Spec.Slots) / step.Seconds() * float64(s.Decode.Count) / answer
+	readers := s.Prefill.Spec.ReadTokensPerSecond * float64(s.Prefill.Count) / read
+	step := s.Decode.Spec.StepTime + time.Duration(s.Decode.Spec.MaxRunning)*s.Decode.Spec.StepTimePerWriter
+	writers := float64(s.Decode.Spec.MaxRunning) / step.Seconds() * float64(s.Decode.Count) / answer
 	// A writer's memory may hold fewer streams than it has slots.
 	held := 0.0
 	for _, c := range s.Classes {
 		held = max(held, c.PrefixShare*c.PrefixTokens+c.NewTokens*c.Turns+c.OutputTokens)
 	}
-	streams := min(float64(s.Decode.Spec.Slots), float64(s.Decode.Spec.Memory)/held)
+	streams := min(float64(s.Decode.Spec.MaxRunning), float64(s.Decode.Spec.MemoryTokens)/held)
 	writers = min(writers, streams/(answer*step.Seconds())*float64(s.Decode.Count))
 	return s.Load * min(readers, writers)
 }
@@ -412,7 +412,7 @@
 	line("routers", s.Routers)
 	line("index", i)
 	line("log-level", "warn")
-	line("max-context", s.Prefill.Spec.Context)
+	line("max-context", s.Prefill.Spec.MaxContextTokens)
 	line("answer-grace", s.AnswerGrace)
 	line("drain-grace", s.DrainGrace)
 	line("let-go-within", s.HoldTimeout)
@@ -442,7 +442,7 @@
 		}
 		line("kind", kind)
 		line("  role", role)
-		line("  memory", g.Spec.Memory)
+		line("  memory", g.Spec.MemoryTokens)
 		if s.RoleChangeTime > 0 {
 			line("  becomes", map[string]string{"prefill": "decode", "decode": "prefill"}[kind])
 			line("  capacity", int(g.Spec.Capacity()))
@@ -485,8 +485,8 @@
 		Group
 	}{{"prefill", s.Prefill}, {"decode", s.Decode}} {
 		p := g.Spec
-		fmt.Fprintf(&b, "%s count %d slots %d queue %d memory %d read %.0f step %v per-sequence %v\n", g.name, g.Count, p.Slots, p.Queue, p.Memory,
-			p.ReadPerS, p.Step, p.PerSeq)
+		fmt.Fprintf(&b, "%s count %d slots %d queue %d memory %d read %.0f step %v per-sequence %v\n", g.name, g.Count, p.MaxRunning, p.MaxQueued, p.MemoryTokens,
+			p.ReadTokensPerSecond, p.StepTime, p.StepTimePerWriter)
 	}
 	for _, c := range s.Classes {
 		fmt.Fprintf(&b, "class %q share %v worth %v aim %v aim-per-1000 %v deadline %v token-aim %v repeat %s new %.0f answer %.0f max-tokens %d turns %.2f think %v texts %d text-tokens %.0f text-share %.2f\n",
--- a/internal/day/swing.go
+++ b/internal/day/swing.go
@@ -37,7 +37,7 @@
 		e := &s.Trace.Entries[i]
 		c := &s.Classes[class[e.Class]]
 		a := ask{at: time.Duration(float64(e.At) / s.Speed), name: fmt.Sprintf("q%d", i+1), class: class[e.Class], session: fmt.Sprintf("s%d", i+1),
-			text: e.PrefixID, prompt: min(max(e.PromptTokens, 1), s.Prefill.Spec.Context-c.MaxOutputTokens-1), shared: e.PrefixTokens, answer: e.OutputTokens, patience: 1}
+			text: e.PrefixID, prompt: min(max(e.PromptTokens, 1), s.Prefill.Spec.MaxContextTokens-c.MaxOutputTokens-1), shared: e.PrefixTokens, answer: e.OutputTokens, patience: 1}
 		if a.answer == 0 {
 			a.answer = unknown
 		}
--- a/internal/day/traffic.go
+++ b/internal/day/traffic.go
@@ -76,7 +76,7 @@
 			if f := s.tail(turn, ci); f > 1 && rng.Float64() < s.tailShare(turn, ci) {
 				n = int(float64(n) * f)
 			}
-			a.prompt = min(a.prompt+n, s.Prefill.Spec.Context-c.MaxOutputTokens-1)
+			a.prompt = min(a.prompt+n, s.Prefill.Spec.MaxContextTokens-c.MaxOutputTokens-1)
 			a.answer = min(max(int(length.Rand()), 1), c.MaxOutputTokens)
 			a.hint = max(int(float64(a.answer)*math.Exp(0.5*rng.NormFloat64())), 1)
 			a.at, a.patience, a.leaves = turn, s.Clients.Patience, false
--- a/internal/e2e/e2e_test.go
+++ b/internal/e2e/e2e_test.go
@@ -77,10 +77,10 @@
 	s := standin.Prefill()
 	if role == decide.Writer {
 		s = standin.Decode()
-		s.Step, s.PerSeq = 2*time.Millisecond, 0
+		s.StepTime, s.StepTimePerWriter = 2*time.Millisecond, 0
 	}
-	s.ReadPerS, s.PortPerS, s.Step = 400e3, 4e6, time.Millisecond
-	s.ReportDelay, s.ReportEvery = 0, 10*time.Millisecond
+	s.ReadTokensPerSecond, s.PortTokensPerSecond, s.StepTime = 400e3, 4e6, time.Millisecond
+	s.ReportDelay, s.ReportInterval = 0, 10*time.Millisecond
 	return s
 }
 
@@ -167,8 +167,8 @@
 // play plays a fault on an engine.
 func (w *world) play(name string, f standin.Fault) {
 	w.t.Helper()
-	if f.For == 0 {
-		f.For = time.Hour
+	if f.Duration == 0 {
+		f.Duration = time.Hour
 	}
 	if err := w.fleet.Play(w.fleet.Member(name), f); err != nil {
 		w.t.Fatal(err)
--- a/internal/e2e/hard_test.go
+++ b/internal/e2e/hard_test.go
@@ -63,7 +63,7 @@
 // slowly makes answers take long enough to be interrupted.
 func slowly(s *standin.Spec) {
 	if s.Role == decide.Writer {
-		s.Step = 20 * time.Millisecond
+		s.StepTime = 20 * time.Millisecond
 	}
 }
 
@@ -75,14 +75,14 @@
 		opts []option
 		when func(w *world) bool
 	}{
-		{"during the read", []option{spec(func(s *standin.Spec) { s.ReadPerS = 500 })}, func(w *world) bool { return w.seen(audit.Arrived, "") == 1 }},
+		{"during the read", []option{spec(func(s *standin.Spec) { s.ReadTokensPerSecond = 500 })}, func(w *world) bool { return w.seen(audit.Arrived, "") == 1 }},
 		{"while its state waits", nil, func(w *world) bool { return w.seen(audit.Rejected, "silence") == 1 }},
 		{"in mid-answer", []option{spec(slowly)}, func(w *world) bool { return w.seen(audit.Executed, "") == 1 }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w := newWorld(t, c.opts...)
 			if c.name == "while its state waits" {
-				w.playAll("d", standin.Fault{Kind: "class_fail", Size: 1, How: "silence"})
+				w.playAll("d", standin.Fault{Kind: "class_fail", Size: 1, Mode: "silence"})
 			}
 			ctx, cancel := context.WithCancel(t.Context())
 			done := make(chan answer, 1)
@@ -120,7 +120,7 @@
 	t.Run("before its first token", func(t *testing.T) {
 		w := newWorld(t, engines(2, 2), spec(func(s *standin.Spec) {
 			if s.Role == decide.Writer {
-				s.Step = 400 * time.Millisecond // between the fetch and the first token
+				s.StepTime = 400 * time.Millisecond // between the fetch and the first token
 			}
 		}))
 		done := make(chan answer, 1)
@@ -165,7 +165,7 @@
 func TestUnsafeIsNotRepeated(t *testing.T) {
 	w := newWorld(t, spec(func(s *standin.Spec) {
 		if s.Role == decide.Writer {
-			s.Step = 400 * time.Millisecond
+			s.StepTime = 400 * time.Millisecond
 		}
 	}))
 	done := make(chan answer, 1)
@@ -192,7 +192,7 @@
 // says so, and the prompt is read again.
 func TestPrefillEngineRestarts(t *testing.T) {
 	w := newWorld(t, engines(1, 1), more("attempts 64\n"))
-	w.play("d1", standin.Fault{Kind: "class_fail", Size: 1, How: "silence"})
+	w.play("d1", standin.Fault{Kind: "class_fail", Size: 1, Mode: "silence"})
 	done := make(chan answer, 1)
 	go func() {
 		done <- w.stream(t.Context(), generate("Rate? [answer=2]", ask{"deadline_ms": 60000}))
@@ -251,8 +251,8 @@
 // nothing.
 func TestSilentAndLateEngines(t *testing.T) {
 	w := newWorld(t, engines(2, 2))
-	w.fleet.Play(w.fleet.Member("p1"), standin.Fault{Kind: "vanish", For: time.Hour})
-	w.fleet.Play(w.fleet.Member("d1"), standin.Fault{Kind: "slow", For: time.Hour, Size: 1000})
+	w.fleet.Play(w.fleet.Member("p1"), standin.Fault{Kind: "vanish", Duration: time.Hour})
+	w.fleet.Play(w.fleet.Member("d1"), standin.Fault{Kind: "slow", Duration: time.Hour, Size: 1000})
 	for i := range 6 {
 		if a := w.stream(t.Context(), generate("Rate? [answer=3]", ask{"session": fmt.Sprint(i), "deadline_ms": 60000})); a.tokens != 3 || a.finish == "" {
 			t.Errorf("%+v", a)
@@ -264,8 +264,8 @@
 // A class that some engines leave unanswered is served by the others.
 func TestClassThatFails(t *testing.T) {
 	w := newWorld(t, engines(2, 3))
-	w.play("d1", standin.Fault{Kind: "class_fail", Size: 1, Class: "price-ask", How: "silence"})
-	w.play("d2", standin.Fault{Kind: "class_fail", Size: 1, Class: "price-ask", How: "error"})
+	w.play("d1", standin.Fault{Kind: "class_fail", Size: 1, Class: "price-ask", Mode: "silence"})
+	w.play("d2", standin.Fault{Kind: "class_fail", Size: 1, Class: "price-ask", Mode: "error"})
 	// The module rations its time-outs by the traffic: two are to be had at the start.
 	for i := range 2 {
 		if a := w.stream(t.Context(), generate("Rate? [answer=3]", ask{"session": fmt.Sprint(i), "deadline_ms": 60000})); a.tokens != 3 || a.finish == "" {
@@ -346,7 +346,7 @@
 
 // A deadline shorter than any read is answered by its time, as a failure or a refusal.
 func TestShortDeadline(t *testing.T) {
-	w := newWorld(t, spec(func(s *standin.Spec) { s.ReadPerS = 1000 }))
+	w := newWorld(t, spec(func(s *standin.Spec) { s.ReadTokensPerSecond = 1000 }))
 	a := w.stream(t.Context(), generate("Rate?", ask{"deadline_ms": 50, "prompt_tokens": 20000}))
 	if a.status != http.StatusGatewayTimeout && a.status != http.StatusServiceUnavailable {
 		t.Errorf("%+v", a)
@@ -360,9 +360,9 @@
 func TestSlowReaderOfAStream(t *testing.T) {
 	w := newWorld(t, more("client-stall 300ms\nstream-parts 8\n"), spec(func(s *standin.Spec) {
 		if s.Role == decide.Writer {
-			s.Step = time.Microsecond
+			s.StepTime = time.Microsecond
 		}
-		s.Context = 400000
+		s.MaxContextTokens = 400000
 	}), more("max-context 400k"))
 	// The answer has to be larger than the buffers of the sockets.
 	body := `{"id":"c1","text_input":"Rate? [answer=99999]","parameters":{"prompt_tokens":100,"max_tokens":99999}}`
@@ -505,7 +505,7 @@
 func TestEventsAtOneMoment(t *testing.T) {
 	w := newWorld(t, spec(func(s *standin.Spec) {
 		if s.Role == decide.Writer {
-			s.Step = 3 * time.Millisecond
+			s.StepTime = 3 * time.Millisecond
 		}
 	}))
 	var wg sync.WaitGroup
@@ -712,7 +712,7 @@
 	t.Run("it repeats what may not be repeated", func(t *testing.T) {
 		w := newWorld(t, spec(func(s *standin.Spec) {
 			if s.Role == decide.Writer {
-				s.Step = 100 * time.Millisecond
+				s.StepTime = 100 * time.Millisecond
 			}
 		}))
 		w.playAll("d", standin.Fault{Kind: "wrong_id", Size: 1})
--- a/internal/e2e/places_test.go
+++ b/internal/e2e/places_test.go
@@ -36,7 +36,7 @@
 // it up, and the prompt is read again, since the state is only there. Either way the request is served and
 // nothing stays held.
 func TestPlacesAhead(t *testing.T) {
-	w := newWorld(t, engines(1, 2), spec(func(s *standin.Spec) { s.ReadPerS = 2000 }))
+	w := newWorld(t, engines(1, 2), spec(func(s *standin.Spec) { s.ReadTokensPerSecond = 2000 }))
 	r := brokenWorld(t, w, holdAt("d1"), true)
 	for range 8 {
 		if end := submit(t, r, 0, "price-ask"); end.Kind != router.Served || end.Tokens != 2 {
@@ -53,7 +53,7 @@
 
 // A client that leaves while its prompt is read and a place is held: both are let go.
 func TestPlaceOfAClientThatLeaves(t *testing.T) {
-	w := newWorld(t, spec(func(s *standin.Spec) { s.ReadPerS = 20 }))
+	w := newWorld(t, spec(func(s *standin.Spec) { s.ReadTokensPerSecond = 20 }))
 	r := brokenWorld(t, w, holdAt("d1"), true)
 	q, err := r.Submit(&router.Job{ClientID: "q1/1", ClassName: "price-ask", Prompt: "x", PromptTokens: 1000, Tenant: 99, MaxTokens: 2,
 		Deadline: time.Now().Add(time.Minute)})
--- a/internal/e2e/shift_test.go
+++ b/internal/e2e/shift_test.go
@@ -62,7 +62,7 @@
 		*set = shifting
 		for i := range c.Groups {
 			c.Groups[i].Count = 3
-			c.Groups[i].Spec.ColdFor = 500 * time.Millisecond
+			c.Groups[i].Spec.SlowStartTime = 500 * time.Millisecond
 		}
 		read, write := c.Groups[0].Spec, c.Groups[1].Spec
 		c.Groups[0].Other, c.Groups[1].Other = &write, &read
@@ -306,7 +306,7 @@
 	heavy := w.traffic(12, 20000, 2)
 	for _, m := range w.fleet.Members() {
 		if strings.HasPrefix(m.Name, "p") && m.Name != moving {
-			w.play(m.Name, standin.Fault{Kind: "crash", For: time.Hour})
+			w.play(m.Name, standin.Fault{Kind: "crash", Duration: time.Hour})
 		}
 	}
 	w.eventually("it reads again, or it was too late to call it back and it is back", func() bool {
@@ -351,7 +351,7 @@
 		return false
 	}
 	w.eventually("it writes", func() bool { return word("decode", 2) })
-	m.Engine.Anew()
+	m.Engine.Reinstall()
 	w.eventually("it reads again", func() bool { return word("prefill", 1) })
 	if a := w.stream(t.Context(), generate("Rate? [answer=5]", nil)); a.tokens != 5 {
 		t.Errorf("%+v", a)
--- a/internal/sim/property_test.go
+++ b/internal/sim/property_test.go
@@ -17,7 +17,7 @@
 	cfg := sc.Config(tr)
 	cfg.Roles = sc.Shifting()
 	cfg.Look, cfg.Change = 250*time.Millisecond, 300*time.Millisecond
-	cfg.Prefill.ColdFor, cfg.Decode.ColdFor = 2*time.Second, 2*time.Second
+	cfg.Prefill.SlowStartTime, cfg.Decode.SlowStartTime = 2*time.Second, 2*time.Second
 	cfg.Settings.SlowStartTime = 2.4e9
 	r := cfg.Roles
 	r.Costs.Horizon, r.Costs.AwayTime, r.PlanInterval, r.SlowStartTime, r.Confidence = 4*time.Second, 900*time.Millisecond, 500*time.Millisecond, 2400*time.Millisecond, 0.6
--- a/internal/sim/scene.go
+++ b/internal/sim/scene.go
@@ -32,7 +32,7 @@
 	read, write := standin.Prefill(), standin.Decode()
 	const coldFor = 13 * time.Second
 	for _, spec := range []*standin.Spec{&read, &write} {
-		spec.ColdFor, spec.MeanPrompt, spec.MeanAnswer = coldFor*9/10, 1000, 100
+		spec.SlowStartTime, spec.MeanPromptTokens, spec.MeanAnswerTokens = coldFor*9/10, 1000, 100
 	}
 	class := func(worth float64) decide.Class {
 		return decide.Class{FirstTokenTarget: decide.Second, FirstTokenTargetPerK: 40e6, Deadline: 4 * decide.Second, TokenIntervalTarget: 60e6, Value: worth, LateValue: 0.2}
@@ -41,9 +41,9 @@
 		Link: 600e3, Silent: 3 * time.Second, Add: time.Second, MaxAnswer: 1000, Unknown: 100, CheckDelay: 10 * time.Millisecond, Trace: t}
 	c.Settings = decide.Settings{Routers: s.Routers, Classes: []decide.Class{class(3), class(1)}, MayCancel: true, MaxAttempts: 6,
 		MaxRetryAfter: decide.Second / 2, DialTimeout: decide.Second / 4, AnswerGrace: 16e6, DrainGrace: decide.Second, HoldTimeout: 300e6,
-		OverloadMultiple: read.FallMultiple, OverloadWindow: decide.Duration(read.FallWithin), InitialCapacity: read.ColdFrom * 0.87,
+		OverloadMultiple: read.OverloadMultiple, OverloadWindow: decide.Duration(read.OverloadWindow), InitialCapacity: read.InitialCapacity * 0.87,
 		SlowStartTime: decide.Duration(coldFor), OverQuotaValue: 0.1, ProbeCost: 0.0026,
-		Kinds: []decide.Kind{roles.Prefill: {Role: decide.Reader, Memory: float64(read.Memory)}, roles.Decode: {Role: decide.Writer, Memory: float64(write.Memory)}}}
+		Kinds: []decide.Kind{roles.Prefill: {Role: decide.Reader, Memory: float64(read.MemoryTokens)}, roles.Decode: {Role: decide.Writer, Memory: float64(write.MemoryTokens)}}}
 	for i := range s.Engines {
 		role := roles.Decode
 		if i < s.Readers {
--- a/internal/sim/unit.go
+++ b/internal/sim/unit.go
@@ -22,7 +22,7 @@
 	life     int
 	core     *standin.Core
 	first    roles.Stage // its role before any change
-	turns    standin.Turns
+	turns    standin.RoleState
 	since    time.Time // of its last start; zero: long ago
 	stepping bool
 	tasks    map[*attempt]bool
@@ -51,7 +51,7 @@
 
 // stage is the role that it has, will the one that it has or is on its way to.
 func (u *unit) stage() roles.Stage {
-	if u.turns.Swap {
+	if u.turns.Swapped {
 		return 1 - u.first
 	}
 	return u.first
@@ -90,7 +90,7 @@
 }
 
 func (u *unit) stay(epoch uint64) {
-	if u.up && u.turns.Stay(epoch) {
+	if u.up && u.turns.Cancel(epoch) {
 		u.ended()
 	}
 }
@@ -148,7 +148,7 @@
 	u.since = u.s.wall()
 	u.core = u.core.Next(u.s.calls[u.stage()], u.s.wall(), u.s.cfg.Keeps)
 	spec := u.s.calls[u.stage()]
-	u.s.res.ColdLost += roles.SlowStartLoss(spec.ColdFrom, spec.ColdFor)
+	u.s.res.ColdLost += roles.SlowStartLoss(spec.InitialCapacity, spec.SlowStartTime)
 	u.s.noteSplit()
 }
 
@@ -247,7 +247,7 @@
 	}
 	began := s.now
 	e := a.f.entry
-	a.task = &standin.Task{Prompt: e.PromptTokens, Shared: e.PrefixTokens, Text: e.PrefixID}
+	a.task = &standin.Task{PromptTokens: e.PromptTokens, SharedTokens: e.PrefixTokens, PrefixID: e.PrefixID}
 	life := u.life
 	if a.stage == roles.Prefill {
 		a.task.Read = func(kept int) {
@@ -270,9 +270,9 @@
 			turn(true)
 			return
 		}
-		a.task.State = true
-		a.task.Answer = s.answer(e.OutputTokens)
-		a.task.Granted = func() { s.after(0, func() { u.fetch(a) }) }
+		a.task.NeedsState = true
+		a.task.AnswerTokens = s.answer(e.OutputTokens)
+		a.task.OnAdmitted = func() { s.after(0, func() { u.fetch(a) }) }
 		a.task.Token = func(first, last bool) {
 			if first {
 				u.core.Waited(s.now - began)
@@ -315,7 +315,7 @@
 		return
 	}
 	tokens := float64(a.f.entry.PromptTokens)
-	d := s.cfg.Net*2 + seconds(tokens/s.cfg.Decode.PortPerS)
+	d := s.cfg.Net*2 + seconds(tokens/s.cfg.Decode.PortTokensPerSecond)
 	if from := a.from.u.cell; from != u.cell && s.cfg.Link > 0 {
 		free := max(s.links[from], s.now) + seconds(tokens/s.cfg.Link)
 		s.links[from] = free
--- a/internal/standin/engine/core.go
+++ b/internal/standin/engine/core.go
@@ -19,13 +19,13 @@
 
 // Task is a read or an answer in a Core.
 type Task struct {
-	Prompt, Shared int    // tokens
-	Session, Text  string // keys of what may be kept
-	Answer         int    // tokens to write; 0: a read, whose state stays until Free
-	State          bool   // an answer that waits for its state: Fetched lets it begin
-	Granted        func() // it has a slot and memory
-	Read           func(kept int)
-	Token          func(first, last bool)
+	PromptTokens, SharedTokens int    // tokens
+	SessionID, PrefixID        string // keys of what may be kept
+	AnswerTokens               int    // tokens to write; 0: a read, whose state stays until Free
+	NeedsState                 bool   // an answer that waits for its state: Fetched lets it begin
+	OnAdmitted                 func() // it has a slot and memory
+	Read                       func(kept int)
+	Token                      func(first, last bool)
 
 	q seq
 }
@@ -57,10 +57,10 @@
 
 // Admit takes a task in, or tells that slots and queue are full.
 func (c *Core) Admit(t *Task) bool {
-	t.q = seq{prompt: max(t.Prompt, 1), shared: t.Shared, session: t.Session, text: t.Text, answer: t.Answer, wantsState: t.State}
-	t.q.hooks = &hooks{granted: t.Granted, event: func(e event) {
+	t.q = seq{prompt: max(t.PromptTokens, 1), shared: t.SharedTokens, session: t.SessionID, text: t.PrefixID, answer: t.AnswerTokens, wantsState: t.NeedsState}
+	t.q.hooks = &hooks{granted: t.OnAdmitted, event: func(e event) {
 		switch {
-		case t.Answer == 0:
+		case t.AnswerTokens == 0:
 			t.Read(t.q.kept)
 		case e.token == 1 || e.last:
 			t.Token(e.token == 1, e.last)
@@ -101,7 +101,7 @@
 // Report is what the engine tells of its load: a sample of some time ago.
 func (c *Core) Report(now time.Time) decide.Report {
 	spec := &c.m.spec
-	if n := len(c.reports); n == 0 || now.Sub(c.reports[n-1].at) >= spec.ReportEvery {
+	if n := len(c.reports); n == 0 || now.Sub(c.reports[n-1].at) >= spec.ReportInterval {
 		share, waiting, latency := c.m.load()
 		c.reports = append(c.reports, report{now, engine.LoadReport{MemoryUse: &share, QueuedTokens: &waiting, LatencyMillis: &latency}})
 	}
--- a/internal/standin/engine/faults.go
+++ b/internal/standin/engine/faults.go
@@ -10,15 +10,15 @@
 // Fault is a trouble on command. The kinds are those of the bench that strike engines; those that strike
 // clients, routers or the list are played by whoever drives them.
 type Fault struct {
-	Kind  string        `json:"kind"`
-	For   time.Duration `json:"for"`
-	Size  float64       `json:"size"`            // a factor or a share, by kind
-	Class string        `json:"class,omitempty"` // class_fail, throttle
-	How   string        `json:"how,omitempty"`   // class_fail: error or silence
+	Kind     string        `json:"kind"`
+	Duration time.Duration `json:"for"`
+	Size     float64       `json:"size"`            // a factor or a share, by kind
+	Class    string        `json:"class,omitempty"` // class_fail, throttle
+	Mode     string        `json:"how,omitempty"`   // class_fail: error or silence
 }
 
-// Kinds are the faults that an engine can play, with what Size means.
-var Kinds = map[string]string{
+// FaultKinds are the faults that an engine can play, with what Size means.
+var FaultKinds = map[string]string{
 	"crash":          "the process dies at once and comes back cold",
 	"vanish":         "no answer, no reset; comes back cold",
 	"slow":           "Size times slower",
@@ -44,13 +44,13 @@
 // Check tells what is wrong with a fault.
 func (f *Fault) Check() error {
 	switch {
-	case Kinds[f.Kind] == "":
+	case FaultKinds[f.Kind] == "":
 		return fmt.Errorf("there is no fault %q", f.Kind)
-	case f.For <= 0:
+	case f.Duration <= 0:
 		return fmt.Errorf("fault %s: its time must be over 0", f.Kind)
 	case f.Size < 0 || f.Size != f.Size:
 		return fmt.Errorf("fault %s: its size must not be negative", f.Kind)
-	case f.How != "" && f.How != "error" && f.How != "silence":
+	case f.Mode != "" && f.Mode != "error" && f.Mode != "silence":
 		return fmt.Errorf("fault %s: how is error or silence", f.Kind)
 	}
 	return nil
@@ -69,7 +69,7 @@
 }
 
 func (f *faults) add(x Fault, now time.Time) {
-	f.list = append(f.list, active{x, now, now.Add(x.For)})
+	f.list = append(f.list, active{x, now, now.Add(x.Duration)})
 }
 
 func (f *faults) clear(kind string) {
@@ -106,7 +106,7 @@
 func (f *faults) factor(now time.Time) float64 {
 	factor := f.largest("slow", 1, now)
 	f.each("ageing", now, func(a *active) {
-		lived := float64(now.Sub(a.from)) / float64(a.For)
+		lived := float64(now.Sub(a.from)) / float64(a.Duration)
 		factor = max(factor, 1+(a.Size-1)*lived)
 	})
 	return factor
--- a/internal/standin/engine/model.go
+++ b/internal/standin/engine/model.go
@@ -14,60 +14,60 @@
 
 // Spec is what a stand-in can do. The figures are assumptions, of the order that the users' letters give.
 type Spec struct {
-	Role     decide.Role
-	Slots    int           // sequences that run at once
-	Queue    int           // that wait beyond
-	Memory   int           // tokens
-	Block    int           // tokens of a block of memory
-	ReadPerS float64       // prompt tokens read a second
-	Chunk    int           // prompt tokens read in a step at most
-	Step     time.Duration // of a step with nothing in it
-	PerSeq   time.Duration // and for each sequence that writes
-	Context  int           // tokens of prompt and answer that fit
-
-	ColdFrom     float64 // part of its capacity at the start
-	ColdFor      time.Duration
-	FallMultiple float64 // 0: it never falls
-	FallWithin   time.Duration
-	MeanAnswer   float64 // tokens; the work of a send to a writer
-	MeanPrompt   float64 // tokens; the work of a send to a reader
-
-	PortPerS    float64 // tokens of state a second that move to an engine of the same cell
-	TokenBytes  int     // bytes of state a token
-	ReportEvery time.Duration
-	ReportDelay time.Duration
+	Role                decide.Role
+	MaxRunning          int           // sequences that run at once
+	MaxQueued           int           // that wait beyond
+	MemoryTokens        int           // tokens
+	BlockTokens         int           // tokens of a block of memory
+	ReadTokensPerSecond float64       // prompt tokens read a second
+	ChunkTokens         int           // prompt tokens read in a step at most
+	StepTime            time.Duration // of a step with nothing in it
+	StepTimePerWriter   time.Duration // and for each sequence that writes
+	MaxContextTokens    int           // tokens of prompt and answer that fit
+
+	InitialCapacity  float64 // part of its capacity at the start
+	SlowStartTime    time.Duration
+	OverloadMultiple float64 // 0: it never falls
+	OverloadWindow   time.Duration
+	MeanAnswerTokens float64 // tokens; the work of a send to a writer
+	MeanPromptTokens float64 // tokens; the work of a send to a reader
+
+	PortTokensPerSecond float64 // tokens of state a second that move to an engine of the same cell
+	StateBytesPerToken  int     // bytes of state a token
+	ReportInterval      time.Duration
+	ReportDelay         time.Duration
 }
 
 // Prefill and Decode are the specs of the demonstration.
 func Prefill() Spec {
-	return Spec{Role: decide.Reader, Slots: 8, Queue: 40, Memory: 240000, Block: 16, ReadPerS: 18000, Chunk: 2048,
-		Step: 2 * time.Millisecond, Context: 32000, ColdFrom: 0.3, ColdFor: 10 * time.Second, FallMultiple: 4,
-		FallWithin: 2 * time.Second, MeanPrompt: 2000, MeanAnswer: 120, PortPerS: 250000, TokenBytes: 64,
-		ReportEvery: 300 * time.Millisecond, ReportDelay: 100 * time.Millisecond}
+	return Spec{Role: decide.Reader, MaxRunning: 8, MaxQueued: 40, MemoryTokens: 240000, BlockTokens: 16, ReadTokensPerSecond: 18000, ChunkTokens: 2048,
+		StepTime: 2 * time.Millisecond, MaxContextTokens: 32000, InitialCapacity: 0.3, SlowStartTime: 10 * time.Second, OverloadMultiple: 4,
+		OverloadWindow: 2 * time.Second, MeanPromptTokens: 2000, MeanAnswerTokens: 120, PortTokensPerSecond: 250000, StateBytesPerToken: 64,
+		ReportInterval: 300 * time.Millisecond, ReportDelay: 100 * time.Millisecond}
 }
 
 // Decode returns the spec of an engine that writes.
 func Decode() Spec {
 	s := Prefill()
-	s.Role, s.Slots, s.Queue, s.Memory, s.ReadPerS, s.Chunk = decide.Writer, 90, 30, 160000, 7500, 512
-	s.Step, s.PerSeq = 12*time.Millisecond, 150*time.Microsecond
+	s.Role, s.MaxRunning, s.MaxQueued, s.MemoryTokens, s.ReadTokensPerSecond, s.ChunkTokens = decide.Writer, 90, 30, 160000, 7500, 512
+	s.StepTime, s.StepTimePerWriter = 12*time.Millisecond, 150*time.Microsecond
 	return s
 }
 
 // capacity is the work a second that the engine can do when warm: tokens read, or tokens written.
 func (s *Spec) capacity() float64 {
 	if s.Role == decide.Reader {
-		return s.ReadPerS
+		return s.ReadTokensPerSecond
 	}
-	step := s.Step + time.Duration(s.Slots)*s.PerSeq
-	return float64(s.Slots) / step.Seconds()
+	step := s.StepTime + time.Duration(s.MaxRunning)*s.StepTimePerWriter
+	return float64(s.MaxRunning) / step.Seconds()
 }
 
 func (s *Spec) meanWork() float64 {
 	if s.Role == decide.Reader {
-		return s.MeanPrompt
+		return s.MeanPromptTokens
 	}
-	return s.MeanAnswer
+	return s.MeanAnswerTokens
 }
 
 var errFull = errors.New("slots and queue are full")
@@ -159,7 +159,7 @@
 func newModel(spec Spec, now time.Time, cold bool) *model {
 	m := &model{spec: spec, started: now, slow: 1, cache: map[string]*list.Element{}, lru: list.New()}
 	if !cold {
-		m.started = now.Add(-spec.ColdFor)
+		m.started = now.Add(-spec.SlowStartTime)
 	}
 	return m
 }
@@ -167,23 +167,25 @@
 // share is the part of its capacity that the engine has at a time.
 func (m *model) share(now time.Time) float64 {
 	age := now.Sub(m.started)
-	if age >= m.spec.ColdFor {
+	if age >= m.spec.SlowStartTime {
 		return 1
 	}
-	return m.spec.ColdFrom + (1-m.spec.ColdFrom)*float64(age)/float64(m.spec.ColdFor)
+	return m.spec.InitialCapacity + (1-m.spec.InitialCapacity)*float64(age)/float64(m.spec.SlowStartTime)
 }
 
-func (m *model) blocksOf(tokens int) int { return (tokens + m.spec.Block - 1) / m.spec.Block }
+func (m *model) blocksOf(tokens int) int {
+	return (tokens + m.spec.BlockTokens - 1) / m.spec.BlockTokens
+}
 
-func (m *model) total() int { return m.spec.Memory / m.spec.Block }
+func (m *model) total() int { return m.spec.MemoryTokens / m.spec.BlockTokens }
 
 // weigh counts a send against the budget of a cold engine; it may fall by it.
 func (m *model) weigh(now time.Time) {
-	if m.spec.FallMultiple == 0 || now.Sub(m.started) >= m.spec.ColdFor {
+	if m.spec.OverloadMultiple == 0 || now.Sub(m.started) >= m.spec.SlowStartTime {
 		return
 	}
 	m.sends = append(m.sends, send{now, m.spec.meanWork()})
-	for len(m.sends) > 0 && now.Sub(m.sends[0].at) > m.spec.FallWithin {
+	for len(m.sends) > 0 && now.Sub(m.sends[0].at) > m.spec.OverloadWindow {
 		m.sends = m.sends[1:]
 	}
 	sum := 0.0
@@ -191,7 +193,7 @@
 		sum += s.work
 	}
 	const slack = 2 // sends, for chance
-	budget := m.spec.FallMultiple * m.share(now) * m.spec.capacity() * m.spec.FallWithin.Seconds()
+	budget := m.spec.OverloadMultiple * m.share(now) * m.spec.capacity() * m.spec.OverloadWindow.Seconds()
 	if sum > budget+slack*m.spec.meanWork() {
 		m.fallen = true
 	}
@@ -199,7 +201,7 @@
 
 // admit takes a sequence into the queue, or turns it away.
 func (m *model) admit(s *seq) error {
-	if len(m.running)+len(m.queue) >= m.spec.Slots+m.spec.Queue {
+	if len(m.running)+len(m.queue) >= m.spec.MaxRunning+m.spec.MaxQueued {
 		return errFull
 	}
 	if s.hooks == nil {
@@ -213,7 +215,7 @@
 
 // schedule gives slots and memory to those that wait, first come first.
 func (m *model) schedule() {
-	for len(m.queue) > 0 && len(m.running) < m.spec.Slots {
+	for len(m.queue) > 0 && len(m.running) < m.spec.MaxRunning {
 		s := m.queue[0]
 		need := m.blocksOf(s.prompt + s.written + 1)
 		if !m.room(need) {
@@ -326,7 +328,7 @@
 // step returns how long the next step takes and what it reads, by sequence.
 func (m *model) step(now time.Time) (time.Duration, []int) {
 	reads := make([]int, len(m.running))
-	left, writers := m.spec.Chunk, 0
+	left, writers := m.spec.ChunkTokens, 0
 	read := 0
 	for i, s := range m.running {
 		if s.fetching {
@@ -339,7 +341,7 @@
 		}
 		writers++
 	}
-	d := float64(m.spec.Step) + float64(m.spec.PerSeq)*float64(writers) + float64(read)/m.spec.ReadPerS*1e9
+	d := float64(m.spec.StepTime) + float64(m.spec.StepTimePerWriter)*float64(writers) + float64(read)/m.spec.ReadTokensPerSecond*1e9
 	return time.Duration(d * m.slow / m.share(now)), reads
 }
 
@@ -415,12 +417,12 @@
 	m.waits += gain * (float64(d)/1e6 - m.waits)
 }
 
-// Faster makes everything that the engine does so many times faster.
-func (s *Spec) Faster(times float64) {
+// SpeedUp makes everything that the engine does so many times faster.
+func (s *Spec) SpeedUp(times float64) {
 	scale := func(d *time.Duration) { *d = time.Duration(float64(*d) / times) }
-	for _, d := range []*time.Duration{&s.Step, &s.PerSeq, &s.ColdFor, &s.FallWithin, &s.ReportEvery, &s.ReportDelay} {
+	for _, d := range []*time.Duration{&s.StepTime, &s.StepTimePerWriter, &s.SlowStartTime, &s.OverloadWindow, &s.ReportInterval, &s.ReportDelay} {
 		scale(d)
 	}
-	s.ReadPerS *= times
-	s.PortPerS *= times
+	s.ReadTokensPerSecond *= times
+	s.PortTokensPerSecond *= times
 }
--- a/internal/standin/engine/model_test.go
+++ b/internal/standin/engine/model_test.go
@@ -14,7 +14,7 @@
 // small is an engine that reads 1,000 tokens a second in chunks of 100, with room for 1,000 tokens.
 func small() Spec {
 	s := Prefill()
-	s.Slots, s.Queue, s.Memory, s.Block, s.ReadPerS, s.Chunk, s.Step, s.PerSeq = 2, 1, 1000, 10, 1000, 100, time.Millisecond, 2*time.Millisecond
+	s.MaxRunning, s.MaxQueued, s.MemoryTokens, s.BlockTokens, s.ReadTokensPerSecond, s.ChunkTokens, s.StepTime, s.StepTimePerWriter = 2, 1, 1000, 10, 1000, 100, time.Millisecond, 2*time.Millisecond
 	return s
 }
 
@@ -103,10 +103,10 @@
 
 func TestColdAndFall(t *testing.T) {
 	m := newModel(small(), start, true)
-	if got := m.share(start); got != m.spec.ColdFrom {
+	if got := m.share(start); got != m.spec.InitialCapacity {
 		t.Errorf("it starts at %v", got)
 	}
-	if m.share(start.Add(m.spec.ColdFor/2)) <= m.spec.ColdFrom || m.share(start.Add(m.spec.ColdFor)) != 1 {
+	if m.share(start.Add(m.spec.SlowStartTime/2)) <= m.spec.InitialCapacity || m.share(start.Add(m.spec.SlowStartTime)) != 1 {
 		t.Error("it does not warm up")
 	}
 	cold, _ := m.step(start)
@@ -176,7 +176,7 @@
 						sum += s.blocks
 					}
 				}
-				if sum != m.used || m.used+m.cached > m.total() || m.used < 0 || m.cached < 0 || len(m.running) > m.spec.Slots {
+				if sum != m.used || m.used+m.cached > m.total() || m.used < 0 || m.cached < 0 || len(m.running) > m.spec.MaxRunning {
 					t.Fatalf("%d blocks in use by count, %d by sum; %d cached of %d", m.used, sum, m.cached, m.total())
 				}
 			},
@@ -185,21 +185,21 @@
 }
 
 func TestFaults(t *testing.T) {
-	for _, f := range []Fault{{Kind: "nonsense", For: 1}, {Kind: "slow"}, {Kind: "slow", For: 1, Size: -1}, {Kind: "class_fail", For: 1, How: "x"}} {
+	for _, f := range []Fault{{Kind: "nonsense", Duration: 1}, {Kind: "slow"}, {Kind: "slow", Duration: 1, Size: -1}, {Kind: "class_fail", Duration: 1, Mode: "x"}} {
 		if f.Check() == nil {
 			t.Errorf("%+v was taken", f)
 		}
 	}
 	var fs faults
-	fs.add(Fault{Kind: "slow", For: time.Second, Size: 3}, start)
-	fs.add(Fault{Kind: "ageing", For: 10 * time.Second, Size: 5}, start)
+	fs.add(Fault{Kind: "slow", Duration: time.Second, Size: 3}, start)
+	fs.add(Fault{Kind: "ageing", Duration: 10 * time.Second, Size: 5}, start)
 	if got := fs.factor(start.Add(500 * time.Millisecond)); got != 3 {
 		t.Errorf("overlapping: %v", got)
 	}
 	if got := fs.factor(start.Add(5 * time.Second)); got != 3 { // half of its life: 1 + 4/2
 		t.Errorf("ageing: %v", got)
 	}
-	fs.add(Fault{Kind: "pauses", For: 10 * time.Second, Size: 0.3}, start)
+	fs.add(Fault{Kind: "pauses", Duration: 10 * time.Second, Size: 0.3}, start)
 	if d := fs.pause(start.Add(2100 * time.Millisecond)); d != 200*time.Millisecond {
 		t.Errorf("it stands still for %v", d)
 	}
--- a/internal/standin/engine/role.go
+++ b/internal/standin/engine/role.go
@@ -13,19 +13,19 @@
 // it through by itself: it takes nothing new, waits until what runs and what it holds has ended, changes,
 // and comes back cold and under the next epoch.
 
-// Turns is an engine's side of its changes of role, without clock or sockets: it outlives the process, as a
+// RoleState is an engine's side of its changes of role, without clock or sockets: it outlives the process, as a
 // setting on disk would. It is not safe for concurrent use.
-type Turns struct {
-	Epoch uint64
-	Phase string // one of engine.PhaseSteady and its like
-	To    string // the stage that it changes to
-	Swap  bool   // it does the work of its other role
-	until time.Time
+type RoleState struct {
+	Epoch   uint64
+	Phase   string // one of engine.PhaseSteady and its like
+	To      string // the stage that it changes to
+	Swapped bool   // it does the work of its other role
+	until   time.Time
 }
 
 // Grant grants a change from an epoch, if the engine is steady and at that epoch. It takes nothing new from
 // then on, and does not change before notice has passed, so that every router can have seen it on its way.
-func (t *Turns) Grant(now time.Time, to string, epoch uint64, notice time.Duration) bool {
+func (t *RoleState) Grant(now time.Time, to string, epoch uint64, notice time.Duration) bool {
 	if t.Phase != engine.PhaseSteady || t.Epoch != epoch {
 		return false
 	}
@@ -33,8 +33,8 @@
 	return true
 }
 
-// Stay takes a granted change back, while the engine is emptying.
-func (t *Turns) Stay(epoch uint64) bool {
+// Cancel takes a granted change back, while the engine is emptying.
+func (t *RoleState) Cancel(epoch uint64) bool {
 	if t.Phase != engine.PhaseEmptying || t.Epoch != epoch {
 		return false
 	}
@@ -43,7 +43,7 @@
 }
 
 // Begin begins the change itself, if the engine is empty and notice has passed.
-func (t *Turns) Begin(now time.Time, empty bool) bool {
+func (t *RoleState) Begin(now time.Time, empty bool) bool {
 	if t.Phase != engine.PhaseEmptying || !empty || now.Before(t.until) {
 		return false
 	}
@@ -52,11 +52,11 @@
 }
 
 // End ends the change: in the new role, or for a failure in the old one.
-func (t *Turns) End(done bool) {
+func (t *RoleState) End(done bool) {
 	t.Phase = engine.PhaseSteady
 	if done {
 		t.Epoch++
-		t.Swap = !t.Swap
+		t.Swapped = !t.Swapped
 	}
 }
 
@@ -75,7 +75,7 @@
 	if s.cfg.OtherRole == nil {
 		return nil
 	}
-	if s.role.Swap {
+	if s.role.Swapped {
 		return &s.cfg.Spec
 	}
 	return s.cfg.OtherRole
@@ -134,7 +134,7 @@
 	}
 	s := l.s
 	s.mu.Lock()
-	taken := s.life == l && s.role.Stay(q.Epoch)
+	taken := s.life == l && s.role.Cancel(q.Epoch)
 	standing := s.standing()
 	s.mu.Unlock()
 	answerRole(w, taken, standing)
@@ -200,12 +200,12 @@
 	l.signal()
 }
 
-// Anew sets the engine up anew, as after the loss of its disk: it restarts at once, in its first role and at its
+// Reinstall sets the engine up anew, as after the loss of its disk: it restarts at once, in its first role and at its
 // first epoch.
-func (s *Server) Anew() {
+func (s *Server) Reinstall() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.crashLocked(time.Millisecond)
-	s.role = Turns{Epoch: 1, Phase: engine.PhaseSteady}
+	s.role = RoleState{Epoch: 1, Phase: engine.PhaseSteady}
 	s.spec.Store(&s.cfg.Spec)
 }
--- a/internal/standin/engine/role_test.go
+++ b/internal/standin/engine/role_test.go
@@ -18,7 +18,7 @@
 func changeable(t *testing.T) (*Server, *engine.Client) {
 	t.Helper()
 	read, write := Prefill(), Decode()
-	read.ReadPerS, write.Step = 2000, time.Millisecond
+	read.ReadTokensPerSecond, write.StepTime = 2000, time.Millisecond
 	s := New(Config{Name: "e", Addr: "127.0.0.1:0", Spec: read, OtherRole: &write, RoleChangeTime: 10 * time.Millisecond, Seed: 1}, nil)
 	if err := s.Start(); err != nil {
 		t.Fatal(err)
@@ -143,7 +143,7 @@
 	} {
 		t.Run(c.fault, func(t *testing.T) {
 			s, client := changeable(t)
-			if err := s.InjectFault(Fault{Kind: c.fault, For: time.Hour, Size: 0.001}); err != nil {
+			if err := s.InjectFault(Fault{Kind: c.fault, Duration: time.Hour, Size: 0.001}); err != nil {
 				t.Fatal(err)
 			}
 			if _, ok, err := client.ChangeRole(t.Context(), s.Addr(), &engine.RoleChange{To: engine.StageDecode, Epoch: 1}); ok != c.grant || err != nil {
--- a/internal/standin/engine/server.go
+++ b/internal/standin/engine/server.go
@@ -103,7 +103,7 @@
 
 	mu      sync.Mutex
 	life    *life // nil while down
-	role    Turns
+	role    RoleState
 	faults  faults
 	since   time.Time
 	drained bool
@@ -216,10 +216,10 @@
 // recordStart tells the audit of a start, in whichever role.
 func (s *Server) recordStart(now time.Time, cold bool) {
 	spec := s.spec.Load()
-	rec := audit.Record{At: now.UnixNano(), Who: s.cfg.Name, Kind: audit.Started, N: spec.capacity(), Work: spec.ColdFrom,
-		Deadline: int64(spec.ColdFor), Note: stageOf(spec)}
+	rec := audit.Record{At: now.UnixNano(), Who: s.cfg.Name, Kind: audit.Started, N: spec.capacity(), Work: spec.InitialCapacity,
+		Deadline: int64(spec.SlowStartTime), Note: stageOf(spec)}
 	if !cold {
-		rec.At -= int64(spec.ColdFor)
+		rec.At -= int64(spec.SlowStartTime)
 	}
 	s.cfg.AuditLog.Add(rec)
 }
@@ -319,14 +319,14 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.log.Info("fault", "kind", f.Kind, "for", f.For, "size", f.Size, "class", f.Class)
+	s.log.Info("fault", "kind", f.Kind, "for", f.Duration, "size", f.Size, "class", f.Class)
 	switch f.Kind {
 	case "crash":
-		s.crashLocked(f.For)
+		s.crashLocked(f.Duration)
 	case "vanish":
 		if l := s.life; l != nil {
 			l.silent = true
-			s.after(f.For, func() {
+			s.after(f.Duration, func() {
 				if s.life == l {
 					s.crashLocked(time.Millisecond)
 				}
@@ -337,20 +337,20 @@
 		s.drained = true
 		s.after(time.Duration(f.Size*float64(time.Second)), func() {
 			if s.life == l {
-				s.crashLocked(f.For)
+				s.crashLocked(f.Duration)
 			}
 		})
 	case "ageing":
 		l := s.life
 		s.faults.add(f, time.Now())
-		s.after(f.For, func() {
+		s.after(f.Duration, func() {
 			if s.life == l {
 				s.crashLocked(time.Second)
 			}
 		})
 	case "origin_slow":
 		if s.cfg.Link != nil {
-			s.cfg.Link.SlowDown(f.Size, f.For)
+			s.cfg.Link.SlowDown(f.Size, f.Duration)
 		}
 		s.faults.add(f, time.Now())
 	default:
@@ -413,7 +413,7 @@
 			}
 			l.s.mu.Unlock()
 		default:
-			t := time.NewTimer(l.s.spec.Load().ReportEvery)
+			t := time.NewTimer(l.s.spec.Load().ReportInterval)
 			select {
 			case <-l.wake:
 			case <-t.C:
@@ -433,7 +433,7 @@
 
 // sample takes a load report now and then; what is told is one of some time ago.
 func (l *life) sample(now time.Time) {
-	if n := len(l.reports); n > 0 && now.Sub(l.reports[n-1].at) < l.s.spec.Load().ReportEvery {
+	if n := len(l.reports); n > 0 && now.Sub(l.reports[n-1].at) < l.s.spec.Load().ReportInterval {
 		return
 	}
 	share, waiting, latency := l.model.load()
@@ -559,7 +559,7 @@
 	role := a.p.Stage == engine.StagePrefill && l.s.spec.Load().Role&decide.Reader == 0 ||
 		a.p.Stage == engine.StageDecode && l.s.spec.Load().Role&decide.Writer == 0
 	switch {
-	case fallen || ill != nil && ill.How == "silence":
+	case fallen || ill != nil && ill.Mode == "silence":
 		a.record(audit.Rejected, "silence")
 		l.hush(r.Context())
 		panic(http.ErrAbortHandler)
@@ -583,7 +583,7 @@
 		a.record(audit.Rejected, engine.RefusedFull)
 		l.turn(w, engine.RefusedFull, "no more of this class")
 		return false
-	case int(a.p.PromptTokens)+1 > l.s.spec.Load().Context:
+	case int(a.p.PromptTokens)+1 > l.s.spec.Load().MaxContextTokens:
 		a.record(audit.Rejected, "context")
 		writeJSON(w, http.StatusBadRequest, kserve.ErrorResponse{Error: "the prompt is longer than the context"})
 		return false
@@ -618,7 +618,7 @@
 		n, _ = strconv.Atoi(m[1])
 	} else {
 		const sigma = 0.6
-		mean := max(l.s.spec.Load().MeanAnswer, 1)
+		mean := max(l.s.spec.Load().MeanAnswerTokens, 1)
 		d := distuv.LogNormal{Mu: math.Log(mean) - sigma*sigma/2, Sigma: sigma,
 			Src: rand.NewPCG(xxhash.Sum64String(prompt), l.s.cfg.Seed)}
 		n = int(d.Rand())
@@ -855,10 +855,10 @@
 func (l *life) fetch(w http.ResponseWriter, r *http.Request, st *state) {
 	l.claimed(st, true)
 	defer l.claimed(st, false)
-	w.Header().Set("Content-Length", strconv.Itoa(st.prompt*l.s.spec.Load().TokenBytes))
+	w.Header().Set("Content-Length", strconv.Itoa(st.prompt*l.s.spec.Load().StateBytesPerToken))
 	w.Header().Set(engine.TokensHeader, strconv.Itoa(st.prompt))
 	w.Header().Set(engine.InfoHeader, strconv.Itoa(st.answer))
-	w.Header().Set(engine.ChecksumHeader, strconv.FormatUint(stateSum(st.id, st.prompt*l.s.spec.Load().TokenBytes), 16))
+	w.Header().Set(engine.ChecksumHeader, strconv.FormatUint(stateSum(st.id, st.prompt*l.s.spec.Load().StateBytesPerToken), 16))
 	if l.sendState(r.Context(), w, st, r.Header.Get("Kv-Cell")) != nil {
 		return
 	}
@@ -872,21 +872,21 @@
 func (l *life) sendState(ctx context.Context, w io.Writer, st *state, toCell string) error {
 	const chunk = 256 // tokens
 	gen := newPattern(st.id)
-	buf := make([]byte, chunk*l.s.spec.Load().TokenBytes)
+	buf := make([]byte, chunk*l.s.spec.Load().StateBytesPerToken)
 	for left := st.prompt; left > 0; left -= chunk {
 		n := min(left, chunk)
 		l.s.mu.Lock()
 		slow := l.s.faults.largest("origin_slow", 1, time.Now())
 		l.s.mu.Unlock()
 		if toCell == l.s.cfg.Cell || l.s.cfg.Link == nil {
-			pause(ctx, time.Duration(float64(n)/l.s.spec.Load().PortPerS*slow*1e9))
+			pause(ctx, time.Duration(float64(n)/l.s.spec.Load().PortTokensPerSecond*slow*1e9))
 		} else {
 			l.s.cfg.Link.take(ctx, float64(n))
 		}
 		if err := cmp.Or(ctx.Err(), l.ctx.Err()); err != nil {
 			return err
 		}
-		part := buf[:n*l.s.spec.Load().TokenBytes]
+		part := buf[:n*l.s.spec.Load().StateBytesPerToken]
 		gen.fill(part)
 		if _, err := w.Write(part); err != nil {
 			return err
--- a/internal/standin/fleet/fleet.go
+++ b/internal/standin/fleet/fleet.go
@@ -222,7 +222,7 @@
 	case "vanish":
 		f.goneUnlessBack(m, f.cfg.Silent, gone)
 	case "ageing":
-		f.goneUnlessBack(m, fault.For+f.cfg.Notice, gone)
+		f.goneUnlessBack(m, fault.Duration+f.cfg.Notice, gone)
 	case "preempt":
 		f.later(0, m, func(m *Member) { m.entry.State = decide.Draining })
 		f.goneUnlessBack(m, time.Duration(fault.Size*float64(time.Second))+f.cfg.Notice, gone)
--- a/internal/swing/compare.go
+++ b/internal/swing/compare.go
@@ -65,7 +65,7 @@
 // pace is what an engine of the standard scene does.
 func pace(cfg *sim.Config) Pace {
 	limits := roles.Timeouts{CheckInterval: cfg.Look, ReplyTimeout: 2 * cfg.Net}
-	return Pace{Read: cfg.Prefill.Capacity(), Write: cfg.Decode.Capacity(), Away: limits.NoticePeriod() + cfg.Change + roles.SlowStartLoss(cfg.Prefill.ColdFrom, cfg.Prefill.ColdFor)}
+	return Pace{Read: cfg.Prefill.Capacity(), Write: cfg.Decode.Capacity(), Away: limits.NoticePeriod() + cfg.Change + roles.SlowStartLoss(cfg.Prefill.InitialCapacity, cfg.Prefill.SlowStartTime)}
 }
 
 func (e *Experiment) seed(ctx context.Context, seed uint64, row *Row) error {
