--- a/internal/engine/chat/crossings_test.go
+++ b/internal/engine/chat/crossings_test.go
@@ -263,7 +263,7 @@
 	for name, callOff := range map[string]func(c *Client, ctx context.Context, addr string) error{
 		"the request is over": func(c *Client, ctx context.Context, addr string) error { return c.CancelRead(ctx, addr, "id1") },
 		"the answer has begun": func(c *Client, ctx context.Context, addr string) error {
-			return c.CallOffLater(ctx, addr, "id1")
+			return c.CancelReadLater(ctx, addr, "id1")
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/engine/chat/release.go
+++ b/internal/engine/chat/release.go
@@ -24,8 +24,8 @@
 	return c.callOff(ctx, addr, request, c.readEnds)
 }
 
-// CallOffLater does the same for a read whose request has an answer that has begun: what is known is let go already.
-func (c *Client) CallOffLater(ctx context.Context, addr, request string) error {
+// CancelReadLater does the same for a read whose request has an answer that has begun: what is known is let go already.
+func (c *Client) CancelReadLater(ctx context.Context, addr, request string) error {
 	return c.callOff(ctx, addr, request, c.opts.CancelRetryDelay)
 }
 
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -392,8 +392,8 @@
 // Listed does nothing: what is held is let go where it is.
 func (c *Client) Listed(string) {}
 
-// CallOffLater does nothing: CancelRead names the read, and is made when it is given up.
-func (c *Client) CallOffLater(context.Context, string, string) error { return nil }
+// CancelReadLater does nothing: CancelRead names the read, and is made when it is given up.
+func (c *Client) CancelReadLater(context.Context, string, string) error { return nil }
 
 // GiveUpPlace lets go of a place held ahead.
 func (c *Client) GiveUpPlace(ctx context.Context, addr, request string) error {
--- a/internal/front/chat/chat_test.go
+++ b/internal/front/chat/chat_test.go
@@ -46,7 +46,7 @@
 func (e *engines) Release(context.Context, *engine.State) error     { return nil }
 func (e *engines) Renew(context.Context, *engine.State) error       { return nil }
 func (e *engines) CancelRead(context.Context, string, string) error { return nil }
-func (e *engines) CallOffLater(context.Context, string, string) error {
+func (e *engines) CancelReadLater(context.Context, string, string) error {
 	return nil
 }
 func (e *engines) GiveUpPlace(context.Context, string, string) error { return nil }
--- a/internal/router/holds.go
+++ b/internal/router/holds.go
@@ -184,7 +184,7 @@
 	}
 	f.lost = ""
 	k.r.aside(notCalledOff, f.name, addr, func() error {
-		return k.r.cfg.Engines.CallOffLater(k.r.workCtx, addr, f.name)
+		return k.r.cfg.Engines.CancelReadLater(k.r.workCtx, addr, f.name)
 	})
 }
 
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -35,9 +35,9 @@
 	Release(ctx context.Context, s *engine.State) error
 	Renew(ctx context.Context, s *engine.State) error
 	CancelRead(ctx context.Context, addr, request string) error
-	// CallOffLater does the same for a read that may end yet though the request's answer has begun: its engine may not have
+	// CancelReadLater does the same for a read that may end yet though the request's answer has begun: its engine may not have
 	// seen the end of the read's connection.
-	CallOffLater(ctx context.Context, addr, request string) error
+	CancelReadLater(ctx context.Context, addr, request string) error
 	Reserve(ctx context.Context, addr string, p *engine.ReservationRequest) (bool, error)
 	GiveUpPlace(ctx context.Context, addr, request string) error
 	// Probe asks an engine for its load; fresh: on a connection that is made for it.
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -127,7 +127,7 @@
 	return nil
 }
 
-func (f *fakeEngines) CallOffLater(context.Context, string, string) error {
+func (f *fakeEngines) CancelReadLater(context.Context, string, string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.later++
