--- a/internal/engine/chat/release.go
+++ b/internal/engine/chat/release.go
@@ -51,8 +51,8 @@
 	return c.heard[addr].After(since)
 }
 
-// GiveUpPlace lets go of a place; the protocol has one call for all that is held.
-func (c *Client) GiveUpPlace(ctx context.Context, addr, request string) error {
+// CancelReservation lets go of a place; the protocol has one call for all that is held.
+func (c *Client) CancelReservation(ctx context.Context, addr, request string) error {
 	return c.letGo(ctx, addr, request, hedgeAfter)
 }
 
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -395,8 +395,8 @@
 // CancelReadLater does nothing: CancelRead names the read, and is made when it is given up.
 func (c *Client) CancelReadLater(context.Context, string, string) error { return nil }
 
-// GiveUpPlace lets go of a place held ahead.
-func (c *Client) GiveUpPlace(ctx context.Context, addr, request string) error {
+// CancelReservation lets go of a place held ahead.
+func (c *Client) CancelReservation(ctx context.Context, addr, request string) error {
 	return c.insist(ctx, http.MethodDelete, addr, ReservationPath+url.PathEscape(request))
 }
 
--- a/internal/front/chat/chat_test.go
+++ b/internal/front/chat/chat_test.go
@@ -49,8 +49,8 @@
 func (e *engines) CancelReadLater(context.Context, string, string) error {
 	return nil
 }
-func (e *engines) GiveUpPlace(context.Context, string, string) error { return nil }
-func (e *engines) Listed(string)                                     {}
+func (e *engines) CancelReservation(context.Context, string, string) error { return nil }
+func (e *engines) Listed(string)                                           {}
 
 func (e *engines) Forget(string) {}
 func (e *engines) Probe(context.Context, string, bool) engine.Result {
--- a/internal/router/actions.go
+++ b/internal/router/actions.go
@@ -288,7 +288,7 @@
 			r.log.Debug("no answer to a place asked for", "request", ask.Request, "err", err)
 		}
 		if !r.post(message{kind: placed, id: f.id, place: p, name: ask.Request, server: id, held: held}) && held {
-			r.cfg.Engines.GiveUpPlace(r.workCtx, p.addr, ask.Request)
+			r.cfg.Engines.CancelReservation(r.workCtx, p.addr, ask.Request)
 		}
 	}()
 }
--- a/internal/router/holds.go
+++ b/internal/router/holds.go
@@ -231,5 +231,5 @@
 }
 
 func (r *Router) giveUpPlace(request string, p *place) {
-	r.aside(notGivenUp, request, p.addr, func() error { return r.cfg.Engines.GiveUpPlace(r.workCtx, p.addr, request) })
+	r.aside(notGivenUp, request, p.addr, func() error { return r.cfg.Engines.CancelReservation(r.workCtx, p.addr, request) })
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -39,7 +39,7 @@
 	// seen the end of the read's connection.
 	CancelReadLater(ctx context.Context, addr, request string) error
 	Reserve(ctx context.Context, addr string, p *engine.ReservationRequest) (bool, error)
-	GiveUpPlace(ctx context.Context, addr, request string) error
+	CancelReservation(ctx context.Context, addr, request string) error
 	// Probe asks an engine for its load; fresh: on a connection that is made for it.
 	Probe(ctx context.Context, addr string, fresh bool) engine.Result
 	// Listed tells that an engine is there, Forget that it has left or is another process.
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -109,7 +109,7 @@
 	return true, nil
 }
 
-func (f *fakeEngines) GiveUpPlace(_ context.Context, addr, request string) error {
+func (f *fakeEngines) CancelReservation(_ context.Context, addr, request string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.places = append(f.places, "give up "+addr)
