--- a/internal/engine/chat/chat.go
+++ b/internal/engine/chat/chat.go
@@ -109,8 +109,8 @@
 // Close closes idle connections.
 func (c *Client) Close() { c.pool.forget("") }
 
-// Listed notes that an engine is there.
-func (c *Client) Listed(addr string) {
+// EngineListed notes that an engine is there.
+func (c *Client) EngineListed(addr string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.listed[addr] = struct{}{}
--- a/internal/engine/chat/chat_test.go
+++ b/internal/engine/chat/chat_test.go
@@ -629,8 +629,8 @@
 	gone.Close() // nobody answers there
 	p := play(t, true, always("HTTP/1.1 204 x\r\n\r\n"))
 	c := newClient(t, nil)
-	c.Listed(addr)
-	c.Listed(p.addr)
+	c.EngineListed(addr)
+	c.EngineListed(p.addr)
 	if err := c.Release(t.Context(), &engine.State{Addr: addr, Handle: "id1"}); err != nil {
 		t.Error(err)
 	}
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -389,8 +389,8 @@
 	return c.insist(ctx, http.MethodDelete, addr, ReadPath+url.PathEscape(request))
 }
 
-// Listed does nothing: what is held is let go where it is.
-func (c *Client) Listed(string) {}
+// EngineListed does nothing: what is held is let go where it is.
+func (c *Client) EngineListed(string) {}
 
 // CancelReadLater does nothing: CancelRead names the read, and is made when it is given up.
 func (c *Client) CancelReadLater(context.Context, string, string) error { return nil }
--- a/internal/front/chat/chat_test.go
+++ b/internal/front/chat/chat_test.go
@@ -50,7 +50,7 @@
 	return nil
 }
 func (e *engines) CancelReservation(context.Context, string, string) error { return nil }
-func (e *engines) Listed(string)                                           {}
+func (e *engines) EngineListed(string)                                     {}
 
 func (e *engines) Forget(string) {}
 func (e *engines) Probe(context.Context, string, bool) engine.Result {
--- a/internal/router/loop.go
+++ b/internal/router/loop.go
@@ -347,7 +347,7 @@
 			s.role = r.cfg.Settings.Kinds[k].Role
 		}
 		r.servers[e.ID()] = s
-		r.cfg.Engines.Listed(e.Addr)
+		r.cfg.Engines.EngineListed(e.Addr)
 	}
 	for i := range r.list {
 		if r.list[i].State == decide.Ready {
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -42,8 +42,8 @@
 	CancelReservation(ctx context.Context, addr, request string) error
 	// Probe asks an engine for its load; fresh: on a connection that is made for it.
 	Probe(ctx context.Context, addr string, fresh bool) engine.Result
-	// Listed tells that an engine is there, Forget that it has left or is another process.
-	Listed(addr string)
+	// EngineListed tells that an engine is there, Forget that it has left or is another process.
+	EngineListed(addr string)
 	Forget(addr string)
 }
 
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -141,7 +141,7 @@
 	return nil
 }
 
-func (f *fakeEngines) Listed(string) {}
+func (f *fakeEngines) EngineListed(string) {}
 
 func (f *fakeEngines) Forget(addr string) {
 	f.mu.Lock()
