--- a/internal/engine/chat/chat.go
+++ b/internal/engine/chat/chat.go
@@ -116,8 +116,8 @@
 	c.listed[addr] = struct{}{}
 }
 
-// Forget drops what is kept for an engine that is gone, or whose process is another now.
-func (c *Client) Forget(addr string) {
+// ForgetEngine drops what is kept for an engine that is gone, or whose process is another now.
+func (c *Client) ForgetEngine(addr string) {
 	c.mu.Lock()
 	delete(c.heard, addr)
 	delete(c.listed, addr)
--- a/internal/engine/chat/chat_test.go
+++ b/internal/engine/chat/chat_test.go
@@ -588,7 +588,7 @@
 		addr := fmt.Sprintf("10.0.0.%d:1", i)
 		c.heard[addr] = time.Now()
 		c.pool.distrust(addr)
-		c.Forget(addr)
+		c.ForgetEngine(addr)
 		c.heard[addr] = time.Now()
 	}
 	for addr := range c.pool.doubt {
@@ -634,7 +634,7 @@
 	if err := c.Release(t.Context(), &engine.State{Addr: addr, Handle: "id1"}); err != nil {
 		t.Error(err)
 	}
-	c.Forget(p.addr)
+	c.ForgetEngine(p.addr)
 	if len(c.listed) != 1 {
 		t.Errorf("%d engines are listed", len(c.listed))
 	}
--- a/internal/engine/chat/crossings_test.go
+++ b/internal/engine/chat/crossings_test.go
@@ -128,7 +128,7 @@
 	ended := make(chan engine.Result)
 	go func() { ended <- c.Prefill(t.Context(), p.addr, request()) }()
 	<-reading
-	c.Forget(p.addr)
+	c.ForgetEngine(p.addr)
 	goOn <- true
 	if res := <-ended; res.Outcome != decide.ReadDone || res.CachedTokens != 3 {
 		t.Errorf("%+v", res)
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -95,8 +95,8 @@
 	return &counted{Conn: conn, n: n}, nil
 }
 
-// Forget drops what is kept for engines that are not in use any more.
-func (c *Client) Forget(addr string) {
+// ForgetEngine drops what is kept for engines that are not in use any more.
+func (c *Client) ForgetEngine(addr string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if n := c.conns[addr]; n != nil && n.Load() == 0 {
--- a/internal/front/chat/chat_test.go
+++ b/internal/front/chat/chat_test.go
@@ -52,7 +52,7 @@
 func (e *engines) CancelReservation(context.Context, string, string) error { return nil }
 func (e *engines) EngineListed(string)                                     {}
 
-func (e *engines) Forget(string) {}
+func (e *engines) ForgetEngine(string) {}
 func (e *engines) Probe(context.Context, string, bool) engine.Result {
 	return engine.Result{Report: engine.NoReport()}
 }
--- a/internal/router/loop.go
+++ b/internal/router/loop.go
@@ -330,14 +330,14 @@
 				old.withdraw(r.now)
 			}
 			delete(r.servers, e.ID())
-			r.cfg.Engines.Forget(e.Addr)
+			r.cfg.Engines.ForgetEngine(e.Addr)
 			continue
 		}
 		s := &server{name: e.Name, addr: e.Addr, since: e.StartedAt}
 		if old := r.servers[e.ID()]; old != nil {
 			anew := old.addr != e.Addr || !old.since.Equal(e.StartedAt)
 			if anew {
-				r.cfg.Engines.Forget(old.addr) // its connections belong to a process that is no more
+				r.cfg.Engines.ForgetEngine(old.addr) // its connections belong to a process that is no more
 			}
 			if anew || e.State != decide.Ready {
 				old.withdraw(r.now)
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -44,7 +44,7 @@
 	Probe(ctx context.Context, addr string, fresh bool) engine.Result
 	// EngineListed tells that an engine is there, Forget that it has left or is another process.
 	EngineListed(addr string)
-	Forget(addr string)
+	ForgetEngine(addr string)
 }
 
 // Observer is told what is asked and what it takes. It is called from the loop and must not block.
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -143,7 +143,7 @@
 
 func (f *fakeEngines) EngineListed(string) {}
 
-func (f *fakeEngines) Forget(addr string) {
+func (f *fakeEngines) ForgetEngine(addr string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.forgotten = append(f.forgotten, addr)
