--- a/internal/router/loop.go
+++ b/internal/router/loop.go
@@ -240,7 +240,7 @@
 	f.guarded().Accepted(f.name, q.job.Deadline)
 	r.count.arrived.Add(1)
 	if r.cfg.Observer != nil {
-		r.cfg.Observer.Arrived(&q.job)
+		r.cfg.Observer.RequestArrived(&q.job)
 	}
 	f.deadline = r.at(q.job.Deadline)
 	f.guard = r.timers.add(&entry{at: f.deadline + decide.OverdueAfter, flight: f})
--- a/internal/router/observe.go
+++ b/internal/router/observe.go
@@ -3,10 +3,10 @@
 // Observers tells several observers in turn.
 type Observers []Observer
 
-// Arrived implements Observer.
-func (o Observers) Arrived(j *Job) {
+// RequestArrived implements Observer.
+func (o Observers) RequestArrived(j *Job) {
 	for _, v := range o {
-		v.Arrived(j)
+		v.RequestArrived(j)
 	}
 }
 
--- a/internal/shift/shift.go
+++ b/internal/shift/shift.go
@@ -89,8 +89,8 @@
 		manager: roles.NewManager(set.Roles(), time.Now())}
 }
 
-// Arrived, Read and Written are the router.Observer. They never block: what does not fit is counted.
-func (d *Driver) Arrived(j *router.Job) {
+// RequestArrived, Read and Written are the router.Observer. They never block: what does not fit is counted.
+func (d *Driver) RequestArrived(j *router.Job) {
 	d.observe(observation{kind: sawArrival, arrival: roles.RequestInfo{Class: j.Class, PromptTokens: j.PromptTokens, Retry: j.ClientRetry}})
 }
 
--- a/internal/trace/recorder.go
+++ b/internal/trace/recorder.go
@@ -53,8 +53,8 @@
 	return &Recorder{path: path, classes: classes, log: log, notes: make(chan note, maxNotes), start: time.Now()}
 }
 
-// Arrived implements router.Observer.
-func (r *Recorder) Arrived(j *router.Job) { r.put(note{kind: came, job: j}) }
+// RequestArrived implements router.Observer.
+func (r *Recorder) RequestArrived(j *router.Job) { r.put(note{kind: came, job: j}) }
 
 // Read implements router.Observer.
 func (r *Recorder) Read(*router.Job, float64) {}
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -145,7 +145,7 @@
 	jobs := []*router.Job{{Class: 0, PromptTokens: 100}, {Class: 1, PromptTokens: 200, SharedPrefix: "rates", PrefixTokens: 150},
 		{Class: 0, PromptTokens: 300}, {Class: 0, PromptTokens: 300, ClientRetry: true}, {Class: 1, PromptTokens: 400}}
 	for _, j := range jobs {
-		r.Arrived(j)
+		r.RequestArrived(j)
 	}
 	r.Written(jobs[2], 30, false)
 	r.Over(jobs[2])
