--- a/internal/router/loop.go
+++ b/internal/router/loop.go
@@ -276,7 +276,7 @@
 	r.takeBack(a, res)
 	if o := r.cfg.Observer; o != nil {
 		if res.Outcome == decide.ReadDone {
-			o.Read(&f.q.job, res.CachedTokens)
+			o.PromptRead(&f.q.job, res.CachedTokens)
 		} else if a.streaming {
 			o.Written(&f.q.job, res.Tokens, res.Outcome == decide.Served)
 		}
--- a/internal/router/observe.go
+++ b/internal/router/observe.go
@@ -10,10 +10,10 @@
 	}
 }
 
-// Read implements Observer.
-func (o Observers) Read(j *Job, kept float64) {
+// PromptRead implements Observer.
+func (o Observers) PromptRead(j *Job, kept float64) {
 	for _, v := range o {
-		v.Read(j, kept)
+		v.PromptRead(j, kept)
 	}
 }
 
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -50,7 +50,7 @@
 // Observer is told what is asked and what it takes. It is called from the loop and must not block.
 type Observer interface {
 	RequestArrived(j *Job)
-	Read(j *Job, kept float64)              // a prompt was read; kept tokens of it were found
+	PromptRead(j *Job, kept float64)        // a prompt was read; kept tokens of it were found
 	Written(j *Job, tokens int, whole bool) // an answer has ended; not whole: it was cut off
 	Over(j *Job)                            // the request is over, however it ended; j is not used again
 }
--- a/internal/shift/shift.go
+++ b/internal/shift/shift.go
@@ -94,8 +94,8 @@
 	d.observe(observation{kind: sawArrival, arrival: roles.RequestInfo{Class: j.Class, PromptTokens: j.PromptTokens, Retry: j.ClientRetry}})
 }
 
-// Read implements router.Observer.
-func (d *Driver) Read(j *router.Job, kept float64) {
+// PromptRead implements router.Observer.
+func (d *Driver) PromptRead(j *router.Job, kept float64) {
 	d.observe(observation{kind: sawRead, arrival: roles.RequestInfo{Class: j.Class, PromptTokens: j.PromptTokens, CachedTokens: kept}})
 }
 
--- a/internal/trace/recorder.go
+++ b/internal/trace/recorder.go
@@ -56,8 +56,8 @@
 // RequestArrived implements router.Observer.
 func (r *Recorder) RequestArrived(j *router.Job) { r.put(note{kind: came, job: j}) }
 
-// Read implements router.Observer.
-func (r *Recorder) Read(*router.Job, float64) {}
+// PromptRead implements router.Observer.
+func (r *Recorder) PromptRead(*router.Job, float64) {}
 
 // Written implements router.Observer.
 func (r *Recorder) Written(j *router.Job, tokens int, whole bool) {
