--- a/internal/router/loop.go
+++ b/internal/router/loop.go
@@ -278,7 +278,7 @@
 		if res.Outcome == decide.ReadDone {
 			o.PromptRead(&f.q.job, res.CachedTokens)
 		} else if a.streaming {
-			o.Written(&f.q.job, res.Tokens, res.Outcome == decide.Served)
+			o.AnswerWritten(&f.q.job, res.Tokens, res.Outcome == decide.Served)
 		}
 	}
 	if a.streaming {
--- a/internal/router/observe.go
+++ b/internal/router/observe.go
@@ -17,10 +17,10 @@
 	}
 }
 
-// Written implements Observer.
-func (o Observers) Written(j *Job, tokens int, whole bool) {
+// AnswerWritten implements Observer.
+func (o Observers) AnswerWritten(j *Job, tokens int, whole bool) {
 	for _, v := range o {
-		v.Written(j, tokens, whole)
+		v.AnswerWritten(j, tokens, whole)
 	}
 }
 
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -50,9 +50,9 @@
 // Observer is told what is asked and what it takes. It is called from the loop and must not block.
 type Observer interface {
 	RequestArrived(j *Job)
-	PromptRead(j *Job, kept float64)        // a prompt was read; kept tokens of it were found
-	Written(j *Job, tokens int, whole bool) // an answer has ended; not whole: it was cut off
-	Over(j *Job)                            // the request is over, however it ended; j is not used again
+	PromptRead(j *Job, kept float64)              // a prompt was read; kept tokens of it were found
+	AnswerWritten(j *Job, tokens int, whole bool) // an answer has ended; not whole: it was cut off
+	Over(j *Job)                                  // the request is over, however it ended; j is not used again
 }
 
 // Config is what a Router is made of.
--- a/internal/shift/shift.go
+++ b/internal/shift/shift.go
@@ -99,8 +99,8 @@
 	d.observe(observation{kind: sawRead, arrival: roles.RequestInfo{Class: j.Class, PromptTokens: j.PromptTokens, CachedTokens: kept}})
 }
 
-// Written implements router.Observer.
-func (d *Driver) Written(j *router.Job, tokens int, whole bool) {
+// AnswerWritten implements router.Observer.
+func (d *Driver) AnswerWritten(j *router.Job, tokens int, whole bool) {
 	d.observe(observation{kind: sawWritten, arrival: roles.RequestInfo{Class: j.Class, OutputTokens: float64(tokens), Truncated: !whole}})
 }
 
--- a/internal/trace/recorder.go
+++ b/internal/trace/recorder.go
@@ -59,8 +59,8 @@
 // PromptRead implements router.Observer.
 func (r *Recorder) PromptRead(*router.Job, float64) {}
 
-// Written implements router.Observer.
-func (r *Recorder) Written(j *router.Job, tokens int, whole bool) {
+// AnswerWritten implements router.Observer.
+func (r *Recorder) AnswerWritten(j *router.Job, tokens int, whole bool) {
 	r.put(note{kind: wrote, job: j, tokens: tokens, whole: whole})
 }
 
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -147,9 +147,9 @@
 	for _, j := range jobs {
 		r.RequestArrived(j)
 	}
-	r.Written(jobs[2], 30, false)
+	r.AnswerWritten(jobs[2], 30, false)
 	r.Over(jobs[2])
-	r.Written(jobs[1], 20, true)
+	r.AnswerWritten(jobs[1], 20, true)
 	r.Over(jobs[1])
 	r.Over(jobs[3])
 	r.Over(jobs[0])
