--- a/internal/router/loop.go
+++ b/internal/router/loop.go
@@ -462,7 +462,7 @@
 	r.count.open.Add(-1)
 	f.q.closeGuarded("over")
 	if r.cfg.Observer != nil {
-		r.cfg.Observer.Over(&f.q.job)
+		r.cfg.Observer.RequestDone(&f.q.job)
 	}
 }
 
--- a/internal/router/observe.go
+++ b/internal/router/observe.go
@@ -24,9 +24,9 @@
 	}
 }
 
-// Over implements Observer.
-func (o Observers) Over(j *Job) {
+// RequestDone implements Observer.
+func (o Observers) RequestDone(j *Job) {
 	for _, v := range o {
-		v.Over(j)
+		v.RequestDone(j)
 	}
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -52,7 +52,7 @@
 	RequestArrived(j *Job)
 	PromptRead(j *Job, kept float64)              // a prompt was read; kept tokens of it were found
 	AnswerWritten(j *Job, tokens int, whole bool) // an answer has ended; not whole: it was cut off
-	Over(j *Job)                                  // the request is over, however it ended; j is not used again
+	RequestDone(j *Job)                           // the request is over, however it ended; j is not used again
 }
 
 // Config is what a Router is made of.
--- a/internal/shift/shift.go
+++ b/internal/shift/shift.go
@@ -104,8 +104,8 @@
 	d.observe(observation{kind: sawWritten, arrival: roles.RequestInfo{Class: j.Class, OutputTokens: float64(tokens), Truncated: !whole}})
 }
 
-// Over implements router.Observer.
-func (d *Driver) Over(*router.Job) {}
+// RequestDone implements router.Observer.
+func (d *Driver) RequestDone(*router.Job) {}
 
 func (d *Driver) observe(o observation) {
 	o.at = time.Now()
--- a/internal/trace/recorder.go
+++ b/internal/trace/recorder.go
@@ -64,8 +64,8 @@
 	r.put(note{kind: wrote, job: j, tokens: tokens, whole: whole})
 }
 
-// Over implements router.Observer.
-func (r *Recorder) Over(j *router.Job) { r.put(note{kind: over, job: j}) }
+// RequestDone implements router.Observer.
+func (r *Recorder) RequestDone(j *router.Job) { r.put(note{kind: over, job: j}) }
 
 func (r *Recorder) put(n note) {
 	n.at = time.Now()
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -148,11 +148,11 @@
 		r.RequestArrived(j)
 	}
 	r.AnswerWritten(jobs[2], 30, false)
-	r.Over(jobs[2])
+	r.RequestDone(jobs[2])
 	r.AnswerWritten(jobs[1], 20, true)
-	r.Over(jobs[1])
-	r.Over(jobs[3])
-	r.Over(jobs[0])
+	r.RequestDone(jobs[1])
+	r.RequestDone(jobs[3])
+	r.RequestDone(jobs[0])
 	cancel() // jobs[4] is still open
 	if err := <-done; err != nil {
 		t.Fatal(err)
