--- a/cmd/mintdoor/shutdown_test.go
+++ b/cmd/mintdoor/shutdown_test.go
@@ -21,7 +21,7 @@
 }
 
 // longStreams is work whose streams take far longer than a router has after SIGTERM.
-var longStreams = standin.Work{Read: 20 * time.Millisecond, FirstToken: 20 * time.Millisecond, Event: 50 * time.Millisecond, Events: 1000}
+var longStreams = standin.Timing{ReadTime: 20 * time.Millisecond, FirstTokenTime: 20 * time.Millisecond, EventInterval: 50 * time.Millisecond, EventsPerStream: 1000}
 
 func chatRequest(id, class string, left time.Duration) string {
 	const body = `{"model":"chat"}`
@@ -115,7 +115,7 @@
 		}
 	}
 	for _, a := range world.Cluster.Record().Attempts {
-		if a.Writer && a.Outcome != standin.Streamed && a.Outcome != standin.TurnedAway {
+		if a.Writer && a.Outcome != standin.Streamed && a.Outcome != standin.Refused {
 			t.Errorf("request %s was at writer %s and ended as %s", a.Request, a.Engine, a.Outcome)
 		}
 	}
--- a/cmd/mintdoor/silence_test.go
+++ b/cmd/mintdoor/silence_test.go
@@ -20,7 +20,7 @@
 	codes chan int
 }
 
-func keepConnections(t *testing.T, clients int, work standin.Work) *keptConnections {
+func keepConnections(t *testing.T, clients int, work standin.Timing) *keptConnections {
 	t.Helper()
 	world, err := soak.NewWorld(soak.WorldOptions{Program: platformRouter(), Dir: t.TempDir(), Routers: 1, Readers: 1, Writers: 1,
 		Work: work})
@@ -109,8 +109,8 @@
 // A writer falls silent behind connections that stand. Requests wait for it, some to their deadlines, as many time out; what was
 // read for them is let go in time all the same: a send that has not arrived does not stop that clock.
 func TestStatesBehindASilentWriterAreLetGo(t *testing.T) {
-	k := keepConnections(t, 6, standin.Work{Read: 10 * time.Millisecond, FirstToken: 10 * time.Millisecond, Event: time.Millisecond,
-		Events: 3})
+	k := keepConnections(t, 6, standin.Timing{ReadTime: 10 * time.Millisecond, FirstTokenTime: 10 * time.Millisecond, EventInterval: time.Millisecond,
+		EventsPerStream: 3})
 	k.strike(t, true, (*standin.Proxy).Silence)
 	k.ask("r1")
 	k.answers()
@@ -121,8 +121,8 @@
 // reads, and those to the writer. That an engine can be reached does not show that a send on an old connection has arrived, or
 // that its answer will: what was read is let go in time, and the requests are served, since nothing is wrong with the engines.
 func TestStatesBehindForgottenConnectionsAreLetGo(t *testing.T) {
-	k := keepConnections(t, 8, standin.Work{Read: 100 * time.Millisecond, FirstToken: 10 * time.Millisecond, Event: time.Millisecond,
-		Events: 3})
+	k := keepConnections(t, 8, standin.Timing{ReadTime: 100 * time.Millisecond, FirstTokenTime: 10 * time.Millisecond, EventInterval: time.Millisecond,
+		EventsPerStream: 3})
 	forget := func(p *standin.Proxy) error {
 		p.Forget()
 		return nil
--- a/internal/sim/sim.go
+++ b/internal/sim/sim.go
@@ -352,7 +352,7 @@
 			if u.fixed || !u.up || u.will() != from || u.granted != 0 || s.lastOf(u) {
 				continue
 			}
-			if best == nil || u.core.Load() < best.core.Load() {
+			if best == nil || u.core.TaskCount() < best.core.TaskCount() {
 				best = u
 			}
 		}
--- a/internal/sim/unit.go
+++ b/internal/sim/unit.go
@@ -146,7 +146,7 @@
 	u.ended()
 	u.s.res.Changes++
 	u.since = u.s.wall()
-	u.core = u.core.Next(u.s.calls[u.stage()], u.s.wall(), u.s.cfg.Keeps)
+	u.core = u.core.AfterRoleChange(u.s.calls[u.stage()], u.s.wall(), u.s.cfg.Keeps)
 	spec := u.s.calls[u.stage()]
 	u.s.res.ColdLost += roles.SlowStartLoss(spec.InitialCapacity, spec.SlowStartTime)
 	u.s.noteSplit()
@@ -223,7 +223,7 @@
 		s.after(s.cfg.Net, func() { a.over(decide.ConnectFailed, engine.NoReport(), false, 0) })
 		return
 	}
-	if u.core.Weigh(s.wall()) {
+	if u.core.CountSend(s.wall()) {
 		s.broken("rule 4: engine %d was pushed over while it was cold", u.index)
 		u.crash(5 * time.Second)
 		return
@@ -250,8 +250,8 @@
 	a.task = &standin.Task{PromptTokens: e.PromptTokens, SharedTokens: e.PrefixTokens, PrefixID: e.PrefixID}
 	life := u.life
 	if a.stage == roles.Prefill {
-		a.task.Read = func(kept int) {
-			u.core.Waited(s.now - began)
+		a.task.OnRead = func(kept int) {
+			u.core.RecordLatency(s.now - began)
 			h := &held{u, life, a.task}
 			u.held[h] = true
 			delete(u.tasks, a)
@@ -273,9 +273,9 @@
 		a.task.NeedsState = true
 		a.task.AnswerTokens = s.answer(e.OutputTokens)
 		a.task.OnAdmitted = func() { s.after(0, func() { u.fetch(a) }) }
-		a.task.Token = func(first, last bool) {
+		a.task.OnToken = func(first, last bool) {
 			if first {
-				u.core.Waited(s.now - began)
+				u.core.RecordLatency(s.now - began)
 				report := u.core.Report(s.wall())
 				s.after(s.cfg.Net, func() { a.begun(report) })
 			}
@@ -333,7 +333,7 @@
 			return
 		}
 		h.free()
-		u.core.Fetched(a.task)
+		u.core.StateFetched(a.task)
 		u.kick()
 	})
 }
@@ -344,7 +344,7 @@
 func (u *unit) leave(a *attempt) {
 	if u.tasks[a] {
 		delete(u.tasks, a)
-		u.core.Leave(a.task)
+		u.core.Remove(a.task)
 		u.kick()
 	}
 }
@@ -358,6 +358,6 @@
 		return
 	}
 	delete(h.u.held, h)
-	h.u.core.Leave(h.task)
+	h.u.core.Remove(h.task)
 	h.u.kick()
 }
--- a/internal/soak/evidence.go
+++ b/internal/soak/evidence.go
@@ -15,7 +15,7 @@
 	routers int
 	classes []class
 	figures figures
-	work    standin.Work
+	work    standin.Timing
 	// readerSlots and writerSlots are how many requests an engine of a role does at once.
 	readerSlots, writerSlots int
 	asks                     []*ask
--- a/internal/soak/faults_engines.go
+++ b/internal/soak/faults_engines.go
@@ -24,14 +24,14 @@
 	for _, e := range engines {
 		in.mu.Lock()
 		in.sick[e.ID()] = append(in.sick[e.ID()], &b)
-		e.Behave(sum(in.sick[e.ID()]))
+		e.SetBehaviour(sum(in.sick[e.ID()]))
 		in.mu.Unlock()
 	}
 	return func() {
 		for _, e := range engines {
 			in.mu.Lock()
 			in.sick[e.ID()] = slices.DeleteFunc(in.sick[e.ID()], func(of *standin.Behaviour) bool { return of == &b })
-			e.Behave(sum(in.sick[e.ID()]))
+			e.SetBehaviour(sum(in.sick[e.ID()]))
 			in.mu.Unlock()
 		}
 	}
@@ -41,17 +41,17 @@
 func sum(all []*standin.Behaviour) (out standin.Behaviour) {
 	for _, b := range all {
 		out.Hang = out.Hang || b.Hang
-		out.TurnAway = max(out.TurnAway, b.TurnAway)
+		out.Refuse = max(out.Refuse, b.Refuse)
 		out.Fail = max(out.Fail, b.Fail)
 		out.ResetAtStart = max(out.ResetAtStart, b.ResetAtStart)
 		out.ResetInStream = max(out.ResetInStream, b.ResetInStream)
-		out.SpoilAtStart = max(out.SpoilAtStart, b.SpoilAtStart)
-		out.SpoilInStream = max(out.SpoilInStream, b.SpoilInStream)
-		out.Endless = max(out.Endless, b.Endless)
-		out.SecondAnswer = max(out.SecondAnswer, b.SecondAnswer)
-		out.Interim = max(out.Interim, b.Interim)
-		out.CloseIdle = max(out.CloseIdle, b.CloseIdle)
-		out.Slowness = max(out.Slowness, b.Slowness)
+		out.MalformedAnswer = max(out.MalformedAnswer, b.MalformedAnswer)
+		out.MalformedStream = max(out.MalformedStream, b.MalformedStream)
+		out.EndlessHeader = max(out.EndlessHeader, b.EndlessHeader)
+		out.DuplicateAnswer = max(out.DuplicateAnswer, b.DuplicateAnswer)
+		out.InterimResponse = max(out.InterimResponse, b.InterimResponse)
+		out.CloseAfterAnswer = max(out.CloseAfterAnswer, b.CloseAfterAnswer)
+		out.Slowdown = max(out.Slowdown, b.Slowdown)
 	}
 	return out
 }
@@ -70,9 +70,9 @@
 		}
 		return 0.5 * random.Float64()
 	}
-	release := in.afflict(in.someEngines(random, 0.3), standin.Behaviour{TurnAway: share(), Fail: share(), ResetAtStart: share(),
-		ResetInStream: share(), SpoilAtStart: share(), SpoilInStream: share(), Endless: share() / 2, SecondAnswer: share(),
-		Interim: share(), CloseIdle: 2 * share(), Slowness: 1 + 4*share()})
+	release := in.afflict(in.someEngines(random, 0.3), standin.Behaviour{Refuse: share(), Fail: share(), ResetAtStart: share(),
+		ResetInStream: share(), MalformedAnswer: share(), MalformedStream: share(), EndlessHeader: share() / 2, DuplicateAnswer: share(),
+		InterimResponse: share(), CloseAfterAnswer: 2 * share(), Slowdown: 1 + 4*share()})
 	time.Sleep(between(random, millis(500), millis(5000)))
 	release()
 }
--- a/internal/soak/judge_attempts.go
+++ b/internal/soak/judge_attempts.go
@@ -152,7 +152,7 @@
 // capacity is how many requests a second a warm engine of a role can do.
 func (e *evidence) capacity(writer bool) float64 {
 	if writer {
-		return float64(e.writerSlots) / (e.work.FirstToken + time.Duration(e.work.Events-1)*e.work.Event).Seconds()
+		return float64(e.writerSlots) / (e.work.FirstTokenTime + time.Duration(e.work.EventsPerStream-1)*e.work.EventInterval).Seconds()
 	}
-	return float64(e.readerSlots) / e.work.Read.Seconds()
+	return float64(e.readerSlots) / e.work.ReadTime.Seconds()
 }
--- a/internal/soak/judge_test.go
+++ b/internal/soak/judge_test.go
@@ -86,33 +86,33 @@
 			a.whole, a.ending = false, endBroken
 		}, want: ruleLost},
 		"cut by its engine": {change: func(_ *evidence, a *ask, _, write *standin.Attempt) {
-			a.whole, a.ending, write.Outcome = false, endBroken, standin.Broken
+			a.whole, a.ending, write.Outcome = false, endBroken, standin.ConnReset
 		}},
 		"left to wait after a stream broke": {change: func(_ *evidence, a *ask, _, write *standin.Attempt) {
-			a.whole, a.ending, a.ended, write.Outcome = false, endBroken, after(5500), standin.Broken
+			a.whole, a.ending, a.ended, write.Outcome = false, endBroken, after(5500), standin.ConnReset
 		}, want: ruleLost},
-		"served by no engine": {change: func(_ *evidence, _ *ask, _, write *standin.Attempt) { write.Outcome = standin.Errored }, want: ruleContent},
+		"served by no engine": {change: func(_ *evidence, _ *ask, _, write *standin.Attempt) { write.Outcome = standin.Failed }, want: ruleContent},
 		"wrong events":        {change: func(_ *evidence, a *ask, _, _ *standin.Attempt) { a.wrong = "events of two engines" }, want: ruleContent},
 		"refused after a run": {class: classUnsafe, change: func(_ *evidence, a *ask, _, write *standin.Attempt) {
-			a.status, write.Outcome = 429, standin.Broken
+			a.status, write.Outcome = 429, standin.ConnReset
 		}, want: ruleRefused},
 		"refused, never run": {class: classUnsafe, change: func(_ *evidence, a *ask, _, write *standin.Attempt) {
-			a.status, write.Outcome = 429, standin.TurnedAway
+			a.status, write.Outcome = 429, standin.Refused
 		}},
 		"two runs": {class: classUnsafe, change: func(e *evidence, _ *ask, _, write *standin.Attempt) {
-			write.Outcome, write.Ended = standin.Broken, after(110)
+			write.Outcome, write.Ended = standin.ConnReset, after(110)
 			e.record.Attempts = append(e.record.Attempts, second(120, standin.Streamed))
 		}, want: ruleDuplicate},
 		"a repeat in its window": {class: classKeyed, change: func(e *evidence, _ *ask, _, write *standin.Attempt) {
-			write.Outcome, write.Ended = standin.Broken, after(110)
+			write.Outcome, write.Ended = standin.ConnReset, after(110)
 			e.record.Attempts = append(e.record.Attempts, second(120, standin.Streamed))
 		}},
 		"a repeat after its window": {class: classKeyed, change: func(e *evidence, a *ask, _, write *standin.Attempt) {
-			write.Outcome, write.Ended = standin.Broken, after(110)
+			write.Outcome, write.Ended = standin.ConnReset, after(110)
 			e.record.Attempts = append(e.record.Attempts, second(1700, standin.Streamed))
 		}, want: ruleDuplicate},
 		"a second copy": {change: func(e *evidence, _ *ask, _, _ *standin.Attempt) {
-			e.record.Attempts = append(e.record.Attempts, second(300, standin.TurnedAway))
+			e.record.Attempts = append(e.record.Attempts, second(300, standin.Refused))
 		}, want: ruleSecondCopy},
 		"sent after the client left": {change: func(_ *evidence, a *ask, _, write *standin.Attempt) {
 			a.quit, write.LastByte = after(100), after(260)
@@ -130,7 +130,7 @@
 			e.starts["d2"] = after(1000)
 			for i := range 60 {
 				e.record.Attempts = append(e.record.Attempts, standin.Attempt{Request: "q", Engine: "d2", Writer: true, FirstByte: after(2000 + i),
-					LastByte: after(2000 + i), Arrived: after(2000 + i), Outcome: standin.TurnedAway, Ended: after(2000 + i)})
+					LastByte: after(2000 + i), Arrived: after(2000 + i), Outcome: standin.Refused, Ended: after(2000 + i)})
 			}
 		}, want: ruleSlowStart},
 		"held too long": {change: func(e *evidence, _ *ask, _, _ *standin.Attempt) { e.record.Holds[0].Until = after(2500) }, want: rulePinned},
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -43,7 +43,7 @@
 )
 
 // usualWork is what engines take: a stream takes about a second.
-var usualWork = standin.Work{Read: 40 * time.Millisecond, FirstToken: 30 * time.Millisecond, Event: 60 * time.Millisecond, Events: 14}
+var usualWork = standin.Timing{ReadTime: 40 * time.Millisecond, FirstTokenTime: 30 * time.Millisecond, EventInterval: 60 * time.Millisecond, EventsPerStream: 14}
 
 // Run runs a soak and judges it. The error tells that it could not be run; what the routers did wrong is in the report.
 func Run(ctx context.Context, o Options) (*Report, error) {
@@ -197,7 +197,7 @@
 	in.world.mu.Lock()
 	defer in.world.mu.Unlock()
 	for _, e := range in.world.all {
-		add(e.Struck())
+		add(e.FaultCounts())
 	}
 	for _, g := range in.world.groups {
 		for _, p := range g.proxies {
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -28,7 +28,7 @@
 	Routers int
 	Readers int
 	Writers int
-	Work    standin.Work // of every engine
+	Work    standin.Timing // of every engine
 	Seed    uint64
 	classes []class
 	figures figures
@@ -41,7 +41,7 @@
 	Directory *standin.Directory
 	Routers   []*Router
 
-	machines *standin.Machines
+	machines *standin.EngineListener
 
 	mu      sync.Mutex
 	engines map[string]*standin.Engine
@@ -74,7 +74,7 @@
 	if o.figures == (figures{}) {
 		o.figures = defaultFigures()
 	}
-	machines, err := standin.NewMachines()
+	machines, err := standin.NewEngineListener()
 	if err != nil {
 		return nil, err
 	}
@@ -221,7 +221,7 @@
 	}
 	out := map[string]*path{}
 	for _, e := range w.all {
-		p := &path{since: e.Started(), gaps: e.Absences()}
+		p := &path{since: e.StartTime(), gaps: e.Downtimes()}
 		p.gaps = append(p.gaps, silences[w.groupOf[e.ID()]]...)
 		slices.SortFunc(p.gaps, func(a, b standin.Span) int { return a.From.Compare(b.From) })
 		out[e.ID()] = p
@@ -261,8 +261,8 @@
 		kind, prefix = writerKind, "d"
 	}
 	id := fmt.Sprintf("%s%d", prefix, w.serial)
-	e, err := standin.NewEngine(standin.EngineOptions{ID: id, Writer: writer, Cluster: w.Cluster, Work: w.opts.Work,
-		Slots: w.opts.slots(writer), Seed: w.opts.Seed + uint64(w.serial), Machines: w.machines})
+	e, err := standin.NewEngine(standin.EngineOptions{ID: id, Writer: writer, Cluster: w.Cluster, Timing: w.opts.Work,
+		Slots: w.opts.slots(writer), Seed: w.opts.Seed + uint64(w.serial), Listener: w.machines})
 	if err != nil {
 		return m, err
 	}
--- a/internal/standin/chat/cluster.go
+++ b/internal/standin/chat/cluster.go
@@ -13,16 +13,16 @@
 
 // The outcomes of attempts.
 const (
-	Running    Outcome = iota // it is out
-	Read                      // 202: the prompt is read
-	Streamed                  // the stream was written to its last chunk
-	TurnedAway                // 503 and never run
-	StateGone                 // 410: there is no state to fetch; never run
-	Errored                   // 500
-	Broken                    // the engine has reset the connection
-	Spoilt                    // the engine has written what is no answer
-	GivenUp                   // the router has closed the connection before the end
-	Died                      // the engine has died
+	Running   Outcome = iota // it is out
+	Read                     // 202: the prompt is read
+	Streamed                 // the stream was written to its last chunk
+	Refused                  // 503 and never run
+	StateGone                // 410: there is no state to fetch; never run
+	Failed                   // 500
+	ConnReset                // the engine has reset the connection
+	Spoilt                   // the engine has written what is no answer
+	GivenUp                  // the router has closed the connection before the end
+	Died                     // the engine has died
 )
 
 func (o Outcome) String() string {
@@ -31,7 +31,7 @@
 }
 
 // NeverRan tells whether an outcome proves that the request has had no effect.
-func (o Outcome) NeverRan() bool { return o == TurnedAway || o == StateGone }
+func (o Outcome) NeverRan() bool { return o == Refused || o == StateGone }
 
 // Attempt is one request that has arrived at an engine, as the engine saw it.
 type Attempt struct {
--- a/internal/standin/chat/engine.go
+++ b/internal/standin/chat/engine.go
@@ -20,26 +20,26 @@
 
 // Behaviour is how an engine treats requests. Shares are chances of a request, from 0 to 1; the zero value is sound.
 type Behaviour struct {
-	Hang          bool    // nothing goes on, neither what comes nor what is under way
-	TurnAway      float64 // 503 without a run
-	Fail          float64 // 500
-	ResetAtStart  float64 // the connection is reset when the request has arrived
-	ResetInStream float64 // the connection is reset between two events
-	SpoilAtStart  float64 // noise in place of an answer
-	SpoilInStream float64 // a chunk whose size can't be read
-	Endless       float64 // a head that does not end
-	SecondAnswer  float64 // another answer some milliseconds behind the first
-	Interim       float64 // 1xx answers in front
-	CloseIdle     float64 // the connection is closed after an answer that does not say so
-	Slowness      float64 // times the usual work; 0: 1
+	Hang             bool    // nothing goes on, neither what comes nor what is under way
+	Refuse           float64 // 503 without a run
+	Fail             float64 // 500
+	ResetAtStart     float64 // the connection is reset when the request has arrived
+	ResetInStream    float64 // the connection is reset between two events
+	MalformedAnswer  float64 // noise in place of an answer
+	MalformedStream  float64 // a chunk whose size can't be read
+	EndlessHeader    float64 // a head that does not end
+	DuplicateAnswer  float64 // another answer some milliseconds behind the first
+	InterimResponse  float64 // 1xx answers in front
+	CloseAfterAnswer float64 // the connection is closed after an answer that does not say so
+	Slowdown         float64 // times the usual work; 0: 1
 }
 
-// Work is how long an engine takes.
-type Work struct {
-	Read       time.Duration // of a prompt
-	FirstToken time.Duration
-	Event      time.Duration // between two events of a stream
-	Events     int           // of a stream
+// Timing is how long an engine takes.
+type Timing struct {
+	ReadTime        time.Duration // of a prompt
+	FirstTokenTime  time.Duration
+	EventInterval   time.Duration // between two events of a stream
+	EventsPerStream int           // of a stream
 }
 
 // EngineOptions are what an engine is made of.
@@ -47,11 +47,11 @@
 	ID      string
 	Writer  bool
 	Cluster *Cluster
-	Work    Work
+	Timing  Timing
 	Slots   int // requests at once; more are turned away
 	Seed    uint64
-	// Machines is where the engine listens.
-	Machines *Machines
+	// Listener is where the engine listens.
+	Listener *EngineListener
 }
 
 // Engine is one stand-in engine. It has an address of its own; routers reach it through proxies.
@@ -93,7 +93,7 @@
 	e := &Engine{opts: o, started: time.Now(), random: rand.New(rand.NewPCG(o.Seed, 17)), conns: map[net.Conn]struct{}{},
 		hung: make(chan struct{}), struck: map[string]int{}}
 	close(e.hung)
-	if err := o.Machines.add(e); err != nil {
+	if err := o.Listener.add(e); err != nil {
 		return nil, err
 	}
 	return e, nil
@@ -111,8 +111,8 @@
 // Writer tells the engine's role.
 func (e *Engine) Writer() bool { return e.opts.Writer }
 
-// Behave changes how requests are treated from now on.
-func (e *Engine) Behave(b Behaviour) {
+// SetBehaviour changes how requests are treated from now on.
+func (e *Engine) SetBehaviour(b Behaviour) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.dead {
@@ -130,18 +130,18 @@
 	e.behaviour = b
 }
 
-// Started tells when the engine began to run.
-func (e *Engine) Started() time.Time { return e.started }
+// StartTime tells when the engine began to run.
+func (e *Engine) StartTime() time.Time { return e.started }
 
-// Absences returns the times in which the engine did nothing.
-func (e *Engine) Absences() []Span {
+// Downtimes returns the times in which the engine did nothing.
+func (e *Engine) Downtimes() []Span {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return append([]Span(nil), e.absences...)
 }
 
-// Struck tells how often each kind of behaviour has met a request.
-func (e *Engine) Struck() map[string]int {
+// FaultCounts tells how often each kind of behaviour has met a request.
+func (e *Engine) FaultCounts() map[string]int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	out := map[string]int{}
@@ -168,7 +168,7 @@
 		e.behaviour.Hang = false
 	}
 	e.mu.Unlock()
-	e.opts.Machines.remove(e)
+	e.opts.Listener.remove(e)
 	e.work.Wait()
 	e.opts.Cluster.die(e.opts.ID)
 }
@@ -312,7 +312,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	share := float64(e.busy) / float64(e.opts.Slots)
-	return fmt.Sprintf(`{"lat_ms":%d,"x0":%.3f,"x1":0}`, e.opts.Work.FirstToken.Milliseconds(), share)
+	return fmt.Sprintf(`{"lat_ms":%d,"x0":%.3f,"x1":0}`, e.opts.Timing.FirstTokenTime.Milliseconds(), share)
 }
 
 // chance draws whether a behaviour strikes, and counts it.
--- a/internal/standin/chat/machines.go
+++ b/internal/standin/chat/machines.go
@@ -9,9 +9,9 @@
 	"sync"
 )
 
-// Machines is one listener for many engines, so that descriptors follow the traffic and not the number of engines. Each
+// EngineListener is one listener for many engines, so that descriptors follow the traffic and not the number of engines. Each
 // engine has an address of its own in 127.0.0.0/8; the local address of a connection tells whose it is.
-type Machines struct {
+type EngineListener struct {
 	listener net.Listener
 	port     uint16
 	work     sync.WaitGroup
@@ -53,20 +53,20 @@
 	return nil, err
 }
 
-// NewMachines starts a listener without engines.
-func NewMachines() (*Machines, error) {
+// NewEngineListener starts a listener without engines.
+func NewEngineListener() (*EngineListener, error) {
 	l, err := listenEverywhere()
 	if err != nil {
 		return nil, fmt.Errorf("machines: %w", err)
 	}
-	m := &Machines{listener: l, port: uint16(l.Addr().(*net.TCPAddr).Port), engines: map[netip.Addr]*Engine{}}
+	m := &EngineListener{listener: l, port: uint16(l.Addr().(*net.TCPAddr).Port), engines: map[netip.Addr]*Engine{}}
 	m.work.Add(1)
 	go m.accept()
 	return m, nil
 }
 
 // Close ends the listener. The engines have to be killed before.
-func (m *Machines) Close() {
+func (m *EngineListener) Close() {
 	m.listener.Close()
 	m.work.Wait()
 }
@@ -74,7 +74,7 @@
 var errTooManyEngines = errors.New("machines: too many engines")
 
 // add gives an engine its number.
-func (m *Machines) add(e *Engine) error {
+func (m *EngineListener) add(e *Engine) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.last++; m.last >= maxEngines {
@@ -87,13 +87,13 @@
 }
 
 // remove forgets an engine that has died; connections to it are reset from then on.
-func (m *Machines) remove(e *Engine) {
+func (m *EngineListener) remove(e *Engine) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	delete(m.engines, e.addr.Addr())
 }
 
-func (m *Machines) accept() {
+func (m *EngineListener) accept() {
 	defer m.work.Done()
 	for {
 		c, err := m.listener.Accept()
--- a/internal/standin/chat/proxy_test.go
+++ b/internal/standin/chat/proxy_test.go
@@ -11,12 +11,12 @@
 func TestDialsInASilence(t *testing.T) {
 	const proxies, dialWithin, patience = 30, 250 * time.Millisecond, 20 * time.Second
 	cluster := NewCluster()
-	machines, err := NewMachines()
+	machines, err := NewEngineListener()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer machines.Close()
-	e, err := NewEngine(EngineOptions{ID: "d", Cluster: cluster, Machines: machines})
+	e, err := NewEngine(EngineOptions{ID: "d", Cluster: cluster, Listener: machines})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/standin/chat/run.go
+++ b/internal/standin/chat/run.go
@@ -22,7 +22,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	b := &e.behaviour
-	p := &plan{turnAway: e.chance("turned away", b.TurnAway), slowness: max(b.Slowness, 1)}
+	p := &plan{turnAway: e.chance("turned away", b.Refuse), slowness: max(b.Slowdown, 1)}
 	if e.busy >= e.opts.Slots {
 		p.turnAway = true
 	}
@@ -31,15 +31,15 @@
 	}
 	p.fail = e.chance("errors", b.Fail)
 	p.resetAtStart = e.chance("resets at the start", b.ResetAtStart)
-	p.spoilAtStart = e.chance("spoilt answers", b.SpoilAtStart)
-	p.endless = e.chance("endless heads", b.Endless)
-	p.interim = e.chance("interim answers", b.Interim)
-	p.secondAnswer = e.chance("second answers", b.SecondAnswer)
-	p.closeIdle = e.chance("idle connections closed", b.CloseIdle)
+	p.spoilAtStart = e.chance("spoilt answers", b.MalformedAnswer)
+	p.endless = e.chance("endless heads", b.EndlessHeader)
+	p.interim = e.chance("interim answers", b.InterimResponse)
+	p.secondAnswer = e.chance("second answers", b.DuplicateAnswer)
+	p.closeIdle = e.chance("idle connections closed", b.CloseAfterAnswer)
 	if e.opts.Writer {
 		p.resetInStream = e.chance("resets in a stream", b.ResetInStream)
-		p.spoilInStream = e.chance("spoilt streams", b.SpoilInStream)
-		p.cut = 1 + e.random.IntN(max(e.opts.Work.Events, 1))
+		p.spoilInStream = e.chance("spoilt streams", b.MalformedStream)
+		p.cut = 1 + e.random.IntN(max(e.opts.Timing.EventsPerStream, 1))
 	}
 	return p
 }
@@ -56,7 +56,7 @@
 	p := e.plan()
 	if p.turnAway {
 		ok := c.answer(503, "", platform.UnprocessedHeader+": 1")
-		e.opts.Cluster.end(a, TurnedAway)
+		e.opts.Cluster.end(a, Refused)
 		return ok
 	}
 	e.count(1)
@@ -67,7 +67,7 @@
 	outcome := c.carryOut(ctx, a, p)
 	stop()
 	switch outcome {
-	case Streamed, Read, Broken, Spoilt: // it had ended before a router could give it up
+	case Streamed, Read, ConnReset, Spoilt: // it had ended before a router could give it up
 	default:
 		if ctx.Err() != nil {
 			outcome = GivenUp
@@ -80,7 +80,7 @@
 	e.mu.Unlock()
 	e.opts.Cluster.end(a, outcome)
 	switch outcome {
-	case Broken:
+	case ConnReset:
 		reset(c.Conn)
 		return false
 	case Spoilt: // open, and of no use; the router has to close it
@@ -101,7 +101,7 @@
 	e := c.engine
 	switch {
 	case p.resetAtStart:
-		return Broken
+		return ConnReset
 	case !c.works(ctx, 0):
 		return GivenUp
 	case p.spoilAtStart:
@@ -111,7 +111,7 @@
 		return c.endless(ctx)
 	case p.fail:
 		c.answer(500, "")
-		return Errored
+		return Failed
 	case p.interim:
 		io.WriteString(c, "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n")
 	}
@@ -158,7 +158,7 @@
 }
 
 func (c *engineConn) read(ctx context.Context, a *Attempt, p *plan) Outcome {
-	if !c.works(ctx, p.takes(c.engine.opts.Work.Read)) {
+	if !c.works(ctx, p.takes(c.engine.opts.Timing.ReadTime)) {
 		return GivenUp
 	}
 	c.engine.opts.Cluster.hold(a.Request, c.engine.opts.ID)
@@ -169,8 +169,8 @@
 }
 
 func (c *engineConn) write(ctx context.Context, a *Attempt, p *plan) Outcome {
-	w := c.engine.opts.Work
-	if !c.works(ctx, p.takes(w.FirstToken)) {
+	w := c.engine.opts.Timing
+	if !c.works(ctx, p.takes(w.FirstTokenTime)) {
 		return GivenUp
 	}
 	c.engine.opts.Cluster.letGo(a.Request) // the stream has it now
@@ -178,12 +178,12 @@
 	if err != nil {
 		return GivenUp
 	}
-	for n := range w.Events {
-		if n > 0 && !c.works(ctx, p.takes(w.Event)) {
+	for n := range w.EventsPerStream {
+		if n > 0 && !c.works(ctx, p.takes(w.EventInterval)) {
 			return GivenUp
 		}
 		if n == p.cut && p.resetInStream {
-			return Broken
+			return ConnReset
 		}
 		if n == p.cut && p.spoilInStream {
 			io.WriteString(c, "zz\r\n")
--- a/internal/standin/engine/core.go
+++ b/internal/standin/engine/core.go
@@ -24,8 +24,8 @@
 	AnswerTokens               int    // tokens to write; 0: a read, whose state stays until Free
 	NeedsState                 bool   // an answer that waits for its state: Fetched lets it begin
 	OnAdmitted                 func() // it has a slot and memory
-	Read                       func(kept int)
-	Token                      func(first, last bool)
+	OnRead                     func(kept int)
+	OnToken                    func(first, last bool)
 
 	q seq
 }
@@ -37,8 +37,8 @@
 	return c
 }
 
-// Next is the engine after a change of role: cold, and empty unless it keeps its texts.
-func (c *Core) Next(spec Spec, now time.Time, keeps bool) *Core {
+// AfterRoleChange is the engine after a change of role: cold, and empty unless it keeps its texts.
+func (c *Core) AfterRoleChange(spec Spec, now time.Time, keeps bool) *Core {
 	n := NewCore(spec, now, true)
 	if keeps {
 		n.m.cache, n.m.lru, n.m.cached = c.m.cache, c.m.lru, c.m.cached
@@ -46,11 +46,11 @@
 	return n
 }
 
-// Slow makes all that the engine does so many times slower.
-func (c *Core) Slow(times float64) { c.m.slow = times }
+// SetSlowdown makes all that the engine does so many times slower.
+func (c *Core) SetSlowdown(times float64) { c.m.slow = times }
 
-// Weigh counts a send against the budget of a cold engine (rule 4) and tells whether it fell by it.
-func (c *Core) Weigh(now time.Time) bool {
+// CountSend counts a send against the budget of a cold engine (rule 4) and tells whether it fell by it.
+func (c *Core) CountSend(now time.Time) bool {
 	c.m.weigh(now)
 	return c.m.fallen
 }
@@ -61,22 +61,22 @@
 	t.q.hooks = &hooks{granted: t.OnAdmitted, event: func(e event) {
 		switch {
 		case t.AnswerTokens == 0:
-			t.Read(t.q.kept)
+			t.OnRead(t.q.kept)
 		case e.token == 1 || e.last:
-			t.Token(e.token == 1, e.last)
+			t.OnToken(e.token == 1, e.last)
 		}
 	}}
 	return c.m.admit(&t.q) == nil
 }
 
-// Fetched tells that an answer's state has come.
-func (c *Core) Fetched(t *Task) { c.m.fetched(&t.q) }
+// StateFetched tells that an answer's state has come.
+func (c *Core) StateFetched(t *Task) { c.m.fetched(&t.q) }
 
-// Leave takes a task out, wherever it is, and frees a read's state.
-func (c *Core) Leave(t *Task) { c.m.leave(&t.q) }
+// Remove takes a task out, wherever it is, and frees a read's state.
+func (c *Core) Remove(t *Task) { c.m.leave(&t.q) }
 
-// Waited takes in how long a read or a first token took, for the load report.
-func (c *Core) Waited(d time.Duration) { c.m.waited(d) }
+// RecordLatency takes in how long a read or a first token took, for the load report.
+func (c *Core) RecordLatency(d time.Duration) { c.m.waited(d) }
 
 // Step plans a step and returns how long it takes; 0: there is nothing to do. Finish has to follow.
 func (c *Core) Step(now time.Time) time.Duration {
@@ -95,8 +95,8 @@
 // Empty tells whether nothing runs, waits or is held.
 func (c *Core) Empty() bool { return c.m.used == 0 && len(c.m.queue) == 0 && len(c.m.running) == 0 }
 
-// Load is how many tasks run and wait.
-func (c *Core) Load() int { return len(c.m.queue) + len(c.m.running) }
+// TaskCount is how many tasks run and wait.
+func (c *Core) TaskCount() int { return len(c.m.queue) + len(c.m.running) }
 
 // Report is what the engine tells of its load: a sample of some time ago.
 func (c *Core) Report(now time.Time) decide.Report {
