--- a/internal/shift/shift.go
+++ b/internal/shift/shift.go
@@ -217,11 +217,11 @@
 func (d *Driver) take(o *observation) {
 	switch o.kind {
 	case sawArrival:
-		d.manager.Arrived(o.at, o.arrival)
+		d.manager.ObserveArrival(o.at, o.arrival)
 	case sawRead:
-		d.manager.Read(o.arrival)
+		d.manager.ObserveRead(o.arrival)
 	case sawWritten:
-		d.manager.Written(o.arrival)
+		d.manager.ObserveOutput(o.arrival)
 	}
 }
 
@@ -243,7 +243,7 @@
 		info.Capacity[stageOf(kind)], info.Capacity[stageOf(other)] = kind.Capacity, other.Capacity
 		infos = append(infos, info)
 	}
-	acts := d.manager.Listed(time.Now(), infos, nil)
+	acts := d.manager.UpdateEngines(time.Now(), infos, nil)
 	for id := range d.views {
 		if d.byID[id] == nil {
 			delete(d.views, id)
@@ -305,9 +305,9 @@
 		return nil
 	}
 	if r.asked {
-		return d.manager.Answered(now, r.id, r.granted, s, nil)
+		return d.manager.HandleAnswer(now, r.id, r.granted, s, nil)
 	}
-	return d.manager.Standing(now, r.id, s, nil)
+	return d.manager.ObserveState(now, r.id, s, nil)
 }
 
 // standing turns an engine's word into the decisions' terms.
--- a/internal/sim/node.go
+++ b/internal/sim/node.go
@@ -180,7 +180,7 @@
 		list = append(list, roles.EngineInfo{ID: uint64(u.id()), Cell: u.cell, Role: u.first,
 			Capacity: [2]float64{roles.Prefill: n.s.cfg.Prefill.Capacity(), roles.Decode: n.s.cfg.Decode.Capacity()}})
 	}
-	n.carry(n.manager.Listed(n.s.wall(), list, nil))
+	n.carry(n.manager.UpdateEngines(n.s.wall(), list, nil))
 }
 
 // look asks every engine for its role, now and then.
@@ -200,7 +200,7 @@
 			word := u.standing()
 			n.s.after(net, func() {
 				if n.life == life {
-					n.carry(n.manager.Standing(n.s.wall(), uint64(u.id()), word, nil))
+					n.carry(n.manager.ObserveState(n.s.wall(), uint64(u.id()), word, nil))
 				}
 			})
 		})
@@ -241,7 +241,7 @@
 				word := u.standing()
 				n.s.after(net, func() {
 					if n.life == life {
-						n.carry(n.manager.Answered(n.s.wall(), a.Engine, granted, word, nil))
+						n.carry(n.manager.HandleAnswer(n.s.wall(), a.Engine, granted, word, nil))
 					}
 				})
 			})
@@ -262,7 +262,7 @@
 	n.flights[f.id] = f
 	n.s.open++
 	if n.manager != nil {
-		n.manager.Arrived(n.s.wall(), roles.RequestInfo{Class: e.Class, PromptTokens: float64(e.PromptTokens)})
+		n.manager.ObserveArrival(n.s.wall(), roles.RequestInfo{Class: e.Class, PromptTokens: float64(e.PromptTokens)})
 	}
 	n.s.after(f.deadline-n.s.now, func() {
 		if f.answered || f.out != nil && f.out.streaming {
@@ -424,14 +424,14 @@
 	case out == decide.ReadDone:
 		f.state = a.state
 		if n.manager != nil {
-			n.manager.Read(roles.RequestInfo{Class: e.Class, PromptTokens: float64(e.PromptTokens), CachedTokens: kept})
+			n.manager.ObserveRead(roles.RequestInfo{Class: e.Class, PromptTokens: float64(e.PromptTokens), CachedTokens: kept})
 		}
 	case out == decide.Served || noState:
 		f.state = nil
 	}
 	if a.streaming {
 		if n.manager != nil {
-			n.manager.Written(roles.RequestInfo{Class: e.Class, OutputTokens: float64(s.answer(e.OutputTokens)), Truncated: out != decide.Served})
+			n.manager.ObserveOutput(roles.RequestInfo{Class: e.Class, OutputTokens: float64(s.answer(e.OutputTokens)), Truncated: out != decide.Served})
 		}
 		if out == decide.Served {
 			c := &s.cfg.Settings.Classes[e.Class]
--- a/roles/manager.go
+++ b/roles/manager.go
@@ -83,17 +83,17 @@
 		judge: Judge{Confidence: cfg.Confidence, Looks: cfg.ConsecutivePlans}, infos: map[uint64]*EngineInfo{}, next: now.Add(cfg.PlanInterval)}
 }
 
-// Arrived, Read and Written take in what this router sees of the traffic.
-func (m *Manager) Arrived(now time.Time, a RequestInfo) { m.demand.Arrived(now.Sub(m.start), a) }
+// ObserveArrival, Read and Written take in what this router sees of the traffic.
+func (m *Manager) ObserveArrival(now time.Time, a RequestInfo) { m.demand.Arrived(now.Sub(m.start), a) }
 
-// Read takes in a finished read.
-func (m *Manager) Read(a RequestInfo) { m.demand.Read(a) }
+// ObserveRead takes in a finished read.
+func (m *Manager) ObserveRead(a RequestInfo) { m.demand.Read(a) }
 
-// Written takes in an answer, as far as it is known.
-func (m *Manager) Written(a RequestInfo) { m.demand.Written(a) }
+// ObserveOutput takes in an answer, as far as it is known.
+func (m *Manager) ObserveOutput(a RequestInfo) { m.demand.Written(a) }
 
-// Listed takes in all engines that there are. Those that are not among them are gone.
-func (m *Manager) Listed(now time.Time, list []EngineInfo, out []Action) []Action {
+// UpdateEngines takes in all engines that there are. Those that are not among them are gone.
+func (m *Manager) UpdateEngines(now time.Time, list []EngineInfo, out []Action) []Action {
 	seen := make(map[uint64]*EngineInfo, len(list))
 	for i := range list {
 		info := list[i]
@@ -111,16 +111,16 @@
 	return out
 }
 
-// Standing takes in an engine's word on its role.
-func (m *Manager) Standing(now time.Time, id uint64, s RoleState, out []Action) []Action {
+// ObserveState takes in an engine's word on its role.
+func (m *Manager) ObserveState(now time.Time, id uint64, s RoleState, out []Action) []Action {
 	if m.infos[id] == nil {
 		return out
 	}
 	return m.follow.Seen(now, id, s, out)
 }
 
-// Answered takes in an engine's answer to Ask.
-func (m *Manager) Answered(now time.Time, id uint64, granted bool, s RoleState, out []Action) []Action {
+// HandleAnswer takes in an engine's answer to Ask.
+func (m *Manager) HandleAnswer(now time.Time, id uint64, granted bool, s RoleState, out []Action) []Action {
 	return m.follow.Answered(now, id, granted, s, out)
 }
 
--- a/roles/manager_test.go
+++ b/roles/manager_test.go
@@ -39,7 +39,7 @@
 			change(&cfg)
 		}
 		m := NewManager(cfg, s.now)
-		m.Listed(s.now, infos, nil)
+		m.UpdateEngines(s.now, infos, nil)
 		s.managers = append(s.managers, m)
 	}
 	return s
@@ -54,9 +54,9 @@
 			if m == nil {
 				continue
 			}
-			m.Arrived(s.now, RequestInfo{})
-			m.Read(RequestInfo{PromptTokens: prompt * math.Exp(0.6*s.rng.NormFloat64()-0.18)})
-			m.Written(RequestInfo{OutputTokens: answer * math.Exp(0.6*s.rng.NormFloat64()-0.18)})
+			m.ObserveArrival(s.now, RequestInfo{})
+			m.ObserveRead(RequestInfo{PromptTokens: prompt * math.Exp(0.6*s.rng.NormFloat64()-0.18)})
+			m.ObserveOutput(RequestInfo{OutputTokens: answer * math.Exp(0.6*s.rng.NormFloat64()-0.18)})
 		}
 		away := 0
 		for id, e := range s.engines {
@@ -84,7 +84,7 @@
 			if s.now.UnixMilli()%1000 == 0 {
 				for id := range uint64(len(s.engines)) {
 					if e := s.engines[id+1]; e.alive {
-						out = m.Standing(s.now, id+1, e.s, out)
+						out = m.ObserveState(s.now, id+1, e.s, out)
 					}
 				}
 			}
@@ -103,7 +103,7 @@
 				s.begun++
 				s.ready[a.Engine] = s.now.Add(2 * time.Second)
 			}
-			s.do(m, m.Answered(s.now, a.Engine, granted, e.s, nil))
+			s.do(m, m.HandleAnswer(s.now, a.Engine, granted, e.s, nil))
 		case CancelChange:
 			if e.alive && e.s.Phase == Emptying && e.s.Epoch == a.Epoch {
 				e.s.Phase = Steady
@@ -234,7 +234,7 @@
 		}
 		left = append(left, info)
 	}
-	s.managers[0].Listed(s.now, left, nil)
+	s.managers[0].UpdateEngines(s.now, left, nil)
 	s.run(30*time.Second, 40, 900, 165)
 	if e := s.engines[moving]; e.s.Phase != Steady || e.s.Role != Prefill {
 		t.Errorf("it is %+v", e.s)
