--- a/internal/engine/chat/exchange.go
+++ b/internal/engine/chat/exchange.go
@@ -189,7 +189,7 @@
 	if x.conn == nil {
 		return
 	}
-	if x.stop() && x.whole && !x.interim && !x.head.Closes() {
+	if x.stop() && x.whole && !x.interim && !x.head.WantsClose() {
 		x.conn.rest = x.rest
 		x.client.pool.put(x.conn)
 		return
--- a/internal/front/chat/conn.go
+++ b/internal/front/chat/conn.go
@@ -210,11 +210,11 @@
 	if err != nil {
 		return c.unreadable(err)
 	}
-	method, target, old, err := head.Request()
+	method, target, old, err := head.RequestLine()
 	if err != nil {
 		return c.unreadable(err)
 	}
-	closes := old || head.Closes()
+	closes := old || head.WantsClose()
 	body, err := c.body(head)
 	defer f.bodies.Add(-int64(cap(body)))
 	if err != nil {
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -88,8 +88,8 @@
 // NewJobBuilder returns the meaning of requests under some settings.
 func NewJobBuilder(set *config.Settings) *JobBuilder { return &JobBuilder{set: set} }
 
-// Model checks a model's name and version; the empty version is any.
-func (m *JobBuilder) Model(name, version string) *Error {
+// CheckModel checks a model's name and version; the empty version is any.
+func (m *JobBuilder) CheckModel(name, version string) *Error {
 	if name != m.set.Model {
 		return &Error{Kind: NotFound, Text: fmt.Sprintf("unknown model %q", clip(name))}
 	}
@@ -124,7 +124,7 @@
 }
 
 func (r *reader) flag(name string) bool {
-	b, err := r.p.Flag(name)
+	b, err := r.p.Bool(name)
 	r.note(err)
 	return b
 }
@@ -137,7 +137,7 @@
 
 // Job returns what an input asks for, or what is wrong with it. now is when it arrived.
 func (m *JobBuilder) Job(in *DecodedRequest, now time.Time) (*router.Job, *Error) {
-	if e := m.Model(in.Model, in.Version); e != nil {
+	if e := m.CheckModel(in.Model, in.Version); e != nil {
 		return nil, e
 	}
 	if err := in.Params.Check(); err != nil {
--- a/internal/front/rest/rest.go
+++ b/internal/front/rest/rest.go
@@ -149,7 +149,7 @@
 }
 
 func (f *Front) modelMetadata(w http.ResponseWriter, r *http.Request) {
-	if e := f.meaning.Model(r.PathValue("model"), r.PathValue("version")); e != nil {
+	if e := f.meaning.CheckModel(r.PathValue("model"), r.PathValue("version")); e != nil {
 		f.fail(w, r, e)
 		return
 	}
@@ -162,7 +162,7 @@
 }
 
 func (f *Front) modelReady(w http.ResponseWriter, r *http.Request) {
-	if e := f.meaning.Model(r.PathValue("model"), r.PathValue("version")); e != nil {
+	if e := f.meaning.CheckModel(r.PathValue("model"), r.PathValue("version")); e != nil {
 		f.fail(w, r, e)
 		return
 	}
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -137,8 +137,8 @@
 	return s != ""
 }
 
-// Request returns the parts of a request's start line. old is HTTP/1.0.
-func (h *Head) Request() (method, target string, old bool, err error) {
+// RequestLine returns the parts of a request's start line. old is HTTP/1.0.
+func (h *Head) RequestLine() (method, target string, old bool, err error) {
 	method, rest, _ := strings.Cut(h.Line, " ")
 	target, version, ok := strings.Cut(rest, " ")
 	target = originForm(target)
@@ -174,8 +174,8 @@
 	return n, nil
 }
 
-// Closes tells whether the sender closes the connection after this message.
-func (h *Head) Closes() bool {
+// WantsClose tells whether the sender closes the connection after this message.
+func (h *Head) WantsClose() bool {
 	for i := range h.Fields {
 		if !strings.EqualFold(h.Fields[i].Name, "Connection") {
 			continue
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -53,7 +53,7 @@
 		"GET http://a/ HTTP/1.1": true, "GET HTTP://a:8/b?c HTTP/1.1": true,
 		"GET http:///b HTTP/1.1": false, "GET http://a HTTP/1.1": false, "GET ftp://a/ HTTP/1.1": false, "GET /": false, "G T / HTTP/1.1": false, "GET / a HTTP/1.1": false,
 	} {
-		if _, _, _, err := (&Head{Line: line}).Request(); (err == nil) != ok {
+		if _, _, _, err := (&Head{Line: line}).RequestLine(); (err == nil) != ok {
 			t.Errorf("%q: %v", line, err)
 		}
 	}
--- a/internal/kserve/kserve.go
+++ b/internal/kserve/kserve.go
@@ -68,8 +68,8 @@
 	return f, true, nil
 }
 
-// Flag returns a boolean parameter; absent is false.
-func (p Parameters) Flag(name string) (bool, error) {
+// Bool returns a boolean parameter; absent is false.
+func (p Parameters) Bool(name string) (bool, error) {
 	switch v := p[name].(type) {
 	case nil:
 		return false, nil
--- a/internal/kserve/kserve_test.go
+++ b/internal/kserve/kserve_test.go
@@ -60,7 +60,7 @@
 	if _, _, err := p.Number("neg"); err == nil {
 		t.Error("a negative number was taken")
 	}
-	if _, err := p.Flag("s"); err == nil {
+	if _, err := p.Bool("s"); err == nil {
 		t.Error("a string was taken for a flag")
 	}
 	if err := p.Check(); err == nil || !strings.Contains(err.Error(), `"o"`) {
--- a/internal/standin/chat/engine.go
+++ b/internal/standin/chat/engine.go
@@ -223,7 +223,7 @@
 	if err != nil {
 		return false
 	}
-	method, target, _, err := head.Request()
+	method, target, _, err := head.RequestLine()
 	if err != nil {
 		return false
 	}
