--- a/cmd/mintdoor/demo.go
+++ b/cmd/mintdoor/demo.go
@@ -77,8 +77,8 @@
 	engines, err := fleet.Start(fleet.Config{
 		Groups: []fleet.Group{{Prefix: "prefill-", Kind: "prefill", Count: 3, Spec: standin.Prefill()},
 			{Prefix: "decode-", Kind: "decode", Count: 4, Spec: standin.Decode()}},
-		Cells: []string{"rack-a", "rack-b"}, List: filepath.Join(dir, "engines.list"), LinkPS: 400e3,
-		Notice: 2 * time.Second, Silent: 5 * time.Second, Add: time.Second, Seed: 1, Log: log})
+		Cells: []string{"rack-a", "rack-b"}, ListPath: filepath.Join(dir, "engines.list"), LinkTokensPerSecond: 400e3,
+		CrashListDelay: 2 * time.Second, SilenceListDelay: 5 * time.Second, StartListDelay: time.Second, Seed: 1, Log: log})
 	if err != nil {
 		return err
 	}
--- a/cmd/mintdoor/silence_test.go
+++ b/cmd/mintdoor/silence_test.go
@@ -111,7 +111,7 @@
 func TestStatesBehindASilentWriterAreLetGo(t *testing.T) {
 	k := keepConnections(t, 6, standin.Timing{ReadTime: 10 * time.Millisecond, FirstTokenTime: 10 * time.Millisecond, EventInterval: time.Millisecond,
 		EventsPerStream: 3})
-	k.strike(t, true, (*standin.Proxy).Silence)
+	k.strike(t, true, (*standin.Proxy).DropTraffic)
 	k.ask("r1")
 	k.answers()
 	k.letGoInTime(t, "r1")
@@ -124,7 +124,7 @@
 	k := keepConnections(t, 8, standin.Timing{ReadTime: 100 * time.Millisecond, FirstTokenTime: 10 * time.Millisecond, EventInterval: time.Millisecond,
 		EventsPerStream: 3})
 	forget := func(p *standin.Proxy) error {
-		p.Forget()
+		p.BlackholeConnections()
 		return nil
 	}
 	k.strike(t, true, forget)
--- a/internal/day/run.go
+++ b/internal/day/run.go
@@ -134,8 +134,8 @@
 	var err error
 	p.fleet, err = fleet.Start(fleet.Config{
 		Groups: p.s.groups(),
-		Cells:  cells, List: list, Notice: p.s.CrashNotice, Silent: p.s.SilenceNotice, Add: p.s.StartNotice, LinkPS: p.s.LinkRate,
-		Seed: p.s.Seed, Record: p.record, Log: p.o.Log})
+		Cells:  cells, ListPath: list, CrashListDelay: p.s.CrashNotice, SilenceListDelay: p.s.SilenceNotice, StartListDelay: p.s.StartNotice, LinkTokensPerSecond: p.s.LinkRate,
+		Seed: p.s.Seed, AuditLog: p.record, Log: p.o.Log})
 	if err != nil {
 		return err
 	}
@@ -264,7 +264,7 @@
 			p.fleet.Unlist(m)
 		default:
 			f := standin.Fault{Kind: e.Kind, Duration: e.Duration, Size: e.Size, Class: e.Class, Mode: e.How}
-			if err := p.fleet.Play(m, f); err != nil {
+			if err := p.fleet.InjectFault(m, f); err != nil {
 				p.o.Log.Error("trouble", "err", err)
 			}
 		}
--- a/internal/day/swing.go
+++ b/internal/day/swing.go
@@ -63,8 +63,8 @@
 	out := []fleet.Group{{Prefix: s.Prefill.Prefix, Kind: "prefill", Count: s.Prefill.Count, Spec: read},
 		{Prefix: s.Decode.Prefix, Kind: "decode", Count: s.Decode.Count, Spec: write}}
 	if s.RoleChangeTime > 0 {
-		out[0].Other, out[1].Other = &write, &read
-		out[0].Change, out[1].Change = s.RoleChangeTime, s.RoleChangeTime
+		out[0].OtherRole, out[1].OtherRole = &write, &read
+		out[0].RoleChangeTime, out[1].RoleChangeTime = s.RoleChangeTime, s.RoleChangeTime
 	}
 	return out
 }
--- a/internal/e2e/e2e_test.go
+++ b/internal/e2e/e2e_test.go
@@ -109,8 +109,8 @@
 	fc := fleet.Config{
 		Groups: []fleet.Group{{Prefix: "p", Kind: "prefill", Count: 2, Spec: quick(decide.Reader)},
 			{Prefix: "d", Kind: "decode", Count: 3, Spec: quick(decide.Writer)}},
-		List: filepath.Join(dir, "engines.list"), Seed: 1, Record: w.record,
-		Notice: 50 * time.Millisecond, Silent: 200 * time.Millisecond, Add: 10 * time.Millisecond,
+		ListPath: filepath.Join(dir, "engines.list"), Seed: 1, AuditLog: w.record,
+		CrashListDelay: 50 * time.Millisecond, SilenceListDelay: 200 * time.Millisecond, StartListDelay: 10 * time.Millisecond,
 	}
 	text := settings
 	for _, o := range opts {
@@ -170,7 +170,7 @@
 	if f.Duration == 0 {
 		f.Duration = time.Hour
 	}
-	if err := w.fleet.Play(w.fleet.Member(name), f); err != nil {
+	if err := w.fleet.InjectFault(w.fleet.Member(name), f); err != nil {
 		w.t.Fatal(err)
 	}
 }
--- a/internal/e2e/hard_test.go
+++ b/internal/e2e/hard_test.go
@@ -251,8 +251,8 @@
 // nothing.
 func TestSilentAndLateEngines(t *testing.T) {
 	w := newWorld(t, engines(2, 2))
-	w.fleet.Play(w.fleet.Member("p1"), standin.Fault{Kind: "vanish", Duration: time.Hour})
-	w.fleet.Play(w.fleet.Member("d1"), standin.Fault{Kind: "slow", Duration: time.Hour, Size: 1000})
+	w.fleet.InjectFault(w.fleet.Member("p1"), standin.Fault{Kind: "vanish", Duration: time.Hour})
+	w.fleet.InjectFault(w.fleet.Member("d1"), standin.Fault{Kind: "slow", Duration: time.Hour, Size: 1000})
 	for i := range 6 {
 		if a := w.stream(t.Context(), generate("Rate? [answer=3]", ask{"session": fmt.Sprint(i), "deadline_ms": 60000})); a.tokens != 3 || a.finish == "" {
 			t.Errorf("%+v", a)
@@ -333,7 +333,7 @@
 
 // All engines are gone but still listed: requests are answered before their deadline.
 func TestAllEnginesGone(t *testing.T) {
-	w := newWorld(t, func(c *fleet.Config, _ *string) { c.Notice = time.Hour })
+	w := newWorld(t, func(c *fleet.Config, _ *string) { c.CrashListDelay = time.Hour })
 	for _, m := range w.fleet.Members() {
 		m.Engine.Crash(0)
 	}
--- a/internal/e2e/shift_test.go
+++ b/internal/e2e/shift_test.go
@@ -65,8 +65,8 @@
 			c.Groups[i].Spec.SlowStartTime = 500 * time.Millisecond
 		}
 		read, write := c.Groups[0].Spec, c.Groups[1].Spec
-		c.Groups[0].Other, c.Groups[1].Other = &write, &read
-		c.Groups[0].Change, c.Groups[1].Change = change, change
+		c.Groups[0].OtherRole, c.Groups[1].OtherRole = &write, &read
+		c.Groups[0].RoleChangeTime, c.Groups[1].RoleChangeTime = change, change
 	}
 }
 
--- a/internal/soak/faults_discovery.go
+++ b/internal/soak/faults_discovery.go
@@ -10,7 +10,7 @@
 
 // discoveryDown has all agents silent for a while. Engines begin to drain in that time and right after it.
 func (in *injector) discoveryDown(random *rand.Rand) {
-	in.world.Directory.Down()
+	in.world.Directory.BeginOutage()
 	var beside sync.WaitGroup
 	defer beside.Wait()
 	drain := func() {
@@ -24,7 +24,7 @@
 	time.Sleep(down / 2)
 	drain()
 	time.Sleep(down / 2)
-	in.world.Directory.Up()
+	in.world.Directory.EndOutage()
 	time.Sleep(between(random, 0, millis(600)))
 	drain()
 }
@@ -33,7 +33,7 @@
 func (in *injector) silentWatches(random *rand.Rand) {
 	for _, r := range in.world.Routers {
 		if random.IntN(4) > 0 {
-			r.CurrentAgent().SilenceWatches()
+			r.CurrentAgent().HangWatches()
 		}
 	}
 	time.Sleep(between(random, 0, millis(800)))
--- a/internal/soak/faults_network.go
+++ b/internal/soak/faults_network.go
@@ -34,7 +34,7 @@
 
 func (in *injector) cut(random *rand.Rand) {
 	for _, p := range in.somePaths(random, random.Float64(), 0.6) {
-		p.Reset()
+		p.ResetConnections()
 	}
 }
 
@@ -45,7 +45,7 @@
 // forget makes connections that stand silent for good, with no error; new ones are not concerned.
 func (in *injector) forget(random *rand.Rand) {
 	for _, p := range in.somePaths(random, 0.2+0.8*random.Float64(), 0.5) {
-		p.Forget()
+		p.BlackholeConnections()
 	}
 }
 
@@ -62,17 +62,17 @@
 }
 
 func (in *injector) beSilent(paths []*standin.Proxy, d time.Duration) {
-	in.hold(in.silent, paths, d, (*standin.Proxy).Silence, (*standin.Proxy).Resume)
+	in.hold(in.silent, paths, d, (*standin.Proxy).DropTraffic, (*standin.Proxy).RestoreTraffic)
 }
 
 func (in *injector) slowDials(random *rand.Rand) {
 	late := between(random, millis(20), millis(200))
 	in.hold(in.slow, in.somePaths(random, 1, 0.5), between(random, millis(1000), millis(4000)),
-		func(p *standin.Proxy) error { p.SlowStart(late); return nil },
-		func(p *standin.Proxy) error { p.SlowStart(0); return nil })
+		func(p *standin.Proxy) error { p.DelayNewConnections(late); return nil },
+		func(p *standin.Proxy) error { p.DelayNewConnections(0); return nil })
 }
 
 func (in *injector) stalledDials(random *rand.Rand) {
 	in.hold(in.stalled, in.somePaths(random, 0.5, 0.4), between(random, millis(300), millis(3000)),
-		(*standin.Proxy).StallDials, (*standin.Proxy).LetDials)
+		(*standin.Proxy).StallDials, (*standin.Proxy).ResumeDials)
 }
--- a/internal/soak/faults_processes.go
+++ b/internal/soak/faults_processes.go
@@ -184,6 +184,6 @@
 	if r.Move(a) != nil {
 		return
 	}
-	old.Retire()
+	old.StopAccepting()
 	time.AfterFunc(oldAgent, old.Close)
 }
--- a/internal/soak/judge_answers.go
+++ b/internal/soak/judge_answers.go
@@ -64,11 +64,11 @@
 	switch {
 	case last == nil:
 		add(ruleContent, "a stream without an attempt at a writer")
-	case last.Silenced:
+	case last.ConnLost:
 		e.leftWaiting(a, last, add)
 	case last.Outcome == standin.Streamed && !stoppedWriting(a):
 		add(ruleLost, "cut off though its engine has written it to its end")
-	case last.Outcome == standin.GivenUp && !stoppedWriting(a):
+	case last.Outcome == standin.Cancelled && !stoppedWriting(a):
 		add(ruleLost, "cut off while its engine was writing")
 	default:
 		e.leftWaiting(a, last, add)
--- a/internal/soak/judge_attempts.go
+++ b/internal/soak/judge_attempts.go
@@ -14,8 +14,8 @@
 
 // attemptsOfRequests checks the attempts of every request against each other and against their client.
 func (e *evidence) attemptsOfRequests() (out []Finding) {
-	if e.record.Unknown > 0 {
-		out = append(out, Finding{Rule: ruleUnknown, Text: fmt.Sprintf("%d calls", e.record.Unknown)})
+	if e.record.UnexpectedCalls > 0 {
+		out = append(out, Finding{Rule: ruleUnknown, Text: fmt.Sprintf("%d calls", e.record.UnexpectedCalls)})
 	}
 	for id, list := range e.attempts {
 		a := e.byID[id]
@@ -94,12 +94,12 @@
 func toldOfDrains(agents []*standin.Agent) map[string]time.Time {
 	out := map[string]time.Time{}
 	for _, a := range agents {
-		for _, t := range a.Told() {
+		for _, t := range a.Notifications() {
 			if t.Member.Phase == watch.Up {
 				continue
 			}
 			at := t.At
-			if latest := t.Put.Add(told); latest.Before(at) {
+			if latest := t.ListedAt.Add(told); latest.Before(at) {
 				at = latest
 			}
 			if before, known := out[t.Member.ID]; !known || at.Before(before) {
--- a/internal/soak/judge_holds.go
+++ b/internal/soak/judge_holds.go
@@ -34,7 +34,7 @@
 // path is how a router reaches an engine: from when on, and in which times not.
 type path struct {
 	since time.Time
-	gaps  []standin.Span
+	gaps  []standin.Interval
 }
 
 // reachable tells whether a router could reach an engine that it may have known, for long enough to let go of something.
--- a/internal/soak/judge_test.go
+++ b/internal/soak/judge_test.go
@@ -80,7 +80,7 @@
 			e.lives[0][0] = Life{Started: after(-1000), Terminated: after(-650), Killed: after(3050), Exited: after(3050), Signaled: true}
 		}},
 		"cut while its engine wrote": {change: func(_ *evidence, a *ask, _, write *standin.Attempt) {
-			a.whole, a.ending, write.Outcome = false, endBroken, standin.GivenUp
+			a.whole, a.ending, write.Outcome = false, endBroken, standin.Cancelled
 		}, want: ruleLost},
 		"cut after its engine had ended": {change: func(_ *evidence, a *ask, _, _ *standin.Attempt) {
 			a.whole, a.ending = false, endBroken
@@ -137,7 +137,7 @@
 		"held with nobody to be reached": {change: func(e *evidence, _ *ask, _, _ *standin.Attempt) {
 			e.record.Holds[0].Until = after(2500)
 			for _, p := range e.paths[0] {
-				p.gaps = []standin.Span{{From: after(300), Until: after(2400)}}
+				p.gaps = []standin.Interval{{From: after(300), Until: after(2400)}}
 			}
 		}},
 		"a bad client without a word": {change: func(e *evidence, _ *ask, _, _ *standin.Attempt) {
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -201,12 +201,12 @@
 	}
 	for _, g := range in.world.groups {
 		for _, p := range g.proxies {
-			add(p.Struck())
+			add(p.FaultCounts())
 		}
 	}
 	for _, of := range in.world.agents {
 		for _, a := range of {
-			add(a.Struck())
+			add(a.FaultCounts())
 		}
 	}
 	return out
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -215,15 +215,15 @@
 func (w *World) pathsOf(router int) map[string]*path {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	silences := map[*group][]standin.Span{}
+	silences := map[*group][]standin.Interval{}
 	for _, g := range w.groups {
-		silences[g] = g.proxies[router].Silences()
+		silences[g] = g.proxies[router].Outages()
 	}
 	out := map[string]*path{}
 	for _, e := range w.all {
 		p := &path{since: e.StartTime(), gaps: e.Downtimes()}
 		p.gaps = append(p.gaps, silences[w.groupOf[e.ID()]]...)
-		slices.SortFunc(p.gaps, func(a, b standin.Span) int { return a.From.Compare(b.From) })
+		slices.SortFunc(p.gaps, func(a, b standin.Interval) int { return a.From.Compare(b.From) })
 		out[e.ID()] = p
 	}
 	return out
@@ -269,7 +269,7 @@
 	g := w.smallestGroup(writer)
 	g.size++
 	for _, p := range g.proxies {
-		p.Place(e)
+		p.AddEngine(e)
 	}
 	w.groupOf[id], w.engines[id] = g, e
 	w.all = append(w.all, e)
@@ -377,7 +377,7 @@
 	}
 	e.Kill()
 	for _, p := range g.proxies {
-		p.Withdraw(e)
+		p.RemoveEngine(e)
 	}
 }
 
--- a/internal/standin/chat/cluster.go
+++ b/internal/standin/chat/cluster.go
@@ -13,16 +13,16 @@
 
 // The outcomes of attempts.
 const (
-	Running   Outcome = iota // it is out
-	Read                     // 202: the prompt is read
-	Streamed                 // the stream was written to its last chunk
-	Refused                  // 503 and never run
-	StateGone                // 410: there is no state to fetch; never run
-	Failed                   // 500
-	ConnReset                // the engine has reset the connection
-	Spoilt                   // the engine has written what is no answer
-	GivenUp                  // the router has closed the connection before the end
-	Died                     // the engine has died
+	Running    Outcome = iota // it is out
+	Read                      // 202: the prompt is read
+	Streamed                  // the stream was written to its last chunk
+	Refused                   // 503 and never run
+	StateGone                 // 410: there is no state to fetch; never run
+	Failed                    // 500
+	ConnReset                 // the engine has reset the connection
+	Malformed                 // the engine has written what is no answer
+	Cancelled                 // the router has closed the connection before the end
+	EngineDied                // the engine has died
 )
 
 func (o Outcome) String() string {
@@ -46,7 +46,7 @@
 	Events    []time.Time   // when events were written
 	Outcome   Outcome
 	Ended     time.Time // zero while it is out
-	Silenced  bool      // the network has dropped something that was sent on its connection, or has reset it
+	ConnLost  bool      // the network has dropped something that was sent on its connection, or has reset it
 	link      *passage  // that carried it
 }
 
@@ -271,26 +271,26 @@
 // Record is what a cluster has seen. An attempt whose connection the router closed while the network was silent ended
 // then for the router, though its engine has not heard of it: Ended is the router's close.
 type Record struct {
-	Attempts []Attempt
-	Holds    []Hold
-	Probes   int
-	Unknown  int  // calls that could not be read, or for requests that no client sent
-	Overflow bool // something was left out
+	Attempts        []Attempt
+	Holds           []Hold
+	Probes          int
+	UnexpectedCalls int  // calls that could not be read, or for requests that no client sent
+	Overflow        bool // something was left out
 }
 
 // Record returns a copy of what was seen so far.
 func (c *Cluster) Record() *Record {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	r := &Record{Probes: c.probes, Unknown: c.unknown, Overflow: c.overflow}
+	r := &Record{Probes: c.probes, UnexpectedCalls: c.unknown, Overflow: c.overflow}
 	for _, a := range c.attempts {
 		copied := *a
 		copied.Events = append([]time.Time(nil), a.Events...)
-		copied.Silenced = a.link.dropped()
+		copied.ConnLost = a.link.dropped()
 		if at := a.link.closedAt(); !at.IsZero() && (a.Ended.IsZero() || at.Before(a.Ended)) {
 			copied.Ended = at
 			if copied.Outcome == Running {
-				copied.Outcome = GivenUp
+				copied.Outcome = Cancelled
 			}
 		}
 		r.Attempts = append(r.Attempts, copied)
--- a/internal/standin/chat/discovery.go
+++ b/internal/standin/chat/discovery.go
@@ -21,7 +21,7 @@
 	changes  []change
 	changed  chan struct{} // closed at the next change
 	down     int           // outages that are under way
-	outages  []Span
+	outages  []Interval
 }
 
 // change is one entry of the directory's history.
@@ -52,17 +52,17 @@
 	d.changed = make(chan struct{})
 }
 
-// Down makes all agents silent until Up was called as often.
-func (d *Directory) Down() {
+// BeginOutage makes all agents silent until Up was called as often.
+func (d *Directory) BeginOutage() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.down++; d.down == 1 {
-		d.outages = append(d.outages, Span{From: time.Now()})
+		d.outages = append(d.outages, Interval{From: time.Now()})
 	}
 }
 
-// Up ends an outage. Calls that were open in it stay silent; those that come are answered.
-func (d *Directory) Up() {
+// EndOutage ends an outage. Calls that were open in it stay silent; those that come are answered.
+func (d *Directory) EndOutage() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.down--; d.down == 0 {
@@ -97,11 +97,11 @@
 	return list, at, d.changed, outages
 }
 
-// Told is the word of discovery about one member, as it was written to a router.
-type Told struct {
-	Member watch.Member
-	At     time.Time // written to the router
-	Put    time.Time // since when discovery has it
+// Notification is the word of discovery about one member, as it was written to a router.
+type Notification struct {
+	Member   watch.Member
+	At       time.Time // written to the router
+	ListedAt time.Time // since when discovery has it
 }
 
 // Agent tells one router of the directory.
@@ -113,7 +113,7 @@
 	done      chan struct{}
 
 	mu       sync.Mutex
-	told     []Told
+	told     []Notification
 	revision int64 // up to which told has all
 	silenced chan struct{}
 	conns    map[net.Conn]struct{}
@@ -140,8 +140,8 @@
 // Addr is where the router asks.
 func (a *Agent) Addr() string { return a.listener.Addr().String() }
 
-// Retire takes no new connections; open ones go on until Close.
-func (a *Agent) Retire() { a.listener.Close() }
+// StopAccepting takes no new connections; open ones go on until Close.
+func (a *Agent) StopAccepting() { a.listener.Close() }
 
 // Close ends the agent.
 func (a *Agent) Close() {
@@ -170,8 +170,8 @@
 	}
 }
 
-// SilenceWatches makes the calls that are open now silent for good; new ones are answered.
-func (a *Agent) SilenceWatches() {
+// HangWatches makes the calls that are open now silent for good; new ones are answered.
+func (a *Agent) HangWatches() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.struck["watches silent"] += a.open
@@ -179,8 +179,8 @@
 	a.silenced = make(chan struct{})
 }
 
-// Struck tells how often each fault has met a call.
-func (a *Agent) Struck() map[string]int {
+// FaultCounts tells how often each fault has met a call.
+func (a *Agent) FaultCounts() map[string]int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	out := map[string]int{}
@@ -190,11 +190,11 @@
 	return out
 }
 
-// Told returns what the router was told.
-func (a *Agent) Told() []Told {
+// Notifications returns what the router was told.
+func (a *Agent) Notifications() []Notification {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return append([]Told(nil), a.told...)
+	return append([]Notification(nil), a.told...)
 }
 
 func (a *Agent) serve(w http.ResponseWriter, r *http.Request) {
@@ -252,7 +252,7 @@
 	a.mu.Lock()
 	for _, c := range changes {
 		if c.revision > a.revision {
-			a.told = append(a.told, Told{Member: c.member, At: time.Now(), Put: c.at})
+			a.told = append(a.told, Notification{Member: c.member, At: time.Now(), ListedAt: c.at})
 		}
 	}
 	a.revision = max(a.revision, list.Revision)
--- a/internal/standin/chat/engine.go
+++ b/internal/standin/chat/engine.go
@@ -69,7 +69,7 @@
 	conns     map[net.Conn]struct{}
 	busy      int
 	dead      bool
-	absences  []Span // in which it hung, and since its death
+	absences  []Interval // in which it hung, and since its death
 	struck    map[string]int
 }
 
@@ -121,7 +121,7 @@
 	if b.Hang != e.behaviour.Hang {
 		if b.Hang {
 			e.hung = make(chan struct{})
-			e.absences = append(e.absences, Span{From: time.Now()})
+			e.absences = append(e.absences, Interval{From: time.Now()})
 		} else {
 			close(e.hung)
 			e.absences[len(e.absences)-1].Until = time.Now()
@@ -134,10 +134,10 @@
 func (e *Engine) StartTime() time.Time { return e.started }
 
 // Downtimes returns the times in which the engine did nothing.
-func (e *Engine) Downtimes() []Span {
+func (e *Engine) Downtimes() []Interval {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return append([]Span(nil), e.absences...)
+	return append([]Interval(nil), e.absences...)
 }
 
 // FaultCounts tells how often each kind of behaviour has met a request.
@@ -159,7 +159,7 @@
 		return
 	}
 	e.dead = true
-	e.absences = append(e.absences, Span{From: time.Now()})
+	e.absences = append(e.absences, Interval{From: time.Now()})
 	for c := range e.conns {
 		reset(c)
 	}
--- a/internal/standin/chat/proxy.go
+++ b/internal/standin/chat/proxy.go
@@ -25,7 +25,7 @@
 	engines  map[netip.Addr]netip.AddrPort // by the address at which the router reaches each
 	links    map[*link]struct{}
 	silent   bool
-	silences []Span
+	silences []Interval
 	slow     time.Duration // a new connection carries nothing for so long
 	gate     chan struct{} // closed while connections are accepted
 	parked   chan struct{} // is closed when nobody accepts any more; nil: that is not waited for
@@ -37,8 +37,8 @@
 	fillers []net.Conn // fill the queue of the kernel, so that dials do not come up
 }
 
-// Span is a time; it lasts while Until is zero.
-type Span struct{ From, Until time.Time }
+// Interval is a time; it lasts while Until is zero.
+type Interval struct{ From, Until time.Time }
 
 // link is a connection through a proxy.
 type link struct {
@@ -67,8 +67,8 @@
 	return p, nil
 }
 
-// Place puts an engine behind the proxy, and returns where the router reaches it.
-func (p *Proxy) Place(e *Engine) string {
+// AddEngine puts an engine behind the proxy, and returns where the router reaches it.
+func (p *Proxy) AddEngine(e *Engine) string {
 	at := numbered(networkNet, e.number)
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -81,8 +81,8 @@
 	return netip.AddrPortFrom(numbered(networkNet, e.number), p.port).String()
 }
 
-// Withdraw takes an engine that has ended from behind the proxy.
-func (p *Proxy) Withdraw(e *Engine) {
+// RemoveEngine takes an engine that has ended from behind the proxy.
+func (p *Proxy) RemoveEngine(e *Engine) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.engines, numbered(networkNet, e.number))
@@ -110,12 +110,12 @@
 	}
 	p.mu.Unlock()
 	p.stall.Unlock()
-	p.Reset()
+	p.ResetConnections()
 	p.work.Wait()
 }
 
-// Struck tells how often each fault has met a connection.
-func (p *Proxy) Struck() map[string]int {
+// FaultCounts tells how often each fault has met a connection.
+func (p *Proxy) FaultCounts() map[string]int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	out := map[string]int{}
@@ -125,8 +125,8 @@
 	return out
 }
 
-// Reset resets all connections.
-func (p *Proxy) Reset() {
+// ResetConnections resets all connections.
+func (p *Proxy) ResetConnections() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for l := range p.links {
@@ -135,17 +135,17 @@
 	}
 }
 
-// Silence drops what either side sends, and says nothing of it, until Resume; dials do not come up.
-func (p *Proxy) Silence() error {
+// DropTraffic drops what either side sends, and says nothing of it, until Resume; dials do not come up.
+func (p *Proxy) DropTraffic() error {
 	p.mu.Lock()
 	p.silent = true
-	p.silences = append(p.silences, Span{From: time.Now()})
+	p.silences = append(p.silences, Interval{From: time.Now()})
 	p.mu.Unlock()
 	return p.StallDials()
 }
 
-// Resume ends a silence: connections on which something was dropped are reset, all others go on.
-func (p *Proxy) Resume() error {
+// RestoreTraffic ends a silence: connections on which something was dropped are reset, all others go on.
+func (p *Proxy) RestoreTraffic() error {
 	p.mu.Lock()
 	p.silent = false
 	p.silences[len(p.silences)-1].Until = time.Now()
@@ -155,19 +155,19 @@
 		}
 	}
 	p.mu.Unlock()
-	return p.LetDials()
+	return p.ResumeDials()
 }
 
-// Silences returns the times in which nothing was carried.
-func (p *Proxy) Silences() []Span {
+// Outages returns the times in which nothing was carried.
+func (p *Proxy) Outages() []Interval {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return append([]Span(nil), p.silences...)
+	return append([]Interval(nil), p.silences...)
 }
 
-// Forget makes the connections that stand silent for good, with no error; new ones are not concerned. So does a device on the
+// BlackholeConnections makes the connections that stand silent for good, with no error; new ones are not concerned. So does a device on the
 // way that has lost its table of connections.
-func (p *Proxy) Forget() {
+func (p *Proxy) BlackholeConnections() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for l := range p.links {
@@ -179,8 +179,8 @@
 	}
 }
 
-// SlowStart makes new connections carry nothing for a while, as a slow handshake would.
-func (p *Proxy) SlowStart(d time.Duration) {
+// DelayNewConnections makes new connections carry nothing for a while, as a slow handshake would.
+func (p *Proxy) DelayNewConnections(d time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.slow = d
@@ -225,8 +225,8 @@
 	return errors.New("proxy: the queue of a listener can't be filled")
 }
 
-// LetDials ends StallDials.
-func (p *Proxy) LetDials() error {
+// ResumeDials ends StallDials.
+func (p *Proxy) ResumeDials() error {
 	p.stall.Lock()
 	defer p.stall.Unlock()
 	if p.stalls--; p.stalls > 0 {
--- a/internal/standin/chat/proxy_test.go
+++ b/internal/standin/chat/proxy_test.go
@@ -28,7 +28,7 @@
 			t.Fatal(err)
 		}
 		defer p.Close()
-		p.Place(e)
+		p.AddEngine(e)
 		all = append(all, p)
 	}
 	each := func(do func(p *Proxy)) {
@@ -48,7 +48,7 @@
 	}
 	for range 3 {
 		each(func(p *Proxy) {
-			if err := p.Silence(); err != nil {
+			if err := p.DropTraffic(); err != nil {
 				t.Error(err)
 			}
 		})
@@ -60,7 +60,7 @@
 			}
 		})
 		each(func(p *Proxy) {
-			if err := p.Resume(); err != nil {
+			if err := p.RestoreTraffic(); err != nil {
 				t.Error(err)
 			}
 		})
--- a/internal/standin/chat/run.go
+++ b/internal/standin/chat/run.go
@@ -67,15 +67,15 @@
 	outcome := c.carryOut(ctx, a, p)
 	stop()
 	switch outcome {
-	case Streamed, Read, ConnReset, Spoilt: // it had ended before a router could give it up
+	case Streamed, Read, ConnReset, Malformed: // it had ended before a router could give it up
 	default:
 		if ctx.Err() != nil {
-			outcome = GivenUp
+			outcome = Cancelled
 		}
 	}
 	e.mu.Lock()
-	if e.dead && outcome == GivenUp {
-		outcome = Died
+	if e.dead && outcome == Cancelled {
+		outcome = EngineDied
 	}
 	e.mu.Unlock()
 	e.opts.Cluster.end(a, outcome)
@@ -83,10 +83,10 @@
 	case ConnReset:
 		reset(c.Conn)
 		return false
-	case Spoilt: // open, and of no use; the router has to close it
+	case Malformed: // open, and of no use; the router has to close it
 		c.br.Peek(1)
 		return false
-	case GivenUp, Died:
+	case Cancelled, EngineDied:
 		return false
 	}
 	if p.secondAnswer {
@@ -103,10 +103,10 @@
 	case p.resetAtStart:
 		return ConnReset
 	case !c.works(ctx, 0):
-		return GivenUp
+		return Cancelled
 	case p.spoilAtStart:
 		io.WriteString(c, "\x01\x02 what is this\r\n\r\n")
-		return Spoilt
+		return Malformed
 	case p.endless:
 		return c.endless(ctx)
 	case p.fail:
@@ -152,18 +152,18 @@
 	io.WriteString(c, "HTTP/1.1 200 OK\r\n")
 	for n := 0; ; n++ {
 		if _, err := fmt.Fprintf(c, "X-Field-%d: a\r\n", n); err != nil || !c.works(ctx, time.Millisecond) {
-			return GivenUp
+			return Cancelled
 		}
 	}
 }
 
 func (c *engineConn) read(ctx context.Context, a *Attempt, p *plan) Outcome {
 	if !c.works(ctx, p.takes(c.engine.opts.Timing.ReadTime)) {
-		return GivenUp
+		return Cancelled
 	}
 	c.engine.opts.Cluster.hold(a.Request, c.engine.opts.ID)
 	if !c.answer(202, `{"cached_tokens":0}`) {
-		return GivenUp
+		return Cancelled
 	}
 	return Read
 }
@@ -171,33 +171,33 @@
 func (c *engineConn) write(ctx context.Context, a *Attempt, p *plan) Outcome {
 	w := c.engine.opts.Timing
 	if !c.works(ctx, p.takes(w.FirstTokenTime)) {
-		return GivenUp
+		return Cancelled
 	}
 	c.engine.opts.Cluster.letGo(a.Request) // the stream has it now
 	_, err := io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Type: "+platform.EventStreamType+"\r\nTransfer-Encoding: chunked\r\n\r\n")
 	if err != nil {
-		return GivenUp
+		return Cancelled
 	}
 	for n := range w.EventsPerStream {
 		if n > 0 && !c.works(ctx, p.takes(w.EventInterval)) {
-			return GivenUp
+			return Cancelled
 		}
 		if n == p.cut && p.resetInStream {
 			return ConnReset
 		}
 		if n == p.cut && p.spoilInStream {
 			io.WriteString(c, "zz\r\n")
-			return Spoilt
+			return Malformed
 		}
 		if !c.event(a, EventText(a.Request, c.engine.opts.ID, n)) {
-			return GivenUp
+			return Cancelled
 		}
 	}
 	if !c.event(a, LastEvent) {
-		return GivenUp
+		return Cancelled
 	}
 	if _, err := io.WriteString(c, "0\r\n\r\n"); err != nil {
-		return GivenUp
+		return Cancelled
 	}
 	return Streamed
 }
--- a/internal/standin/fleet/fleet.go
+++ b/internal/standin/fleet/fleet.go
@@ -18,27 +18,27 @@
 
 // Group is a number of alike engines. They are named Prefix1, Prefix2 and so on, and spread over the cells.
 type Group struct {
-	Prefix string
-	Kind   string // of the settings
-	Count  int
-	Spec   standin.Spec
-	Other  *standin.Spec // of its other role; nil: it has but one
-	Change time.Duration // that a change of role takes
+	Prefix         string
+	Kind           string // of the settings
+	Count          int
+	Spec           standin.Spec
+	OtherRole      *standin.Spec // of its other role; nil: it has but one
+	RoleChangeTime time.Duration // that a change of role takes
 }
 
 // Config is what a Fleet is made of.
 type Config struct {
-	Groups []Group
-	Cells  []string // "" alone: one cell without a name
-	Zone   string
-	List   string        // path of the list file
-	Notice time.Duration // until a death stands in the list
-	Silent time.Duration // until a silence does
-	Add    time.Duration // until a start does
-	LinkPS float64       // tokens a second over a cell's link; 0: as the port
-	Seed   uint64
-	Record *audit.Log
-	Log    *slog.Logger
+	Groups              []Group
+	Cells               []string // "" alone: one cell without a name
+	Zone                string
+	ListPath            string        // path of the list file
+	CrashListDelay      time.Duration // until a death stands in the list
+	SilenceListDelay    time.Duration // until a silence does
+	StartListDelay      time.Duration // until a start does
+	LinkTokensPerSecond float64       // tokens a second over a cell's link; 0: as the port
+	Seed                uint64
+	AuditLog            *audit.Log
+	Log                 *slog.Logger
 }
 
 // Fleet is a running fleet.
@@ -86,8 +86,8 @@
 	}
 	links := map[string]*standin.Link{}
 	for _, c := range f.cfg.Cells {
-		if cfg.LinkPS > 0 {
-			links[c] = &standin.Link{TokensPerSecond: cfg.LinkPS}
+		if cfg.LinkTokensPerSecond > 0 {
+			links[c] = &standin.Link{TokensPerSecond: cfg.LinkTokensPerSecond}
 		}
 	}
 	for gi := range f.cfg.Groups {
@@ -95,7 +95,7 @@
 		for i := range g.Count {
 			m := &Member{Name: fmt.Sprintf("%s%d", g.Prefix, i+1), Group: g, Cell: f.cfg.Cells[i%len(f.cfg.Cells)]}
 			m.Engine = standin.New(standin.Config{Name: m.Name, Addr: "127.0.0.1:0", Cell: m.Cell, Spec: g.Spec,
-				OtherRole: g.Other, RoleChangeTime: g.Change, Link: links[m.Cell], Seed: cfg.Seed + uint64(len(f.members)), AuditLog: cfg.Record, Log: cfg.Log},
+				OtherRole: g.OtherRole, RoleChangeTime: g.RoleChangeTime, Link: links[m.Cell], Seed: cfg.Seed + uint64(len(f.members)), AuditLog: cfg.AuditLog, Log: cfg.Log},
 				func(since time.Time) { f.started(m, since) })
 			f.members = append(f.members, m)
 			if err := m.Engine.Start(); err != nil {
@@ -125,7 +125,7 @@
 	f.mu.Lock()
 	m.starts++
 	f.mu.Unlock()
-	f.later(f.cfg.Add, m, func(m *Member) {
+	f.later(f.cfg.StartListDelay, m, func(m *Member) {
 		m.entry.State, m.entry.StartedAt, m.listed = decide.Ready, since, true
 	})
 }
@@ -186,13 +186,13 @@
 			list = append(list, m.entry)
 		}
 	}
-	err := discovery.WriteList(f.cfg.List, list)
+	err := discovery.WriteList(f.cfg.ListPath, list)
 	for _, m := range f.members {
 		state := "gone"
 		if m.listed {
 			state = map[decide.Condition]string{decide.Ready: "ready", decide.Draining: "draining"}[m.entry.State]
 		}
-		f.cfg.Record.Add(audit.Record{Who: m.Name, Kind: audit.Listed, Note: state})
+		f.cfg.AuditLog.Add(audit.Record{Who: m.Name, Kind: audit.Listed, Note: state})
 	}
 	return err
 }
@@ -210,22 +210,22 @@
 	return nil
 }
 
-// Play plays a fault on an engine and, late, in the list.
-func (f *Fleet) Play(m *Member, fault standin.Fault) error {
+// InjectFault plays a fault on an engine and, late, in the list.
+func (f *Fleet) InjectFault(m *Member, fault standin.Fault) error {
 	if err := m.Engine.InjectFault(fault); err != nil {
 		return err
 	}
 	gone := func(m *Member) { m.listed = false }
 	switch fault.Kind {
 	case "crash":
-		f.goneUnlessBack(m, f.cfg.Notice, gone)
+		f.goneUnlessBack(m, f.cfg.CrashListDelay, gone)
 	case "vanish":
-		f.goneUnlessBack(m, f.cfg.Silent, gone)
+		f.goneUnlessBack(m, f.cfg.SilenceListDelay, gone)
 	case "ageing":
-		f.goneUnlessBack(m, fault.Duration+f.cfg.Notice, gone)
+		f.goneUnlessBack(m, fault.Duration+f.cfg.CrashListDelay, gone)
 	case "preempt":
 		f.later(0, m, func(m *Member) { m.entry.State = decide.Draining })
-		f.goneUnlessBack(m, time.Duration(fault.Size*float64(time.Second))+f.cfg.Notice, gone)
+		f.goneUnlessBack(m, time.Duration(fault.Size*float64(time.Second))+f.cfg.CrashListDelay, gone)
 	}
 	return nil
 }
--- a/internal/standin/fleet/fleet_test.go
+++ b/internal/standin/fleet/fleet_test.go
@@ -17,7 +17,7 @@
 // An engine that starts is locked while it tells the fleet. The keeper of the list must not ask it anything then:
 // each would wait for the other, and the list for both.
 func TestListIsKeptWhileAnEngineStarts(t *testing.T) {
-	f, err := Start(Config{List: filepath.Join(t.TempDir(), "engines.list")})
+	f, err := Start(Config{ListPath: filepath.Join(t.TempDir(), "engines.list")})
 	if err != nil {
 		t.Fatal(err)
 	}
