--- a/cmd/mintdoor/shutdown_test.go
+++ b/cmd/mintdoor/shutdown_test.go
@@ -59,8 +59,8 @@
 
 func lateInAShutdown(t *testing.T, heldUp time.Duration) {
 	const owedFrom, killedAt = 710 * time.Millisecond, 3700 * time.Millisecond
-	world, err := soak.NewWorld(soak.WorldOptions{Program: platformRouter(), Dir: t.TempDir(), Routers: 1, Readers: 1, Writers: 1,
-		Work: longStreams})
+	world, err := soak.NewTestbed(soak.TestbedOptions{Program: platformRouter(), ConfigDir: t.TempDir(), Routers: 1, Readers: 1, Writers: 1,
+		Timing: longStreams})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/mintdoor/silence_test.go
+++ b/cmd/mintdoor/silence_test.go
@@ -15,15 +15,15 @@
 // keptConnections is a router of its own process with one reader and one writer, and clients whose first requests have left it
 // with connections to both.
 type keptConnections struct {
-	world *soak.World
+	world *soak.Testbed
 	conns []net.Conn
 	codes chan int
 }
 
 func keepConnections(t *testing.T, clients int, work standin.Timing) *keptConnections {
 	t.Helper()
-	world, err := soak.NewWorld(soak.WorldOptions{Program: platformRouter(), Dir: t.TempDir(), Routers: 1, Readers: 1, Writers: 1,
-		Work: work})
+	world, err := soak.NewTestbed(soak.TestbedOptions{Program: platformRouter(), ConfigDir: t.TempDir(), Routers: 1, Readers: 1, Writers: 1,
+		Timing: work})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/mintdoor/soak.go
+++ b/cmd/mintdoor/soak.go
@@ -29,16 +29,16 @@
 				return err
 			}
 			o.Program = soak.Program{Path: self, Args: []string{"node"}}
-			if o.Dir, err = os.MkdirTemp("", "mintdoor-soak-"); err != nil {
+			if o.ConfigDir, err = os.MkdirTemp("", "mintdoor-soak-"); err != nil {
 				return err
 			}
-			defer os.RemoveAll(o.Dir)
-			if o.Logs != "" {
-				if err := os.MkdirAll(o.Logs, 0o755); err != nil {
+			defer os.RemoveAll(o.ConfigDir)
+			if o.LogDir != "" {
+				if err := os.MkdirAll(o.LogDir, 0o755); err != nil {
 					return err
 				}
 			}
-			o.Out = cmd.ErrOrStderr()
+			o.Progress = cmd.ErrOrStderr()
 			report, err := soak.Run(cmd.Context(), o)
 			if err != nil {
 				return fmt.Errorf("soak: %w", err)
@@ -56,10 +56,10 @@
 	f.IntVar(&o.Readers, "readers", 8, "engines that read")
 	f.IntVar(&o.Writers, "writers", 10, "engines that write")
 	f.DurationVar(&o.Length, "length", time.Minute, "time in which faults strike")
-	f.Float64Var(&o.Rate, "rate", 4, "requests a second of one router, in the mean")
-	f.DurationVar(&o.Every, "every", 150*time.Millisecond, "time between two faults, in the mean")
+	f.Float64Var(&o.RequestsPerSecond, "rate", 4, "requests a second of one router, in the mean")
+	f.DurationVar(&o.FaultInterval, "every", 150*time.Millisecond, "time between two faults, in the mean")
 	f.DurationVar(&o.Slack, "slack", 0, "added to every time that is allowed, on a machine that is too slow")
-	f.Float64Var(&o.Share, "share", 0, "part of a core that each router has; 0: a whole one")
-	f.StringVar(&o.Logs, "logs", "", "folder that keeps the routers' logs")
+	f.Float64Var(&o.CPUShare, "share", 0, "part of a core that each router has; 0: a whole one")
+	f.StringVar(&o.LogDir, "logs", "", "folder that keeps the routers' logs")
 	return c
 }
--- a/cmd/mintdoor/soak_test.go
+++ b/cmd/mintdoor/soak_test.go
@@ -11,20 +11,20 @@
 // A short soak with a fixed seed: real router processes under faults that overlap keep every rule, as seen from outside and by
 // their own checks. The times that are allowed are longer here, for a machine that is busy with other tests.
 func TestSoak(t *testing.T) {
-	playSoak(t, soak.Options{Seed: 1, Routers: 5, Readers: 4, Writers: 5, Length: 12 * time.Second, Rate: 4, Every: 250 * time.Millisecond,
+	playSoak(t, soak.Options{Seed: 1, Routers: 5, Readers: 4, Writers: 5, Length: 12 * time.Second, RequestsPerSecond: 4, FaultInterval: 250 * time.Millisecond,
 		Slack: 2 * time.Second})
 }
 
 // The same with thousands of engines (incident 2): what a router decides may not take so long that time-outs, releases and
 // answers come late behind it.
 func TestSoakOfThousandsOfEngines(t *testing.T) {
-	playSoak(t, soak.Options{Seed: 90211, Routers: 3, Readers: 1400, Writers: 1800, Length: 15 * time.Second, Rate: 12,
-		Every: 300 * time.Millisecond, Slack: 2 * time.Second})
+	playSoak(t, soak.Options{Seed: 90211, Routers: 3, Readers: 1400, Writers: 1800, Length: 15 * time.Second, RequestsPerSecond: 12,
+		FaultInterval: 300 * time.Millisecond, Slack: 2 * time.Second})
 }
 
 func playSoak(t *testing.T, o soak.Options) {
 	t.Helper()
-	o.Program, o.Dir, o.Logs = platformRouter(), t.TempDir(), t.TempDir()
+	o.Program, o.ConfigDir, o.LogDir = platformRouter(), t.TempDir(), t.TempDir()
 	report, err := soak.Run(t.Context(), o)
 	if err != nil {
 		t.Fatal(err)
@@ -36,7 +36,7 @@
 	}
 	t.Log(text.String())
 	const leastKinds, leastServed = 8, 20 // a soak in which nothing struck, or nothing was served, shows nothing
-	if len(report.Struck) < leastKinds || report.Requests.Served < leastServed {
+	if len(report.FaultCounts) < leastKinds || report.Requests.Served < leastServed {
 		t.Errorf("too little has happened:\n%s", text.String())
 	}
 }
--- a/internal/day/run.go
+++ b/internal/day/run.go
@@ -61,7 +61,7 @@
 	o       Options
 	record  *audit.Log
 	fleet   *fleet.Fleet
-	layer   *spread.Layer
+	layer   *spread.Balancer
 	mu      sync.Mutex
 	routers []*slot
 }
@@ -284,7 +284,7 @@
 			continue
 		}
 		p.record.Add(audit.Record{Who: r.name, Kind: audit.RouterDown})
-		p.layer.Dead(r.addr)
+		p.layer.MarkDead(r.addr)
 		p.mu.Lock()
 		r.proc.Kill()
 		p.mu.Unlock()
@@ -295,7 +295,7 @@
 			p.o.Log.Error("restart", "err", err)
 			continue
 		}
-		p.layer.Alive(r.addr)
+		p.layer.MarkAlive(r.addr)
 	}
 }
 
--- a/internal/soak/evidence.go
+++ b/internal/soak/evidence.go
@@ -21,11 +21,11 @@
 	asks                     []*ask
 	bad                      []badClient
 	record                   *standin.Record
-	lives                    [][]Life                      // by router
+	lives                    [][]ProcessRun                // by router
 	told                     []map[string]time.Time        // by router and engine: since when it was told that the engine takes nothing new
 	starts                   map[string]time.Time          // of engines that were started cold
 	paths                    []map[string]*path            // by router and engine
-	lags                     []Stop                        // times in which the soak itself did not run
+	lags                     []Pause                       // times in which the soak itself did not run
 	failed                   []string                      // starts of routers that failed
 	slack                    time.Duration                 // for a machine that is too slow
 	attempts                 map[string][]*standin.Attempt // by request, in their order
@@ -49,7 +49,7 @@
 func (e *evidence) at(t time.Time) time.Duration { return t.Sub(e.began).Round(time.Millisecond) }
 
 // lifeAt returns the run of a router's process that was under way at a time; nil if there was none.
-func (e *evidence) lifeAt(router int, t time.Time) *Life {
+func (e *evidence) lifeAt(router int, t time.Time) *ProcessRun {
 	for i := range e.lives[router] {
 		l := &e.lives[router][i]
 		if !t.Before(l.Started) && (l.Exited.IsZero() || t.Before(l.Exited)) {
@@ -63,7 +63,7 @@
 // beyond its terms, and the soak itself did not run.
 func (e *evidence) excused(router int, from, until time.Time) (late time.Duration) {
 	late = e.slack
-	overlap := func(s Stop) time.Duration {
+	overlap := func(s Pause) time.Duration {
 		end := s.Until
 		if end.IsZero() || end.After(until) {
 			end = until
@@ -75,7 +75,7 @@
 		return max(end.Sub(begin), 0)
 	}
 	for i := range e.lives[router] {
-		for _, s := range e.lives[router][i].Stops {
+		for _, s := range e.lives[router][i].Pauses {
 			if s.Until.IsZero() || s.Until.Sub(s.From) > mayBeHeldUp+lagTold {
 				late += overlap(s)
 			}
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -47,7 +47,7 @@
 
 // injector strikes a world with faults and counts what they met. It is safe for concurrent use.
 type injector struct {
-	world   *World
+	world   *Testbed
 	traffic *traffic
 	front   *front
 	kills   time.Duration // after SIGTERM, at the soonest
@@ -65,7 +65,7 @@
 	broken  error    // of the soak itself
 }
 
-func newInjector(w *World, t *traffic, f *front) *injector {
+func newInjector(w *Testbed, t *traffic, f *front) *injector {
 	return &injector{world: w, traffic: t, front: f, kills: killAfter(w.opts.classes), ready: 30 * time.Second, struck: map[string]int{},
 		busy: map[int]bool{}, sick: map[string][]*standin.Behaviour{}, silent: map[*standin.Proxy]int{}, stalled: map[*standin.Proxy]int{},
 		slow: map[*standin.Proxy]int{}}
--- a/internal/soak/faults_engines.go
+++ b/internal/soak/faults_engines.go
@@ -84,7 +84,7 @@
 func (in *injector) retire(random *rand.Rand) *standin.Engine {
 	all := in.world.Engines()
 	e := all[random.IntN(len(all))]
-	if in.world.Ready(e.Writer()) <= leastOfRole || !in.world.Claim(e.ID()) {
+	if in.world.ReadyEngines(e.Writer()) <= leastOfRole || !in.world.ClaimForRemoval(e.ID()) {
 		return nil
 	}
 	return e
@@ -105,7 +105,7 @@
 	}
 	e.Kill()
 	time.Sleep(between(random, millis(300), millis(3000)))
-	in.world.TakeOff(e.ID())
+	in.world.UnlistEngines(e.ID())
 	time.Sleep(between(random, millis(200), millis(1000)))
 	in.world.RemoveEngine(e.ID())
 	in.replace(e.Writer())
@@ -121,9 +121,9 @@
 }
 
 func (in *injector) drainEngine(e *standin.Engine, random *rand.Rand) {
-	in.world.BeginDrain(e.ID())
+	in.world.DrainEngines(e.ID())
 	time.Sleep(between(random, millis(2500), millis(6000)))
-	in.world.TakeOff(e.ID())
+	in.world.UnlistEngines(e.ID())
 	time.Sleep(millis(500))
 	in.world.RemoveEngine(e.ID())
 	in.replace(e.Writer())
--- a/internal/soak/faults_fleet.go
+++ b/internal/soak/faults_fleet.go
@@ -46,7 +46,7 @@
 	for len(leaving) > 0 {
 		step := leaving[:min(size, len(leaving))]
 		leaving = leaving[len(step):]
-		in.world.BeginDrain(ids(step)...)
+		in.world.DrainEngines(ids(step)...)
 		in.replaceAll(step)
 		time.Sleep(between(random, millis(100), millis(800)))
 		time.AfterFunc(between(random, millis(2500), millis(4000)), func() { in.takeAway(step) })
@@ -91,7 +91,7 @@
 // claimSome claims engines that are to go, as long as enough of their role stay.
 func (in *injector) claimSome(engines []*standin.Engine) (claimed []*standin.Engine) {
 	for _, e := range engines {
-		if in.world.Ready(e.Writer()) > leastOfRole && in.world.Claim(e.ID()) {
+		if in.world.ReadyEngines(e.Writer()) > leastOfRole && in.world.ClaimForRemoval(e.ID()) {
 			claimed = append(claimed, e)
 		}
 	}
@@ -100,7 +100,7 @@
 
 // takeAway takes engines off the list and ends them.
 func (in *injector) takeAway(engines []*standin.Engine) {
-	in.world.TakeOff(ids(engines)...)
+	in.world.UnlistEngines(ids(engines)...)
 	for _, e := range engines {
 		in.world.RemoveEngine(e.ID())
 	}
--- a/internal/soak/faults_processes.go
+++ b/internal/soak/faults_processes.go
@@ -181,7 +181,7 @@
 		return
 	}
 	old := r.CurrentAgent()
-	if r.Move(a) != nil {
+	if r.UseAgent(a) != nil {
 		return
 	}
 	old.StopAccepting()
--- a/internal/soak/judge_processes.go
+++ b/internal/soak/judge_processes.go
@@ -26,9 +26,9 @@
 			switch {
 			case l.Exited.IsZero(), !l.Killed.IsZero():
 			case l.Terminated.IsZero():
-				add(ruleProcess, fmt.Sprintf("ended by itself, status %d", l.Code))
-			case l.Code != 0 || l.Signaled:
-				add(ruleProcess, fmt.Sprintf("ended with status %d after SIGTERM", l.Code))
+				add(ruleProcess, fmt.Sprintf("ended by itself, status %d", l.ExitCode))
+			case l.ExitCode != 0 || l.Signaled:
+				add(ruleProcess, fmt.Sprintf("ended with status %d after SIGTERM", l.ExitCode))
 			}
 		}
 	}
--- a/internal/soak/judge_test.go
+++ b/internal/soak/judge_test.go
@@ -25,7 +25,7 @@
 		readerSlots: readerSlots, writerSlots: writerSlots, asks: []*ask{a},
 		record: &standin.Record{Attempts: []standin.Attempt{read, write},
 			Holds: []standin.Hold{{Request: "q", Engine: "p", From: after(100), Until: after(198)}}},
-		lives: [][]Life{{{Started: after(-1000), Ready: after(-500), Terminated: after(5000), Exited: after(6000)}}},
+		lives: [][]ProcessRun{{{Started: after(-1000), Ready: after(-500), Terminated: after(5000), Exited: after(6000)}}},
 		told:  []map[string]time.Time{{}}, starts: map[string]time.Time{},
 		paths: []map[string]*path{{"p": {since: after(-1000)}, "d": {since: after(-1000)}}}}
 }
@@ -65,19 +65,19 @@
 		}},
 		"a late answer of a process that was stopped": {change: func(e *evidence, a *ask, _, _ *standin.Attempt) {
 			a.answered, a.ended = after(2600), after(2700)
-			e.lives[0][0].Stops = []Stop{{after(500), after(1000)}}
+			e.lives[0][0].Pauses = []Pause{{after(500), after(1000)}}
 		}},
 		"killed with an open request": {change: func(e *evidence, a *ask, _, _ *standin.Attempt) {
 			a.status, a.whole, a.ending, a.ended = 0, false, endClosed, after(151)
-			e.lives[0][0] = Life{Started: after(-1000), Killed: after(150), Exited: after(150), Signaled: true}
+			e.lives[0][0] = ProcessRun{Started: after(-1000), Killed: after(150), Exited: after(150), Signaled: true}
 		}},
 		"killed with one that came late after SIGTERM": {change: func(e *evidence, a *ask, _, _ *standin.Attempt) {
 			a.status, a.whole, a.ending, a.ended = 0, false, endClosed, after(2951)
-			e.lives[0][0] = Life{Started: after(-1000), Terminated: after(-750), Killed: after(2950), Exited: after(2950), Signaled: true}
+			e.lives[0][0] = ProcessRun{Started: after(-1000), Terminated: after(-750), Killed: after(2950), Exited: after(2950), Signaled: true}
 		}, want: ruleLost},
 		"killed with one that came soon after SIGTERM": {change: func(e *evidence, a *ask, _, _ *standin.Attempt) {
 			a.status, a.whole, a.ending, a.ended = 0, false, endClosed, after(3051)
-			e.lives[0][0] = Life{Started: after(-1000), Terminated: after(-650), Killed: after(3050), Exited: after(3050), Signaled: true}
+			e.lives[0][0] = ProcessRun{Started: after(-1000), Terminated: after(-650), Killed: after(3050), Exited: after(3050), Signaled: true}
 		}},
 		"cut while its engine wrote": {change: func(_ *evidence, a *ask, _, write *standin.Attempt) {
 			a.whole, a.ending, write.Outcome = false, endBroken, standin.Cancelled
--- a/internal/soak/router.go
+++ b/internal/soak/router.go
@@ -28,34 +28,34 @@
 	Env  []string // added to the environment
 }
 
-// Life is one run of a router's process, with times as seen from outside; zero times have not come.
-type Life struct {
+// ProcessRun is one run of a router's process, with times as seen from outside; zero times have not come.
+type ProcessRun struct {
 	Started, Ready time.Time
 	Terminated     time.Time // SIGTERM was sent
 	Killed         time.Time // SIGKILL was sent
 	Exited         time.Time
-	Code           int
+	ExitCode       int
 	Signaled       bool // it was ended by a signal
-	Stops          []Stop
+	Pauses         []Pause
 	Violations     []string // lines of its own checks
 	Panics         []string
 }
 
-// Stop is a time in which the process did not run.
-type Stop struct{ From, Until time.Time }
+// Pause is a time in which the process did not run.
+type Pause struct{ From, Until time.Time }
 
 // Router is one router's place: its name and address last over restarts of its process.
 type Router struct {
 	Index int
 	Addr  string
-	world *World
+	world *Testbed
 
 	mu     sync.Mutex
 	config config
 	agent  *standin.Agent
 	cmd    *exec.Cmd
-	life   *Life
-	past   []*Life
+	life   *ProcessRun
+	past   []*ProcessRun
 	done   chan struct{} // closed when the process has ended
 	log    *os.File
 }
@@ -82,14 +82,14 @@
 	if err := cmd.Start(); err != nil {
 		return fmt.Errorf("router %d: %w", r.Index, err)
 	}
-	r.cmd, r.life, r.done = cmd, &Life{Started: time.Now()}, make(chan struct{})
+	r.cmd, r.life, r.done = cmd, &ProcessRun{Started: time.Now()}, make(chan struct{})
 	r.past = append(r.past, r.life)
 	go r.attend(cmd, stderr, r.life, r.done)
 	return nil
 }
 
 // attend reads a process's log until it ends.
-func (r *Router) attend(cmd *exec.Cmd, log io.Reader, life *Life, done chan struct{}) {
+func (r *Router) attend(cmd *exec.Cmd, log io.Reader, life *ProcessRun, done chan struct{}) {
 	lines := bufio.NewScanner(log)
 	lines.Buffer(nil, 1<<20)
 	for lines.Scan() {
@@ -102,7 +102,7 @@
 	life.Exited = time.Now()
 	var exit *exec.ExitError
 	if errors.As(err, &exit) {
-		life.Code = exit.ExitCode()
+		life.ExitCode = exit.ExitCode()
 		if status, ok := exit.Sys().(syscall.WaitStatus); ok {
 			life.Signaled = status.Signaled()
 		}
@@ -110,7 +110,7 @@
 	close(done)
 }
 
-func (r *Router) line(life *Life, text string) {
+func (r *Router) line(life *ProcessRun, text string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.log != nil {
@@ -125,7 +125,7 @@
 }
 
 func (r *Router) configPath() string {
-	return filepath.Join(r.world.opts.Dir, r.config.Name+".json")
+	return filepath.Join(r.world.opts.ConfigDir, r.config.Name+".json")
 }
 
 func (r *Router) writeConfig() error {
@@ -158,10 +158,10 @@
 			r.life.Killed = now
 		}
 	case syscall.SIGSTOP:
-		r.life.Stops = append(r.life.Stops, Stop{From: now})
+		r.life.Pauses = append(r.life.Pauses, Pause{From: now})
 	case syscall.SIGCONT:
-		if n := len(r.life.Stops); n > 0 && r.life.Stops[n-1].Until.IsZero() {
-			r.life.Stops[n-1].Until = now
+		if n := len(r.life.Pauses); n > 0 && r.life.Pauses[n-1].Until.IsZero() {
+			r.life.Pauses[n-1].Until = now
 		}
 	}
 	r.cmd.Process.Signal(s)
@@ -207,8 +207,8 @@
 	return r.agent
 }
 
-// Move tells the router of another agent with SIGHUP.
-func (r *Router) Move(a *standin.Agent) error {
+// UseAgent tells the router of another agent with SIGHUP.
+func (r *Router) UseAgent(a *standin.Agent) error {
 	r.mu.Lock()
 	r.config.Discovery = a.Addr()
 	r.agent = a
@@ -220,14 +220,14 @@
 	return err
 }
 
-// Lives returns copies of all runs of the process so far.
-func (r *Router) Lives() []Life {
+// Runs returns copies of all runs of the process so far.
+func (r *Router) Runs() []ProcessRun {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var out []Life
+	var out []ProcessRun
 	for _, l := range r.past {
 		copied := *l
-		copied.Stops = append([]Stop(nil), l.Stops...)
+		copied.Pauses = append([]Pause(nil), l.Pauses...)
 		out = append(out, copied)
 	}
 	return out
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -15,22 +15,22 @@
 
 // Options are how a soak is run.
 type Options struct {
-	Program Program
-	Dir     string // for configuration files; must exist
-	Logs    string // folder for the routers' logs; "": none are kept
-	Seed    uint64
-	Routers int
-	Readers int
-	Writers int
-	Length  time.Duration // in which faults strike
-	Rate    float64       // requests a second of one router, in the mean
-	Every   time.Duration // between two faults, in the mean
+	Program           Program
+	ConfigDir         string // for configuration files; must exist
+	LogDir            string // folder for the routers' logs; "": none are kept
+	Seed              uint64
+	Routers           int
+	Readers           int
+	Writers           int
+	Length            time.Duration // in which faults strike
+	RequestsPerSecond float64       // requests a second of one router, in the mean
+	FaultInterval     time.Duration // between two faults, in the mean
 	// Slack is added to every time that the invariants allow, for a machine that is too slow for the run.
 	Slack time.Duration
-	// Share is the part of a core that each router has; 0 is a whole one.
-	Share float64
-	Log   *slog.Logger
-	Out   io.Writer // progress for people; nil: none
+	// CPUShare is the part of a core that each router has; 0 is a whole one.
+	CPUShare float64
+	Log      *slog.Logger
+	Progress io.Writer // progress for people; nil: none
 }
 
 // Times of a run.
@@ -50,11 +50,11 @@
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
 	}
-	if o.Out == nil {
-		o.Out = io.Discard
+	if o.Progress == nil {
+		o.Progress = io.Discard
 	}
-	w, err := NewWorld(WorldOptions{Program: o.Program, Dir: o.Dir, Logs: o.Logs, Routers: o.Routers, Readers: o.Readers, Writers: o.Writers,
-		Work: usualWork, Seed: o.Seed})
+	w, err := NewTestbed(TestbedOptions{Program: o.Program, ConfigDir: o.ConfigDir, LogDir: o.LogDir, Routers: o.Routers, Readers: o.Readers, Writers: o.Writers,
+		Timing: usualWork, Seed: o.Seed})
 	if err != nil {
 		return nil, err
 	}
@@ -65,12 +65,12 @@
 		return nil, err
 	}
 	log := &askLog{}
-	t := newTraffic(w, f, log, o.Rate*float64(o.Routers), o.Seed)
+	t := newTraffic(w, f, log, o.RequestsPerSecond*float64(o.Routers), o.Seed)
 	in := newInjector(w, t, f)
-	if o.Share > 0 {
+	if o.CPUShare > 0 {
 		throttled, endThrottle := context.WithCancel(ctx)
 		defer endThrottle()
-		w.throttle(throttled, o.Share)
+		w.throttle(throttled, o.CPUShare)
 	}
 	began := time.Now()
 	trafficCtx, endTraffic := context.WithCancel(ctx)
@@ -79,8 +79,8 @@
 	work.Go(func() { t.run(trafficCtx) })
 	struckCtx, endFaults := context.WithTimeout(ctx, o.Length)
 	defer endFaults()
-	work.Go(func() { tellProgress(struckCtx, o.Out, began, log) })
-	in.run(struckCtx, o.Every, o.Seed)
+	work.Go(func() { tellProgress(struckCtx, o.Progress, began, log) })
+	in.run(struckCtx, o.FaultInterval, o.Seed)
 	endTraffic()
 	work.Wait()
 	if err := ctx.Err(); err != nil {
@@ -90,11 +90,11 @@
 	if in.broken != nil {
 		return nil, fmt.Errorf("a fault could not be injected: %w", in.broken)
 	}
-	e := &evidence{began: began, routers: o.Routers, classes: w.opts.classes, figures: w.opts.figures, work: w.opts.Work,
+	e := &evidence{began: began, routers: o.Routers, classes: w.opts.classes, figures: w.opts.figures, work: w.opts.Timing,
 		readerSlots: w.opts.slots(false), writerSlots: w.opts.slots(true), asks: log.list, bad: log.bad,
 		record: w.Cluster.Record(), starts: w.starts, failed: in.failed, lags: lags(), slack: o.Slack}
 	for _, r := range w.Routers {
-		e.lives = append(e.lives, r.Lives())
+		e.lives = append(e.lives, r.Runs())
 		e.told = append(e.told, toldOfDrains(w.agentsOf(r.Index)))
 		e.paths = append(e.paths, w.pathsOf(r.Index))
 	}
@@ -108,7 +108,7 @@
 }
 
 // startAll starts all routers and waits until they are ready.
-func startAll(w *World, f *front) error {
+func startAll(w *Testbed, f *front) error {
 	for _, r := range w.Routers {
 		if err := r.Start(); err != nil {
 			return err
@@ -124,7 +124,7 @@
 }
 
 // endAll tells all routers to end; each has to do so by itself, as no client is left.
-func endAll(w *World, in *injector) {
+func endAll(w *Testbed, in *injector) {
 	for _, r := range w.Routers {
 		r.Signal(syscall.SIGTERM)
 	}
@@ -140,9 +140,9 @@
 }
 
 // watchOwnClock notes the times in which this process did not run. The function that it returns ends that and returns them.
-func watchOwnClock() func() []Stop {
+func watchOwnClock() func() []Pause {
 	done, ended := make(chan struct{}), make(chan struct{})
-	var lags []Stop
+	var lags []Pause
 	go func() {
 		defer close(ended)
 		tick := time.NewTicker(lagLook)
@@ -155,12 +155,12 @@
 			}
 			now := time.Now()
 			if now.Sub(last) > lagLook+lagTold {
-				lags = append(lags, Stop{From: last, Until: now})
+				lags = append(lags, Pause{From: last, Until: now})
 			}
 			last = now
 		}
 	}()
-	return func() []Stop {
+	return func() []Pause {
 		close(done)
 		<-ended
 		return lags
--- a/internal/soak/throttle.go
+++ b/internal/soak/throttle.go
@@ -11,7 +11,7 @@
 const throttlePeriod = 20 * time.Millisecond
 
 // throttle has every router run for a part of the time only, until ctx ends.
-func (w *World) throttle(ctx context.Context, share float64) {
+func (w *Testbed) throttle(ctx context.Context, share float64) {
 	for _, r := range w.Routers {
 		go r.throttle(ctx, time.Duration(share*float64(throttlePeriod)))
 	}
@@ -60,6 +60,6 @@
 	if r.life == nil || !r.life.Exited.IsZero() {
 		return false
 	}
-	n := len(r.life.Stops)
-	return n == 0 || !r.life.Stops[n-1].Until.IsZero()
+	n := len(r.life.Pauses)
+	return n == 0 || !r.life.Pauses[n-1].Until.IsZero()
 }
--- a/internal/soak/traffic.go
+++ b/internal/soak/traffic.go
@@ -35,7 +35,7 @@
 
 // traffic is the clients of a run.
 type traffic struct {
-	world  *World
+	world  *Testbed
 	front  *front
 	log    *askLog
 	rate   float64 // requests a second, over all routers
@@ -49,7 +49,7 @@
 	idle map[int][]*conn // by router
 }
 
-func newTraffic(w *World, f *front, log *askLog, rate float64, seed uint64) *traffic {
+func newTraffic(w *Testbed, f *front, log *askLog, rate float64, seed uint64) *traffic {
 	return &traffic{world: w, front: f, log: log, rate: rate, habits: usualHabits(), seed: seed, slots: make(chan struct{}, maxVisits),
 		idle: map[int][]*conn{}}
 }
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -20,23 +20,23 @@
 	standin "mintdoor/internal/standin/chat"
 )
 
-// WorldOptions are what a world is made of.
-type WorldOptions struct {
-	Program Program
-	Dir     string // for configuration files; must exist
-	Logs    string // folder for the routers' logs; "": none are kept
-	Routers int
-	Readers int
-	Writers int
-	Work    standin.Timing // of every engine
-	Seed    uint64
-	classes []class
-	figures figures
+// TestbedOptions are what a world is made of.
+type TestbedOptions struct {
+	Program   Program
+	ConfigDir string // for configuration files; must exist
+	LogDir    string // folder for the routers' logs; "": none are kept
+	Routers   int
+	Readers   int
+	Writers   int
+	Timing    standin.Timing // of every engine
+	Seed      uint64
+	classes   []class
+	figures   figures
 }
 
-// World is routers with all that surrounds them.
-type World struct {
-	opts      WorldOptions
+// Testbed is routers with all that surrounds them.
+type Testbed struct {
+	opts      TestbedOptions
 	Cluster   *standin.Cluster
 	Directory *standin.Directory
 	Routers   []*Router
@@ -66,8 +66,8 @@
 // maxGroups bounds the groups of a role: each costs every router a listener.
 const maxGroups = 20
 
-// NewWorld builds a world. Its routers are not started.
-func NewWorld(o WorldOptions) (*World, error) {
+// NewTestbed builds a world. Its routers are not started.
+func NewTestbed(o TestbedOptions) (*Testbed, error) {
 	if o.classes == nil {
 		o.classes = defaultClasses()
 	}
@@ -78,7 +78,7 @@
 	if err != nil {
 		return nil, err
 	}
-	w := &World{opts: o, Cluster: standin.NewCluster(), Directory: standin.NewDirectory(), machines: machines,
+	w := &Testbed{opts: o, Cluster: standin.NewCluster(), Directory: standin.NewDirectory(), machines: machines,
 		engines: map[string]*standin.Engine{}, members: map[string]watch.Member{}, claimed: map[string]bool{},
 		starts: map[string]time.Time{}, agents: map[int][]*standin.Agent{}, groupOf: map[string]*group{}}
 	if err := w.build(); err != nil {
@@ -89,7 +89,7 @@
 }
 
 // build makes the networks, the routers' places and the engines.
-func (w *World) build() error {
+func (w *Testbed) build() error {
 	// The networks listen on all addresses, so their ports come before any that a router is to find free.
 	if err := w.addGroups(false, min(w.opts.Readers, maxGroups)); err != nil {
 		return err
@@ -111,7 +111,7 @@
 }
 
 // addGroups makes groups of a role.
-func (w *World) addGroups(writers bool, n int) error {
+func (w *Testbed) addGroups(writers bool, n int) error {
 	for range n {
 		g := &group{writers: writers}
 		w.groups = append(w.groups, g)
@@ -138,7 +138,7 @@
 )
 
 // slots is how many requests an engine of a role does at once.
-func (o *WorldOptions) slots(writer bool) int {
+func (o *TestbedOptions) slots(writer bool) int {
 	n, most, share := o.Readers, readerSlots, readerShare
 	if writer {
 		n, most, share = o.Writers, writerSlots, writerShare
@@ -153,7 +153,7 @@
 func routerHost(i int) string { return fmt.Sprintf("127.20.%d.%d", i>>8, i&0xff) }
 func agentHost(i int) string  { return fmt.Sprintf("127.40.%d.%d", i>>8, i&0xff) }
 
-func (w *World) newRouter(i int) (*Router, error) {
+func (w *Testbed) newRouter(i int) (*Router, error) {
 	addr, err := freeAddr(routerHost(i))
 	if err != nil {
 		return nil, err
@@ -165,8 +165,8 @@
 	const memoryMB, sockets = 192, 512
 	r.config = config{Name: fmt.Sprintf("n%d", i), Listen: addr, Discovery: r.agent.Addr(), Known: watch.List{Complete: true, Members: []watch.Member{}},
 		Limits: limits{Cores: 1, MemoryMB: memoryMB, Sockets: sockets}, Settings: settingsFor(w.opts.Routers, i, w.opts.classes, w.opts.figures)}
-	if w.opts.Logs != "" {
-		if r.log, err = os.Create(filepath.Join(w.opts.Logs, r.config.Name+".log")); err != nil {
+	if w.opts.LogDir != "" {
+		if r.log, err = os.Create(filepath.Join(w.opts.LogDir, r.config.Name+".log")); err != nil {
 			return nil, fmt.Errorf("soak: %w", err)
 		}
 	}
@@ -193,7 +193,7 @@
 }
 
 // NewAgent starts an agent of discovery for a router.
-func (w *World) NewAgent(router int) (*standin.Agent, error) {
+func (w *Testbed) NewAgent(router int) (*standin.Agent, error) {
 	a, err := standin.NewAgent(w.Directory, agentHost(router), func(member string) string {
 		w.mu.Lock()
 		defer w.mu.Unlock()
@@ -212,7 +212,7 @@
 }
 
 // pathsOf tells how a router reached all engines that there were.
-func (w *World) pathsOf(router int) map[string]*path {
+func (w *Testbed) pathsOf(router int) map[string]*path {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	silences := map[*group][]standin.Interval{}
@@ -230,7 +230,7 @@
 }
 
 // agentsOf returns all agents that a router was told of.
-func (w *World) agentsOf(router int) []*standin.Agent {
+func (w *Testbed) agentsOf(router int) []*standin.Agent {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return append([]*standin.Agent(nil), w.agents[router]...)
@@ -238,7 +238,7 @@
 
 // AddEngines starts engines of a role and lists them in one change; sinceMS is their start as the list tells it, 0 for long
 // ago.
-func (w *World) AddEngines(n int, writers bool, sinceMS int64) error {
+func (w *Testbed) AddEngines(n int, writers bool, sinceMS int64) error {
 	members := make([]watch.Member, 0, n)
 	for range n {
 		m, err := w.startEngine(writers, sinceMS)
@@ -252,7 +252,7 @@
 }
 
 // startEngine starts an engine that is not listed yet.
-func (w *World) startEngine(writer bool, sinceMS int64) (m watch.Member, err error) {
+func (w *Testbed) startEngine(writer bool, sinceMS int64) (m watch.Member, err error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.serial++
@@ -261,7 +261,7 @@
 		kind, prefix = writerKind, "d"
 	}
 	id := fmt.Sprintf("%s%d", prefix, w.serial)
-	e, err := standin.NewEngine(standin.EngineOptions{ID: id, Writer: writer, Cluster: w.Cluster, Timing: w.opts.Work,
+	e, err := standin.NewEngine(standin.EngineOptions{ID: id, Writer: writer, Cluster: w.Cluster, Timing: w.opts.Timing,
 		Slots: w.opts.slots(writer), Seed: w.opts.Seed + uint64(w.serial), Listener: w.machines})
 	if err != nil {
 		return m, err
@@ -282,7 +282,7 @@
 }
 
 // smallestGroup is the group of a role with the fewest engines. mu is held.
-func (w *World) smallestGroup(writers bool) (least *group) {
+func (w *Testbed) smallestGroup(writers bool) (least *group) {
 	for _, g := range w.groups {
 		if g.writers == writers && (least == nil || g.size < least.size) {
 			least = g
@@ -292,7 +292,7 @@
 }
 
 // Engines returns the engines that run, by their ids.
-func (w *World) Engines() []*standin.Engine {
+func (w *Testbed) Engines() []*standin.Engine {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var out []*standin.Engine
@@ -303,7 +303,7 @@
 }
 
 // Proxy returns the proxy between a router and an engine, and those of its group; nil if the engine is not known.
-func (w *World) Proxy(router int, engine string) *standin.Proxy {
+func (w *Testbed) Proxy(router int, engine string) *standin.Proxy {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if g := w.groupOf[engine]; g != nil {
@@ -313,14 +313,14 @@
 }
 
 // groupOfEngine returns the group of an engine that ever ran.
-func (w *World) groupOfEngine(id string) *group {
+func (w *Testbed) groupOfEngine(id string) *group {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.groupOf[id]
 }
 
-// Ready tells how many engines of a role are listed as up and not on their way out.
-func (w *World) Ready(writers bool) (n int) {
+// ReadyEngines tells how many engines of a role are listed as up and not on their way out.
+func (w *Testbed) ReadyEngines(writers bool) (n int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for id, e := range w.engines {
@@ -331,8 +331,8 @@
 	return n
 }
 
-// Claim notes that an engine is on its way out; false if it was already.
-func (w *World) Claim(id string) bool {
+// ClaimForRemoval notes that an engine is on its way out; false if it was already.
+func (w *Testbed) ClaimForRemoval(id string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.claimed[id] || w.engines[id] == nil {
@@ -342,13 +342,13 @@
 	return true
 }
 
-// BeginDrain lists engines as draining, in one change.
-func (w *World) BeginDrain(ids ...string) { w.setPhase(watch.Draining, ids) }
+// DrainEngines lists engines as draining, in one change.
+func (w *Testbed) DrainEngines(ids ...string) { w.setPhase(watch.Draining, ids) }
 
-// TakeOff takes engines off the list, in one change.
-func (w *World) TakeOff(ids ...string) { w.setPhase(watch.Removed, ids) }
+// UnlistEngines takes engines off the list, in one change.
+func (w *Testbed) UnlistEngines(ids ...string) { w.setPhase(watch.Removed, ids) }
 
-func (w *World) setPhase(phase string, ids []string) {
+func (w *Testbed) setPhase(phase string, ids []string) {
 	var changed []watch.Member
 	w.mu.Lock()
 	for _, id := range ids {
@@ -362,7 +362,7 @@
 }
 
 // RemoveEngine ends an engine that was taken off the list.
-func (w *World) RemoveEngine(id string) {
+func (w *Testbed) RemoveEngine(id string) {
 	w.mu.Lock()
 	e := w.engines[id]
 	delete(w.engines, id)
@@ -382,7 +382,7 @@
 }
 
 // Close kills the routers and ends everything.
-func (w *World) Close() {
+func (w *Testbed) Close() {
 	for _, r := range w.Routers {
 		r.Signal(syscall.SIGCONT)
 		r.Signal(syscall.SIGKILL)
--- a/internal/standin/spread/spread.go
+++ b/internal/standin/spread/spread.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// Layer spreads connections over routers.
-type Layer struct {
+// Balancer spreads connections over routers.
+type Balancer struct {
 	listener net.Listener
 	notice   time.Duration
 	work     sync.WaitGroup
@@ -33,12 +33,12 @@
 const dialTimeout = time.Second
 
 // Start listens on a free port of loopback. notice is how long a dead router still gets connections.
-func Start(routers []string, notice time.Duration) (*Layer, error) {
+func Start(routers []string, notice time.Duration) (*Balancer, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("front layer: %w", err)
 	}
-	l := &Layer{listener: listener, notice: notice, conns: map[net.Conn]bool{}}
+	l := &Balancer{listener: listener, notice: notice, conns: map[net.Conn]bool{}}
 	for _, r := range routers {
 		l.routers = append(l.routers, &target{addr: r})
 	}
@@ -46,10 +46,10 @@
 }
 
 // Addr is where clients go.
-func (l *Layer) Addr() string { return l.listener.Addr().String() }
+func (l *Balancer) Addr() string { return l.listener.Addr().String() }
 
 // Run serves until ctx ends, which closes all that is open.
-func (l *Layer) Run(ctx context.Context) error {
+func (l *Balancer) Run(ctx context.Context) error {
 	defer l.work.Wait()
 	stop := context.AfterFunc(ctx, func() {
 		l.listener.Close()
@@ -74,7 +74,7 @@
 }
 
 // carry joins a client to a router until either closes.
-func (l *Layer) carry(ctx context.Context, client net.Conn) {
+func (l *Balancer) carry(ctx context.Context, client net.Conn) {
 	defer l.track(client)()
 	d := net.Dialer{Timeout: dialTimeout}
 	router, err := d.DialContext(ctx, "tcp", l.pick())
@@ -103,7 +103,7 @@
 }
 
 // track keeps a connection among those that Run closes; the function returned closes it.
-func (l *Layer) track(c net.Conn) func() {
+func (l *Balancer) track(c net.Conn) func() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.conns[c] = true
@@ -115,13 +115,13 @@
 	}
 }
 
-// Dead tells that a router has died; it is noticed after a while. Alive takes that back at once.
-func (l *Layer) Dead(addr string) { l.mark(addr, time.Now().Add(l.notice)) }
+// MarkDead tells that a router has died; it is noticed after a while. Alive takes that back at once.
+func (l *Balancer) MarkDead(addr string) { l.mark(addr, time.Now().Add(l.notice)) }
 
-// Alive tells that a router takes connections again.
-func (l *Layer) Alive(addr string) { l.mark(addr, time.Time{}) }
+// MarkAlive tells that a router takes connections again.
+func (l *Balancer) MarkAlive(addr string) { l.mark(addr, time.Time{}) }
 
-func (l *Layer) mark(addr string, dead time.Time) {
+func (l *Balancer) mark(addr string, dead time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, r := range l.routers {
@@ -132,7 +132,7 @@
 }
 
 // pick returns the next router in turn that is not known to be dead, or the next if all are.
-func (l *Layer) pick() string {
+func (l *Balancer) pick() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
--- a/internal/standin/spread/spread_test.go
+++ b/internal/standin/spread/spread_test.go
@@ -41,16 +41,16 @@
 	if got := ask() + ask() + ask() + ask(); got != "0101" {
 		t.Errorf("spread as %s", got)
 	}
-	l.Dead(addrs[0]) // not noticed yet
+	l.MarkDead(addrs[0]) // not noticed yet
 	if got := ask() + ask(); got != "01" {
 		t.Errorf("within the notice: %s", got)
 	}
 	l.notice = -time.Hour
-	l.Dead(addrs[0])
+	l.MarkDead(addrs[0])
 	if got := ask() + ask() + ask(); got != "111" {
 		t.Errorf("after the notice: %s", got)
 	}
-	l.Alive(addrs[0])
+	l.MarkAlive(addrs[0])
 	if got := ask() + ask(); got != "10" && got != "01" {
 		t.Errorf("back: %s", got)
 	}
