--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -40,7 +40,7 @@
 	MinEngines     [2]int     // engines of each role, prefill first
 	MaxEngines     [2]int     // 0: no bound
 	MaxLoad        [2]float64 // prefill, decode
-	Slot           time.Duration
+	SlotLength     time.Duration
 	EmptyTimeout   time.Duration
 	ChangeTimeout  time.Duration
 	FailureBackoff time.Duration
@@ -147,7 +147,7 @@
 	return roles.Config{Classes: len(s.Classes), Confidence: h.Confidence, ConsecutivePlans: h.AgreeingPlans, PlanInterval: h.PlanInterval, SlowStartTime: s.SlowStartTime,
 		Timeouts:  roles.Timeouts{EmptyTimeout: h.EmptyTimeout, ChangeTimeout: h.ChangeTimeout, Backoff: h.FailureBackoff, CheckInterval: h.CheckInterval, ReplyTimeout: s.ProbeTimeout},
 		Costs:     roles.Costs{Horizon: h.Horizon, AwayTime: h.ChangeCost, MaxLoad: h.MaxLoad, MaxChanging: h.MaxConcurrent, MinEngines: h.MinEngines, MaxEngines: h.MaxEngines},
-		TurnOrder: roles.TurnOrder{Routers: s.Routers, Index: s.Index, SlotLength: h.Slot}, DryRun: h.Mode == "dry"}
+		TurnOrder: roles.TurnOrder{Routers: s.Routers, Index: s.Index, SlotLength: h.SlotLength}, DryRun: h.Mode == "dry"}
 }
 
 // ClassIndex returns the index of a class by name, or -1.
@@ -369,7 +369,7 @@
 	{"router", "shift-load-decode", "0.87", false, "the same of decode engines",
 		into(within(ParseNumber, 0.05, 1), func(t *target) *float64 { return &t.set.RoleChanges.MaxLoad[1] })},
 	{"router", "shift-slot", "10s", false, "routers take turns in beginning changes, in slots of this length; the same at all",
-		into(within(ParseDuration, 400*time.Millisecond, time.Hour), func(t *target) *time.Duration { return &t.set.RoleChanges.Slot })},
+		into(within(ParseDuration, 400*time.Millisecond, time.Hour), func(t *target) *time.Duration { return &t.set.RoleChanges.SlotLength })},
 	{"router", "shift-empty", "30s", false, "time for an engine to become empty, before the change is taken back",
 		into(ParseDuration, func(t *target) *time.Duration { return &t.set.RoleChanges.EmptyTimeout })},
 	{"router", "shift-change", "1m", false, "time for the change itself",
@@ -609,8 +609,8 @@
 				errs.Add(at("router/shift-most-"+role), "shift-most-%s: found %d, expected at least shift-least-%s, %d", role, most, role, s.RoleChanges.MinEngines[i])
 			}
 		}
-		if 4*s.RoleChanges.CheckInterval > s.RoleChanges.Slot {
-			errs.Add(at("router/shift-look"), "shift-look: found %v, expected at most a quarter of shift-slot, %v", s.RoleChanges.CheckInterval, s.RoleChanges.Slot)
+		if 4*s.RoleChanges.CheckInterval > s.RoleChanges.SlotLength {
+			errs.Add(at("router/shift-look"), "shift-look: found %v, expected at most a quarter of shift-slot, %v", s.RoleChanges.CheckInterval, s.RoleChanges.SlotLength)
 		}
 	}
 	return errs
--- a/internal/day/swing.go
+++ b/internal/day/swing.go
@@ -85,7 +85,7 @@
 	for _, d := range []struct {
 		name string
 		at   time.Duration
-	}{{"shift-every", h.PlanInterval}, {"shift-look", h.CheckInterval}, {"shift-slot", h.Slot}, {"shift-horizon", h.Horizon}, {"shift-away", h.ChangeCost},
+	}{{"shift-every", h.PlanInterval}, {"shift-look", h.CheckInterval}, {"shift-slot", h.SlotLength}, {"shift-horizon", h.Horizon}, {"shift-away", h.ChangeCost},
 		{"shift-empty", h.EmptyTimeout}, {"shift-change", h.ChangeTimeout}, {"shift-rest", h.FailureBackoff}} {
 		fmt.Fprintf(&b, "%s %v\n", d.name, d.at.Round(time.Millisecond))
 	}
@@ -95,7 +95,7 @@
 // shift are the defaults of shifting roles, at the speed of a scaled script.
 func (s *Script) shift() config.RoleChanges {
 	h := config.Defaults().RoleChanges
-	for _, d := range []*time.Duration{&h.PlanInterval, &h.CheckInterval, &h.Slot, &h.Horizon, &h.ChangeCost, &h.EmptyTimeout, &h.ChangeTimeout, &h.FailureBackoff} {
+	for _, d := range []*time.Duration{&h.PlanInterval, &h.CheckInterval, &h.SlotLength, &h.Horizon, &h.ChangeCost, &h.EmptyTimeout, &h.ChangeTimeout, &h.FailureBackoff} {
 		*d = time.Duration(float64(*d) / s.Speed)
 	}
 	return h
