--- a/cmd/mintdoor/demo.go
+++ b/cmd/mintdoor/demo.go
@@ -78,7 +78,7 @@
 		Groups: []fleet.Group{{Prefix: "prefill-", Kind: "prefill", Count: 3, Spec: standin.Prefill()},
 			{Prefix: "decode-", Kind: "decode", Count: 4, Spec: standin.Decode()}},
 		Cells: []string{"rack-a", "rack-b"}, ListPath: filepath.Join(dir, "engines.list"), LinkTokensPerSecond: 400e3,
-		CrashListDelay: 2 * time.Second, SilenceListDelay: 5 * time.Second, StartListDelay: time.Second, Seed: 1, Log: log})
+		CrashListDelay: 2 * time.Second, UnresponsiveListDelay: 5 * time.Second, StartListDelay: time.Second, Seed: 1, Log: log})
 	if err != nil {
 		return err
 	}
--- a/internal/day/run.go
+++ b/internal/day/run.go
@@ -134,7 +134,7 @@
 	var err error
 	p.fleet, err = fleet.Start(fleet.Config{
 		Groups: p.s.groups(),
-		Cells:  cells, ListPath: list, CrashListDelay: p.s.CrashNotice, SilenceListDelay: p.s.SilenceNotice, StartListDelay: p.s.StartNotice, LinkTokensPerSecond: p.s.LinkRate,
+		Cells:  cells, ListPath: list, CrashListDelay: p.s.CrashNotice, UnresponsiveListDelay: p.s.SilenceNotice, StartListDelay: p.s.StartNotice, LinkTokensPerSecond: p.s.LinkRate,
 		Seed: p.s.Seed, AuditLog: p.record, Log: p.o.Log})
 	if err != nil {
 		return err
--- a/internal/e2e/e2e_test.go
+++ b/internal/e2e/e2e_test.go
@@ -110,7 +110,7 @@
 		Groups: []fleet.Group{{Prefix: "p", Kind: "prefill", Count: 2, Spec: quick(decide.Reader)},
 			{Prefix: "d", Kind: "decode", Count: 3, Spec: quick(decide.Writer)}},
 		ListPath: filepath.Join(dir, "engines.list"), Seed: 1, AuditLog: w.record,
-		CrashListDelay: 50 * time.Millisecond, SilenceListDelay: 200 * time.Millisecond, StartListDelay: 10 * time.Millisecond,
+		CrashListDelay: 50 * time.Millisecond, UnresponsiveListDelay: 200 * time.Millisecond, StartListDelay: 10 * time.Millisecond,
 	}
 	text := settings
 	for _, o := range opts {
--- a/internal/soak/judge_answers.go
+++ b/internal/soak/judge_answers.go
@@ -104,7 +104,7 @@
 // mayHaveRun tells whether a request has had an effect, as far as anybody but its engines can know.
 func (e *evidence) mayHaveRun(a *ask) bool {
 	for _, t := range e.attempts[a.id] {
-		if t.Writer && !t.Outcome.NeverRan() {
+		if t.Writer && !t.Outcome.NeverExecuted() {
 			return true
 		}
 	}
--- a/internal/soak/judge_attempts.go
+++ b/internal/soak/judge_attempts.go
@@ -58,7 +58,7 @@
 		if before.Ended.IsZero() || before.Ended.After(t.LastByte.Add(closeIsSeen+e.notRun(t.LastByte, before.Ended))) {
 			add(t, ruleSecondCopy, "sent to %s while an attempt at %s was out", t.Engine, before.Engine)
 		}
-		if !before.Writer || !t.Writer || before.Outcome.NeverRan() || t.Outcome.NeverRan() {
+		if !before.Writer || !t.Writer || before.Outcome.NeverExecuted() || t.Outcome.NeverExecuted() {
 			continue
 		}
 		switch {
--- a/internal/standin/chat/cluster.go
+++ b/internal/standin/chat/cluster.go
@@ -30,8 +30,8 @@
 		"engine died"}[o]
 }
 
-// NeverRan tells whether an outcome proves that the request has had no effect.
-func (o Outcome) NeverRan() bool { return o == Refused || o == StateGone }
+// NeverExecuted tells whether an outcome proves that the request has had no effect.
+func (o Outcome) NeverExecuted() bool { return o == Refused || o == StateGone }
 
 // Attempt is one request that has arrived at an engine, as the engine saw it.
 type Attempt struct {
--- a/internal/standin/fleet/fleet.go
+++ b/internal/standin/fleet/fleet.go
@@ -28,17 +28,17 @@
 
 // Config is what a Fleet is made of.
 type Config struct {
-	Groups              []Group
-	Cells               []string // "" alone: one cell without a name
-	Zone                string
-	ListPath            string        // path of the list file
-	CrashListDelay      time.Duration // until a death stands in the list
-	SilenceListDelay    time.Duration // until a silence does
-	StartListDelay      time.Duration // until a start does
-	LinkTokensPerSecond float64       // tokens a second over a cell's link; 0: as the port
-	Seed                uint64
-	AuditLog            *audit.Log
-	Log                 *slog.Logger
+	Groups                []Group
+	Cells                 []string // "" alone: one cell without a name
+	Zone                  string
+	ListPath              string        // path of the list file
+	CrashListDelay        time.Duration // until a death stands in the list
+	UnresponsiveListDelay time.Duration // until a silence does
+	StartListDelay        time.Duration // until a start does
+	LinkTokensPerSecond   float64       // tokens a second over a cell's link; 0: as the port
+	Seed                  uint64
+	AuditLog              *audit.Log
+	Log                   *slog.Logger
 }
 
 // Fleet is a running fleet.
@@ -220,7 +220,7 @@
 	case "crash":
 		f.goneUnlessBack(m, f.cfg.CrashListDelay, gone)
 	case "vanish":
-		f.goneUnlessBack(m, f.cfg.SilenceListDelay, gone)
+		f.goneUnlessBack(m, f.cfg.UnresponsiveListDelay, gone)
 	case "ageing":
 		f.goneUnlessBack(m, fault.Duration+f.cfg.CrashListDelay, gone)
 	case "preempt":
