--- a/decide/api.go
+++ b/decide/api.go
@@ -45,37 +45,37 @@
 	Both = Reader | Writer
 )
 
-// Repeat tells what a class allows after an attempt that may have run.
-type Repeat uint8
+// RetryPolicy tells what a class allows after an attempt that may have run.
+type RetryPolicy uint8
 
 // The kinds of classes, by what a repeat does.
 const (
-	Safe Repeat = iota
+	Safe RetryPolicy = iota
 	Keyed
 	Unsafe
 )
 
-// Scope is the group of servers that drops repeats of a keyed request.
-type Scope uint8
+// DedupScope is the group of servers that drops repeats of a keyed request.
+type DedupScope uint8
 
 // The scopes of a keyed class.
 const (
-	ScopeAll Scope = iota
+	ScopeAll DedupScope = iota
 	ScopeZone
 	ScopeCell
 )
 
 // Class is what the settings say of one class of requests.
 type Class struct {
-	Aim       Duration // first token wanted within this time ...
-	AimPerK   Duration // ... plus this for each thousand prompt tokens
-	Deadline  Duration
-	TokenAim  Duration // wanted time between tokens
-	Worth     float64
-	LateWorth float64
-	Repeat    Repeat
-	Scope     Scope
-	Window    Duration // how long repeats of a keyed request are dropped
+	FirstTokenTarget     Duration // first token wanted within this time ...
+	FirstTokenTargetPerK Duration // ... plus this for each thousand prompt tokens
+	Deadline             Duration
+	TokenIntervalTarget  Duration // wanted time between tokens
+	Value                float64
+	LateValue            float64
+	RetryPolicy          RetryPolicy
+	DedupScope           DedupScope
+	DedupWindow          Duration // how long repeats of a keyed request are dropped
 }
 
 // Kind is what the settings say of one kind of machine.
@@ -86,7 +86,7 @@
 
 // Tenant is one customer's share of the traffic.
 type Tenant struct {
-	PerSecond float64 // requests a second within its share, over all routers; 0 when not told
+	RequestsPerSecond float64 // requests a second within its share, over all routers; 0 when not told
 }
 
 // Settings is what a router is told at its start.
@@ -96,37 +96,37 @@
 	Classes        []Class
 	Kinds          []Kind
 	Tenants        []Tenant
-	OverShareWorth float64 // worth of a request beyond its tenant's share, as a share of the usual
-
-	Probing       bool
-	MayCancel     bool
-	MayReserve    bool
-	Resume        bool
-	WritersRead   bool
-	AskMembership bool // the list is sent only to those that ask
-	MaxAttempts   int
-	MaxRetryAfter Duration // 0: clients take no advice
-	DialTimeout   Duration
-
-	AnswerGrace   Duration
-	AskWithin     Duration
-	DrainGrace    Duration
-	LetGoWithin   Duration
-	LetGoAtEnd    bool // what is let go of an open request is held until the request is over
-	ByArrival     bool // the time of what is held rests only for sends that have come to their server
-	FallMultiple  float64
-	OverloadFor   Duration
-	StartCapacity float64
-	ColdFor       Duration
-
-	ProbeFee, WasteFee, LateFailFee, ZoneFee, CellFee float64
+	OverQuotaValue float64 // worth of a request beyond its tenant's share, as a share of the usual
+
+	Probing        bool
+	MayCancel      bool
+	MayReserve     bool
+	Resume         bool
+	WritersRead    bool
+	PullMembership bool // the list is sent only to those that ask
+	MaxAttempts    int
+	MaxRetryAfter  Duration // 0: clients take no advice
+	DialTimeout    Duration
+
+	AnswerGrace        Duration
+	AskWithin          Duration
+	DrainGrace         Duration
+	HoldTimeout        Duration
+	ReleaseAtEnd       bool // what is let go of an open request is held until the request is over
+	PauseHoldOnArrival bool // the time of what is held rests only for sends that have come to their server
+	OverloadMultiple   float64
+	OverloadWindow     Duration
+	InitialCapacity    float64
+	SlowStartTime      Duration
+
+	ProbeCost, WasteCost, LateFailureCost, CrossZoneCost, CrossCellCost float64
 }
 
 // Report is a server's own account of its load; a field it did not tell is negative.
 type Report struct {
-	MemoryShare float64 // share of memory held
-	WaitingK    float64 // thousands of prompt tokens to read or fetch
-	Latency     float64 // recent time to the end of a read or to the first token, in milliseconds
+	MemoryUse     float64 // share of memory held
+	QueuedKTokens float64 // thousands of prompt tokens to read or fetch
+	Latency       float64 // recent time to the end of a read or to the first token, in milliseconds
 }
 
 // Condition is what the list says of a server.
@@ -145,7 +145,7 @@
 	Zone, Cell, Kind int
 	Condition        Condition
 	Weight           float64
-	Since            Time // last start; 0 when long ago
+	StartedAt        Time // last start; 0 when long ago
 }
 
 // Outcome tells how an attempt or a probe ended.
@@ -161,7 +161,7 @@
 	ConnectFailed
 	Reset
 	Cancelled
-	Moot
+	NotStarted
 )
 
 // EventKind tells the fields of an Event that are meant.
@@ -169,51 +169,51 @@
 
 // The kinds of events.
 const (
-	ListChanged  EventKind = iota // Servers: only the changes
-	ListFull                      // Servers: all that there are
-	ListCached                    // Servers: all, as this router last held them
-	ListFailed                    // an asking for the list failed
-	Arrived                       // a new request
-	FirstToken                    // the answer of an attempt has begun
-	Ended                         // an attempt has an outcome
-	ClientGone                    // the request is closed, nothing is owed
-	Timer                         // a WakeMe has come due
-	Probed                        // a probe has an outcome
-	PlaceAnswer                   // the answer to a place asked for ahead
-	PeerMessage                   // a message of another router
-	ShuttingDown                  // the router was told to end: Shutdown
+	ListChanged       EventKind = iota // Servers: only the changes
+	ListFull                           // Servers: all that there are
+	ListCached                         // Servers: all, as this router last held them
+	ListFailed                         // an asking for the list failed
+	Arrived                            // a new request
+	FirstToken                         // the answer of an attempt has begun
+	AttemptEnded                       // an attempt has an outcome
+	ClientLeft                         // the request is closed, nothing is owed
+	Timer                              // a WakeMe has come due
+	Probed                             // a probe has an outcome
+	ReservationAnswer                  // the answer to a place asked for ahead
+	PeerMessage                        // a message of another router
+	ShuttingDown                       // the router was told to end: Shutdown
 )
 
 // Event is one thing that a router learns.
 type Event struct {
-	Kind    EventKind
-	Request RequestID
-	Server  ServerID
-	Attempt int
-	Outcome Outcome
-	Closed  bool     // Ended: the request has had its final answer
-	NoState bool     // Ended with Full: there was no state to fetch
-	Kept    float64  // Ended with ReadDone: prompt tokens found kept
-	Spent   Duration // since the attempt or probe was sent
-	Report  Report
-	Token   uint64
-	Held    bool // PlaceAnswer
-	Fresh   bool // Probed: as the action had it
-	Servers []Listing
-	Job     Job      // Arrived
-	Waited  Duration // Arrived: for this router to take it
+	Kind          EventKind
+	Request       RequestID
+	Server        ServerID
+	Attempt       int
+	Outcome       Outcome
+	Closed        bool     // Ended: the request has had its final answer
+	NoState       bool     // Ended with Full: there was no state to fetch
+	CachedTokens  float64  // Ended with ReadDone: prompt tokens found kept
+	Elapsed       Duration // since the attempt or probe was sent
+	Report        Report
+	TimerID       uint64
+	Granted       bool // PlaceAnswer
+	NewConnection bool // Probed: as the action had it
+	Servers       []Listing
+	Job           Job      // Arrived
+	RouterDelay   Duration // Arrived: for this router to take it
 
 	Shutdown *Shutdown // ShuttingDown
 }
 
 // Job is a request as it arrives.
 type Job struct {
-	Class, Tenant            int
-	Session, Text            uint64 // 0: none
-	Deadline                 Time
-	Hint                     Duration // rough length of the answer; 0 when not told
-	Prompt, Prefix, MaxOut   float64  // tokens
-	ClientRepeat, AfterBreak bool
+	Class, Tenant                               int
+	SessionID, PrefixID                         uint64 // 0: none
+	Deadline                                    Time
+	LengthHint                                  Duration // rough length of the answer; 0 when not told
+	PromptTokens, PrefixTokens, MaxOutputTokens float64  // tokens
+	ClientRetry, AfterInterruption              bool
 }
 
 // ActionKind tells the fields of an Action that are meant.
@@ -221,17 +221,17 @@
 
 // The kinds of actions.
 const (
-	Send    ActionKind = iota // Request, Server, After (the time-out; 0: until the client gives up)
-	Cancel                    // Request, Attempt
-	Refuse                    // Request, After (stay away so long), Text (the reason)
-	Fail                      // Request, Text (the reason)
-	Release                   // Request
-	Move                      // Request
-	WakeMe                    // After, Token
-	Probe                     // Server, Fresh (on a connection that is made for it)
-	Reserve                   // Request, Server
-	Watch                     // ask for the list and its changes
-	Note                      // Text
+	Send      ActionKind = iota // Request, Server, After (the time-out; 0: until the client gives up)
+	Cancel                      // Request, Attempt
+	Refuse                      // Request, After (stay away so long), Text (the reason)
+	Fail                        // Request, Text (the reason)
+	Release                     // Request
+	Move                        // Request
+	SetTimer                    // After, Token
+	Probe                       // Server, Fresh (on a connection that is made for it)
+	Reserve                     // Request, Server
+	WatchList                   // ask for the list and its changes
+	Note                        // Text
 )
 
 // Action is one thing that a router does.
@@ -241,13 +241,13 @@
 	Server  ServerID
 	Attempt int
 	After   Duration
-	// NotAfter, of Send: the last byte may not leave later; 0 is no bound.
-	NotAfter Time
-	// HeardWithin, of Send: a kept connection may carry it only if an answer has come on that so recently; 0: any
+	// SendBy, of Send: the last byte may not leave later; 0 is no bound.
+	SendBy Time
+	// LastResponseWithin, of Send: a kept connection may carry it only if an answer has come on that so recently; 0: any
 	// may. A connection can fall silent with no error, and what is sent on it then never arrives.
-	HeardWithin Duration
-	WhileOut    bool // Release: though an attempt is out
-	Token       uint64
-	Fresh       bool
-	Text        string
+	LastResponseWithin Duration
+	DuringAttempt      bool // Release: though an attempt is out
+	TimerID            uint64
+	NewConnection      bool
+	Reason             string
 }
--- a/decide/cold_fleet_test.go
+++ b/decide/cold_fleet_test.go
@@ -74,7 +74,7 @@
 	f := &coldFleet{random: rand.New(rand.NewPCG(seed, 1)), role: map[ServerID]Role{}, sends: map[ServerID][]coldSend{},
 		coldAt: map[ServerID]Time{}, now: 1000 * Second}
 	f.set = settings()
-	f.set.Routers, f.set.StartCapacity, f.set.FallMultiple, f.set.OverloadFor = c.routers, 0.27, 2.5, Second
+	f.set.Routers, f.set.InitialCapacity, f.set.OverloadMultiple, f.set.OverloadWindow = c.routers, 0.27, 2.5, Second
 	var list []Listing
 	for i := range c.readers {
 		list = append(list, Listing{Server: ServerID(1 + i), Kind: 0, Condition: Ready, Cell: i % 3})
@@ -100,7 +100,7 @@
 	anew := slices.Clone(list)
 	for i := range c.restarts {
 		s := &anew[c.readers+i]
-		s.Since = start
+		s.StartedAt = start
 		f.coldAt[s.Server] = start
 	}
 	for i := range c.routers {
@@ -124,11 +124,11 @@
 }
 
 func (f *coldFleet) handle(router int, ev Event) {
-	ev.Report = Report{MemoryShare: -1, WaitingK: -1, Latency: -1}
+	ev.Report = Report{MemoryUse: -1, QueuedKTokens: -1, Latency: -1}
 	for _, a := range f.routers[router].Handle(f.now, &ev, nil) {
 		switch a.Kind {
-		case WakeMe:
-			heap.Push(&f.events, fleetEvent{at: f.now + a.After, router: router, event: Event{Kind: Timer, Token: a.Token}})
+		case SetTimer:
+			heap.Push(&f.events, fleetEvent{at: f.now + a.After, router: router, event: Event{Kind: Timer, TimerID: a.TimerID}})
 		case Send:
 			f.send(router, a)
 		}
@@ -138,20 +138,20 @@
 // send lets an attempt end well after a fixed time.
 func (f *coldFleet) send(router int, a Action) {
 	const read, first, stream = 100 * ms, 50 * ms, 2 * Second
-	if start, ok := f.coldAt[a.Server]; ok && f.now >= start && f.now-start < f.set.ColdFor {
+	if start, ok := f.coldAt[a.Server]; ok && f.now >= start && f.now-start < f.set.SlowStartTime {
 		told := f.routers[router].servers[a.Server].since == start
 		f.sends[a.Server] = append(f.sends[a.Server], coldSend{f.now, told})
 	}
 	attempt := f.routers[router].requests[a.Request].attempts - 1
-	ended := Event{Kind: Ended, Request: a.Request, Server: a.Server, Attempt: attempt}
+	ended := Event{Kind: AttemptEnded, Request: a.Request, Server: a.Server, Attempt: attempt}
 	if f.role[a.Server] == Reader {
-		ended.Outcome, ended.Spent = ReadDone, read
+		ended.Outcome, ended.Elapsed = ReadDone, read
 		heap.Push(&f.events, fleetEvent{at: f.now + read, router: router, event: ended})
 		return
 	}
 	heap.Push(&f.events, fleetEvent{at: f.now + first, router: router,
-		event: Event{Kind: FirstToken, Request: a.Request, Server: a.Server, Attempt: attempt, Spent: first}})
-	ended.Outcome, ended.Spent, ended.Closed = Served, first+stream, true
+		event: Event{Kind: FirstToken, Request: a.Request, Server: a.Server, Attempt: attempt, Elapsed: first}})
+	ended.Outcome, ended.Elapsed, ended.Closed = Served, first+stream, true
 	heap.Push(&f.events, fleetEvent{at: f.now + first + stream, router: router, event: ended})
 }
 
@@ -165,8 +165,8 @@
 		case e.arrive:
 			f.jobs++
 			f.nextArrival(e.router)
-			f.handle(e.router, Event{Kind: Arrived, Request: f.jobs, Job: Job{Class: safe, Session: uint64(f.jobs),
-				Text: uint64(f.jobs % 9), Prompt: 1000, Prefix: 800, MaxOut: 100, Deadline: f.now + 4*Second}})
+			f.handle(e.router, Event{Kind: Arrived, Request: f.jobs, Job: Job{Class: safe, SessionID: uint64(f.jobs),
+				PrefixID: uint64(f.jobs % 9), PromptTokens: 1000, PrefixTokens: 800, MaxOutputTokens: 100, Deadline: f.now + 4*Second}})
 		default:
 			f.handle(e.router, e.event)
 		}
@@ -178,28 +178,28 @@
 // rule. used is the mean share of its budget that a cold server gets.
 func (f *coldFleet) most() (over float64, used float64) {
 	capacity := coldFleetLoad / coldFleetUse
-	window := float64(f.set.OverloadFor) / float64(Second)
+	window := float64(f.set.OverloadWindow) / float64(Second)
 	budgets, count := 0.0, 0.0
 	for s, start := range f.coldAt {
 		sends := f.sends[s]
 		for i, from := range sends {
 			n, told := 0, 0
 			for _, send := range sends[i:] {
-				if send.at-from.at < f.set.OverloadFor {
+				if send.at-from.at < f.set.OverloadWindow {
 					n++
 					if send.told {
 						told++
 					}
 				}
 			}
-			warmth := f.set.StartCapacity + (1-f.set.StartCapacity)*float64(from.at-start)/float64(f.set.ColdFor)
-			budget := f.set.FallMultiple * capacity * warmth * window
+			warmth := f.set.InitialCapacity + (1-f.set.InitialCapacity)*float64(from.at-start)/float64(f.set.SlowStartTime)
+			budget := f.set.OverloadMultiple * capacity * warmth * window
 			if 3*told > 2*n {
 				over = max(over, float64(n)/(budget+2*math.Sqrt(budget)+2))
 			}
 		}
 		count += float64(len(sends))
-		budgets += f.set.FallMultiple * capacity * f.set.StartCapacity * float64(f.set.ColdFor) / float64(Second)
+		budgets += f.set.OverloadMultiple * capacity * f.set.InitialCapacity * float64(f.set.SlowStartTime) / float64(Second)
 	}
 	return over, count / budgets
 }
--- a/decide/liveness_test.go
+++ b/decide/liveness_test.go
@@ -6,7 +6,7 @@
 // time-outs used up: it is waited for to the deadline.
 func waiting(t *testing.T, class int, writer bool) (w *world, id RequestID, s ServerID, attempt int) {
 	set := settings()
-	set.Probing, set.ByArrival, set.LetGoWithin = true, true, Second
+	set.Probing, set.PauseHoldOnArrival, set.HoldTimeout = true, true, Second
 	w = newWorld(t, set, fleet())
 	w.r.again = 0
 	if writer {
@@ -23,7 +23,7 @@
 		w.now += tickEvery
 		acts := w.do(Event{Kind: Timer})
 		for i := range acts {
-			if acts[i].Kind == Probe && acts[i].Fresh {
+			if acts[i].Kind == Probe && acts[i].NewConnection {
 				return &acts[i]
 			}
 		}
@@ -46,7 +46,7 @@
 				continue
 			}
 			w.now += w.r.set.DialTimeout
-			acts := w.do(Event{Kind: Probed, Server: s, Fresh: true, Outcome: o})
+			acts := w.do(Event{Kind: Probed, Server: s, NewConnection: true, Outcome: o})
 			cancel := find(acts, Cancel)
 			if (cancel != nil) != (o == ConnectFailed || !writer) {
 				t.Errorf("writer %v, outcome %d: %v", writer, o, kinds(acts))
@@ -54,12 +54,12 @@
 			if cancel != nil && (cancel.Request != id || cancel.Attempt != attempt) {
 				t.Errorf("writer %v: called off %+v", writer, cancel)
 			}
-			if most := w.r.set.LetGoWithin + 300*ms - HoldUp; cancel != nil && w.now-began > most {
+			if most := w.r.set.HoldTimeout + 300*ms - MaxPause; cancel != nil && w.now-began > most {
 				t.Errorf("writer %v: called off after %d ms, at most %d are allowed", writer, (w.now-began)/ms, most/ms)
 			}
 			again := 0
 			for cancel == nil && w.checked(5*Second) != nil {
-				w.do(Event{Kind: Probed, Server: s, Fresh: true, Outcome: o})
+				w.do(Event{Kind: Probed, Server: s, NewConnection: true, Outcome: o})
 				again++
 			}
 			if again >= mostAsked { // the answer may be dropped later
@@ -83,15 +83,15 @@
 			w.end(other, 1, s, Full)
 		},
 		"first token": func(w *world, id RequestID, s ServerID) {
-			w.do(Event{Kind: FirstToken, Request: id, Server: s, Attempt: 1, Spent: ms})
+			w.do(Event{Kind: FirstToken, Request: id, Server: s, Attempt: 1, Elapsed: ms})
 		},
-		"client gone": func(w *world, id RequestID, _ ServerID) { w.do(Event{Kind: ClientGone, Request: id}) },
+		"client gone": func(w *world, id RequestID, _ ServerID) { w.do(Event{Kind: ClientLeft, Request: id}) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			w, id, s, _ := waiting(t, safe, true)
 			w.now += w.r.set.DialTimeout + ms // it may have been sent only now
 			then(w, id, s)
-			most := w.r.set.LetGoWithin - w.r.set.DialTimeout - 2*tickEvery
+			most := w.r.set.HoldTimeout - w.r.set.DialTimeout - 2*tickEvery
 			if name == "first token" || name == "client gone" {
 				most = 5 * Second
 			}
@@ -123,8 +123,8 @@
 				if check == nil || check.Server != s {
 					t.Fatalf("asked %+v", check)
 				}
-				return w.do(Event{Kind: Probed, Server: s, Fresh: true, Outcome: tt.outcome,
-					Report: Report{MemoryShare: 0.5, WaitingK: tt.waitingK, Latency: -1}})
+				return w.do(Event{Kind: Probed, Server: s, NewConnection: true, Outcome: tt.outcome,
+					Report: Report{MemoryUse: 0.5, QueuedKTokens: tt.waitingK, Latency: -1}})
 			}
 			if got := find(tell(), Cancel) == nil; got != tt.waited {
 				t.Errorf("waited for: %v", got)
@@ -159,8 +159,8 @@
 			if check == nil || check.Server != s {
 				t.Fatalf("asked %+v", check)
 			}
-			last = w.do(Event{Kind: Probed, Server: s, Fresh: true, Outcome: Served,
-				Report: Report{MemoryShare: 0.5, WaitingK: waitingK, Latency: -1}})
+			last = w.do(Event{Kind: Probed, Server: s, NewConnection: true, Outcome: Served,
+				Report: Report{MemoryUse: 0.5, QueuedKTokens: waitingK, Latency: -1}})
 		}
 		if got := find(last, Cancel) == nil; got != waited {
 			t.Errorf("queue of %v thousand: waited for: %v", waitingK, got)
@@ -192,12 +192,12 @@
 		w.now += tickEvery
 		w.do(Event{Kind: Probed, Server: s, Outcome: Served}) // in answer to whatever
 		acts := w.do(Event{Kind: Timer})
-		if check := find(acts, Probe); check != nil && check.Fresh {
-			acts = w.do(Event{Kind: Probed, Server: s, Fresh: true, Outcome: Served})
+		if check := find(acts, Probe); check != nil && check.NewConnection {
+			acts = w.do(Event{Kind: Probed, Server: s, NewConnection: true, Outcome: Served})
 			if c := find(acts, Cancel); c == nil || c.Request != id || c.Attempt != attempt {
 				t.Errorf("after the check: %v", kinds(acts))
 			}
-			if most := w.r.set.LetGoWithin + 300*ms - HoldUp; w.now-began > most {
+			if most := w.r.set.HoldTimeout + 300*ms - MaxPause; w.now-began > most {
 				t.Errorf("called off after %d ms, at most %d are allowed", (w.now-began)/ms, most/ms)
 			}
 			return
@@ -218,24 +218,24 @@
 		if find(acts, Cancel) != nil {
 			t.Fatal("the writer was called off")
 		}
-		if check := find(acts, Probe); check != nil && check.Fresh {
-			w.do(Event{Kind: Probed, Server: s, Fresh: true, Outcome: TimedOut}) // it hangs
+		if check := find(acts, Probe); check != nil && check.NewConnection {
+			w.do(Event{Kind: Probed, Server: s, NewConnection: true, Outcome: TimedOut}) // it hangs
 		}
 		if r := find(acts, Release); r != nil {
 			if release != nil {
 				t.Error("let go twice")
 			}
 			release = r
-			if most := w.r.set.LetGoWithin + 300*ms - HoldUp; w.now-began > most {
+			if most := w.r.set.HoldTimeout + 300*ms - MaxPause; w.now-began > most {
 				t.Errorf("let go after %d ms, at most %d are allowed", (w.now-began)/ms, most/ms)
 			}
 		}
 	}
-	if release == nil || release.Request != id || !release.WhileOut {
+	if release == nil || release.Request != id || !release.DuringAttempt {
 		t.Fatalf("released %+v", release)
 	}
 	w.now += ms
-	acts := w.do(Event{Kind: Ended, Request: id, Attempt: 1, Server: s, Outcome: Full, NoState: true, Spent: Second})
+	acts := w.do(Event{Kind: AttemptEnded, Request: id, Attempt: 1, Server: s, Outcome: Full, NoState: true, Elapsed: Second})
 	if again := find(acts, Send); again == nil || w.r.servers[again.Server].role != Reader {
 		t.Errorf("after a writer that found no state: %v", kinds(acts))
 	}
@@ -245,7 +245,7 @@
 // leaves it held; where answers usually take so long they are waited for.
 func TestLostSendsAreNotWaitedFor(t *testing.T) {
 	set := settings()
-	set.Probing, set.ByArrival, set.LetGoWithin = true, true, Second
+	set.Probing, set.PauseHoldOnArrival, set.HoldTimeout = true, true, Second
 	for name, tt := range map[string]struct {
 		answer float64 // usual time of answers, over what is expected
 		again  float64
@@ -264,12 +264,12 @@
 			}
 			id, acts := w.arrive(safe)
 			read := find(acts, Send)
-			most := set.LetGoWithin + 300*ms - HoldUp - set.DialTimeout
-			if long := read.After > most; long != (read.HeardWithin == set.DialTimeout) || !long && read.HeardWithin != 0 {
-				t.Errorf("a read that is waited for for %d ms asks for %d", read.After/ms, read.HeardWithin)
+			most := set.HoldTimeout + 300*ms - MaxPause - set.DialTimeout
+			if long := read.After > most; long != (read.LastResponseWithin == set.DialTimeout) || !long && read.LastResponseWithin != 0 {
+				t.Errorf("a read that is waited for for %d ms asks for %d", read.After/ms, read.LastResponseWithin)
 			}
 			write := find(w.end(id, 0, read.Server, ReadDone), Send)
-			if write.HeardWithin != set.DialTimeout {
+			if write.LastResponseWithin != set.DialTimeout {
 				t.Errorf("a state went out on any connection: %+v", write)
 			}
 			if got := write.After <= most; got != tt.bound {
@@ -284,7 +284,7 @@
 	w, id, s, _ := waiting(t, safe, false)
 	began := w.now
 	w.now += 500 * ms
-	w.do(Event{Kind: Probed, Server: s, Fresh: true, Outcome: Served}) // it can be reached; the answer is lost all the same
+	w.do(Event{Kind: Probed, Server: s, NewConnection: true, Outcome: Served}) // it can be reached; the answer is lost all the same
 	w.end(id, 0, s, TimedOut)
 	if q := w.r.requests[id]; q == nil || q.heldAt != began {
 		t.Errorf("what the read may have left counts from %+v", q)
--- a/decide/request.go
+++ b/decide/request.go
@@ -5,22 +5,22 @@
 // arrive takes a new request and sends it to a reader.
 func (r *Router) arrive(ev *Event) {
 	if ev.Job.Class >= len(r.set.Classes) { // of unknown effect
-		r.act(Action{Kind: Fail, Request: ev.Request, Text: "its class is unknown"})
+		r.act(Action{Kind: Fail, Request: ev.Request, Reason: "its class is unknown"})
 		return
 	}
-	q := &request{id: ev.Request, job: ev.Job, arrived: r.now, key: ev.Job.Text}
+	q := &request{id: ev.Request, job: ev.Job, arrived: r.now, key: ev.Job.PrefixID}
 	if q.key == 0 {
-		q.key = ev.Job.Session
+		q.key = ev.Job.SessionID
 	}
 	r.requests[q.id] = q
 	r.again = min(r.again+againPart, againMost)
 	// Each request pays for the probes that it may cost, so that many routers cost no more than few.
-	r.probes = min(r.probes+probePoints/max(r.set.ProbeFee, probePoints/mostProbes), float64(len(r.order)))
+	r.probes = min(r.probes+probePoints/max(r.set.ProbeCost, probePoints/mostProbes), float64(len(r.order)))
 	w := &r.work[q.job.Class]
-	w.prompt += answerGain * (q.job.Prompt - w.prompt)
+	w.prompt += answerGain * (q.job.PromptTokens - w.prompt)
 	if r.tooLate() || !r.endsInTime(q) {
 		r.giveUp(q, "the router is shutting down")
-	} else if ev.Waited > waitedLong {
+	} else if ev.RouterDelay > waitedLong {
 		r.giveUp(q, "the router itself has more to do than it can")
 	} else if !r.ask(q) {
 		r.admit(q)
@@ -64,8 +64,8 @@
 		return
 	}
 	s.quietFrom, s.heardAt, s.pending = r.now, r.now, s.pending-1 // it has been heard
-	r.good(q, s, float64(ev.Spent)/q.expect)
-	r.learnMove(distance(q, s), ev.Spent)
+	r.good(q, s, float64(ev.Elapsed)/q.expect)
+	r.learnMove(distance(q, s), ev.Elapsed)
 	q.stage, q.mayHold, q.state, q.startedAt = streaming, false, nil, r.now
 }
 
@@ -84,17 +84,17 @@
 	was := q.stage
 	q.out = nil
 	if was == reading && ev.Outcome == ReadDone {
-		if q.job.Prefix > 0 && s.kept[q.key] == 0 && r.many {
-			r.found += answerGain * (min(ev.Kept/q.job.Prefix, 1) - r.found)
+		if q.job.PrefixTokens > 0 && s.kept[q.key] == 0 && r.many {
+			r.found += answerGain * (min(ev.CachedTokens/q.job.PrefixTokens, 1) - r.found)
 		}
 		q.state, q.mayHold, q.alone = s, true, false
-		s.keep(q.key, q.job.Prefix)
-		s.keep(q.job.Session, q.job.Prompt)
+		s.keep(q.key, q.job.PrefixTokens)
+		s.keep(q.job.SessionID, q.job.PromptTokens)
 	}
 	// Four outcomes prove that an attempt at a writer never ran.
-	unrun := ev.Outcome == Full || ev.Outcome == ConnectFailed || ev.Outcome == Moot || ev.Outcome == ReadDone
+	unrun := ev.Outcome == Full || ev.Outcome == ConnectFailed || ev.Outcome == NotStarted || ev.Outcome == ReadDone
 	if was != reading && !unrun && !q.mayRun {
-		q.mayRun, q.runOn, q.runAt = true, s, r.now-ev.Spent
+		q.mayRun, q.runOn, q.runAt = true, s, r.now-ev.Elapsed
 	}
 	if ev.Closed || q.closed {
 		r.close(q)
@@ -104,7 +104,7 @@
 	switch {
 	case ev.Outcome == ReadDone:
 		r.write(q)
-	case ev.Outcome == Moot || float64(q.job.Deadline-r.now) <= r.usual(Writer, nil)*writeExpected,
+	case ev.Outcome == NotStarted || float64(q.job.Deadline-r.now) <= r.usual(Writer, nil)*writeExpected,
 		q.mayHold && (ev.Outcome == ConnectFailed || r.seeks()) &&
 			r.now+r.set.DialTimeout > r.heldUntil(q.heldAt):
 		// Nothing more would be answered before the client leaves, or what is held would stay too long: no
@@ -149,10 +149,10 @@
 	case ReadDone:
 		s.quietFrom, s.heardAt = r.now, r.now
 		if r.found > 0 {
-			q.expect = max(q.expect+(q.job.Prompt-ev.Kept-q.tokens)*r.pace, paceTokens*r.pace)
+			q.expect = max(q.expect+(q.job.PromptTokens-ev.CachedTokens-q.tokens)*r.pace, paceTokens*r.pace)
 		}
-		r.good(q, s, float64(ev.Spent)/q.expect)
-		if pace := float64(ev.Spent) / max(q.job.Prompt-ev.Kept, paceTokens); pace < r.pace {
+		r.good(q, s, float64(ev.Elapsed)/q.expect)
+		if pace := float64(ev.Elapsed) / max(q.job.PromptTokens-ev.CachedTokens, paceTokens); pace < r.pace {
 			r.pace += paceDown * (pace - r.pace)
 		} else {
 			r.pace *= 1 + paceUp
@@ -166,10 +166,10 @@
 				return // the server was heard since, and no queue is long: this one or its answer was lost
 			}
 			// At least so long: under load that all share, the usual time grows and time-outs with it.
-			r.learn(s, float64(ev.Spent)/q.expect)
+			r.learn(s, float64(ev.Elapsed)/q.expect)
 			r.again = max(0, r.again-1)
 			if q.stage == writing {
-				r.learnMove(distance(q, s), ev.Spent)
+				r.learnMove(distance(q, s), ev.Elapsed)
 			}
 		}
 		if q.stage != reading || ev.Outcome != Error {
--- a/decide/timeouts.go
+++ b/decide/timeouts.go
@@ -5,7 +5,7 @@
 // aim is the time within which a request's first token is wanted.
 func (r *Router) aim(q *request) Duration {
 	c := &r.set.Classes[q.job.Class]
-	return c.Aim + Duration(float64(c.AimPerK)*q.job.Prompt/thousand)
+	return c.FirstTokenTarget + Duration(float64(c.FirstTokenTargetPerK)*q.job.PromptTokens/thousand)
 }
 
 // readTime is how long the own tokens that wait at a reader should take to read.
@@ -18,7 +18,7 @@
 	if q.stage == writing {
 		share, role = writeCap, Writer
 	}
-	if q.stage == writing && r.set.Classes[q.job.Class].Repeat == Unsafe {
+	if q.stage == writing && r.set.Classes[q.job.Class].RetryPolicy == Unsafe {
 		return max(left, 1)
 	}
 	expected := r.usual(role, nil) * q.expect
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -37,18 +37,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.LetGoWithin != 300*time.Millisecond || s.MaxBody != 64<<10 || s.AttemptLimit != 6 {
+	if s.HoldTimeout != 300*time.Millisecond || s.MaxBody != 64<<10 || s.MaxAttempts != 6 {
 		t.Errorf("values or defaults are off: %+v", s)
 	}
-	if len(s.Classes) != 2 || s.Classes[0].Aim != 1200*1e6 || s.Classes[1].Repeat != decide.Unsafe ||
-		s.Classes[1].Aim != decide.Second {
+	if len(s.Classes) != 2 || s.Classes[0].FirstTokenTarget != 1200*1e6 || s.Classes[1].RetryPolicy != decide.Unsafe ||
+		s.Classes[1].FirstTokenTarget != decide.Second {
 		t.Errorf("classes: %+v", s.Classes)
 	}
 	if s.Kinds[0].Memory != 280e3 || s.Kinds[0].Role != decide.Reader || s.TenantIndex("Saddar hall") != 0 {
 		t.Errorf("kinds and tenants: %+v %+v", s.Kinds, s.Tenants)
 	}
 	d := s.Decide(func(string) int { return 7 })
-	if d.Zone != 7 || len(d.Classes) != 2 || d.MaxRetryAfter != decide.Second/2 || d.Tenants[0].PerSecond != 20 {
+	if d.Zone != 7 || len(d.Classes) != 2 || d.MaxRetryAfter != decide.Second/2 || d.Tenants[0].RequestsPerSecond != 20 {
 		t.Errorf("the module's part: %+v", d)
 	}
 }
@@ -103,7 +103,7 @@
 func TestShiftIsChecked(t *testing.T) {
 	head := "list x\nshift on\nclass a\n"
 	pair := "kind p\nrole prefill\nbecomes d\ncapacity 10k\nkind d\nrole decode\nbecomes p\ncapacity 1k\n"
-	if s, err := Parse("x", head+pair); err != nil || s.Kinds[0].Becomes != "d" || s.Shift.Horizon != 45*time.Second || s.Shift.Least != [2]int{1, 1} {
+	if s, err := Parse("x", head+pair); err != nil || s.Kinds[0].Becomes != "d" || s.RoleChanges.Horizon != 45*time.Second || s.RoleChanges.MinEngines != [2]int{1, 1} {
 		t.Errorf("%v", err)
 	}
 	for text, want := range map[string]string{
@@ -136,7 +136,7 @@
 	}
 	write("more/classes.conf", "class a\nclass b\nkind r\nrole prefill\nkind w\nrole decode\n")
 	s, err := Load(write("main.conf", "list engines.list\ninclude more/classes.conf\n"))
-	if err != nil || len(s.Classes) != 2 || s.List != filepath.Join(dir, "engines.list") {
+	if err != nil || len(s.Classes) != 2 || s.ListFile != filepath.Join(dir, "engines.list") {
 		t.Errorf("%v, %+v", err, s)
 	}
 	write("a.conf", "include b.conf\n")
@@ -172,21 +172,21 @@
 		ok   bool
 		read func(string) error
 	}{
-		{"300ms", true, func(s string) error { _, err := Duration(s); return err }},
-		{"300", false, func(s string) error { _, err := Duration(s); return err }},
-		{"-1s", false, func(s string) error { _, err := Duration(s); return err }},
-		{"64KiB", true, func(s string) error { _, err := Size(s); return err }},
-		{"64kb", false, func(s string) error { _, err := Size(s); return err }},
-		{"", false, func(s string) error { _, err := Size(s); return err }},
-		{"1.5M", true, func(s string) error { _, err := Tokens(s); return err }},
-		{"20/s", true, func(s string) error { _, err := Rate(s); return err }},
-		{"20", false, func(s string) error { _, err := Rate(s); return err }},
-		{"1e999", false, func(s string) error { _, err := Number(s); return err }},
-		{":80", true, func(s string) error { _, err := Address(s); return err }},
-		{"x:99999", false, func(s string) error { _, err := Address(s); return err }},
-		{"-", true, func(s string) error { _, err := Instant(s); return err }},
-		{"2026-03-01T05:00:00Z", true, func(s string) error { _, err := Instant(s); return err }},
-		{"yesterday", false, func(s string) error { _, err := Instant(s); return err }},
+		{"300ms", true, func(s string) error { _, err := ParseDuration(s); return err }},
+		{"300", false, func(s string) error { _, err := ParseDuration(s); return err }},
+		{"-1s", false, func(s string) error { _, err := ParseDuration(s); return err }},
+		{"64KiB", true, func(s string) error { _, err := ParseSize(s); return err }},
+		{"64kb", false, func(s string) error { _, err := ParseSize(s); return err }},
+		{"", false, func(s string) error { _, err := ParseSize(s); return err }},
+		{"1.5M", true, func(s string) error { _, err := ParseTokens(s); return err }},
+		{"20/s", true, func(s string) error { _, err := ParseRate(s); return err }},
+		{"20", false, func(s string) error { _, err := ParseRate(s); return err }},
+		{"1e999", false, func(s string) error { _, err := ParseNumber(s); return err }},
+		{":80", true, func(s string) error { _, err := ParseAddress(s); return err }},
+		{"x:99999", false, func(s string) error { _, err := ParseAddress(s); return err }},
+		{"-", true, func(s string) error { _, err := ParseTime(s); return err }},
+		{"2026-03-01T05:00:00Z", true, func(s string) error { _, err := ParseTime(s); return err }},
+		{"yesterday", false, func(s string) error { _, err := ParseTime(s); return err }},
 	} {
 		if err := c.read(c.text); (err == nil) != c.ok {
 			t.Errorf("%q: %v", c.text, err)
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -27,23 +27,23 @@
 	Capacity float64 // tokens a second that it reads, or writes
 }
 
-// Shift is how roles of engines are shifted.
-type Shift struct {
-	Mode       string // off, dry or on
-	Every      time.Duration
-	Look       time.Duration
-	Horizon    time.Duration
-	Away       time.Duration
-	Confidence float64
-	Looks      int
-	AtOnce     int
-	Least      [2]int     // engines of each role, prefill first
-	Most       [2]int     // 0: no bound
-	Load       [2]float64 // prefill, decode
-	Slot       time.Duration
-	Empty      time.Duration
-	Change     time.Duration
-	Rest       time.Duration
+// RoleChanges is how roles of engines are shifted.
+type RoleChanges struct {
+	Mode           string // off, dry or on
+	PlanInterval   time.Duration
+	CheckInterval  time.Duration
+	Horizon        time.Duration
+	ChangeCost     time.Duration
+	Confidence     float64
+	AgreeingPlans  int
+	MaxConcurrent  int
+	MinEngines     [2]int     // engines of each role, prefill first
+	MaxEngines     [2]int     // 0: no bound
+	MaxLoad        [2]float64 // prefill, decode
+	SlotLength     time.Duration
+	EmptyTimeout   time.Duration
+	ChangeTimeout  time.Duration
+	FailureBackoff time.Duration
 }
 
 // Tenant is one tenant with its name.
@@ -63,71 +63,71 @@
 	Routers      int
 	Index        int
 	Zone         string
-	List         string
-	ListEvery    time.Duration
-	Record       string
+	ListFile     string
+	ListInterval time.Duration
+	TraceFile    string
 
 	// Bounds.
-	MaxOpen       int
-	MaxIdle       int
-	MaxBody       int64
-	MaxHeader     int64
-	HeaderWithin  time.Duration
-	MaxContext    float64
-	BytesPerToken float64
-	StreamParts   int
-	ClientStall   time.Duration
-	StreamIdle    time.Duration
-	DrainLimit    time.Duration
+	MaxOpen            int
+	MaxConnections     int
+	MaxBody            int64
+	MaxHeader          int64
+	HeaderTimeout      time.Duration
+	MaxContext         float64
+	BytesPerToken      float64
+	StreamBuffer       int
+	ClientStallTimeout time.Duration
+	StreamIdleTimeout  time.Duration
+	DrainTimeout       time.Duration
 
 	// Towards engines.
-	DialTimeout    time.Duration
-	EngineConns    int
-	ConnIdle       time.Duration
-	ReleaseWithin  time.Duration
-	ProbeWithin    time.Duration
-	AttemptLimit   int
-	Probing        bool
-	MayReserve     bool
-	Resume         bool
-	DecodeReads    bool
-	DefaultClass   string
-	DefaultTenant  string
-	LogFormat      string
-	LogLevel       slog.Level
-	LogSample      int
-	OverShareWorth float64
+	DialTimeout     time.Duration
+	MaxEngineConns  int
+	ConnIdleTimeout time.Duration
+	ReleaseTimeout  time.Duration
+	ProbeTimeout    time.Duration
+	MaxAttempts     int
+	Probing         bool
+	MayReserve      bool
+	Resume          bool
+	DecodeReads     bool
+	DefaultClass    string
+	DefaultTenant   string
+	LogFormat       string
+	LogLevel        slog.Level
+	LogSample       int
+	OverQuotaValue  float64
 
 	// The rules' figures.
-	AnswerGrace   time.Duration
-	DrainGrace    time.Duration
-	LetGoWithin   time.Duration
-	FallMultiple  float64
-	FallWithin    time.Duration
-	StartCapacity float64
-	ColdFor       time.Duration
-	MaxRetryAfter time.Duration
+	AnswerGrace      time.Duration
+	DrainGrace       time.Duration
+	HoldTimeout      time.Duration
+	OverloadMultiple float64
+	OverloadWindow   time.Duration
+	InitialCapacity  float64
+	SlowStartTime    time.Duration
+	MaxRetryAfter    time.Duration
 
 	// Fees of the module, in parts of the result.
-	ProbeFee float64
+	ProbeCost float64
 
-	Shift   Shift
-	Classes []Class
-	Kinds   []Kind
-	Tenants []Tenant
+	RoleChanges RoleChanges
+	Classes     []Class
+	Kinds       []Kind
+	Tenants     []Tenant
 }
 
 // Decide returns the decision module's part of the settings.
 func (s *Settings) Decide(zone func(string) int) *decide.Settings {
 	d := &decide.Settings{
-		Routers: s.Routers, Index: s.Index, Zone: zone(s.Zone), OverShareWorth: s.OverShareWorth,
+		Routers: s.Routers, Index: s.Index, Zone: zone(s.Zone), OverQuotaValue: s.OverQuotaValue,
 		Probing: s.Probing, MayCancel: true, MayReserve: s.MayReserve, Resume: s.Resume,
-		WritersRead: s.DecodeReads, MaxAttempts: s.AttemptLimit,
+		WritersRead: s.DecodeReads, MaxAttempts: s.MaxAttempts,
 		MaxRetryAfter: decide.Duration(s.MaxRetryAfter), DialTimeout: decide.Duration(s.DialTimeout),
 		AnswerGrace: decide.Duration(s.AnswerGrace), DrainGrace: decide.Duration(s.DrainGrace),
-		LetGoWithin: decide.Duration(s.LetGoWithin), FallMultiple: s.FallMultiple,
-		OverloadFor: decide.Duration(s.FallWithin), StartCapacity: s.StartCapacity,
-		ColdFor: decide.Duration(s.ColdFor), ProbeFee: s.ProbeFee,
+		HoldTimeout: decide.Duration(s.HoldTimeout), OverloadMultiple: s.OverloadMultiple,
+		OverloadWindow: decide.Duration(s.OverloadWindow), InitialCapacity: s.InitialCapacity,
+		SlowStartTime: decide.Duration(s.SlowStartTime), ProbeCost: s.ProbeCost,
 	}
 	for _, c := range s.Classes {
 		d.Classes = append(d.Classes, c.Class)
@@ -143,11 +143,11 @@
 
 // Roles returns the settings of the decisions on roles.
 func (s *Settings) Roles() roles.Config {
-	h := &s.Shift
-	return roles.Config{Classes: len(s.Classes), Confidence: h.Confidence, Looks: h.Looks, Every: h.Every, ColdFor: s.ColdFor,
-		Limits: roles.Limits{Empty: h.Empty, Change: h.Change, Rest: h.Rest, Look: h.Look, Answer: s.ProbeWithin},
-		Costs:  roles.Costs{Horizon: h.Horizon, Away: h.Away, Load: h.Load, Changes: h.AtOnce, Least: h.Least, Most: h.Most},
-		Turn:   roles.Turn{Routers: s.Routers, Index: s.Index, Slot: h.Slot}, Dry: h.Mode == "dry"}
+	h := &s.RoleChanges
+	return roles.Config{Classes: len(s.Classes), Confidence: h.Confidence, ConsecutivePlans: h.AgreeingPlans, PlanInterval: h.PlanInterval, SlowStartTime: s.SlowStartTime,
+		Timeouts:  roles.Timeouts{EmptyTimeout: h.EmptyTimeout, ChangeTimeout: h.ChangeTimeout, Backoff: h.FailureBackoff, CheckInterval: h.CheckInterval, ReplyTimeout: s.ProbeTimeout},
+		Costs:     roles.Costs{Horizon: h.Horizon, AwayTime: h.ChangeCost, MaxLoad: h.MaxLoad, MaxChanging: h.MaxConcurrent, MinEngines: h.MinEngines, MaxEngines: h.MaxEngines},
+		TurnOrder: roles.TurnOrder{Routers: s.Routers, Index: s.Index, SlotLength: h.SlotLength}, DryRun: h.Mode == "dry"}
 }
 
 // ClassIndex returns the index of a class by name, or -1.
@@ -213,7 +213,7 @@
 func text(s string) (string, error) { return s, nil }
 
 func span(s string) (decide.Duration, error) {
-	d, err := Duration(s)
+	d, err := ParseDuration(s)
 	return decide.Duration(d), err
 }
 
@@ -232,193 +232,193 @@
 	{"router", "name", "router", false, "name of this router in logs and in ids sent to engines",
 		into(text, func(t *target) *string { return &t.set.Name })},
 	{"router", "listen", "127.0.0.1:8080", false, "address of the KServe V2 front",
-		into(Address, func(t *target) *string { return &t.set.Listen })},
+		into(ParseAddress, func(t *target) *string { return &t.set.Listen })},
 	{"router", "control", "", false, "address for 'mintdoor roles' and the like, on loopback; empty: none",
 		into(func(s string) (string, error) {
 			if s == "" {
 				return "", nil
 			}
-			return Address(s)
+			return ParseAddress(s)
 		}, func(t *target) *string { return &t.set.Control })},
 	{"router", "model", "helpline", false, "name of the model that is served",
 		into(text, func(t *target) *string { return &t.set.Model })},
 	{"router", "model-version", "1", false, "its version",
 		into(text, func(t *target) *string { return &t.set.ModelVersion })},
 	{"router", "routers", "1", false, "how many routers share the engines; bounds what each may send",
-		into(within(Count, 1, 100000), func(t *target) *int { return &t.set.Routers })},
+		into(within(ParseCount, 1, 100000), func(t *target) *int { return &t.set.Routers })},
 	{"router", "index", "0", false, "which of them this one is, from 0",
-		into(Count, func(t *target) *int { return &t.set.Index })},
+		into(ParseCount, func(t *target) *int { return &t.set.Index })},
 	{"router", "zone", "", false, "zone (hall) of this router",
 		into(text, func(t *target) *string { return &t.set.Zone })},
 	{"router", "list", "", true, "file with the list of engines",
-		into(text, func(t *target) *string { return &t.set.List })},
+		into(text, func(t *target) *string { return &t.set.ListFile })},
 	{"router", "list-every", "200ms", false, "how often the list is looked at for changes",
-		into(within(Duration, time.Millisecond, time.Minute), func(t *target) *time.Duration { return &t.set.ListEvery })},
+		into(within(ParseDuration, time.Millisecond, time.Minute), func(t *target) *time.Duration { return &t.set.ListInterval })},
 
 	{"router", "record", "", false, "file for a trace of the traffic: lengths and times, no texts; empty: none",
-		into(text, func(t *target) *string { return &t.set.Record })},
+		into(text, func(t *target) *string { return &t.set.TraceFile })},
 
 	{"router", "max-open", "20000", false, "requests that may be open at once; more are refused at the door",
-		into(within(Count, 1, 1e6), func(t *target) *int { return &t.set.MaxOpen })},
+		into(within(ParseCount, 1, 1e6), func(t *target) *int { return &t.set.MaxOpen })},
 	{"router", "max-connections", "20000", false, "client connections that may be open at once",
-		into(within(Count, 1, 1e6), func(t *target) *int { return &t.set.MaxIdle })},
+		into(within(ParseCount, 1, 1e6), func(t *target) *int { return &t.set.MaxConnections })},
 	{"router", "max-body", "1MiB", false, "bytes of a request's body",
-		into(within(Size, 1<<10, 1<<30), func(t *target) *int64 { return &t.set.MaxBody })},
+		into(within(ParseSize, 1<<10, 1<<30), func(t *target) *int64 { return &t.set.MaxBody })},
 	{"router", "max-header", "16KiB", false, "bytes of a request's headers",
-		into(within(Size, 1<<10, 1<<20), func(t *target) *int64 { return &t.set.MaxHeader })},
+		into(within(ParseSize, 1<<10, 1<<20), func(t *target) *int64 { return &t.set.MaxHeader })},
 	{"router", "header-within", "5s", false, "time for a client to send its headers",
-		into(within(Duration, 10*time.Millisecond, time.Minute), func(t *target) *time.Duration { return &t.set.HeaderWithin })},
+		into(within(ParseDuration, 10*time.Millisecond, time.Minute), func(t *target) *time.Duration { return &t.set.HeaderTimeout })},
 	{"router", "max-context", "32k", false, "tokens of prompt and answer that an engine can hold",
-		into(Tokens, func(t *target) *float64 { return &t.set.MaxContext })},
+		into(ParseTokens, func(t *target) *float64 { return &t.set.MaxContext })},
 	{"router", "bytes-per-token", "4", false, "guess of a prompt's tokens where the client does not tell them",
-		into(within(Number, 0.1, 1000), func(t *target) *float64 { return &t.set.BytesPerToken })},
+		into(within(ParseNumber, 0.1, 1000), func(t *target) *float64 { return &t.set.BytesPerToken })},
 	{"router", "stream-parts", "64", false, "tokens held for a client that reads slowly, before its engine waits",
-		into(within(Count, 1, 4096), func(t *target) *int { return &t.set.StreamParts })},
+		into(within(ParseCount, 1, 4096), func(t *target) *int { return &t.set.StreamBuffer })},
 	{"router", "client-stall", "10s", false, "a client that takes nothing for so long has left",
-		into(within(Duration, 10*time.Millisecond, time.Hour), func(t *target) *time.Duration { return &t.set.ClientStall })},
+		into(within(ParseDuration, 10*time.Millisecond, time.Hour), func(t *target) *time.Duration { return &t.set.ClientStallTimeout })},
 	{"router", "stream-idle", "10s", false, "a stream without a token for so long is broken",
-		into(within(Duration, 10*time.Millisecond, time.Hour), func(t *target) *time.Duration { return &t.set.StreamIdle })},
+		into(within(ParseDuration, 10*time.Millisecond, time.Hour), func(t *target) *time.Duration { return &t.set.StreamIdleTimeout })},
 	{"router", "drain-limit", "30s", false, "time for open requests at a stop, before they are failed",
-		into(Duration, func(t *target) *time.Duration { return &t.set.DrainLimit })},
+		into(ParseDuration, func(t *target) *time.Duration { return &t.set.DrainTimeout })},
 
 	{"router", "dial-timeout", "250ms", false, "a connection to an engine has to stand within this",
-		into(within(Duration, time.Millisecond, time.Minute), func(t *target) *time.Duration { return &t.set.DialTimeout })},
+		into(within(ParseDuration, time.Millisecond, time.Minute), func(t *target) *time.Duration { return &t.set.DialTimeout })},
 	{"router", "engine-connections", "512", false, "connections to one engine at most; more count as not connected",
-		into(within(Count, 1, 1e6), func(t *target) *int { return &t.set.EngineConns })},
+		into(within(ParseCount, 1, 1e6), func(t *target) *int { return &t.set.MaxEngineConns })},
 	{"router", "connection-idle", "15s", false, "an idle connection to an engine is closed after this",
-		into(Duration, func(t *target) *time.Duration { return &t.set.ConnIdle })},
+		into(ParseDuration, func(t *target) *time.Duration { return &t.set.ConnIdleTimeout })},
 	{"router", "release-within", "250ms", false, "time for an engine to take a release",
-		into(Duration, func(t *target) *time.Duration { return &t.set.ReleaseWithin })},
+		into(ParseDuration, func(t *target) *time.Duration { return &t.set.ReleaseTimeout })},
 	{"router", "probe-within", "250ms", false, "time for an engine to answer a probe",
-		into(Duration, func(t *target) *time.Duration { return &t.set.ProbeWithin })},
+		into(ParseDuration, func(t *target) *time.Duration { return &t.set.ProbeTimeout })},
 	{"router", "attempts", "6", false, "attempts for a request at most, both stages together",
-		into(within(Count, 1, 64), func(t *target) *int { return &t.set.AttemptLimit })},
+		into(within(ParseCount, 1, 64), func(t *target) *int { return &t.set.MaxAttempts })},
 	{"router", "probing", "off", false, "probe engines; for those that tell their load only so",
-		into(Switch, func(t *target) *bool { return &t.set.Probing })},
+		into(ParseSwitch, func(t *target) *bool { return &t.set.Probing })},
 	{"router", "probe-fee", "0.0026", false, "price of one probe a request, as a part of the result; paces probes",
-		into(Number, func(t *target) *float64 { return &t.set.ProbeFee })},
+		into(ParseNumber, func(t *target) *float64 { return &t.set.ProbeCost })},
 	{"router", "places-ahead", "on", false, "engines can hold a place for a request ahead",
-		into(Switch, func(t *target) *bool { return &t.set.MayReserve })},
+		into(ParseSwitch, func(t *target) *bool { return &t.set.MayReserve })},
 	{"router", "resume", "off", false, "a broken stream can be resumed elsewhere by its client",
-		into(Switch, func(t *target) *bool { return &t.set.Resume })},
+		into(ParseSwitch, func(t *target) *bool { return &t.set.Resume })},
 	{"router", "decode-reads", "off", false, "a decode engine reads a prompt itself when no state waits",
-		into(Switch, func(t *target) *bool { return &t.set.DecodeReads })},
+		into(ParseSwitch, func(t *target) *bool { return &t.set.DecodeReads })},
 	{"router", "default-class", "", false, "class of a request that names none; empty: the first",
 		into(text, func(t *target) *string { return &t.set.DefaultClass })},
 	{"router", "default-tenant", "", false, "tenant of a request that names none; empty: none",
 		into(text, func(t *target) *string { return &t.set.DefaultTenant })},
 	{"router", "over-share-worth", "0.1", false, "worth of a request beyond its tenant's share, as part of the usual",
-		into(within(Number, 0, 1), func(t *target) *float64 { return &t.set.OverShareWorth })},
+		into(within(ParseNumber, 0, 1), func(t *target) *float64 { return &t.set.OverQuotaValue })},
 	{"router", "log-format", "text", false, "text or json",
-		into(func(s string) (string, error) { return Choice(s, "text", "json") },
+		into(func(s string) (string, error) { return ParseChoice(s, "text", "json") },
 			func(t *target) *string { return &t.set.LogFormat })},
 	{"router", "log-level", "info", false, "debug, info, warn or error",
 		into(func(s string) (slog.Level, error) {
 			var l slog.Level
-			if _, err := Choice(s, "debug", "info", "warn", "error"); err != nil {
+			if _, err := ParseChoice(s, "debug", "info", "warn", "error"); err != nil {
 				return l, err
 			}
 			return l, l.UnmarshalText([]byte(s))
 		}, func(t *target) *slog.Level { return &t.set.LogLevel })},
 	{"router", "log-sample", "100", false, "lines a second of one kind that are written; more are counted",
-		into(within(Count, 1, 1e6), func(t *target) *int { return &t.set.LogSample })},
+		into(within(ParseCount, 1, 1e6), func(t *target) *int { return &t.set.LogSample })},
 
 	{"router", "answer-grace", "16ms", false, "rule 1: a final answer may come so long after the deadline",
-		into(Duration, func(t *target) *time.Duration { return &t.set.AnswerGrace })},
+		into(ParseDuration, func(t *target) *time.Duration { return &t.set.AnswerGrace })},
 	{"router", "drain-grace", "1s", false, "rule 3: nothing new to an engine so long after the list drains it",
-		into(Duration, func(t *target) *time.Duration { return &t.set.DrainGrace })},
+		into(ParseDuration, func(t *target) *time.Duration { return &t.set.DrainGrace })},
 	{"router", "let-go-within", "300ms", false, "rule 5: a held state is used or let go within this",
-		into(within(Duration, time.Millisecond, time.Hour), func(t *target) *time.Duration { return &t.set.LetGoWithin })},
+		into(within(ParseDuration, time.Millisecond, time.Hour), func(t *target) *time.Duration { return &t.set.HoldTimeout })},
 	{"router", "fall-multiple", "3", false, "rule 4: a cold engine falls when sent this multiple of its capacity",
-		into(within(Number, 1, 1000), func(t *target) *float64 { return &t.set.FallMultiple })},
+		into(within(ParseNumber, 1, 1000), func(t *target) *float64 { return &t.set.OverloadMultiple })},
 	{"router", "fall-within", "2s", false, "rule 4: for this long",
-		into(within(Duration, time.Millisecond, time.Hour), func(t *target) *time.Duration { return &t.set.FallWithin })},
+		into(within(ParseDuration, time.Millisecond, time.Hour), func(t *target) *time.Duration { return &t.set.OverloadWindow })},
 	{"router", "start-capacity", "0.25", false, "part of its capacity with which an engine starts",
-		into(within(Number, 0.001, 1), func(t *target) *float64 { return &t.set.StartCapacity })},
+		into(within(ParseNumber, 0.001, 1), func(t *target) *float64 { return &t.set.InitialCapacity })},
 	{"router", "cold-for", "13s", false, "an engine is warm after this",
-		into(Duration, func(t *target) *time.Duration { return &t.set.ColdFor })},
+		into(ParseDuration, func(t *target) *time.Duration { return &t.set.SlowStartTime })},
 	{"router", "retry-after", "500ms", false, "longest time that clients are told to stay away; 0s: no advice",
-		into(Duration, func(t *target) *time.Duration { return &t.set.MaxRetryAfter })},
+		into(ParseDuration, func(t *target) *time.Duration { return &t.set.MaxRetryAfter })},
 
 	{"router", "shift", "off", false, "shift roles of engines that can do both: off, dry (only say what would be done) or on",
-		into(func(s string) (string, error) { return Choice(s, "off", "dry", "on") }, func(t *target) *string { return &t.set.Shift.Mode })},
+		into(func(s string) (string, error) { return ParseChoice(s, "off", "dry", "on") }, func(t *target) *string { return &t.set.RoleChanges.Mode })},
 	{"router", "shift-every", "5s", false, "time between plans",
-		into(within(Duration, 10*time.Millisecond, time.Hour), func(t *target) *time.Duration { return &t.set.Shift.Every })},
+		into(within(ParseDuration, 10*time.Millisecond, time.Hour), func(t *target) *time.Duration { return &t.set.RoleChanges.PlanInterval })},
 	{"router", "shift-look", "1s", false, "how often engines are asked for their role; at most a quarter of shift-slot",
-		into(within(Duration, time.Millisecond, time.Minute), func(t *target) *time.Duration { return &t.set.Shift.Look })},
+		into(within(ParseDuration, time.Millisecond, time.Minute), func(t *target) *time.Duration { return &t.set.RoleChanges.CheckInterval })},
 	{"router", "shift-horizon", "45s", false, "a change has to pay within this; about four times shift-away",
-		into(within(Duration, time.Second, 24*time.Hour), func(t *target) *time.Duration { return &t.set.Shift.Horizon })},
+		into(within(ParseDuration, time.Second, 24*time.Hour), func(t *target) *time.Duration { return &t.set.RoleChanges.Horizon })},
 	{"router", "shift-away", "11s", false, "work that a change costs, as an engine's time: emptying, changing, coldness",
-		into(Duration, func(t *target) *time.Duration { return &t.set.Shift.Away })},
+		into(ParseDuration, func(t *target) *time.Duration { return &t.set.RoleChanges.ChangeCost })},
 	{"router", "shift-confidence", "0.85", false, "with which a change has to pay",
-		into(within(Number, 0.5, 0.999), func(t *target) *float64 { return &t.set.Shift.Confidence })},
+		into(within(ParseNumber, 0.5, 0.999), func(t *target) *float64 { return &t.set.RoleChanges.Confidence })},
 	{"router", "shift-looks", "1", false, "plans in a row that have to agree before a change",
-		into(within(Count, 1, 1000), func(t *target) *int { return &t.set.Shift.Looks })},
+		into(within(ParseCount, 1, 1000), func(t *target) *int { return &t.set.RoleChanges.AgreeingPlans })},
 	{"router", "shift-least-prefill", "1", false, "prefill engines that stay at least, of those that can change",
-		into(within(Count, 1, 100000), func(t *target) *int { return &t.set.Shift.Least[0] })},
+		into(within(ParseCount, 1, 100000), func(t *target) *int { return &t.set.RoleChanges.MinEngines[0] })},
 	{"router", "shift-least-decode", "1", false, "decode engines that stay at least, of those that can change",
-		into(within(Count, 1, 100000), func(t *target) *int { return &t.set.Shift.Least[1] })},
+		into(within(ParseCount, 1, 100000), func(t *target) *int { return &t.set.RoleChanges.MinEngines[1] })},
 	{"router", "shift-most-prefill", "0", false, "prefill engines at most, of those that can change; 0: no bound",
-		into(within(Count, 0, 100000), func(t *target) *int { return &t.set.Shift.Most[0] })},
+		into(within(ParseCount, 0, 100000), func(t *target) *int { return &t.set.RoleChanges.MaxEngines[0] })},
 	{"router", "shift-most-decode", "0", false, "decode engines at most, of those that can change; 0: no bound",
-		into(within(Count, 0, 100000), func(t *target) *int { return &t.set.Shift.Most[1] })},
+		into(within(ParseCount, 0, 100000), func(t *target) *int { return &t.set.RoleChanges.MaxEngines[1] })},
 	{"router", "shift-at-once", "2", false, "engines that may be away for a change at once, over all routers",
-		into(within(Count, 1, 10000), func(t *target) *int { return &t.set.Shift.AtOnce })},
+		into(within(ParseCount, 1, 10000), func(t *target) *int { return &t.set.RoleChanges.MaxConcurrent })},
 	{"router", "shift-load-prefill", "0.75", false, "part of their capacity to which prefill engines may be used and still answer in time",
-		into(within(Number, 0.05, 1), func(t *target) *float64 { return &t.set.Shift.Load[0] })},
+		into(within(ParseNumber, 0.05, 1), func(t *target) *float64 { return &t.set.RoleChanges.MaxLoad[0] })},
 	{"router", "shift-load-decode", "0.87", false, "the same of decode engines",
-		into(within(Number, 0.05, 1), func(t *target) *float64 { return &t.set.Shift.Load[1] })},
+		into(within(ParseNumber, 0.05, 1), func(t *target) *float64 { return &t.set.RoleChanges.MaxLoad[1] })},
 	{"router", "shift-slot", "10s", false, "routers take turns in beginning changes, in slots of this length; the same at all",
-		into(within(Duration, 400*time.Millisecond, time.Hour), func(t *target) *time.Duration { return &t.set.Shift.Slot })},
+		into(within(ParseDuration, 400*time.Millisecond, time.Hour), func(t *target) *time.Duration { return &t.set.RoleChanges.SlotLength })},
 	{"router", "shift-empty", "30s", false, "time for an engine to become empty, before the change is taken back",
-		into(Duration, func(t *target) *time.Duration { return &t.set.Shift.Empty })},
+		into(ParseDuration, func(t *target) *time.Duration { return &t.set.RoleChanges.EmptyTimeout })},
 	{"router", "shift-change", "1m", false, "time for the change itself",
-		into(Duration, func(t *target) *time.Duration { return &t.set.Shift.Change })},
+		into(ParseDuration, func(t *target) *time.Duration { return &t.set.RoleChanges.ChangeTimeout })},
 	{"router", "shift-rest", "30s", false, "an engine whose change failed is left alone for this; longer with each failure",
-		into(Duration, func(t *target) *time.Duration { return &t.set.Shift.Rest })},
+		into(ParseDuration, func(t *target) *time.Duration { return &t.set.RoleChanges.FailureBackoff })},
 
 	{"class", "aim", "1s", false, "first token wanted within this",
-		into(span, func(t *target) *decide.Duration { return &t.class.Aim })},
+		into(span, func(t *target) *decide.Duration { return &t.class.FirstTokenTarget })},
 	{"class", "aim-per-1000", "40ms", false, "and so much more for each thousand prompt tokens",
-		into(span, func(t *target) *decide.Duration { return &t.class.AimPerK })},
+		into(span, func(t *target) *decide.Duration { return &t.class.FirstTokenTargetPerK })},
 	{"class", "deadline", "4s", false, "given up after this without a first token, where the client tells no deadline",
 		into(span, func(t *target) *decide.Duration { return &t.class.Deadline })},
 	{"class", "token-aim", "60ms", false, "wanted time between tokens",
-		into(span, func(t *target) *decide.Duration { return &t.class.TokenAim })},
+		into(span, func(t *target) *decide.Duration { return &t.class.TokenIntervalTarget })},
 	{"class", "worth", "1", false, "worth of a request in time",
-		into(Number, func(t *target) *float64 { return &t.class.Worth })},
+		into(ParseNumber, func(t *target) *float64 { return &t.class.Value })},
 	{"class", "late-worth", "0.2", false, "part of its worth when it is late",
-		into(within(Number, 0, 1), func(t *target) *float64 { return &t.class.LateWorth })},
+		into(within(ParseNumber, 0, 1), func(t *target) *float64 { return &t.class.LateValue })},
 	{"class", "repeat", "safe", false, "safe, keyed or unsafe: what a repeat does after an attempt that may have run",
-		into(func(s string) (decide.Repeat, error) {
-			_, err := Choice(s, "safe", "keyed", "unsafe")
-			return map[string]decide.Repeat{"safe": decide.Safe, "keyed": decide.Keyed, "unsafe": decide.Unsafe}[s], err
-		}, func(t *target) *decide.Repeat { return &t.class.Repeat })},
+		into(func(s string) (decide.RetryPolicy, error) {
+			_, err := ParseChoice(s, "safe", "keyed", "unsafe")
+			return map[string]decide.RetryPolicy{"safe": decide.Safe, "keyed": decide.Keyed, "unsafe": decide.Unsafe}[s], err
+		}, func(t *target) *decide.RetryPolicy { return &t.class.RetryPolicy })},
 	{"class", "scope", "all", false, "keyed: engines that drop repeats: all, or those of one zone or cell",
-		into(func(s string) (decide.Scope, error) {
-			_, err := Choice(s, "all", "zone", "cell")
-			return map[string]decide.Scope{"zone": decide.ScopeZone, "cell": decide.ScopeCell}[s], err
-		}, func(t *target) *decide.Scope { return &t.class.Scope })},
+		into(func(s string) (decide.DedupScope, error) {
+			_, err := ParseChoice(s, "all", "zone", "cell")
+			return map[string]decide.DedupScope{"zone": decide.ScopeZone, "cell": decide.ScopeCell}[s], err
+		}, func(t *target) *decide.DedupScope { return &t.class.DedupScope })},
 	{"class", "window", "5s", false, "keyed: how long repeats are dropped",
-		into(span, func(t *target) *decide.Duration { return &t.class.Window })},
+		into(span, func(t *target) *decide.Duration { return &t.class.DedupWindow })},
 	{"class", "max-tokens", "500", false, "output limit of a request that names none",
-		into(within(Count, 1, 1e6), func(t *target) *int { return &t.class.MaxTokens })},
+		into(within(ParseCount, 1, 1e6), func(t *target) *int { return &t.class.MaxTokens })},
 
 	{"kind", "role", "", true, "prefill, decode or both",
 		into(func(s string) (decide.Role, error) {
-			_, err := Choice(s, "prefill", "decode", "both")
+			_, err := ParseChoice(s, "prefill", "decode", "both")
 			return map[string]decide.Role{"prefill": decide.Reader, "decode": decide.Writer, "both": decide.Both}[s], err
 		}, func(t *target) *decide.Role { return &t.kind.Role })},
 	{"kind", "memory", "0", false, "tokens that fit into its memory; 0: not told",
-		into(Tokens, func(t *target) *float64 { return &t.kind.Memory })},
+		into(ParseTokens, func(t *target) *float64 { return &t.kind.Memory })},
 
 	{"kind", "becomes", "", false, "kind that an engine of this one is after a change of role",
 		into(text, func(t *target) *string { return &t.kind.Becomes })},
 	{"kind", "capacity", "0", false, "tokens a second that it reads, or writes; for shifting roles",
-		into(Tokens, func(t *target) *float64 { return &t.kind.Capacity })},
+		into(ParseTokens, func(t *target) *float64 { return &t.kind.Capacity })},
 
 	{"tenant", "rate", "0/s", false, "requests a second within its share, over all routers; 0/s: not told",
-		into(Rate, func(t *target) *float64 { return &t.tenant.PerSecond })},
+		into(ParseRate, func(t *target) *float64 { return &t.tenant.RequestsPerSecond })},
 }
 
 // sections are the words that begin a section and take its name.
@@ -434,7 +434,7 @@
 	if err := append(errs, wrong...).Err(); err != nil {
 		return nil, err
 	}
-	for _, p := range []*string{&s.List, &s.Record} {
+	for _, p := range []*string{&s.ListFile, &s.TraceFile} {
 		if *p != "" && !filepath.IsAbs(*p) {
 			*p = filepath.Join(filepath.Dir(path), *p)
 		}
@@ -567,9 +567,9 @@
 	}
 	errs = append(errs, s.checkShift(at)...)
 	for _, c := range s.Classes {
-		if c.Deadline < c.Aim {
+		if c.Deadline < c.FirstTokenTarget {
 			errs.Add(at("class "+c.Name), "class %s: its deadline %v is under its aim %v", c.Name,
-				time.Duration(c.Deadline), time.Duration(c.Aim))
+				time.Duration(c.Deadline), time.Duration(c.FirstTokenTarget))
 		}
 	}
 	return errs
@@ -593,24 +593,24 @@
 		case k.Role == decide.Both || s.Kinds[i].Role == decide.Both || k.Role == s.Kinds[i].Role:
 			errs.Add(l, "becomes: kinds %s and %s have to be one of prefill and one of decode", k.Name, k.Becomes)
 		}
-		if k.Capacity <= 0 && s.Shift.Mode != "off" {
+		if k.Capacity <= 0 && s.RoleChanges.Mode != "off" {
 			errs.Add(l, "kind %s has no capacity, expected tokens a second, to plan by", k.Name)
 		}
 	}
-	if s.Shift.Mode != "off" {
+	if s.RoleChanges.Mode != "off" {
 		if pairs == 0 {
 			errs.Add(at("router/shift"), "shift: no kind becomes another, expected 'becomes NAME' in two kinds")
 		}
-		if s.Shift.Away >= s.Shift.Horizon {
-			errs.Add(at("router/shift-away"), "shift-away: found %v, expected less than shift-horizon, %v", s.Shift.Away, s.Shift.Horizon)
+		if s.RoleChanges.ChangeCost >= s.RoleChanges.Horizon {
+			errs.Add(at("router/shift-away"), "shift-away: found %v, expected less than shift-horizon, %v", s.RoleChanges.ChangeCost, s.RoleChanges.Horizon)
 		}
 		for i, role := range []string{"prefill", "decode"} {
-			if most := s.Shift.Most[i]; most > 0 && most < s.Shift.Least[i] {
-				errs.Add(at("router/shift-most-"+role), "shift-most-%s: found %d, expected at least shift-least-%s, %d", role, most, role, s.Shift.Least[i])
+			if most := s.RoleChanges.MaxEngines[i]; most > 0 && most < s.RoleChanges.MinEngines[i] {
+				errs.Add(at("router/shift-most-"+role), "shift-most-%s: found %d, expected at least shift-least-%s, %d", role, most, role, s.RoleChanges.MinEngines[i])
 			}
 		}
-		if 4*s.Shift.Look > s.Shift.Slot {
-			errs.Add(at("router/shift-look"), "shift-look: found %v, expected at most a quarter of shift-slot, %v", s.Shift.Look, s.Shift.Slot)
+		if 4*s.RoleChanges.CheckInterval > s.RoleChanges.SlotLength {
+			errs.Add(at("router/shift-look"), "shift-look: found %v, expected at most a quarter of shift-slot, %v", s.RoleChanges.CheckInterval, s.RoleChanges.SlotLength)
 		}
 	}
 	return errs
--- a/internal/config/values.go
+++ b/internal/config/values.go
@@ -13,8 +13,8 @@
 
 func expected(found, what string) error { return fmt.Errorf("found %q, expected %s", found, what) }
 
-// Duration reads a time with its unit, such as 300ms or 1.5s. It is not negative.
-func Duration(s string) (time.Duration, error) {
+// ParseDuration reads a time with its unit, such as 300ms or 1.5s. It is not negative.
+func ParseDuration(s string) (time.Duration, error) {
 	d, err := time.ParseDuration(s)
 	if err != nil || d < 0 {
 		return 0, expected(s, "a time with its unit, such as 300ms or 1.5s")
@@ -33,8 +33,8 @@
 	return f * factor, true
 }
 
-// Size reads bytes: 512, 64KiB, 1MiB, 2GiB.
-func Size(s string) (int64, error) {
+// ParseSize reads bytes: 512, 64KiB, 1MiB, 2GiB.
+func ParseSize(s string) (int64, error) {
 	f, ok := scaled(s, map[string]float64{"": 1, "B": 1, "KiB": 1 << 10, "MiB": 1 << 20, "GiB": 1 << 30})
 	if !ok || f > math.MaxInt64/2 {
 		return 0, expected(s, "a size, such as 512, 64KiB or 1MiB")
@@ -42,8 +42,8 @@
 	return int64(f), nil
 }
 
-// Tokens reads a count of tokens: 800, 280k, 1.5M.
-func Tokens(s string) (float64, error) {
+// ParseTokens reads a count of tokens: 800, 280k, 1.5M.
+func ParseTokens(s string) (float64, error) {
 	f, ok := scaled(s, map[string]float64{"": 1, "k": 1e3, "M": 1e6})
 	if !ok {
 		return 0, expected(s, "a count of tokens, such as 800, 280k or 1.5M")
@@ -51,8 +51,8 @@
 	return f, nil
 }
 
-// Number reads a number that is not negative.
-func Number(s string) (float64, error) {
+// ParseNumber reads a number that is not negative.
+func ParseNumber(s string) (float64, error) {
 	f, ok := scaled(s, map[string]float64{"": 1})
 	if !ok {
 		return 0, expected(s, "a number that is not negative")
@@ -60,8 +60,8 @@
 	return f, nil
 }
 
-// Count reads a whole number that is not negative.
-func Count(s string) (int, error) {
+// ParseCount reads a whole number that is not negative.
+func ParseCount(s string) (int, error) {
 	n, err := strconv.ParseUint(s, 10, 31)
 	if err != nil {
 		return 0, expected(s, "a whole number that is not negative")
@@ -69,8 +69,8 @@
 	return int(n), nil
 }
 
-// Rate reads events a second: 20/s, 0.5/s.
-func Rate(s string) (float64, error) {
+// ParseRate reads events a second: 20/s, 0.5/s.
+func ParseRate(s string) (float64, error) {
 	f, ok := scaled(s, map[string]float64{"/s": 1})
 	if !ok {
 		return 0, expected(s, "a rate, such as 20/s")
@@ -78,8 +78,8 @@
 	return f, nil
 }
 
-// Switch reads on or off.
-func Switch(s string) (bool, error) {
+// ParseSwitch reads on or off.
+func ParseSwitch(s string) (bool, error) {
 	switch s {
 	case "on":
 		return true, nil
@@ -89,8 +89,8 @@
 	return false, expected(s, "on or off")
 }
 
-// Address reads host:port.
-func Address(s string) (string, error) {
+// ParseAddress reads host:port.
+func ParseAddress(s string) (string, error) {
 	host, port, err := net.SplitHostPort(s)
 	if n, e := strconv.ParseUint(port, 10, 16); err != nil || e != nil || host == "" && n == 0 {
 		return "", expected(s, "an address with its port, such as 127.0.0.1:8080")
@@ -98,16 +98,16 @@
 	return s, nil
 }
 
-// Choice reads one of some words.
-func Choice(s string, of ...string) (string, error) {
+// ParseChoice reads one of some words.
+func ParseChoice(s string, of ...string) (string, error) {
 	if contains(of, s) {
 		return s, nil
 	}
 	return "", expected(s, "one of "+strings.Join(of, ", "))
 }
 
-// Instant reads a point of wall time (RFC 3339), or "-" for one long ago, the zero time.
-func Instant(s string) (time.Time, error) {
+// ParseTime reads a point of wall time (RFC 3339), or "-" for one long ago, the zero time.
+func ParseTime(s string) (time.Time, error) {
 	if s == "-" {
 		return time.Time{}, nil
 	}
--- a/internal/day/swing.go
+++ b/internal/day/swing.go
@@ -14,8 +14,8 @@
 	"mintdoor/roles"
 )
 
-// Record puts a recorded trace in the place of the drawn traffic. Its classes are those of the script by name.
-func (s *Script) Record(t *trace.Trace) error {
+// UseTrace puts a recorded trace in the place of the drawn traffic. Its classes are those of the script by name.
+func (s *Script) UseTrace(t *trace.Trace) error {
 	for _, name := range t.Classes {
 		if !slices.ContainsFunc(s.Classes, func(c Class) bool { return c.Name == name }) {
 			return fmt.Errorf("the trace has a class %q, which the script has not", name)
@@ -37,11 +37,11 @@
 		e := &s.Trace.Entries[i]
 		c := &s.Classes[class[e.Class]]
 		a := ask{at: time.Duration(float64(e.At) / s.Speed), name: fmt.Sprintf("q%d", i+1), class: class[e.Class], session: fmt.Sprintf("s%d", i+1),
-			text: e.Text, prompt: min(max(e.Prompt, 1), s.Prefill.Spec.Context-c.MaxTokens-1), shared: e.Shared, answer: e.Answer, patience: 1}
+			text: e.PrefixID, prompt: min(max(e.PromptTokens, 1), s.Prefill.Spec.MaxContextTokens-c.MaxOutputTokens-1), shared: e.PrefixTokens, answer: e.OutputTokens, patience: 1}
 		if a.answer == 0 {
 			a.answer = unknown
 		}
-		a.answer = min(a.answer, c.MaxTokens)
+		a.answer = min(a.answer, c.MaxOutputTokens)
 		a.shared = min(a.shared, a.prompt)
 		a.hint = a.answer
 		out = append(out, a)
@@ -62,9 +62,9 @@
 	read, write := s.Prefill.Spec, s.Decode.Spec
 	out := []fleet.Group{{Prefix: s.Prefill.Prefix, Kind: "prefill", Count: s.Prefill.Count, Spec: read},
 		{Prefix: s.Decode.Prefix, Kind: "decode", Count: s.Decode.Count, Spec: write}}
-	if s.Change > 0 {
-		out[0].Other, out[1].Other = &write, &read
-		out[0].Change, out[1].Change = s.Change, s.Change
+	if s.RoleChangeTime > 0 {
+		out[0].OtherRole, out[1].OtherRole = &write, &read
+		out[0].RoleChangeTime, out[1].RoleChangeTime = s.RoleChangeTime, s.RoleChangeTime
 	}
 	return out
 }
@@ -72,10 +72,10 @@
 // shiftSettings are the routers' settings for engines that change roles, of a scaled script. Times are those of
 // the defaults, at the script's speed.
 func (s *Script) shiftSettings() string {
-	if s.Change <= 0 {
+	if s.RoleChangeTime <= 0 {
 		return ""
 	}
-	mode := s.Shift
+	mode := s.ShiftMode
 	if mode == "" {
 		mode = "off"
 	}
@@ -85,17 +85,17 @@
 	for _, d := range []struct {
 		name string
 		at   time.Duration
-	}{{"shift-every", h.Every}, {"shift-look", h.Look}, {"shift-slot", h.Slot}, {"shift-horizon", h.Horizon}, {"shift-away", h.Away},
-		{"shift-empty", h.Empty}, {"shift-change", h.Change}, {"shift-rest", h.Rest}} {
+	}{{"shift-every", h.PlanInterval}, {"shift-look", h.CheckInterval}, {"shift-slot", h.SlotLength}, {"shift-horizon", h.Horizon}, {"shift-away", h.ChangeCost},
+		{"shift-empty", h.EmptyTimeout}, {"shift-change", h.ChangeTimeout}, {"shift-rest", h.FailureBackoff}} {
 		fmt.Fprintf(&b, "%s %v\n", d.name, d.at.Round(time.Millisecond))
 	}
 	return b.String()
 }
 
 // shift are the defaults of shifting roles, at the speed of a scaled script.
-func (s *Script) shift() config.Shift {
-	h := config.Defaults().Shift
-	for _, d := range []*time.Duration{&h.Every, &h.Look, &h.Slot, &h.Horizon, &h.Away, &h.Empty, &h.Change, &h.Rest} {
+func (s *Script) shift() config.RoleChanges {
+	h := config.Defaults().RoleChanges
+	for _, d := range []*time.Duration{&h.PlanInterval, &h.CheckInterval, &h.SlotLength, &h.Horizon, &h.ChangeCost, &h.EmptyTimeout, &h.ChangeTimeout, &h.FailureBackoff} {
 		*d = time.Duration(float64(*d) / s.Speed)
 	}
 	return h
@@ -104,7 +104,7 @@
 // split asks engines for a split, as somebody would who knows the traffic: those that can go without leaving
 // the last of their role in a cell, in order.
 func (p *player) split(ctx context.Context, readers int) {
-	c := engine.New(engine.Options{DialTimeout: time.Second, MaxConns: 4, ProbeWithin: time.Second})
+	c := engine.New(engine.Options{DialTimeout: time.Second, MaxConns: 4, ProbeTimeout: time.Second})
 	defer c.Close()
 	type one struct {
 		m    *fleet.Member
@@ -131,14 +131,14 @@
 	if n < 0 {
 		from, to, n = to, from, -n
 	}
-	limits := roles.Limits{Look: p.s.shift().Look, Answer: config.Defaults().ProbeWithin} // as the routers announce a change
+	limits := roles.Timeouts{CheckInterval: p.s.shift().CheckInterval, ReplyTimeout: config.Defaults().ProbeTimeout} // as the routers announce a change
 	for _, e := range all {
 		key := e.m.Cell + " " + from
 		if n == 0 || e.role.Role != from || e.role.Phase != engine.PhaseSteady || left[key] < 2 {
 			continue
 		}
 		_, granted, err := c.ChangeRole(ctx, e.m.Engine.Addr(), &engine.RoleChange{To: to, Epoch: e.role.Epoch, Router: "split",
-			NoticeMillis: float64(limits.Notice()) / 1e6})
+			NoticeMillis: float64(limits.NoticePeriod()) / 1e6})
 		if err == nil && granted {
 			left[key]--
 			n--
--- a/internal/e2e/cost_test.go
+++ b/internal/e2e/cost_test.go
@@ -119,7 +119,7 @@
 }
 
 func readStream(r io.Reader) error {
-	events := kserve.NewEvents(r, 1<<16)
+	events := kserve.NewEventReader(r, 1<<16)
 	for n := 0; ; n++ {
 		if _, err := events.Next(); err != nil {
 			if n != tokensPerAnswer+1 {
@@ -354,7 +354,7 @@
 					}
 					err := post(context.Background(), c, base+"/v2/models/helpline/generate_stream",
 						`{"id":"a","text_input":"x","parameters":{"prompt_tokens":10,"max_tokens":50}}`, func(r io.Reader) error {
-							events := kserve.NewEvents(r, 1<<16)
+							events := kserve.NewEventReader(r, 1<<16)
 							_, err := events.Next()
 							for begin(err); err == nil; {
 								_, err = events.Next()
@@ -443,7 +443,7 @@
 // BenchmarkClient is one read and one stream by the engines' client alone.
 func BenchmarkClient(b *testing.B) {
 	s := instant(b, nil)
-	c := engine.New(engine.Options{DialTimeout: time.Second, MaxConns: 100, StreamIdle: time.Minute, ReleaseWithin: time.Second, ProbeWithin: time.Second})
+	c := engine.New(engine.Options{DialTimeout: time.Second, MaxConns: 100, StreamIdleTimeout: time.Minute, ReleaseTimeout: time.Second, ProbeTimeout: time.Second})
 	defer c.Close()
 	addr := s.Listener.Addr().String()
 	b.ReportAllocs()
--- a/internal/e2e/hard_test.go
+++ b/internal/e2e/hard_test.go
@@ -41,19 +41,19 @@
 func (w *world) kept() {
 	w.t.Helper()
 	records, dropped := w.record.Records()
-	rep := audit.Check(records, dropped, audit.Rules{DrainGrace: w.set.DrainGrace, ListEvery: w.set.ListEvery,
-		FallMultiple: w.set.FallMultiple, FallWithin: w.set.FallWithin, LetGoWithin: w.set.LetGoWithin, Slack: 2 * time.Second})
+	rep := audit.Check(records, dropped, audit.Rules{DrainGrace: w.set.DrainGrace, ListInterval: w.set.ListInterval,
+		OverloadMultiple: w.set.OverloadMultiple, OverloadWindow: w.set.OverloadWindow, HoldTimeout: w.set.HoldTimeout, Slack: 2 * time.Second})
 	for _, f := range rep.Findings {
 		w.t.Errorf("rule %d: %s", f.Rule, f.Text)
 	}
 }
 
 // seen counts records.
-func (w *world) seen(what audit.What, note string) int {
+func (w *world) seen(what audit.EventKind, note string) int {
 	records, _ := w.record.Records()
 	n := 0
 	for _, r := range records {
-		if r.What == what && (note == "" || r.Note == note) {
+		if r.Kind == what && (note == "" || r.Note == note) {
 			n++
 		}
 	}
@@ -63,7 +63,7 @@
 // slowly makes answers take long enough to be interrupted.
 func slowly(s *standin.Spec) {
 	if s.Role == decide.Writer {
-		s.Step = 20 * time.Millisecond
+		s.StepTime = 20 * time.Millisecond
 	}
 }
 
@@ -75,14 +75,14 @@
 		opts []option
 		when func(w *world) bool
 	}{
-		{"during the read", []option{spec(func(s *standin.Spec) { s.ReadPerS = 500 })}, func(w *world) bool { return w.seen(audit.Arrived, "") == 1 }},
-		{"while its state waits", nil, func(w *world) bool { return w.seen(audit.Turned, "silence") == 1 }},
-		{"in mid-answer", []option{spec(slowly)}, func(w *world) bool { return w.seen(audit.Ran, "") == 1 }},
+		{"during the read", []option{spec(func(s *standin.Spec) { s.ReadTokensPerSecond = 500 })}, func(w *world) bool { return w.seen(audit.Arrived, "") == 1 }},
+		{"while its state waits", nil, func(w *world) bool { return w.seen(audit.Rejected, "silence") == 1 }},
+		{"in mid-answer", []option{spec(slowly)}, func(w *world) bool { return w.seen(audit.Executed, "") == 1 }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w := newWorld(t, c.opts...)
 			if c.name == "while its state waits" {
-				w.playAll("d", standin.Fault{Kind: "class_fail", Size: 1, How: "silence"})
+				w.playAll("d", standin.Fault{Kind: "class_fail", Size: 1, Mode: "silence"})
 			}
 			ctx, cancel := context.WithCancel(t.Context())
 			done := make(chan answer, 1)
@@ -120,17 +120,17 @@
 	t.Run("before its first token", func(t *testing.T) {
 		w := newWorld(t, engines(2, 2), spec(func(s *standin.Spec) {
 			if s.Role == decide.Writer {
-				s.Step = 400 * time.Millisecond // between the fetch and the first token
+				s.StepTime = 400 * time.Millisecond // between the fetch and the first token
 			}
 		}))
 		done := make(chan answer, 1)
 		go func() {
 			done <- w.stream(t.Context(), generate("Rate? [answer=2]", ask{"deadline_ms": 60000}))
 		}()
-		w.eventually("a writer has the state", func() bool { return w.seen(audit.Ran, "") == 1 })
+		w.eventually("a writer has the state", func() bool { return w.seen(audit.Executed, "") == 1 })
 		records, _ := w.record.Records()
 		for _, r := range records {
-			if r.What == audit.Ran {
+			if r.Kind == audit.Executed {
 				w.fleet.Member(r.Who).Engine.Crash(0)
 			}
 		}
@@ -146,7 +146,7 @@
 		w := newWorld(t, spec(slowly))
 		done := make(chan answer, 1)
 		go func() { done <- w.stream(t.Context(), generate("Rate? [answer=400]", nil)) }()
-		w.eventually("it streams", func() bool { return w.seen(audit.Ran, "") == 1 })
+		w.eventually("it streams", func() bool { return w.seen(audit.Executed, "") == 1 })
 		time.Sleep(100 * time.Millisecond) // some tokens; how many does not matter
 		for _, m := range w.fleet.Members() {
 			if m.Group.Kind == "decode" {
@@ -165,14 +165,14 @@
 func TestUnsafeIsNotRepeated(t *testing.T) {
 	w := newWorld(t, spec(func(s *standin.Spec) {
 		if s.Role == decide.Writer {
-			s.Step = 400 * time.Millisecond
+			s.StepTime = 400 * time.Millisecond
 		}
 	}))
 	done := make(chan answer, 1)
 	go func() {
 		done <- w.stream(t.Context(), generate("Book. [answer=2]", ask{"class": "pen-booking", "deadline_ms": 60000}))
 	}()
-	w.eventually("a writer has the state", func() bool { return w.seen(audit.Ran, "") == 1 })
+	w.eventually("a writer has the state", func() bool { return w.seen(audit.Executed, "") == 1 })
 	for _, m := range w.fleet.Members() {
 		if m.Group.Kind == "decode" {
 			m.Engine.Crash(0)
@@ -182,7 +182,7 @@
 	if a.status != http.StatusBadGateway || a.header.Get("Retry-After") != "" {
 		t.Errorf("%+v", a)
 	}
-	if n := w.seen(audit.Ran, ""); n != 1 {
+	if n := w.seen(audit.Executed, ""); n != 1 {
 		t.Errorf("it ran %d times", n)
 	}
 	w.settled()
@@ -192,14 +192,14 @@
 // says so, and the prompt is read again.
 func TestPrefillEngineRestarts(t *testing.T) {
 	w := newWorld(t, engines(1, 1), more("attempts 64\n"))
-	w.play("d1", standin.Fault{Kind: "class_fail", Size: 1, How: "silence"})
+	w.play("d1", standin.Fault{Kind: "class_fail", Size: 1, Mode: "silence"})
 	done := make(chan answer, 1)
 	go func() {
 		done <- w.stream(t.Context(), generate("Rate? [answer=2]", ask{"deadline_ms": 60000}))
 	}()
-	w.eventually("the writer keeps silent", func() bool { return w.seen(audit.Turned, "silence") == 1 })
+	w.eventually("the writer keeps silent", func() bool { return w.seen(audit.Rejected, "silence") == 1 })
 	w.fleet.Member("p1").Engine.Crash(time.Millisecond)
-	w.fleet.Member("d1").Engine.Clear("")
+	w.fleet.Member("d1").Engine.ClearFaults("")
 	a := <-done
 	if a.status == 200 && a.tokens != 2 {
 		t.Errorf("%+v", a)
@@ -251,8 +251,8 @@
 // nothing.
 func TestSilentAndLateEngines(t *testing.T) {
 	w := newWorld(t, engines(2, 2))
-	w.fleet.Play(w.fleet.Member("p1"), standin.Fault{Kind: "vanish", For: time.Hour})
-	w.fleet.Play(w.fleet.Member("d1"), standin.Fault{Kind: "slow", For: time.Hour, Size: 1000})
+	w.fleet.InjectFault(w.fleet.Member("p1"), standin.Fault{Kind: "vanish", Duration: time.Hour})
+	w.fleet.InjectFault(w.fleet.Member("d1"), standin.Fault{Kind: "slow", Duration: time.Hour, Size: 1000})
 	for i := range 6 {
 		if a := w.stream(t.Context(), generate("Rate? [answer=3]", ask{"session": fmt.Sprint(i), "deadline_ms": 60000})); a.tokens != 3 || a.finish == "" {
 			t.Errorf("%+v", a)
@@ -264,8 +264,8 @@
 // A class that some engines leave unanswered is served by the others.
 func TestClassThatFails(t *testing.T) {
 	w := newWorld(t, engines(2, 3))
-	w.play("d1", standin.Fault{Kind: "class_fail", Size: 1, Class: "price-ask", How: "silence"})
-	w.play("d2", standin.Fault{Kind: "class_fail", Size: 1, Class: "price-ask", How: "error"})
+	w.play("d1", standin.Fault{Kind: "class_fail", Size: 1, Class: "price-ask", Mode: "silence"})
+	w.play("d2", standin.Fault{Kind: "class_fail", Size: 1, Class: "price-ask", Mode: "error"})
 	// The module rations its time-outs by the traffic: two are to be had at the start.
 	for i := range 2 {
 		if a := w.stream(t.Context(), generate("Rate? [answer=3]", ask{"session": fmt.Sprint(i), "deadline_ms": 60000})); a.tokens != 3 || a.finish == "" {
@@ -333,7 +333,7 @@
 
 // All engines are gone but still listed: requests are answered before their deadline.
 func TestAllEnginesGone(t *testing.T) {
-	w := newWorld(t, func(c *fleet.Config, _ *string) { c.Notice = time.Hour })
+	w := newWorld(t, func(c *fleet.Config, _ *string) { c.CrashListDelay = time.Hour })
 	for _, m := range w.fleet.Members() {
 		m.Engine.Crash(0)
 	}
@@ -346,7 +346,7 @@
 
 // A deadline shorter than any read is answered by its time, as a failure or a refusal.
 func TestShortDeadline(t *testing.T) {
-	w := newWorld(t, spec(func(s *standin.Spec) { s.ReadPerS = 1000 }))
+	w := newWorld(t, spec(func(s *standin.Spec) { s.ReadTokensPerSecond = 1000 }))
 	a := w.stream(t.Context(), generate("Rate?", ask{"deadline_ms": 50, "prompt_tokens": 20000}))
 	if a.status != http.StatusGatewayTimeout && a.status != http.StatusServiceUnavailable {
 		t.Errorf("%+v", a)
@@ -360,9 +360,9 @@
 func TestSlowReaderOfAStream(t *testing.T) {
 	w := newWorld(t, more("client-stall 300ms\nstream-parts 8\n"), spec(func(s *standin.Spec) {
 		if s.Role == decide.Writer {
-			s.Step = time.Microsecond
+			s.StepTime = time.Microsecond
 		}
-		s.Context = 400000
+		s.MaxContextTokens = 400000
 	}), more("max-context 400k"))
 	// The answer has to be larger than the buffers of the sockets.
 	body := `{"id":"c1","text_input":"Rate? [answer=99999]","parameters":{"prompt_tokens":100,"max_tokens":99999}}`
@@ -373,7 +373,7 @@
 	defer c.Close()
 	c.(*net.TCPConn).SetReadBuffer(4096)
 	fmt.Fprintf(c, "POST /v2/models/helpline/generate_stream HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
-	w.eventually("it streams", func() bool { return w.seen(audit.Ran, "") == 1 })
+	w.eventually("it streams", func() bool { return w.seen(audit.Executed, "") == 1 })
 	for i := range 5 {
 		if a := w.stream(t.Context(), generate("Rate? [answer=20]", ask{"session": fmt.Sprint(i)})); a.tokens != 20 {
 			t.Errorf("another client: %+v", a)
@@ -505,7 +505,7 @@
 func TestEventsAtOneMoment(t *testing.T) {
 	w := newWorld(t, spec(func(s *standin.Spec) {
 		if s.Role == decide.Writer {
-			s.Step = 3 * time.Millisecond
+			s.StepTime = 3 * time.Millisecond
 		}
 	}))
 	var wg sync.WaitGroup
@@ -544,7 +544,7 @@
 			answers <- w.stream(t.Context(), generate("Rate? [answer=300]", ask{"session": fmt.Sprint(i)}))
 		}()
 	}
-	w.eventually("some stream", func() bool { return w.seen(audit.Ran, "") > n/2 })
+	w.eventually("some stream", func() bool { return w.seen(audit.Executed, "") > n/2 })
 	members := w.fleet.Members()
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 	defer cancel()
@@ -566,7 +566,7 @@
 	}
 	w.eventually("engines hold nothing", func() bool {
 		for _, m := range members {
-			if sequences, held := m.Engine.Holding(); sequences+held > 0 {
+			if sequences, held := m.Engine.Occupancy(); sequences+held > 0 {
 				return false
 			}
 		}
@@ -643,15 +643,15 @@
 
 // brokenWorld runs a router whose module is broken on purpose over real engines.
 func brokenWorld(t *testing.T, w *world, module func(router.Decider) router.Decider, letGo bool) *router.Router {
-	client := engine.New(engine.Options{DialTimeout: time.Second, MaxConns: 100, StreamIdle: time.Second,
-		ReleaseWithin: 250 * time.Millisecond, ProbeWithin: time.Second})
+	client := engine.New(engine.Options{DialTimeout: time.Second, MaxConns: 100, StreamIdleTimeout: time.Second,
+		ReleaseTimeout: 250 * time.Millisecond, ProbeTimeout: time.Second})
 	var engines router.Engines = client
 	if !letGo {
 		engines = noRelease{client}
 	}
-	r := router.New(router.Config{Name: "broken", Model: "helpline", Settings: w.set.Decide(discovery.Number),
-		Kinds: []string{"prefill", "decode"}, Engines: engines, Seed: 1, MaxOpen: 100, StreamParts: 8, ClientStall: time.Second,
-		Settle: time.Second, NewDecider: func(set *decide.Settings, seed uint64, now decide.Time) router.Decider {
+	r := router.New(router.Config{Name: "broken", Model: "helpline", Settings: w.set.Decide(discovery.LocationNumber),
+		Kinds: []string{"prefill", "decode"}, Engines: engines, Seed: 1, MaxOpen: 100, StreamBuffer: 8, ClientStallTimeout: time.Second,
+		StopTimeout: time.Second, NewDecider: func(set *decide.Settings, seed uint64, now decide.Time) router.Decider {
 			return module(decide.New(set, seed, now))
 		}})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -661,7 +661,7 @@
 	for _, m := range w.fleet.Members() {
 		list = append(list, discovery.Engine{Name: m.Name, Addr: m.Engine.Addr(), Kind: m.Group.Kind, State: decide.Ready, Weight: 1})
 	}
-	if err := discovery.Check(list); err != nil {
+	if err := discovery.SortAndCheck(list); err != nil {
 		t.Fatal(err)
 	}
 	r.Update(discovery.Update{Engines: list})
@@ -692,7 +692,7 @@
 	findings := func(w *world, rule int) int {
 		records, dropped := w.record.Records()
 		n := 0
-		for _, f := range audit.Check(records, dropped, audit.Rules{LetGoWithin: 300 * time.Millisecond, Slack: 50 * time.Millisecond}).Findings {
+		for _, f := range audit.Check(records, dropped, audit.Rules{HoldTimeout: 300 * time.Millisecond, Slack: 50 * time.Millisecond}).Findings {
 			if f.Rule == rule {
 				n++
 			}
@@ -704,7 +704,7 @@
 		w.playAll("d", standin.Fault{Kind: "fast_errors", Size: 1})
 		r := brokenWorld(t, w, func(d router.Decider) router.Decider { return forgetful{d} }, false)
 		submit(t, r, 0, "safe")
-		w.eventually("the state lapses", func() bool { return w.seen(audit.Lapsed, "") == 1 })
+		w.eventually("the state lapses", func() bool { return w.seen(audit.Expired, "") == 1 })
 		if findings(w, 5) == 0 {
 			t.Error("rule 5 was broken and nobody saw it")
 		}
@@ -712,19 +712,19 @@
 	t.Run("it repeats what may not be repeated", func(t *testing.T) {
 		w := newWorld(t, spec(func(s *standin.Spec) {
 			if s.Role == decide.Writer {
-				s.Step = 100 * time.Millisecond
+				s.StepTime = 100 * time.Millisecond
 			}
 		}))
 		w.playAll("d", standin.Fault{Kind: "wrong_id", Size: 1})
 		// Its core forgets nothing, but the module sends an unsafe request again after it ran.
-		w.record.Add(audit.Record{Who: "client", What: audit.Asked, ID: "q1/1", Class: "pen-booking", Repeat: "unsafe",
+		w.record.Add(audit.Record{Who: "client", Kind: audit.Asked, ID: "q1/1", Class: "pen-booking", Repeat: "unsafe",
 			Deadline: time.Now().Add(time.Minute).UnixNano()})
 		to := discovery.Engine{Name: "p1"}
 		r := brokenWorld(t, w, func(d router.Decider) router.Decider {
 			return again{d, to.ID(), map[decide.RequestID]int{}}
 		}, true)
 		submit(t, r, 1, "pen-booking")
-		w.eventually("it ran twice", func() bool { return w.seen(audit.Ran, "") >= 2 })
+		w.eventually("it ran twice", func() bool { return w.seen(audit.Executed, "") >= 2 })
 		if findings(w, 2) == 0 {
 			t.Error("rule 2 was broken and nobody saw it")
 		}
@@ -739,7 +739,7 @@
 }
 
 func (m again) Handle(now decide.Time, ev *decide.Event, out []decide.Action) []decide.Action {
-	if ev.Kind == decide.Ended && m.sent[ev.Request] == 1 && ev.Outcome == decide.ReadDone {
+	if ev.Kind == decide.AttemptEnded && m.sent[ev.Request] == 1 && ev.Outcome == decide.ReadDone {
 		m.sent[ev.Request]++
 		to := discovery.Engine{Name: "d1"}
 		return append(out, decide.Action{Kind: decide.Send, Request: ev.Request, Server: to.ID()})
--- a/internal/e2e/shift_test.go
+++ b/internal/e2e/shift_test.go
@@ -62,11 +62,11 @@
 		*set = shifting
 		for i := range c.Groups {
 			c.Groups[i].Count = 3
-			c.Groups[i].Spec.ColdFor = 500 * time.Millisecond
+			c.Groups[i].Spec.SlowStartTime = 500 * time.Millisecond
 		}
 		read, write := c.Groups[0].Spec, c.Groups[1].Spec
-		c.Groups[0].Other, c.Groups[1].Other = &write, &read
-		c.Groups[0].Change, c.Groups[1].Change = change, change
+		c.Groups[0].OtherRole, c.Groups[1].OtherRole = &write, &read
+		c.Groups[0].RoleChangeTime, c.Groups[1].RoleChangeTime = change, change
 	}
 }
 
@@ -96,7 +96,7 @@
 
 // roles counts engines by what they say of themselves.
 func (w *world) roles() map[string]int {
-	c := engine.New(engine.Options{DialTimeout: time.Second, MaxConns: 10, ProbeWithin: time.Second})
+	c := engine.New(engine.Options{DialTimeout: time.Second, MaxConns: 10, ProbeTimeout: time.Second})
 	defer c.Close()
 	out := map[string]int{}
 	for _, m := range w.fleet.Members() {
@@ -179,7 +179,7 @@
 					t.Errorf("%v changes are done while all hang", n)
 				}
 				for _, m := range w.fleet.Members() {
-					m.Engine.Clear("role_hang")
+					m.Engine.ClearFaults("role_hang")
 				}
 				w.eventually("the change that hung is done, and all are steady", func() bool {
 					r := w.roles()
@@ -260,7 +260,7 @@
 // its way, and follows it to its end.
 func TestRouterFindsAChangeHalfMade(t *testing.T) {
 	w := newWorld(t, flexible(time.Second), more("shift dry"))
-	c := engine.New(engine.Options{DialTimeout: time.Second, MaxConns: 10, ProbeWithin: time.Second})
+	c := engine.New(engine.Options{DialTimeout: time.Second, MaxConns: 10, ProbeTimeout: time.Second})
 	defer c.Close()
 	p1 := w.fleet.Member("p1").Engine.Addr()
 	if _, granted, err := c.ChangeRole(t.Context(), p1, &engine.RoleChange{To: "decode", Epoch: 1, Router: "a dead one"}); err != nil || !granted {
@@ -282,7 +282,7 @@
 	if wrong := stop(); len(wrong) > 0 {
 		t.Errorf("%d answers were no success: %q", len(wrong), wrong[:min(len(wrong), 5)])
 	}
-	if n := w.seen(audit.Turned, engine.RefusedDraining) + w.seen(audit.Turned, engine.RefusedRole); n != 0 {
+	if n := w.seen(audit.Rejected, engine.RefusedDraining) + w.seen(audit.Rejected, engine.RefusedRole); n != 0 {
 		t.Errorf("%d attempts went to the engine on its way", n)
 	}
 	w.settled()
@@ -306,7 +306,7 @@
 	heavy := w.traffic(12, 20000, 2)
 	for _, m := range w.fleet.Members() {
 		if strings.HasPrefix(m.Name, "p") && m.Name != moving {
-			w.play(m.Name, standin.Fault{Kind: "crash", For: time.Hour})
+			w.play(m.Name, standin.Fault{Kind: "crash", Duration: time.Hour})
 		}
 	}
 	w.eventually("it reads again, or it was too late to call it back and it is back", func() bool {
@@ -336,7 +336,7 @@
 // An engine that is set up anew, back in its first role and at its first epoch, is believed by its later start.
 func TestEngineComesBackWithoutSayingSo(t *testing.T) {
 	w := newWorld(t, flexible(5*time.Millisecond), more("shift dry"))
-	c := engine.New(engine.Options{DialTimeout: time.Second, MaxConns: 10, ProbeWithin: time.Second})
+	c := engine.New(engine.Options{DialTimeout: time.Second, MaxConns: 10, ProbeTimeout: time.Second})
 	defer c.Close()
 	m := w.fleet.Member("p1")
 	if _, granted, err := c.ChangeRole(t.Context(), m.Engine.Addr(), &engine.RoleChange{To: "decode", Epoch: 1}); err != nil || !granted {
@@ -345,13 +345,13 @@
 	word := func(role string, epoch roles.Epoch) bool {
 		for _, e := range w.shifting() {
 			if e.Name == "p1" {
-				return e.Now.Epoch == epoch && e.Step == "idle" && (e.Now.Role == roles.Decode) == (role == "decode")
+				return e.State.Epoch == epoch && e.Step == "idle" && (e.State.Role == roles.Decode) == (role == "decode")
 			}
 		}
 		return false
 	}
 	w.eventually("it writes", func() bool { return word("decode", 2) })
-	m.Engine.Anew()
+	m.Engine.Reinstall()
 	w.eventually("it reads again", func() bool { return word("prefill", 1) })
 	if a := w.stream(t.Context(), generate("Rate? [answer=5]", nil)); a.tokens != 5 {
 		t.Errorf("%+v", a)
@@ -391,7 +391,7 @@
 		t.Fatalf("%v, %+v", err, got)
 	}
 	for i, e := range got.Entries {
-		if e.Prompt != 40+i || e.Answer != 9 || e.Cut {
+		if e.PromptTokens != 40+i || e.OutputTokens != 9 || e.Truncated {
 			t.Errorf("%+v", e)
 		}
 	}
--- a/internal/engine/chat/events.go
+++ b/internal/engine/chat/events.go
@@ -16,7 +16,7 @@
 // events takes a stream of server-sent events apart and checks it, so that nothing spoilt reaches a client.
 type events struct {
 	x      *exchange
-	chunks *http1.Chunks
+	chunks *http1.ChunkedReader
 	buf    []byte // what came and is no whole event yet
 	report decide.Report
 }
@@ -26,7 +26,7 @@
 // next returns the next event with data, as it came. io.EOF comes only after the last chunk.
 func (e *events) next() (string, error) {
 	// From event to event: what is neither, a drip of bytes or of comments, does not put the time off.
-	e.x.conn.SetReadDeadline(time.Now().Add(e.x.client.opts.StreamIdle))
+	e.x.conn.SetReadDeadline(time.Now().Add(e.x.client.opts.StreamIdleTimeout))
 	for {
 		if i := bytes.Index(e.buf, blankLine); i >= 0 {
 			raw := e.buf[:i+len(blankLine)]
@@ -98,5 +98,5 @@
 
 func isEvents(contentType string) bool {
 	v, _, _ := strings.Cut(contentType, ";")
-	return strings.EqualFold(strings.TrimSpace(v), platform.EventsType)
+	return strings.EqualFold(strings.TrimSpace(v), platform.EventStreamType)
 }
--- a/internal/engine/chat/release.go
+++ b/internal/engine/chat/release.go
@@ -16,17 +16,17 @@
 	return c.letGo(ctx, s.Addr, s.Handle, hedgeAfter)
 }
 
-// CallOff lets go of what a read may have left that was given up. It waits for the read's end first: a call
+// CancelRead lets go of what a read may have left that was given up. It waits for the read's end first: a call
 // that overtakes the closing of the read's connection would find nothing, and leave what the read then ends with. Where
 // the network keeps the closing from the engine, or the engine hangs, the read goes on and ends later. That the engine
 // answers others does not show that it has ended. So the call is made again and again for a while.
-func (c *Client) CallOff(ctx context.Context, addr, request string) error {
+func (c *Client) CancelRead(ctx context.Context, addr, request string) error {
 	return c.callOff(ctx, addr, request, c.readEnds)
 }
 
-// CallOffLater does the same for a read whose request has an answer that has begun: what is known is let go already.
-func (c *Client) CallOffLater(ctx context.Context, addr, request string) error {
-	return c.callOff(ctx, addr, request, c.opts.CallOffAgain)
+// CancelReadLater does the same for a read whose request has an answer that has begun: what is known is let go already.
+func (c *Client) CancelReadLater(ctx context.Context, addr, request string) error {
+	return c.callOff(ctx, addr, request, c.opts.CancelRetryDelay)
 }
 
 func (c *Client) callOff(ctx context.Context, addr, request string, wait time.Duration) error {
@@ -39,7 +39,7 @@
 		case <-time.After(wait):
 		}
 		err = c.letGo(ctx, addr, request, after)
-		wait, after = c.opts.CallOffAgain, c.firstTry // there may be many such calls, and most find nothing
+		wait, after = c.opts.CancelRetryDelay, c.firstTry // there may be many such calls, and most find nothing
 	}
 	return err
 }
@@ -51,8 +51,8 @@
 	return c.heard[addr].After(since)
 }
 
-// GiveUpPlace lets go of a place; the protocol has one call for all that is held.
-func (c *Client) GiveUpPlace(ctx context.Context, addr, request string) error {
+// CancelReservation lets go of a place; the protocol has one call for all that is held.
+func (c *Client) CancelReservation(ctx context.Context, addr, request string) error {
 	return c.letGo(ctx, addr, request, hedgeAfter)
 }
 
@@ -67,7 +67,7 @@
 // those that answered last, and then any that is listed: most may be silent. What is held has to be let go within a time that a
 // few silent engines, one after the other, would use up (a zone that is cut off).
 func (c *Client) letGo(ctx context.Context, addr, request string, hedgeAfter time.Duration) error {
-	ctx, cancel := context.WithTimeout(ctx, c.opts.ReleaseWithin)
+	ctx, cancel := context.WithTimeout(ctx, c.opts.ReleaseTimeout)
 	began := time.Now()
 	type result struct {
 		addr string
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -47,7 +47,7 @@
 	c.trans = &http.Transport{
 		DialContext:            c.dial,
 		MaxIdleConnsPerHost:    opts.MaxConns,
-		IdleConnTimeout:        opts.ConnIdle,
+		IdleConnTimeout:        opts.IdleConnTimeout,
 		MaxResponseHeaderBytes: maxHeaders,
 		ReadBufferSize:         readBuffer,
 		WriteBufferSize:        readBuffer,
@@ -95,8 +95,8 @@
 	return &counted{Conn: conn, n: n}, nil
 }
 
-// Forget drops what is kept for engines that are not in use any more.
-func (c *Client) Forget(addr string) {
+// ForgetEngine drops what is kept for engines that are not in use any more.
+func (c *Client) ForgetEngine(addr string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if n := c.conns[addr]; n != nil && n.Load() == 0 {
@@ -112,9 +112,9 @@
 	err  error
 }
 
-// Denied tells how an attempt ended whose last byte the gate did not let leave, if that is what an error says. Its engine has
+// DenialOutcome tells how an attempt ended whose last byte the gate did not let leave, if that is what an error says. Its engine has
 // no part in that, unless it takes nothing new.
-func Denied(err error) (decide.Outcome, bool) {
+func DenialOutcome(err error) (decide.Outcome, bool) {
 	var denial guard.Denial
 	switch {
 	case !errors.As(err, &denial):
@@ -122,7 +122,7 @@
 	case denial == guard.Withdrawn:
 		return decide.Full, true
 	}
-	return decide.Moot, true
+	return decide.NotStarted, true
 }
 
 // gatedBody is a body that is sent only with the gate's leave. It can be read once, so that nothing sends it again.
@@ -173,9 +173,9 @@
 
 // failed tells how an exchange that has an error ended.
 func (x *call) failed(err error) Result {
-	r := Result{Report: Untold(), Err: err}
+	r := Result{Report: NoReport(), Err: err}
 	cause := context.Cause(x.ctx)
-	denied, isDenied := Denied(err)
+	denied, isDenied := DenialOutcome(err)
 	switch {
 	case isDenied:
 		r.Outcome = denied
@@ -221,7 +221,7 @@
 	if v := resp.Header.Get(LoadHeader); v != "" {
 		return ParseLoadHeader(v)
 	}
-	return Untold()
+	return NoReport()
 }
 
 // discard reads what is left of a body so that its connection can be used again, or closes it.
@@ -248,7 +248,7 @@
 	body, err := json.Marshal(inferBody{ID: q.ID, Parameters: &q.Params,
 		Inputs: []kserve.Tensor{kserve.TextTensor("text_input", q.Prompt)}})
 	if err != nil {
-		return Result{Outcome: decide.Moot, Report: Untold(), Err: err}
+		return Result{Outcome: decide.NotStarted, Report: NoReport(), Err: err}
 	}
 	x := c.postGated(ctx, http.MethodPost, addr, "/v2/models/"+url.PathEscape(q.Model)+"/infer", body, q.Gate)
 	if x.err != nil {
@@ -265,7 +265,7 @@
 	if err := kserve.Decode(io.LimitReader(x.resp.Body, maxAnswer), &answer); err != nil {
 		var syntax *json.SyntaxError
 		var kind *json.UnmarshalTypeError
-		if errors.As(err, &syntax) || errors.As(err, &kind) || errors.Is(err, kserve.ErrTrailing) {
+		if errors.As(err, &syntax) || errors.As(err, &kind) || errors.Is(err, kserve.ErrTrailingData) {
 			err = fmt.Errorf("%w: %w", errNotAnswer, err)
 		}
 		return x.failed(err)
@@ -273,10 +273,10 @@
 	switch p := answer.Parameters; {
 	case answer.ID != q.ID:
 		return x.failed(fmt.Errorf("%w: it has the id %.40q, want %q", errNotAnswer, answer.ID, q.ID))
-	case p == nil || p.Handle == "" || p.Source == "" || p.Kept < 0 || p.Tokens < 0:
+	case p == nil || p.Handle == "" || p.Source == "" || p.CachedTokens < 0 || p.Tokens < 0:
 		return x.failed(fmt.Errorf("%w: it names no state", errNotAnswer))
 	default:
-		return Result{Outcome: decide.ReadDone, Kept: p.Kept, Report: report(x.resp),
+		return Result{Outcome: decide.ReadDone, CachedTokens: p.CachedTokens, Report: report(x.resp),
 			State: &State{Addr: p.Source, Handle: p.Handle, Tokens: p.Tokens}}
 	}
 }
@@ -286,7 +286,7 @@
 func (c *Client) Decode(ctx context.Context, addr string, q *Call, sink func(text string) error) Result {
 	body, err := json.Marshal(generateBody{ID: q.ID, TextInput: q.Prompt, Parameters: &q.Params})
 	if err != nil {
-		return Result{Outcome: decide.Moot, Report: Untold(), Err: err}
+		return Result{Outcome: decide.NotStarted, Report: NoReport(), Err: err}
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -302,7 +302,7 @@
 	idle := time.AfterFunc(time.Hour, func() { cancel(errIdle) })
 	idle.Stop() // before its first token an attempt is bounded by its owner alone
 	defer idle.Stop()
-	events := kserve.NewEvents(x.resp.Body, maxEvent)
+	events := kserve.NewEventReader(x.resp.Body, maxEvent)
 	tokens := 0
 	fail := func(err error) Result {
 		r := x.failed(err)
@@ -337,7 +337,7 @@
 			return fail(fmt.Errorf("%w: an event without text", errNotAnswer))
 		}
 		if ev.Parameters != nil {
-			rep = ev.Parameters.Decide()
+			rep = ev.Parameters.Report()
 		}
 		if ev.TextOutput != nil && (*ev.TextOutput != "" || ev.Details == nil) {
 			if err := sink(*ev.TextOutput); err != nil {
@@ -356,13 +356,13 @@
 			end := time.AfterFunc(endWithin, func() { cancel(errIdle) })
 			_, err := events.Next()
 			end.Stop()
-			r := Result{Outcome: decide.Served, Report: rep, Finish: ev.Details.FinishReason, Tokens: tokens}
+			r := Result{Outcome: decide.Served, Report: rep, FinishReason: ev.Details.FinishReason, Tokens: tokens}
 			if err == nil {
 				r.Err = fmt.Errorf("%w: more came after the end", errNotAnswer)
 			}
 			return r
 		}
-		idle.Reset(c.opts.StreamIdle)
+		idle.Reset(c.opts.StreamIdleTimeout)
 	}
 }
 
@@ -374,7 +374,7 @@
 // Renew tells the engine where a state waits that it is still wanted: an attempt at a writer is out, and
 // the writer may not have claimed it.
 func (c *Client) Renew(ctx context.Context, s *State) error {
-	ctx, cancel := context.WithTimeout(ctx, c.opts.ReleaseWithin)
+	ctx, cancel := context.WithTimeout(ctx, c.opts.ReleaseTimeout)
 	defer cancel()
 	x := c.post(ctx, http.MethodPost, s.Addr, StatePath+url.PathEscape(s.Handle)+"/renew", nil)
 	if x.err != nil {
@@ -384,24 +384,24 @@
 	return nil
 }
 
-// CallOff ends a read whose answer will not be taken, and lets go of the state that it may have left.
-func (c *Client) CallOff(ctx context.Context, addr, request string) error {
-	return c.insist(ctx, http.MethodDelete, addr, RequestPath+url.PathEscape(request))
+// CancelRead ends a read whose answer will not be taken, and lets go of the state that it may have left.
+func (c *Client) CancelRead(ctx context.Context, addr, request string) error {
+	return c.insist(ctx, http.MethodDelete, addr, ReadPath+url.PathEscape(request))
 }
 
-// Listed does nothing: what is held is let go where it is.
-func (c *Client) Listed(string) {}
+// EngineListed does nothing: what is held is let go where it is.
+func (c *Client) EngineListed(string) {}
 
-// CallOffLater does nothing: CallOff names the read, and is made when it is given up.
-func (c *Client) CallOffLater(context.Context, string, string) error { return nil }
+// CancelReadLater does nothing: CancelRead names the read, and is made when it is given up.
+func (c *Client) CancelReadLater(context.Context, string, string) error { return nil }
 
-// GiveUpPlace lets go of a place held ahead.
-func (c *Client) GiveUpPlace(ctx context.Context, addr, request string) error {
-	return c.insist(ctx, http.MethodDelete, addr, PlacePath+url.PathEscape(request))
+// CancelReservation lets go of a place held ahead.
+func (c *Client) CancelReservation(ctx context.Context, addr, request string) error {
+	return c.insist(ctx, http.MethodDelete, addr, ReservationPath+url.PathEscape(request))
 }
 
 func (c *Client) insist(ctx context.Context, method, addr, path string) error {
-	ctx, cancel := context.WithTimeout(ctx, c.opts.ReleaseWithin)
+	ctx, cancel := context.WithTimeout(ctx, c.opts.ReleaseTimeout)
 	defer cancel()
 	const first = 5 * time.Millisecond
 	for pause := first; ; pause *= 2 {
@@ -423,14 +423,14 @@
 }
 
 // Reserve asks for a place ahead and tells whether it is held.
-func (c *Client) Reserve(ctx context.Context, addr string, p *PlaceRequest) (bool, error) {
-	ctx, cancel := context.WithTimeout(ctx, c.opts.ProbeWithin)
+func (c *Client) Reserve(ctx context.Context, addr string, p *ReservationRequest) (bool, error) {
+	ctx, cancel := context.WithTimeout(ctx, c.opts.ProbeTimeout)
 	defer cancel()
 	body, err := json.Marshal(p)
 	if err != nil {
 		return false, err
 	}
-	x := c.post(ctx, http.MethodPut, addr, PlacePath+url.PathEscape(p.Request), body)
+	x := c.post(ctx, http.MethodPut, addr, ReservationPath+url.PathEscape(p.Request), body)
 	if x.err != nil {
 		return false, x.err
 	}
@@ -438,7 +438,7 @@
 	if x.resp.StatusCode != http.StatusOK {
 		return false, refused(x.resp).Err
 	}
-	var answer PlaceResponse
+	var answer ReservationResponse
 	err = kserve.Decode(io.LimitReader(x.resp.Body, maxAnswer), &answer)
 	return answer.Held && err == nil, err
 }
@@ -446,7 +446,7 @@
 // Probe asks for a load report. A connection that stands will do, whatever is asked: engines hold states under leases that
 // the router renews, so no time runs that hangs on whether they are reached.
 func (c *Client) Probe(ctx context.Context, addr string, _ bool) Result {
-	ctx, cancel := context.WithTimeoutCause(ctx, c.opts.ProbeWithin, ErrTimedOut)
+	ctx, cancel := context.WithTimeoutCause(ctx, c.opts.ProbeTimeout, ErrTimedOut)
 	defer cancel()
 	x := c.post(ctx, http.MethodGet, addr, LoadPath, nil)
 	if x.err != nil {
@@ -460,7 +460,7 @@
 	if err := kserve.Decode(io.LimitReader(x.resp.Body, maxAnswer), &l); err != nil {
 		return x.failed(fmt.Errorf("%w: %w", errNotAnswer, err))
 	}
-	return Result{Outcome: decide.Served, Report: l.Decide()}
+	return Result{Outcome: decide.Served, Report: l.Report()}
 }
 
 // Role asks an engine for its role.
@@ -474,13 +474,13 @@
 	return c.role(ctx, http.MethodPost, addr, RolePath, q)
 }
 
-// StayRole asks an engine to take a change back, and tells whether it does.
-func (c *Client) StayRole(ctx context.Context, addr string, q *RoleStay) (Role, bool, error) {
+// CancelRoleChange asks an engine to take a change back, and tells whether it does.
+func (c *Client) CancelRoleChange(ctx context.Context, addr string, q *RoleChangeCancel) (Role, bool, error) {
 	return c.role(ctx, http.MethodPost, addr, RolePath+"/stay", q)
 }
 
 func (c *Client) role(ctx context.Context, method, addr, path string, q any) (r Role, granted bool, err error) {
-	ctx, cancel := context.WithTimeout(ctx, c.opts.ProbeWithin)
+	ctx, cancel := context.WithTimeout(ctx, c.opts.ProbeTimeout)
 	defer cancel()
 	var body []byte
 	if q != nil {
--- a/internal/front/chat/answer.go
+++ b/internal/front/chat/answer.go
@@ -17,9 +17,9 @@
 	503: "Service Unavailable", 504: "Gateway Timeout"}
 
 // status maps trouble to a status. Only 429 and 503 say that trying again is harmless.
-func status(t front.Trouble) int {
+func status(t front.ErrorKind) int {
 	switch t {
-	case front.Bad:
+	case front.BadRequest:
 		return 400
 	case front.NotFound:
 		return 404
@@ -42,7 +42,7 @@
 	b = strconv.AppendInt(b, int64(code), 10)
 	b = append(b, " "+reasons[code]+"\r\nContent-Type: "+contentType+"\r\nContent-Length: "...)
 	b = strconv.AppendInt(b, int64(len(body)), 10)
-	if retryAfter > 0 && f.opts.RetryAfter {
+	if retryAfter > 0 && f.opts.SendRetryAfter {
 		b = append(b, "\r\nRetry-After: "...)
 		b = strconv.AppendFloat(b, retryAfter.Seconds(), 'f', 3, 64)
 	}
@@ -61,17 +61,17 @@
 	if text != "" {
 		body = []byte(text + "\n")
 	}
-	if c.request != nil && !c.request.Answer(strconv.Itoa(code)+" "+text) {
+	if c.request != nil && !c.request.BeginAnswer(strconv.Itoa(code)+" "+text) {
 		return false
 	}
-	c.SetWriteDeadline(time.Now().Add(f.opts.Stall))
+	c.SetWriteDeadline(time.Now().Add(f.opts.WriteTimeout))
 	_, err := c.Write(f.answer(code, "text/plain", body, retryAfter, closes))
 	c.whole = err == nil
 	return c.whole && !closes
 }
 
 func (c *conn) fail(e *front.Error, closes bool) bool {
-	return c.say(status(e.Trouble), e.Text, e.RetryAfter, closes)
+	return c.say(status(e.Kind), e.Text, e.RetryAfter, closes)
 }
 
 // hand hands a request's events on to its client, each as it comes, and its ending.
@@ -91,11 +91,11 @@
 		if end == nil {
 			buf = buf[:0]
 			if !begun {
-				if begun = c.request.Answer("200"); !begun {
+				if begun = c.request.BeginAnswer("200"); !begun {
 					return false
 				}
 				closes = closes || c.front.last.Load()
-				buf = append(buf, "HTTP/1.1 200 OK\r\nContent-Type: "+platform.EventsType+"\r\nCache-Control: no-store\r\n"...)
+				buf = append(buf, "HTTP/1.1 200 OK\r\nContent-Type: "+platform.EventStreamType+"\r\nCache-Control: no-store\r\n"...)
 				if closes {
 					buf = append(buf, "Connection: close\r\n"...)
 				}
@@ -103,13 +103,13 @@
 			}
 			buf = strconv.AppendInt(buf, int64(len(event)), 16)
 			buf = append(append(append(buf, "\r\n"...), event...), "\r\n"...)
-			c.SetWriteDeadline(time.Now().Add(c.front.opts.Stall))
+			c.SetWriteDeadline(time.Now().Add(c.front.opts.WriteTimeout))
 			if _, err := c.Write(buf); err != nil {
 				return false
 			}
 			continue
 		}
-		e := front.Ended(end)
+		e := front.EndingError(end)
 		switch {
 		case end.Kind == router.Gone && (begun || !watching.stop(c)):
 			return false
@@ -124,7 +124,7 @@
 		case !begun:
 			return c.say(500, "an answer without an event", 0, true)
 		}
-		c.SetWriteDeadline(time.Now().Add(c.front.opts.Stall))
+		c.SetWriteDeadline(time.Now().Add(c.front.opts.WriteTimeout))
 		_, err := c.Write([]byte("0\r\n\r\n"))
 		c.whole = err == nil
 		return c.whole && !closes
@@ -173,7 +173,7 @@
 			return errNoRoom
 		}
 		more := int64(grown) - c.room
-		if c.front.bodies.Add(more) > c.front.opts.BodyBytes {
+		if c.front.bodies.Add(more) > c.front.opts.MaxBodyMemory {
 			c.front.bodies.Add(-more)
 			return errNoRoom
 		}
--- a/internal/front/chat/chat.go
+++ b/internal/front/chat/chat.go
@@ -37,17 +37,17 @@
 
 // Options are what the front is made of.
 type Options struct {
-	Classes    []string // names of the settings' classes
-	RetryAfter bool     // refusals may name a time
-	Tenants    []string // names of the settings' tenants
-	MaxConns   int
-	MaxRefused int           // connections beside MaxConns that are kept for a moment so that a refusal arrives
-	BodyBytes  int64         // of all bodies together
-	Within     time.Duration // for a request from its connection's or its first byte's time to its last
-	Idle       time.Duration // a connection between requests is closed after this
-	Stall      time.Duration // a client that takes nothing for so long has left
-	Log        *slog.Logger
-	Guard      *guard.Guard // of all requests of the process; nil: one of the front's own
+	Classes         []string // names of the settings' classes
+	SendRetryAfter  bool     // refusals may name a time
+	Tenants         []string // names of the settings' tenants
+	MaxConns        int
+	MaxRefusedConns int           // connections beside MaxConns that are kept for a moment so that a refusal arrives
+	MaxBodyMemory   int64         // of all bodies together
+	RequestTimeout  time.Duration // for a request from its connection's or its first byte's time to its last
+	IdleTimeout     time.Duration // a connection between requests is closed after this
+	WriteTimeout    time.Duration // a client that takes nothing for so long has left
+	Log             *slog.Logger
+	Guard           *guard.Guard // of all requests of the process; nil: one of the front's own
 }
 
 // Front serves clients. Make it with New.
@@ -74,23 +74,23 @@
 		opts.Guard = guard.New(opts.Log)
 	}
 	f := &Front{opts: opts, core: core, log: opts.Log, lingerFor: lingerFor, endWithin: endWithin, stopListened: make(chan struct{})}
-	f.conns.limit, f.conns.refused = opts.MaxConns, opts.MaxRefused
+	f.conns.limit, f.conns.refused = opts.MaxConns, opts.MaxRefusedConns
 	return f
 }
 
-// ShutDown makes every answer from now on the last of its connection: clients are to go elsewhere. New connections are
+// BeginShutdown makes every answer from now on the last of its connection: clients are to go elsewhere. New connections are
 // still taken.
-func (f *Front) ShutDown() { f.last.Store(true) }
+func (f *Front) BeginShutdown() { f.last.Store(true) }
 
-// CloseResting closes the connections that have been between two requests for a time: their clients have read the last
+// CloseIdle closes the connections that have been between two requests for a time: their clients have read the last
 // answer. What crosses the close stays unread.
-func (f *Front) CloseResting(restedFor time.Duration) { f.conns.closeResting(restedFor) }
+func (f *Front) CloseIdle(restedFor time.Duration) { f.conns.closeResting(restedFor) }
 
-// ExpireFresh refuses connections that have brought no request yet.
-func (f *Front) ExpireFresh() { f.conns.expire(fresh) }
+// RefuseUnused refuses connections that have brought no request yet.
+func (f *Front) RefuseUnused() { f.conns.expire(fresh) }
 
-// ExpireReceiving refuses requests that have begun to come and are not complete.
-func (f *Front) ExpireReceiving() { f.conns.expire(receiving) }
+// RefuseIncomplete refuses requests that have begun to come and are not complete.
+func (f *Front) RefuseIncomplete() { f.conns.expire(receiving) }
 
-// Conns tells how many connections are open.
-func (f *Front) Conns() int { return f.conns.count() }
+// OpenConns tells how many connections are open.
+func (f *Front) OpenConns() int { return f.conns.count() }
--- a/internal/front/rest/rest.go
+++ b/internal/front/rest/rest.go
@@ -34,7 +34,7 @@
 type Front struct {
 	set     *config.Settings
 	core    front.Core
-	meaning *front.Meaning
+	meaning *front.JobBuilder
 	log     *slog.Logger
 	version string
 	mux     *http.ServeMux
@@ -42,7 +42,7 @@
 
 // New returns a front over a core. version is the server's, for its metadata.
 func New(set *config.Settings, core front.Core, log *slog.Logger, version string) *Front {
-	f := &Front{set: set, core: core, meaning: front.NewMeaning(set), log: log, version: version,
+	f := &Front{set: set, core: core, meaning: front.NewJobBuilder(set), log: log, version: version,
 		mux: http.NewServeMux()}
 	f.route("GET", "/v2", f.serverMetadata)
 	f.route("GET", "/v2/health/live", f.live)
@@ -55,7 +55,7 @@
 		f.route("POST", model+"/generate_stream", f.generateStream)
 	}
 	f.mux.HandleFunc("/", func(w http.ResponseWriter, r *http.Request) {
-		f.fail(w, r, &front.Error{Trouble: front.NotFound, Text: "no such path"})
+		f.fail(w, r, &front.Error{Kind: front.NotFound, Text: "no such path"})
 	})
 	return f
 }
@@ -75,13 +75,13 @@
 func (f *Front) Serve(ctx context.Context, l net.Listener, within time.Duration) error {
 	s := &http.Server{
 		Handler:           f,
-		ReadHeaderTimeout: f.set.HeaderWithin,
+		ReadHeaderTimeout: f.set.HeaderTimeout,
 		IdleTimeout:       idleFor,
 		MaxHeaderBytes:    int(f.set.MaxHeader),
 		ErrorLog:          slog.NewLogLogger(f.log.Handler(), slog.LevelDebug),
 	}
 	served := make(chan error, 1)
-	go func() { served <- s.Serve(netutil.LimitListener(l, f.set.MaxIdle)) }()
+	go func() { served <- s.Serve(netutil.LimitListener(l, f.set.MaxConnections)) }()
 	select {
 	case err := <-served:
 		return fmt.Errorf("front on %s: %w", l.Addr(), err)
@@ -97,13 +97,13 @@
 }
 
 // status is the HTTP status of each kind of trouble.
-var status = map[front.Trouble]int{
-	front.Bad:         http.StatusBadRequest,
+var status = map[front.ErrorKind]int{
+	front.BadRequest:  http.StatusBadRequest,
 	front.NotFound:    http.StatusNotFound,
 	front.TooLarge:    http.StatusRequestEntityTooLarge,
 	front.Busy:        http.StatusServiceUnavailable,
 	front.Unavailable: http.StatusServiceUnavailable,
-	front.Broken:      http.StatusBadGateway,
+	front.Failed:      http.StatusBadGateway,
 	front.TimedOut:    http.StatusGatewayTimeout,
 	front.ClientLeft:  http.StatusBadGateway,
 }
@@ -115,10 +115,10 @@
 		w.Header().Set("Retry-After", strconv.Itoa(int(math.Ceil(e.RetryAfter.Seconds()))))
 		w.Header().Set("Retry-After-Ms", strconv.FormatInt(e.RetryAfter.Milliseconds(), 10))
 	}
-	if e.Trouble == front.Bad || e.Trouble == front.TooLarge {
+	if e.Kind == front.BadRequest || e.Kind == front.TooLarge {
 		f.log.Info("bad request", "path", r.URL.Path, "from", r.RemoteAddr, "err", e.Text)
 	}
-	f.write(w, status[e.Trouble], kserve.ErrorResponse{Error: e.Text})
+	f.write(w, status[e.Kind], kserve.ErrorResponse{Error: e.Text})
 }
 
 func (f *Front) write(w http.ResponseWriter, code int, v any) {
@@ -137,7 +137,7 @@
 
 func (f *Front) ready(w http.ResponseWriter, r *http.Request) {
 	if !f.core.Ready() {
-		f.fail(w, r, &front.Error{Trouble: front.Unavailable, Text: "not ready"})
+		f.fail(w, r, &front.Error{Kind: front.Unavailable, Text: "not ready"})
 		return
 	}
 	f.write(w, http.StatusOK, map[string]bool{"ready": true})
@@ -149,7 +149,7 @@
 }
 
 func (f *Front) modelMetadata(w http.ResponseWriter, r *http.Request) {
-	if e := f.meaning.Model(r.PathValue("model"), r.PathValue("version")); e != nil {
+	if e := f.meaning.CheckModel(r.PathValue("model"), r.PathValue("version")); e != nil {
 		f.fail(w, r, e)
 		return
 	}
@@ -162,12 +162,12 @@
 }
 
 func (f *Front) modelReady(w http.ResponseWriter, r *http.Request) {
-	if e := f.meaning.Model(r.PathValue("model"), r.PathValue("version")); e != nil {
+	if e := f.meaning.CheckModel(r.PathValue("model"), r.PathValue("version")); e != nil {
 		f.fail(w, r, e)
 		return
 	}
 	if !f.core.Ready() {
-		f.fail(w, r, &front.Error{Trouble: front.Unavailable, Text: "the model is not ready"})
+		f.fail(w, r, &front.Error{Kind: front.Unavailable, Text: "the model is not ready"})
 		return
 	}
 	f.write(w, http.StatusOK, map[string]any{"name": f.set.Model, "ready": true})
@@ -180,7 +180,7 @@
 		return f.tooLarge()
 	}
 	control := http.NewResponseController(w)
-	control.SetReadDeadline(time.Now().Add(f.set.HeaderWithin))
+	control.SetReadDeadline(time.Now().Add(f.set.HeaderTimeout))
 	err := kserve.Decode(http.MaxBytesReader(w, r.Body, f.set.MaxBody), v)
 	var large *http.MaxBytesError
 	switch {
@@ -190,20 +190,20 @@
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		// The deadline stays: the server would else wait for the rest of the body before it answers.
 		w.Header().Set("Connection", "close")
-		return &front.Error{Trouble: front.Bad, Text: fmt.Sprintf("the body did not come within %v", f.set.HeaderWithin)}
+		return &front.Error{Kind: front.BadRequest, Text: fmt.Sprintf("the body did not come within %v", f.set.HeaderTimeout)}
 	case errors.As(err, &large):
 		return f.tooLarge()
 	default:
-		return &front.Error{Trouble: front.Bad, Text: "the body is malformed: " + err.Error()}
+		return &front.Error{Kind: front.BadRequest, Text: "the body is malformed: " + err.Error()}
 	}
 }
 
 func (f *Front) tooLarge() *front.Error {
-	return &front.Error{Trouble: front.TooLarge, Text: fmt.Sprintf("the body is larger than %d bytes", f.set.MaxBody)}
+	return &front.Error{Kind: front.TooLarge, Text: fmt.Sprintf("the body is larger than %d bytes", f.set.MaxBody)}
 }
 
 // submit decodes nothing more: it hands an input to the core.
-func (f *Front) submit(w http.ResponseWriter, r *http.Request, in *front.Input) *router.Request {
+func (f *Front) submit(w http.ResponseWriter, r *http.Request, in *front.DecodedRequest) *router.Request {
 	in.Model, in.Version = r.PathValue("model"), r.PathValue("version")
 	job, e := f.meaning.Job(in, time.Now())
 	if e == nil {
@@ -211,7 +211,7 @@
 		if err == nil {
 			return q
 		}
-		e = front.Submitted(err)
+		e = front.SubmitError(err)
 	}
 	f.fail(w, r, e)
 	return nil
@@ -233,28 +233,28 @@
 		return
 	}
 	text, end := collect(r.Context(), q)
-	if e := front.Ended(end); e != nil {
+	if e := front.EndingError(end); e != nil {
 		f.fail(w, r, e)
 		return
 	}
 	f.write(w, http.StatusOK, kserve.InferResponse{ModelName: f.set.Model, ModelVersion: f.set.ModelVersion,
-		ID: body.ID, Parameters: kserve.Parameters{"finish_reason": end.Finish, "tokens": end.Tokens},
+		ID: body.ID, Parameters: kserve.Parameters{"finish_reason": end.FinishReason, "tokens": end.Tokens},
 		Outputs: []kserve.Tensor{kserve.TextTensor(textOutput, text)}})
 }
 
 // inferInput finds the prompt among the tensors and checks all of them.
-func inferInput(body *kserve.InferRequest) (*front.Input, *front.Error) {
-	wrong := func(err error) (*front.Input, *front.Error) {
-		return nil, &front.Error{Trouble: front.Bad, Text: err.Error()}
+func inferInput(body *kserve.InferRequest) (*front.DecodedRequest, *front.Error) {
+	wrong := func(err error) (*front.DecodedRequest, *front.Error) {
+		return nil, &front.Error{Kind: front.BadRequest, Text: err.Error()}
 	}
-	in := &front.Input{ID: body.ID, Params: body.Parameters}
+	in := &front.DecodedRequest{ID: body.ID, Params: body.Parameters}
 	found := false
 	for i := range body.Inputs {
 		t := &body.Inputs[i]
 		if err := t.Check(maxElements); err != nil {
 			return wrong(err)
 		}
-		if n, _ := kserve.Elements(t.Shape, maxElements); n != 1 {
+		if n, _ := kserve.ElementCount(t.Shape, maxElements); n != 1 {
 			return wrong(fmt.Errorf("tensor %q has %d elements, want 1", t.Name, n))
 		}
 		switch t.Name {
@@ -310,7 +310,7 @@
 		f.fail(w, r, e)
 		return "", nil
 	}
-	return body.ID, f.submit(w, r, &front.Input{ID: body.ID, Prompt: body.TextInput, Params: body.Parameters})
+	return body.ID, f.submit(w, r, &front.DecodedRequest{ID: body.ID, Prompt: body.TextInput, Params: body.Parameters})
 }
 
 func (f *Front) generate(w http.ResponseWriter, r *http.Request) {
@@ -319,12 +319,12 @@
 		return
 	}
 	text, end := collect(r.Context(), q)
-	if e := front.Ended(end); e != nil {
+	if e := front.EndingError(end); e != nil {
 		f.fail(w, r, e)
 		return
 	}
 	f.write(w, http.StatusOK, kserve.GenerateResponse{ModelName: f.set.Model, ModelVersion: f.set.ModelVersion,
-		ID: id, TextOutput: text, Details: &kserve.Details{FinishReason: end.Finish}})
+		ID: id, TextOutput: text, Details: &kserve.Details{FinishReason: end.FinishReason}})
 }
 
 // generateStream streams an answer as server-sent events, one a token and one for the end. Before the
@@ -340,12 +340,12 @@
 	for {
 		text, end := q.Next(r.Context())
 		if end == nil {
-			if out.token(text, !q.Waiting()) != nil {
+			if out.token(text, !q.HasToken()) != nil {
 				return
 			}
 			continue
 		}
-		e := front.Ended(end)
+		e := front.EndingError(end)
 		switch {
 		case e != nil && !out.begun:
 			f.fail(w, r, e)
@@ -353,7 +353,7 @@
 			out.event(&kserve.GenerateResponse{ID: id, Error: e.Text})
 		default:
 			out.event(&kserve.GenerateResponse{ModelName: f.set.Model, ModelVersion: f.set.ModelVersion, ID: id,
-				Details: &kserve.Details{FinishReason: end.Finish}})
+				Details: &kserve.Details{FinishReason: end.FinishReason}})
 		}
 		return
 	}
@@ -375,7 +375,7 @@
 		Version string `json:"model_version"`
 		ID      string `json:"id,omitempty"`
 	}{f.set.Model, f.set.ModelVersion, id})
-	s := &stream{w: w, control: http.NewResponseController(w), stall: f.set.ClientStall}
+	s := &stream{w: w, control: http.NewResponseController(w), stall: f.set.ClientStallTimeout}
 	s.head = append(append([]byte("data: "), head[:len(head)-1]...), `,"text_output":`...)
 	return s
 }
--- a/internal/guard/attempt.go
+++ b/internal/guard/attempt.go
@@ -25,8 +25,8 @@
 	r := a.request
 	left := r.hasLeft()
 	withdrawn := false
-	if a.limits.Withdrawn != nil {
-		_, withdrawn = a.limits.Withdrawn()
+	if a.limits.WithdrawnFor != nil {
+		_, withdrawn = a.limits.WithdrawnFor()
 	}
 	r.mu.Lock()
 	now := time.Now()
@@ -38,7 +38,7 @@
 		err = r.guard.denied(Answered)
 	case withdrawn:
 		err = r.guard.denied(Withdrawn)
-	case now.After(r.deadline), !a.limits.NotAfter.IsZero() && now.After(a.limits.NotAfter):
+	case now.After(r.deadline), !a.limits.SendBy.IsZero() && now.After(a.limits.SendBy):
 		err = r.guard.denied(TooLate)
 	case !r.waits.IsZero() && now.Add(told).Sub(r.waits) > staleSlack:
 		err = r.guard.denied(Stale)
@@ -70,29 +70,29 @@
 	now := time.Now()
 	r := a.request
 	withdrawnFor, withdrawn := time.Duration(0), false
-	if a.limits.Withdrawn != nil {
-		withdrawnFor, withdrawn = a.limits.Withdrawn()
+	if a.limits.WithdrawnFor != nil {
+		withdrawnFor, withdrawn = a.limits.WithdrawnFor()
 	}
 	r.mu.Lock()
 	a.sent = now
 	cleared, current, left, deadline := a.cleared, r.current, r.left, r.waits
-	notAfter, decided := a.limits.NotAfter, r.decided
+	notAfter, decided := a.limits.SendBy, r.decided
 	r.mu.Unlock()
 	r.record(stepSent, strconv.Itoa(a.Number), "")
 	if cleared.IsZero() {
 		r.guard.violated(UnguardedSend, r, "")
 		return
 	}
-	if now.Sub(cleared) > time.Duration(decide.HoldUp) || r.guard.heldUp(cleared, now) {
+	if now.Sub(cleared) > time.Duration(decide.MaxPause) || r.guard.heldUp(cleared, now) {
 		return // between its clock and the write; nobody can help that
 	}
-	late := time.Duration(decide.HoldUp)
+	late := time.Duration(decide.MaxPause)
 	switch {
 	case current != nil && current != a:
 		r.guard.violated(SecondCopy, r, "")
 	case !decided.IsZero() && decided.Before(cleared):
 		r.guard.violated(SentAfterAnswer, r, "")
-	case !left.IsZero() && now.Sub(left) > time.Duration(decide.LeaveGrace):
+	case !left.IsZero() && now.Sub(left) > time.Duration(decide.ClientLeftGrace):
 		r.guard.violated(SentAfterLeave, r, now.Sub(left).String())
 	case !notAfter.IsZero() && now.Sub(notAfter) > late:
 		r.guard.violated(SentPastWindow, r, now.Sub(notAfter).String())
@@ -105,15 +105,15 @@
 	}
 }
 
-// HasSent tells whether the attempt's last byte has left.
-func (a *Attempt) HasSent() bool {
+// WasSent tells whether the attempt's last byte has left.
+func (a *Attempt) WasSent() bool {
 	a.request.mu.Lock()
 	defer a.request.mu.Unlock()
 	return !a.sent.IsZero()
 }
 
-// Grant asks for leave to pass the attempt's first event on to the client. From then on the answer belongs to it.
-func (a *Attempt) Grant() bool {
+// GrantFirstToken asks for leave to pass the attempt's first event on to the client. From then on the answer belongs to it.
+func (a *Attempt) GrantFirstToken() bool {
 	r := a.request
 	r.mu.Lock()
 	ok := r.state == Attempting && r.current == a
@@ -149,8 +149,8 @@
 	r.record(stepAttemptEnded, strconv.Itoa(a.Number), outcome)
 }
 
-// Out tells whether the attempt has begun and not ended.
-func (a *Attempt) Out() bool {
+// InFlight tells whether the attempt has begun and not ended.
+func (a *Attempt) InFlight() bool {
 	a.request.mu.Lock()
 	defer a.request.mu.Unlock()
 	return !a.ended
--- a/internal/node/crossings_test.go
+++ b/internal/node/crossings_test.go
@@ -132,7 +132,7 @@
 	p := newPlatform(t)
 	cfg := silentDiscovery(t)
 	var err error
-	if cfg.Known, err = json.Marshal(watch.List{Revision: 900, Complete: true, Members: p.listed}); err != nil {
+	if cfg.CachedList, err = json.Marshal(watch.List{Revision: 900, Complete: true, Members: p.listed}); err != nil {
 		t.Fatal(err)
 	}
 	w := &world{platform: p, t: t}
@@ -162,7 +162,7 @@
 	waiting.ask("a") // for 20 s
 	w.eventually("it is written", func() bool { return w.open(writer) == 1 })
 	fresh := w.dial()
-	w.eventually("both are there", func() bool { return w.node.front.Conns() == 2 })
+	w.eventually("both are there", func() bool { return w.node.front.OpenConns() == 2 })
 	signalled := time.Now().Add(-2 * time.Second)
 	w.node.signalled.Store(&signalled)
 	w.node.Drain()
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -47,7 +47,7 @@
 	clientStall   = 5 * time.Second
 	// streamIdle: a client may be left to wait for 5 s on a stream that has stopped (PROTOCOL), and one whose events are
 	// still coming may not be cut off; the process may be held up.
-	streamIdle  = 5*time.Second - 2*time.Duration(decide.HoldUp)
+	streamIdle  = 5*time.Second - 2*time.Duration(decide.MaxPause)
 	idleMargin  = 3 // of this many parts of the engines' idle time one is left unused
 	streamParts = 64
 	// untoldConnIdle is taken for the engines' idle time where the settings do not tell it.
@@ -87,39 +87,39 @@
 	set := cfg.Settings
 	b := share(cfg.Sockets)
 	n := &Node{cfg: cfg, log: log, listener: listener}
-	n.source = watch.New(cfg.Discovery, set.Kinds, cfg.Known, log)
-	connIdle := time.Duration(set.ConnIdle)
+	n.source = watch.New(cfg.Discovery, set.Kinds, cfg.CachedList, log)
+	connIdle := time.Duration(set.ConnIdleTimeout)
 	if connIdle == 0 {
 		connIdle = untoldConnIdle
 	}
 	n.engines = engines.New(engines.Options{DialTimeout: time.Duration(set.Decide.DialTimeout),
-		ConnIdle: connIdle - connIdle/idleMargin, MaxConns: b.engines, SpareConns: b.spare, StreamIdle: streamIdle,
-		ReleaseWithin: max(2*time.Duration(set.Decide.LetGoWithin), leastRelease), CallOffAgain: time.Duration(set.Decide.LetGoWithin), ProbeWithin: time.Duration(set.Decide.DialTimeout), Log: log})
+		IdleConnTimeout: connIdle - connIdle/idleMargin, MaxConns: b.engines, ReleaseConns: b.spare, StreamIdleTimeout: streamIdle,
+		ReleaseTimeout: max(2*time.Duration(set.Decide.HoldTimeout), leastRelease), CancelRetryDelay: time.Duration(set.Decide.HoldTimeout), ProbeTimeout: time.Duration(set.Decide.DialTimeout), Log: log})
 	zone := ""
 	if z := set.Decide.Zone; z < len(set.Zones) {
 		zone = set.Zones[z]
 	}
-	set.Decide.Zone = discovery.Number(zone) // as the list's zones are numbered
-	set.Decide.LetGoAtEnd = true             // as router.ByRequest does
-	set.Decide.ByArrival = true              // PROTOCOL, 'The rules on sockets'
+	set.Decide.Zone = discovery.LocationNumber(zone) // as the list's zones are numbered
+	set.Decide.ReleaseAtEnd = true                   // as router.ByRequest does
+	set.Decide.PauseHoldOnArrival = true             // PROTOCOL, 'The rules on sockets'
 	n.guard = guard.New(log)
 	n.Router = router.New(router.Config{Name: cfg.Name, Settings: set.Decide, Kinds: set.Kinds, Engines: n.engines,
-		Holds: router.ByRequest, Seed: cfg.Seed, Log: log, Guard: n.guard, MaxOpen: b.open, StreamParts: streamParts,
-		NewDecider:  decider,
-		ClientStall: clientStall, Settle: settle})
+		HoldMode: router.PerRequest, Seed: cfg.Seed, Log: log, Guard: n.guard, MaxOpen: b.open, StreamBuffer: streamParts,
+		NewDecider:         decider,
+		ClientStallTimeout: clientStall, StopTimeout: settle})
 	n.planShutdown = n.Router.ShutDown
-	n.front = front.New(front.Options{Classes: set.Classes, Tenants: set.Tenants, RetryAfter: set.RetryAfter,
-		MaxConns: b.clients, MaxRefused: maxRefused,
-		BodyBytes: int64(cfg.MemoryMB * (1 << 20) / 5), Within: requestWithin, Idle: clientIdle, Stall: clientStall,
+	n.front = front.New(front.Options{Classes: set.Classes, Tenants: set.Tenants, SendRetryAfter: set.RetryAfter,
+		MaxConns: b.clients, MaxRefusedConns: maxRefused,
+		MaxBodyMemory: int64(cfg.MemoryMB * (1 << 20) / 5), RequestTimeout: requestWithin, IdleTimeout: clientIdle, WriteTimeout: clientStall,
 		Log: log, Guard: n.guard}, n.Router)
 	n.parts = assembly.New(assembly.Parts{Router: n.Router, Source: n.source, Log: log, Drain: n.finish,
-		Serve:  func(ctx context.Context) error { return n.front.Serve(ctx, n.listener) },
-		Others: []func(context.Context) error{n.engines.Run}})
+		Serve:      func(ctx context.Context) error { return n.front.Serve(ctx, n.listener) },
+		Background: []func(context.Context) error{n.engines.Run}})
 	return n, nil
 }
 
-// Limit sets the runtime's bounds from the configuration.
-func (c *Config) Limit() {
+// ApplyLimits sets the runtime's bounds from the configuration.
+func (c *Config) ApplyLimits() {
 	runtime.GOMAXPROCS(1)
 	debug.SetMemoryLimit(int64(c.MemoryMB * (1 << 20) * 6 / 10))
 }
@@ -132,7 +132,7 @@
 func (n *Node) Drain() {
 	now := time.Now()
 	n.signalled.CompareAndSwap(nil, &now)
-	n.parts.Ask()
+	n.parts.RequestDrain()
 }
 
 // Reload reads the configuration anew. Only discovery can move while a router runs; with an error all stays
@@ -143,7 +143,7 @@
 		n.log.Error("the new configuration is not taken", "err", err)
 		return
 	}
-	n.source.Move(c.Discovery)
+	n.source.SetAddr(c.Discovery)
 }
 
 // Run runs until ctx ends, which answers what is open at once, or until Drain has done its work.
@@ -152,7 +152,7 @@
 		"memory_mb", n.cfg.MemoryMB)
 	err := n.parts.Run(ctx)
 	n.guard.Close()
-	n.log.Info("guard", "violations", n.guard.Violated(), "by_kind", n.guard.Violations(), "denials", n.guard.Denials())
+	n.log.Info("guard", "violations", n.guard.ViolationCount(), "by_kind", n.guard.Violations(), "denials", n.guard.Denials())
 	return err
 }
 
@@ -161,29 +161,29 @@
 func (n *Node) finish(ctx context.Context, unlisten, _ func()) {
 	taken := n.signalled.Load()
 	plan := n.planShutdown(*taken)
-	n.log.Info("draining", "open", n.Router.Stats().Open, "connections", n.front.Conns(), "taken", time.Since(*taken))
-	n.guard.ShutDown(plan.TakeUntil)
-	n.front.ShutDown()
+	n.log.Info("draining", "open", n.Router.Stats().Open, "connections", n.front.OpenConns(), "taken", time.Since(*taken))
+	n.guard.ShutDown(plan.AcceptUntil)
+	n.front.BeginShutdown()
 	look := time.NewTicker(drainLook)
 	defer look.Stop()
 	told := time.Now()
 	listening, asked := true, false
 	var stopped <-chan struct{} // nil but for the time between StopListening and its end
-	for listening || n.front.Conns() > 0 {
+	for listening || n.front.OpenConns() > 0 {
 		now := time.Now()
-		n.front.CloseResting(plan.RestFor)
-		if now.After(plan.TakeUntil) {
-			n.front.ExpireFresh()
+		n.front.CloseIdle(plan.LingerFor)
+		if now.After(plan.AcceptUntil) {
+			n.front.RefuseUnused()
 		}
 		if now.After(plan.GiveUpBy) {
-			n.front.ExpireReceiving()
+			n.front.RefuseIncomplete()
 		}
 		if now.After(plan.ListenUntil) && !asked {
 			stopped, asked = n.front.StopListening(), true
 		}
 		if now.Sub(told) >= tellEvery { // shows that the process is alive
 			told = now
-			n.log.Info("still draining", "since", now.Sub(*taken), "open", n.guard.Open(), "connections", n.front.Conns())
+			n.log.Info("still draining", "since", now.Sub(*taken), "open", n.guard.Open(), "connections", n.front.OpenConns())
 		}
 		select {
 		case <-ctx.Done():
--- a/internal/router/actions.go
+++ b/internal/router/actions.go
@@ -46,19 +46,19 @@
 	case decide.Send:
 		r.send(a)
 		return
-	case decide.WakeMe:
-		r.timers.add(&entry{at: r.now + a.After, token: a.Token, generation: r.generation})
+	case decide.SetTimer:
+		r.timers.add(&entry{at: r.now + a.After, token: a.TimerID, generation: r.generation})
 		return
 	case decide.Probe:
-		r.probe(a.Server, a.Fresh)
+		r.probe(a.Server, a.NewConnection)
 		return
-	case decide.Watch:
-		if r.cfg.Watch != nil {
-			r.cfg.Watch()
+	case decide.WatchList:
+		if r.cfg.WatchList != nil {
+			r.cfg.WatchList()
 		}
 		return
 	case decide.Note:
-		r.log.Info("module", "note", a.Text)
+		r.log.Info("module", "note", a.Reason)
 		return
 	}
 	f := r.table.rows[a.Request]
@@ -73,11 +73,11 @@
 			o.cancel(engine.ErrCancelled)
 		}
 	case decide.Refuse:
-		r.answer(f, Ending{Kind: Refused, RetryAfter: time.Duration(a.After), Reason: "refused: " + a.Text})
+		r.answer(f, Ending{Kind: Refused, RetryAfter: time.Duration(a.After), Reason: "refused: " + a.Reason})
 	case decide.Fail:
-		r.answer(f, Ending{Kind: Failed, TimedOut: f.late, Reason: "failed: " + a.Text})
+		r.answer(f, Ending{Kind: Failed, TimedOut: f.late, Reason: "failed: " + a.Reason})
 	case decide.Release:
-		if a.WhileOut {
+		if a.DuringAttempt {
 			r.keep.releaseWhileOut(f)
 		} else {
 			r.keep.release(f)
@@ -107,8 +107,8 @@
 	}
 	guarded, err := r.begin(act, f, s, at)
 	if err != nil {
-		r.later = append(r.later, decide.Event{Kind: decide.Ended, Request: f.id, Server: act.Server,
-			Attempt: guarded.Number, Outcome: decide.Moot, Closed: f.answered(), Report: engine.Untold()})
+		r.later = append(r.later, decide.Event{Kind: decide.AttemptEnded, Request: f.id, Server: act.Server,
+			Attempt: guarded.Number, Outcome: decide.NotStarted, Closed: f.answered(), Report: engine.NoReport()})
 		return
 	}
 	a := &attempt{flight: f, server: act.Server, addr: s.addr, prefill: s.role == decide.Reader,
@@ -117,7 +117,7 @@
 	f.out = a
 	a.limit = r.timers.add(&entry{at: at, attempt: a})
 	r.fill(a, f)
-	a.call.HeardWithin = time.Duration(act.HeardWithin)
+	a.call.LastResponseWithin = time.Duration(act.LastResponseWithin)
 	r.keep.sent(a)
 	r.count.sends.Add(1)
 	r.work.Add(1)
@@ -132,37 +132,37 @@
 
 // begin asks the guard for an attempt at an engine, which is given up at some time. With an error it may not start.
 func (r *Router) begin(act *decide.Action, f *flight, s *server, at decide.Time) (*guard.Attempt, error) {
-	limits := guard.Limits{Within: time.Duration(at - r.now), DrainGrace: time.Duration(r.cfg.Settings.DrainGrace)}
-	if act.NotAfter != 0 {
-		limits.NotAfter = r.wall(act.NotAfter)
+	limits := guard.Limits{Timeout: time.Duration(at - r.now), DrainGrace: time.Duration(r.cfg.Settings.DrainGrace)}
+	if act.SendBy != 0 {
+		limits.SendBy = r.wall(act.SendBy)
 	}
 	switch {
 	case s == nil:
-		return f.guarded().Skip(limits, errNoServer)
+		return f.guarded().SkipAttempt(limits, errNoServer)
 	case r.now >= f.deadline:
-		return f.guarded().Skip(limits, errNoTime)
+		return f.guarded().SkipAttempt(limits, errNoTime)
 	case f.guarded().Attempts() >= r.cfg.Settings.MaxAttempts:
-		return f.guarded().Skip(limits, errAllAttempts)
+		return f.guarded().SkipAttempt(limits, errAllAttempts)
 	}
 	limits.Engine, limits.Stage = s.name, engine.StageDecode
 	if s.role == decide.Reader {
 		limits.Stage = engine.StagePrefill
 	}
-	limits.Withdrawn = func() (time.Duration, bool) { return s.withdrawnFor(r.clock()) }
-	return f.guarded().Begin(limits)
+	limits.WithdrawnFor = func() (time.Duration, bool) { return s.withdrawnFor(r.clock()) }
+	return f.guarded().BeginAttempt(limits)
 }
 
 // fill makes what the attempt carries.
 func (r *Router) fill(a *attempt, f *flight) {
 	j := &f.q.job
 	a.call = engine.Call{ID: f.name + "." + strconv.Itoa(a.number), Model: r.cfg.Model, Message: j.Message,
-		Once:  !a.prefill && r.cfg.Settings.Classes[j.Class].Repeat == decide.Unsafe,
-		Gate:  a.guarded,
-		Until: r.wall(a.limit.at), Params: engine.Params{
+		NonIdempotent:    !a.prefill && r.cfg.Settings.Classes[j.Class].RetryPolicy == decide.Unsafe,
+		Gate:             a.guarded,
+		ResponseDeadline: r.wall(a.limit.at), Params: engine.Params{
 			Stage: engine.StageDecode, Request: f.name, Client: j.ClientID, Class: j.ClassName, Tenant: j.TenantName,
-			Session: j.Session, SharedText: j.SharedText, PromptTokens: j.PromptTokens,
-			SharedTokens: j.SharedTokens, MaxTokens: j.MaxTokens,
-			HoldMillis: float64(r.cfg.Settings.LetGoWithin) / 1e6,
+			Session: j.Session, SharedText: j.SharedPrefix, PromptTokens: j.PromptTokens,
+			SharedTokens: j.PrefixTokens, MaxTokens: j.MaxTokens,
+			HoldMillis: float64(r.cfg.Settings.HoldTimeout) / 1e6,
 		}}
 	switch {
 	case a.prefill:
@@ -194,7 +194,7 @@
 		if p := recover(); p != nil {
 			r.count.panics.Add(1)
 			r.log.Error("an attempt panicked", "request", a.flight.name, "panic", fmt.Sprint(p), "stack", string(debug.Stack()))
-			res = engine.Result{Outcome: decide.Reset, Report: engine.Untold(), Err: errPanicked}
+			res = engine.Result{Outcome: decide.Reset, Report: engine.NoReport(), Err: errPanicked}
 		}
 	}()
 	if a.prefill {
@@ -205,7 +205,7 @@
 
 // answered tells whether the engine has said how an attempt ended, or never heard of it.
 func answered(o decide.Outcome) bool {
-	return o == decide.ReadDone || o == decide.Full || o == decide.ConnectFailed || o == decide.Moot
+	return o == decide.ReadDone || o == decide.Full || o == decide.ConnectFailed || o == decide.NotStarted
 }
 
 // sink hands tokens on to the request's front. The first asks the loop, so that a first token and a
@@ -233,7 +233,7 @@
 			return nil
 		default:
 		}
-		stall := time.NewTimer(r.cfg.ClientStall)
+		stall := time.NewTimer(r.cfg.ClientStallTimeout)
 		defer stall.Stop()
 		select {
 		case q.parts <- text:
@@ -250,8 +250,8 @@
 func (r *Router) probe(id decide.ServerID, fresh bool) {
 	s := r.servers[id]
 	if s == nil {
-		r.later = append(r.later, decide.Event{Kind: decide.Probed, Server: id, Fresh: fresh, Outcome: decide.ConnectFailed,
-			Report: engine.Untold()})
+		r.later = append(r.later, decide.Event{Kind: decide.Probed, Server: id, NewConnection: fresh, Outcome: decide.ConnectFailed,
+			Report: engine.NoReport()})
 		return
 	}
 	r.count.probes.Add(1)
@@ -278,8 +278,8 @@
 	}
 	p := &place{server: id, addr: s.addr}
 	f.place = p
-	ask := &engine.PlaceRequest{Request: f.name, Tokens: f.q.job.PromptTokens, Source: f.out.addr,
-		HoldMillis: float64(r.cfg.Settings.LetGoWithin) / 1e6}
+	ask := &engine.ReservationRequest{Request: f.name, Tokens: f.q.job.PromptTokens, Source: f.out.addr,
+		HoldMillis: float64(r.cfg.Settings.HoldTimeout) / 1e6}
 	r.work.Add(1)
 	go func() {
 		defer r.work.Done()
@@ -288,7 +288,7 @@
 			r.log.Debug("no answer to a place asked for", "request", ask.Request, "err", err)
 		}
 		if !r.post(message{kind: placed, id: f.id, place: p, name: ask.Request, server: id, held: held}) && held {
-			r.cfg.Engines.GiveUpPlace(r.workCtx, p.addr, ask.Request)
+			r.cfg.Engines.CancelReservation(r.workCtx, p.addr, ask.Request)
 		}
 	}()
 }
@@ -304,8 +304,8 @@
 		r.keep.lateWord(f, m)
 	}
 	if f.out != nil && f.out.prefill {
-		r.tell(&decide.Event{Kind: decide.PlaceAnswer, Request: f.id, Server: m.server, Attempt: f.out.number,
-			Held: m.held, Report: engine.Untold()}, f)
+		r.tell(&decide.Event{Kind: decide.ReservationAnswer, Request: f.id, Server: m.server, Attempt: f.out.number,
+			Granted: m.held, Report: engine.NoReport()}, f)
 	}
 }
 
--- a/internal/router/loop.go
+++ b/internal/router/loop.go
@@ -56,7 +56,7 @@
 	defer close(r.stopped)
 	r.now = r.clock()
 	r.module = r.cfg.NewDecider(r.cfg.Settings, r.cfg.Seed, r.now)
-	r.tell(&decide.Event{Kind: decide.ListCached, Report: engine.Untold()})
+	r.tell(&decide.Event{Kind: decide.ListCached, Report: engine.NoReport()})
 	wake := time.NewTimer(lockedTick)
 	defer wake.Stop()
 	drain := r.drain
@@ -120,8 +120,8 @@
 
 // wakeUp looks at the clock. If something was due long ago the process did not run meanwhile.
 func (r *Router) wakeUp(due decide.Time) {
-	if r.now = r.clock(); r.now-due > decide.HoldUp {
-		r.cfg.Guard.HeldUp(time.Duration(r.now - due))
+	if r.now = r.clock(); r.now-due > decide.MaxPause {
+		r.cfg.Guard.ProcessPaused(time.Duration(r.now - due))
 	}
 }
 
@@ -143,7 +143,7 @@
 		case e.flight != nil:
 			r.overdue(e.flight)
 		case e.generation == r.generation:
-			r.tell(&decide.Event{Kind: decide.Timer, Token: e.token, Report: engine.Untold()})
+			r.tell(&decide.Event{Kind: decide.Timer, TimerID: e.token, Report: engine.NoReport()})
 		}
 	}
 }
@@ -165,7 +165,7 @@
 		f.out.ending = true
 		f.out.cancel(engine.ErrTimedOut)
 	}
-	r.tell(&decide.Event{Kind: decide.ClientGone, Request: f.id, Report: engine.Untold()}, f)
+	r.tell(&decide.Event{Kind: decide.ClientLeft, Request: f.id, Report: engine.NoReport()}, f)
 }
 
 // Of a message that has waited for the loop for lateAfter, or has taken it as long, a line is logged.
@@ -194,7 +194,7 @@
 				f.out.ending = true
 				f.out.cancel(engine.ErrCancelled)
 			}
-			r.tell(&decide.Event{Kind: decide.ClientGone, Request: f.id, Report: engine.Untold()}, f)
+			r.tell(&decide.Event{Kind: decide.ClientLeft, Request: f.id, Report: engine.NoReport()}, f)
 		}
 	case firstToken:
 		f := m.a.flight
@@ -208,14 +208,14 @@
 		r.timers.remove(m.a.renewal)
 		r.timers.remove(f.guard)
 		r.tell(&decide.Event{Kind: decide.FirstToken, Request: f.id, Server: m.a.server, Attempt: m.a.number,
-			Spent: r.at(m.posted) - m.a.sentAt, Report: engine.Untold()}, f)
+			Elapsed: r.at(m.posted) - m.a.sentAt, Report: engine.NoReport()}, f)
 	case attemptEnded:
 		r.attemptEnded(m)
 	case listed:
 		r.listed(&m.update)
 	case probed:
-		r.tell(&decide.Event{Kind: decide.Probed, Server: m.server, Fresh: m.fresh, Outcome: m.res.Outcome,
-			Spent: decide.Duration(m.spent), Report: m.res.Report})
+		r.tell(&decide.Event{Kind: decide.Probed, Server: m.server, NewConnection: m.fresh, Outcome: m.res.Outcome,
+			Elapsed: decide.Duration(m.spent), Report: m.res.Report})
 	case placed:
 		r.placed(m)
 	case shuttingDown:
@@ -239,8 +239,8 @@
 	r.naming(f)
 	f.guarded().Accepted(f.name, q.job.Deadline)
 	r.count.arrived.Add(1)
-	if r.cfg.Observe != nil {
-		r.cfg.Observe.Arrived(&q.job)
+	if r.cfg.Observer != nil {
+		r.cfg.Observer.RequestArrived(&q.job)
 	}
 	f.deadline = r.at(q.job.Deadline)
 	f.guard = r.timers.add(&entry{at: f.deadline + decide.OverdueAfter, flight: f})
@@ -248,10 +248,10 @@
 	j := &q.job
 	r.log.Debug("request", "request", f.name, "client", j.ClientID, "class", j.ClassName, "tenant", j.TenantName,
 		"prompt", j.PromptTokens, "left", j.Deadline.Sub(q.arrived))
-	r.tell(&decide.Event{Kind: decide.Arrived, Request: f.id, Report: engine.Untold(), Waited: r.now - r.at(q.arrived), Job: decide.Job{
-		Class: j.Class, Tenant: j.Tenant, Session: key(j.Session), Text: key(j.SharedText), Deadline: f.deadline,
-		Hint: decide.Duration(j.Hint), Prompt: j.PromptTokens, Prefix: j.SharedTokens,
-		MaxOut: float64(j.MaxTokens), ClientRepeat: j.Repeat, AfterBreak: j.AfterBreak,
+	r.tell(&decide.Event{Kind: decide.Arrived, Request: f.id, Report: engine.NoReport(), RouterDelay: r.now - r.at(q.arrived), Job: decide.Job{
+		Class: j.Class, Tenant: j.Tenant, SessionID: key(j.Session), PrefixID: key(j.SharedPrefix), Deadline: f.deadline,
+		LengthHint: decide.Duration(j.LengthHint), PromptTokens: j.PromptTokens, PrefixTokens: j.PrefixTokens,
+		MaxOutputTokens: float64(j.MaxTokens), ClientRetry: j.ClientRetry, AfterInterruption: j.AfterInterruption,
 	}}, f)
 }
 
@@ -274,21 +274,21 @@
 	r.timers.remove(a.limit)
 	r.timers.remove(a.renewal)
 	r.takeBack(a, res)
-	if o := r.cfg.Observe; o != nil {
+	if o := r.cfg.Observer; o != nil {
 		if res.Outcome == decide.ReadDone {
-			o.Read(&f.q.job, res.Kept)
+			o.PromptRead(&f.q.job, res.CachedTokens)
 		} else if a.streaming {
-			o.Written(&f.q.job, res.Tokens, res.Outcome == decide.Served)
+			o.AnswerWritten(&f.q.job, res.Tokens, res.Outcome == decide.Served)
 		}
 	}
 	if a.streaming {
 		r.endStream(f, a, res)
 	} else if res.Outcome == decide.Served { // an answer without a token
-		r.answer(f, Ending{Kind: Served, Finish: res.Finish})
+		r.answer(f, Ending{Kind: Served, FinishReason: res.FinishReason})
 	}
-	r.tell(&decide.Event{Kind: decide.Ended, Request: f.id, Server: a.server, Attempt: a.number,
-		Outcome: res.Outcome, Closed: f.answered(), NoState: res.NoState, Kept: res.Kept,
-		Spent: r.at(m.posted) - a.sentAt, Report: res.Report}, f)
+	r.tell(&decide.Event{Kind: decide.AttemptEnded, Request: f.id, Server: a.server, Attempt: a.number,
+		Outcome: res.Outcome, Closed: f.answered(), NoState: res.NoState, CachedTokens: res.CachedTokens,
+		Elapsed: r.at(m.posted) - a.sentAt, Report: res.Report}, f)
 }
 
 // endStream answers a request whose answer had begun: nothing can be tried again.
@@ -296,7 +296,7 @@
 	e := Ending{Kind: Failed, Tokens: res.Tokens, Reason: "the stream broke"}
 	switch {
 	case res.Outcome == decide.Served:
-		e = Ending{Kind: Served, Tokens: res.Tokens, Finish: res.Finish}
+		e = Ending{Kind: Served, Tokens: res.Tokens, FinishReason: res.FinishReason}
 	case res.Err == errStalled:
 		e.Kind, e.Reason = Gone, errStalled.Error()
 	}
@@ -310,14 +310,14 @@
 			r.log.Warn("discovery fails; the last list stays", "err", u.Err)
 		}
 		r.listFailing = true
-		r.tell(&decide.Event{Kind: decide.ListFailed, Report: engine.Untold()})
+		r.tell(&decide.Event{Kind: decide.ListFailed, Report: engine.NoReport()})
 		return
 	}
 	if r.listFailing {
 		r.log.Info("discovery answers again")
 	}
 	r.listFailing = false
-	changes := discovery.Changes(r.list, u.Engines)
+	changes := discovery.Diff(r.list, u.Engines)
 	if len(changes) == 0 {
 		return
 	}
@@ -330,14 +330,14 @@
 				old.withdraw(r.now)
 			}
 			delete(r.servers, e.ID())
-			r.cfg.Engines.Forget(e.Addr)
+			r.cfg.Engines.ForgetEngine(e.Addr)
 			continue
 		}
-		s := &server{name: e.Name, addr: e.Addr, since: e.Since}
+		s := &server{name: e.Name, addr: e.Addr, since: e.StartedAt}
 		if old := r.servers[e.ID()]; old != nil {
-			anew := old.addr != e.Addr || !old.since.Equal(e.Since)
+			anew := old.addr != e.Addr || !old.since.Equal(e.StartedAt)
 			if anew {
-				r.cfg.Engines.Forget(old.addr) // its connections belong to a process that is no more
+				r.cfg.Engines.ForgetEngine(old.addr) // its connections belong to a process that is no more
 			}
 			if anew || e.State != decide.Ready {
 				old.withdraw(r.now)
@@ -347,7 +347,7 @@
 			s.role = r.cfg.Settings.Kinds[k].Role
 		}
 		r.servers[e.ID()] = s
-		r.cfg.Engines.Listed(e.Addr)
+		r.cfg.Engines.EngineListed(e.Addr)
 	}
 	for i := range r.list {
 		if r.list[i].State == decide.Ready {
@@ -356,7 +356,7 @@
 	}
 	r.count.engines.Store(ready)
 	r.log.Info("list of engines", "changes", len(changes), "listed", len(r.list), "ready", ready)
-	r.tell(&decide.Event{Kind: decide.ListChanged, Servers: r.listings(changes), Report: engine.Untold()})
+	r.tell(&decide.Event{Kind: decide.ListChanged, Servers: r.listings(changes), Report: engine.NoReport()})
 }
 
 func (r *Router) kind(name string) int {
@@ -373,13 +373,13 @@
 	out := make([]decide.Listing, 0, len(list))
 	for i := range list {
 		e := &list[i]
-		l := decide.Listing{Server: e.ID(), Zone: discovery.Number(e.Zone), Cell: discovery.Number(e.Cell),
+		l := decide.Listing{Server: e.ID(), Zone: discovery.LocationNumber(e.Zone), Cell: discovery.LocationNumber(e.Cell),
 			Kind: r.kind(e.Kind), Condition: e.State, Weight: e.Weight}
 		if l.Kind < 0 {
 			continue // of a kind that the settings do not know: nobody could say what it can do
 		}
-		if !e.Since.IsZero() {
-			l.Since = decide.Time(e.Since.UnixNano())
+		if !e.StartedAt.IsZero() {
+			l.StartedAt = decide.Time(e.StartedAt.UnixNano())
 		}
 		out = append(out, l)
 	}
@@ -447,7 +447,7 @@
 	r.generation++
 	r.module = r.cfg.NewDecider(r.cfg.Settings, r.cfg.Seed+uint64(r.generation), r.now)
 	r.later = append(r.later, decide.Event{Kind: decide.ListCached, Servers: r.listings(r.list),
-		Report: engine.Untold()})
+		Report: engine.NoReport()})
 }
 
 // settle removes a row that is over. What the module has not let go is let go here.
@@ -461,8 +461,8 @@
 	r.unclaim(f.q.job.Name)
 	r.count.open.Add(-1)
 	f.q.closeGuarded("over")
-	if r.cfg.Observe != nil {
-		r.cfg.Observe.Over(&f.q.job)
+	if r.cfg.Observer != nil {
+		r.cfg.Observer.RequestDone(&f.q.job)
 	}
 }
 
@@ -511,7 +511,7 @@
 	go func() { r.work.Wait(); close(settled) }()
 	select {
 	case <-settled:
-	case <-time.After(r.cfg.Settle):
+	case <-time.After(r.cfg.StopTimeout):
 		r.endWork()
 		<-settled
 	}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -34,25 +34,25 @@
 	Decode(ctx context.Context, addr string, q *engine.Call, sink func(string) error) engine.Result
 	Release(ctx context.Context, s *engine.State) error
 	Renew(ctx context.Context, s *engine.State) error
-	CallOff(ctx context.Context, addr, request string) error
-	// CallOffLater does the same for a read that may end yet though the request's answer has begun: its engine may not have
+	CancelRead(ctx context.Context, addr, request string) error
+	// CancelReadLater does the same for a read that may end yet though the request's answer has begun: its engine may not have
 	// seen the end of the read's connection.
-	CallOffLater(ctx context.Context, addr, request string) error
-	Reserve(ctx context.Context, addr string, p *engine.PlaceRequest) (bool, error)
-	GiveUpPlace(ctx context.Context, addr, request string) error
+	CancelReadLater(ctx context.Context, addr, request string) error
+	Reserve(ctx context.Context, addr string, p *engine.ReservationRequest) (bool, error)
+	CancelReservation(ctx context.Context, addr, request string) error
 	// Probe asks an engine for its load; fresh: on a connection that is made for it.
 	Probe(ctx context.Context, addr string, fresh bool) engine.Result
-	// Listed tells that an engine is there, Forget that it has left or is another process.
-	Listed(addr string)
-	Forget(addr string)
+	// EngineListed tells that an engine is there, Forget that it has left or is another process.
+	EngineListed(addr string)
+	ForgetEngine(addr string)
 }
 
 // Observer is told what is asked and what it takes. It is called from the loop and must not block.
 type Observer interface {
-	Arrived(j *Job)
-	Read(j *Job, kept float64)              // a prompt was read; kept tokens of it were found
-	Written(j *Job, tokens int, whole bool) // an answer has ended; not whole: it was cut off
-	Over(j *Job)                            // the request is over, however it ended; j is not used again
+	RequestArrived(j *Job)
+	PromptRead(j *Job, kept float64)              // a prompt was read; kept tokens of it were found
+	AnswerWritten(j *Job, tokens int, whole bool) // an answer has ended; not whole: it was cut off
+	RequestDone(j *Job)                           // the request is over, however it ended; j is not used again
 }
 
 // Config is what a Router is made of.
@@ -62,23 +62,23 @@
 	Settings *decide.Settings
 	Kinds    []string // names of Settings.Kinds, by which lists refer to them
 	Engines  Engines
-	Holds    Holds
+	HoldMode HoldMode
 	Seed     uint64
 	Log      *slog.Logger // nil: none
 	Guard    *guard.Guard // of all requests of the process; nil: one of the router's own
 
 	// NewDecider makes the module; nil: decide.New.
 	NewDecider func(set *decide.Settings, seed uint64, now decide.Time) Decider
-	// Observe is told of the traffic; nil: nobody.
-	Observe Observer
-	// Watch is told when the module asks for the list; nil: the source tells by itself.
-	Watch func()
-
-	MaxOpen     int           // requests in the table
-	StreamParts int           // tokens held for a client
-	ClientStall time.Duration // a client that takes nothing for so long has left
-	// Settle bounds how long Run waits at its end for attempts and releases.
-	Settle time.Duration
+	// Observer is told of the traffic; nil: nobody.
+	Observer Observer
+	// WatchList is told when the module asks for the list; nil: the source tells by itself.
+	WatchList func()
+
+	MaxOpen            int           // requests in the table
+	StreamBuffer       int           // tokens held for a client
+	ClientStallTimeout time.Duration // a client that takes nothing for so long has left
+	// StopTimeout bounds how long Run waits at its end for attempts and releases.
+	StopTimeout time.Duration
 }
 
 // Stats are counts since the start.
@@ -178,7 +178,7 @@
 		open:  map[string]bool{},
 		drain: make(chan struct{}), table: newTable(), servers: map[decide.ServerID]*server{},
 	}
-	if r.keep = (leased{r}); cfg.Holds == ByRequest {
+	if r.keep = (leased{r}); cfg.HoldMode == PerRequest {
 		r.keep = byRequest{r}
 	}
 	r.name = cfg.Name + "-" + formatID(uint64(r.start.UnixNano()))
@@ -212,20 +212,20 @@
 		return nil, ErrStopping
 	}
 	if !job.Deadline.After(now) {
-		return nil, ErrLate
+		return nil, ErrDeadlinePassed
 	}
 	if r.count.open.Add(1) > int64(r.cfg.MaxOpen) {
 		r.count.open.Add(-1)
-		return nil, ErrTooMany
+		return nil, ErrTooManyRequests
 	}
 	if !r.claim(job.Name) {
 		r.count.open.Add(-1)
-		return nil, ErrOpen
+		return nil, ErrDuplicateName
 	}
 	q := &Request{job: *job, router: r, arrived: now,
-		parts: make(chan string, r.cfg.StreamParts), done: make(chan struct{})}
-	if q.ownsGuarded = job.Guarded == nil; q.ownsGuarded {
-		q.job.Guarded = r.cfg.Guard.Receive()
+		parts: make(chan string, r.cfg.StreamBuffer), done: make(chan struct{})}
+	if q.ownsGuarded = job.Guard == nil; q.ownsGuarded {
+		q.job.Guard = r.cfg.Guard.Receive()
 	}
 	q.watch()
 	if err := r.enqueue(q); err != nil {
@@ -249,7 +249,7 @@
 	case r.arrivals <- message{kind: arrived, posted: time.Now(), q: q}:
 		return nil
 	default:
-		return ErrTooMany
+		return ErrTooManyRequests
 	}
 }
 
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -17,18 +17,18 @@
 
 // Deployment is what the settings say: the module's part, and the names and figures that adapters need.
 type Deployment struct {
-	Decide     *decide.Settings
-	Classes    []string        // names of Decide.Classes
-	Kinds      []string        // names of Decide.Kinds
-	Zones      []string        // by their index
-	Tenants    []string        // names of Decide.Tenants
-	Fields     []string        // of a load report, in order
-	RetryAfter bool            // refusals may name a time
-	ConnIdle   decide.Duration // engines close a connection that stood idle for so long
+	Decide          *decide.Settings
+	Classes         []string        // names of Decide.Classes
+	Kinds           []string        // names of Decide.Kinds
+	Zones           []string        // by their index
+	Tenants         []string        // names of Decide.Tenants
+	ReportFields    []string        // of a load report, in order
+	RetryAfter      bool            // refusals may name a time
+	ConnIdleTimeout decide.Duration // engines close a connection that stood idle for so long
 }
 
-// Lines reads path=value lines.
-func Lines(text string) (*Deployment, error) {
+// ParseLines reads path=value lines.
+func ParseLines(text string) (*Deployment, error) {
 	p := &pairs{values: map[string]string{}}
 	for i, line := range strings.Split(text, "\n") {
 		if strings.TrimSpace(line) == "" {
@@ -43,8 +43,8 @@
 	return p.deployment()
 }
 
-// JSON reads a nested object.
-func JSON(data []byte) (*Deployment, error) {
+// ParseJSON reads a nested object.
+func ParseJSON(data []byte) (*Deployment, error) {
 	d := json.NewDecoder(bytes.NewReader(data))
 	d.UseNumber()
 	var v map[string]any
@@ -92,14 +92,14 @@
 	}
 }
 
-// Name returns a name in the form in which settings have it: the simulator puts '_' in place of spaces and commas. Names
+// NormalizeName returns a name in the form in which settings have it: the simulator puts '_' in place of spaces and commas. Names
 // that come otherwise, in headers or in discovery's list, are compared in this form.
-func Name(s string) string { return strings.NewReplacer(" ", "_", ",", "_").Replace(s) }
+func NormalizeName(s string) string { return strings.NewReplacer(" ", "_", ",", "_").Replace(s) }
 
 func scalar(v any) string {
 	switch v := v.(type) {
 	case string:
-		return Name(v)
+		return NormalizeName(v)
 	default: // json.Number and bool print as they stood
 		return fmt.Sprint(v)
 	}
@@ -116,25 +116,25 @@
 func (p *pairs) deployment() (*Deployment, error) {
 	s := &decide.Settings{
 		Routers: int(p.atLeast("instances", 1)), Index: int(p.atLeast("index", 0)),
-		Zone: int(p.optional("zone", 0)), OverShareWorth: p.optional("overShareWorth", 1),
+		Zone: int(p.optional("zone", 0)), OverQuotaValue: p.optional("overShareWorth", 1),
 		Probing: p.flag("permissions.probing"), MayCancel: p.flag("permissions.mayCancel"),
 		MayReserve: p.flag("familyInfo.mayReserve"), Resume: p.flag("familyInfo.resume"),
-		WritersRead: p.flag("familyInfo.localRead"), AskMembership: p.values["membershipMode"] == "ask",
+		WritersRead: p.flag("familyInfo.localRead"), PullMembership: p.values["membershipMode"] == "ask",
 		MaxAttempts: int(p.atLeast("permissions.maxAttempts", 1)),
 		DialTimeout: decide.Duration(p.atLeast("permissions.dialTimeoutNs", 1)),
 		AnswerGrace: p.time("obligations.graceToAnswerNs"), DrainGrace: p.time("obligations.drainGraceNs"),
-		AskWithin:     decide.Duration(p.optional("obligations.askWithinNs", 0)),
-		LetGoWithin:   p.time("familyInfo.letGoByNs"),
-		FallMultiple:  p.atLeast("obligations.fallMultiple", 0),
-		OverloadFor:   p.time("obligations.overloadForNs"),
-		StartCapacity: p.atLeast("obligations.startCapacity", 0), ColdFor: p.time("obligations.coldNs"),
-		ProbeFee: p.optional("fees.probe", 0), WasteFee: p.optional("fees.waste", 0),
-		LateFailFee: p.optional("fees.lateFail", 0), ZoneFee: p.optional("fees.crossZone", 0),
-		CellFee: p.optional("familyInfo.crossCellPrice", 0),
+		AskWithin:        decide.Duration(p.optional("obligations.askWithinNs", 0)),
+		HoldTimeout:      p.time("familyInfo.letGoByNs"),
+		OverloadMultiple: p.atLeast("obligations.fallMultiple", 0),
+		OverloadWindow:   p.time("obligations.overloadForNs"),
+		InitialCapacity:  p.atLeast("obligations.startCapacity", 0), SlowStartTime: p.time("obligations.coldNs"),
+		ProbeCost: p.optional("fees.probe", 0), WasteCost: p.optional("fees.waste", 0),
+		LateFailureCost: p.optional("fees.lateFail", 0), CrossZoneCost: p.optional("fees.crossZone", 0),
+		CrossCellCost: p.optional("familyInfo.crossCellPrice", 0),
 	}
 	d := &Deployment{Decide: s, RetryAfter: p.flag("permissions.retryAfter"),
-		ConnIdle: decide.Duration(p.optional("permissions.connIdleNs", 0)),
-		Fields:   p.list("feedback.names"), Zones: p.list("dcs"), Kinds: p.list("hostTypes")}
+		ConnIdleTimeout: decide.Duration(p.optional("permissions.connIdleNs", 0)),
+		ReportFields:    p.list("feedback.names"), Zones: p.list("dcs"), Kinds: p.list("hostTypes")}
 	if d.RetryAfter {
 		s.MaxRetryAfter = p.time("permissions.maxRetryAfterNs")
 	}
@@ -142,7 +142,7 @@
 	p.kinds(d)
 	for i := range int(p.optional("projects.count", 0)) {
 		s.Tenants = append(s.Tenants, decide.Tenant{
-			PerSecond: p.optional(fmt.Sprintf("projects.%d.allowancePerS", i), 0),
+			RequestsPerSecond: p.optional(fmt.Sprintf("projects.%d.allowancePerS", i), 0),
 		})
 		d.Tenants = append(d.Tenants, p.values[fmt.Sprintf("projects.%d.name", i)])
 	}
@@ -159,33 +159,33 @@
 	for i := 0; i < n && p.err == nil; i++ {
 		at := func(key string) string { return fmt.Sprintf("requestClasses.%d.%s", i, key) }
 		c := decide.Class{
-			Aim: p.time(at("aimNs")), Deadline: p.time(at("deadlineNs")),
-			Worth: p.optional(at("value"), 1), LateWorth: p.optional(at("lateWorth"), 0),
-			Window: decide.Duration(p.optional(at("windowNs"), 0)),
+			FirstTokenTarget: p.time(at("aimNs")), Deadline: p.time(at("deadlineNs")),
+			Value: p.optional(at("value"), 1), LateValue: p.optional(at("lateWorth"), 0),
+			DedupWindow: decide.Duration(p.optional(at("windowNs"), 0)),
 		}
 		if i < len(perK) {
-			c.AimPerK = decide.Duration(perK[i] * 1000)
+			c.FirstTokenTargetPerK = decide.Duration(perK[i] * 1000)
 		}
 		if i < len(token) {
-			c.TokenAim = decide.Duration(token[i])
+			c.TokenIntervalTarget = decide.Duration(token[i])
 		}
 		switch v := p.values[at("repeat")]; v {
 		case "safe":
 		case "keyed":
-			c.Repeat = decide.Keyed
+			c.RetryPolicy = decide.Keyed
 		case "unsafe":
-			c.Repeat = decide.Unsafe
+			c.RetryPolicy = decide.Unsafe
 		default:
 			p.fail(at("repeat"), v)
 		}
 		switch v := p.values[at("keyScope")]; v {
 		case "all":
 		case "zone":
-			c.Scope = decide.ScopeZone
+			c.DedupScope = decide.ScopeZone
 		case "cell":
-			c.Scope = decide.ScopeCell
+			c.DedupScope = decide.ScopeCell
 		default:
-			if c.Repeat == decide.Keyed {
+			if c.RetryPolicy == decide.Keyed {
 				p.fail(at("keyScope"), v)
 			}
 		}
@@ -287,8 +287,8 @@
 	return out
 }
 
-// Report makes a load report of named values; a value that is missing or out of range counts as not told.
-func Report(value func(name string) (float64, bool)) decide.Report {
+// ParseReport makes a load report of named values; a value that is missing or out of range counts as not told.
+func ParseReport(value func(name string) (float64, bool)) decide.Report {
 	get := func(names ...string) float64 {
 		for _, name := range names {
 			if f, ok := value(name); ok && f >= 0 && f < 1e12 { // not NaN
@@ -297,5 +297,5 @@
 		}
 		return -1
 	}
-	return decide.Report{MemoryShare: get("x0"), WaitingK: get("x1"), Latency: get("lat_ms", "latency_ms")}
+	return decide.Report{MemoryUse: get("x0"), QueuedKTokens: get("x1"), Latency: get("lat_ms", "latency_ms")}
 }
--- a/internal/simwire/encode.go
+++ b/internal/simwire/encode.go
@@ -65,10 +65,10 @@
 	case decide.Move:
 		e.head(codeMove, inst)
 		e.request(a.Request)
-	case decide.WakeMe:
+	case decide.SetTimer:
 		e.head(codeWake, inst)
 		e.buf = binary.BigEndian.AppendUint64(e.buf, uint64(a.After))
-		e.buf = binary.BigEndian.AppendUint64(e.buf, a.Token)
+		e.buf = binary.BigEndian.AppendUint64(e.buf, a.TimerID)
 	case decide.Probe:
 		e.head(codeProbe, inst)
 		e.server(a.Server)
@@ -76,11 +76,11 @@
 		e.head(codeReserve, inst)
 		e.request(a.Request)
 		e.server(a.Server)
-	case decide.Watch:
+	case decide.WatchList:
 		e.head(codeWatch, inst)
 		e.buf = append(e.buf, 1)
 	case decide.Note:
-		e.text(codeLog, inst, a.Text)
+		e.text(codeLog, inst, a.Reason)
 	default:
 		return fmt.Errorf("action kind %d has no code on this wire", a.Kind)
 	}
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -56,7 +56,7 @@
 	serverB = decide.ServerID(0x0a9011f21f6c)
 )
 
-var untold = decide.Report{MemoryShare: -1, WaitingK: -1, Latency: -1}
+var untold = decide.Report{MemoryUse: -1, QueuedKTokens: -1, Latency: -1}
 
 func TestDecodeEvents(t *testing.T) {
 	tests := []struct {
@@ -64,31 +64,31 @@
 		want      Record
 	}{
 		{"request", hexJob, Record{Instance: 3, Event: decide.Event{Kind: decide.Arrived, Request: 0x5d3a91c4,
-			Job: decide.Job{Session: 0x91f03b7c55d20a64, Deadline: 0x203b6db90, Hint: 0xb71b00,
-				Text: 0x2b8e6401d9f37c10, Prompt: 1800, Prefix: 1200, MaxOut: 256}}}},
+			Job: decide.Job{SessionID: 0x91f03b7c55d20a64, Deadline: 0x203b6db90, LengthHint: 0xb71b00,
+				PrefixID: 0x2b8e6401d9f37c10, PromptTokens: 1800, PrefixTokens: 1200, MaxOutputTokens: 256}}}},
 		{"request of a tenant, no hint, repeated, after a break",
 			"28 00000003 00000001 0001 00000002 0000000000000000 0000000000000005 0000000000b71b00" +
 				"0000000000000000 3f800000 00000000 3f800000 12",
 			Record{Instance: 3, Event: decide.Event{Kind: decide.Arrived, Request: 1, Job: decide.Job{Class: 1,
-				Tenant: 2, Deadline: 5, Prompt: 1, MaxOut: 1, ClientRepeat: true, AfterBreak: true}}}},
+				Tenant: 2, Deadline: 5, PromptTokens: 1, MaxOutputTokens: 1, ClientRetry: true, AfterInterruption: true}}}},
 		{"first", "32 00000003 00000001 02 0000000000000010 0a124a07 1f43", Record{Instance: 3,
-			Event: decide.Event{Kind: decide.FirstToken, Request: 1, Attempt: 2, Spent: 16, Server: serverA}}},
-		{"outcome", hexVerdict, Record{Instance: 3, Event: decide.Event{Kind: decide.Ended, Request: 0x5d3a91c4,
-			Server: serverA, Outcome: decide.Served, Spent: 0x11a49a0, Closed: true, Kept: 7,
-			Report: decide.Report{MemoryShare: 0.4000000059604645, WaitingK: 1.25, Latency: -1}}}},
+			Event: decide.Event{Kind: decide.FirstToken, Request: 1, Attempt: 2, Elapsed: 16, Server: serverA}}},
+		{"outcome", hexVerdict, Record{Instance: 3, Event: decide.Event{Kind: decide.AttemptEnded, Request: 0x5d3a91c4,
+			Server: serverA, Outcome: decide.Served, Elapsed: 0x11a49a0, Closed: true, CachedTokens: 7,
+			Report: decide.Report{MemoryUse: 0.4000000059604645, QueuedKTokens: 1.25, Latency: -1}}}},
 		{"full without a state, no report",
 			"78 00000003 00000001 01 0a124a07 1f43 0b 0000000000000001 00 00000001 00",
-			Record{Instance: 3, Event: decide.Event{Kind: decide.Ended, Request: 1, Attempt: 1, Server: serverA,
-				Outcome: decide.Full, Spent: 1, NoState: true, Report: untold}}},
+			Record{Instance: 3, Event: decide.Event{Kind: decide.AttemptEnded, Request: 1, Attempt: 1, Server: serverA,
+				Outcome: decide.Full, Elapsed: 1, NoState: true, Report: untold}}},
 		{"gone", "0a 00000005 0e6f2b19", Record{Instance: 5,
-			Event: decide.Event{Kind: decide.ClientGone, Request: 0x0e6f2b19}}},
+			Event: decide.Event{Kind: decide.ClientLeft, Request: 0x0e6f2b19}}},
 		{"timer", "14 00000003 000000000000004d", Record{Instance: 3,
-			Event: decide.Event{Kind: decide.Timer, Token: 77}}},
+			Event: decide.Event{Kind: decide.Timer, TimerID: 77}}},
 		{"probed", "5a 00000003 0a124a07 1f43 6e 0000000000000010 00", Record{Instance: 3,
-			Event: decide.Event{Kind: decide.Probed, Server: serverA, Outcome: decide.TimedOut, Spent: 16,
+			Event: decide.Event{Kind: decide.Probed, Server: serverA, Outcome: decide.TimedOut, Elapsed: 16,
 				Report: untold}}},
 		{"note", "64 00000003 00000001 00000000 00 0a124a07 1f43 01", Record{Instance: 3,
-			Event: decide.Event{Kind: decide.PlaceAnswer, Request: 1, Server: serverA, Held: true}}},
+			Event: decide.Event{Kind: decide.ReservationAnswer, Request: 1, Server: serverA, Granted: true}}},
 		{"peer", "50 00000003 00000001 0002 6869", Record{Instance: 3,
 			Event: decide.Event{Kind: decide.PeerMessage}}},
 		{"stop", "6e 00000003", Record{Kind: Stop, Instance: 3}},
@@ -100,7 +100,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			d := NewDecoder(bytes.NewReader(frame(t, 1, tt.hex)))
-			d.SetFields([]string{"x0", "x1"})
+			d.SetReportFields([]string{"x0", "x1"})
 			got, err := decodeAll(d)
 			if err != nil || len(got) != 1 || !reflect.DeepEqual(got[0], tt.want) {
 				t.Errorf("got %+v, %v\nwant %+v", got, err, tt.want)
@@ -112,7 +112,7 @@
 func TestDecodeOutcomes(t *testing.T) {
 	for code, want := range map[string]decide.Outcome{"00": decide.Served, "05": decide.Error, "0b": decide.Full,
 		"6e": decide.TimedOut, "6f": decide.ConnectFailed, "68": decide.Reset, "7d": decide.Cancelled,
-		"72": decide.Moot, "66": decide.ReadDone} {
+		"72": decide.NotStarted, "66": decide.ReadDone} {
 		got, err := decodeAll(NewDecoder(bytes.NewReader(frame(t, 1,
 			"78 00000003 00000001 00 0a124a07 1f43 "+code+" 0000000000000001 00 00000000 00"))))
 		if err != nil || got[0].Event.Outcome != want {
@@ -129,7 +129,7 @@
 		t.Fatalf("got %d records, %v", len(got), err)
 	}
 	first := []decide.Listing{{Server: serverA, Condition: decide.Ready, Weight: 1},
-		{Server: serverB, Zone: 1, Kind: 2, Cell: 3, Condition: decide.Draining, Weight: 1.5, Since: 0x16b969d00}}
+		{Server: serverB, Zone: 1, Kind: 2, Cell: 3, Condition: decide.Draining, Weight: 1.5, StartedAt: 0x16b969d00}}
 	if !reflect.DeepEqual(got[0].Event.Servers, first) || got[0].Event.Kind != decide.ListCached {
 		t.Errorf("first list: %+v", got[0].Event)
 	}
@@ -197,7 +197,7 @@
 	}{
 		{"send", decide.Action{Kind: decide.Send, Request: 0x5d3a91c4, Server: serverA, After: 80e6},
 			"82 00000003 5d3a91c4 0a124a07 1f43 0000000004c4b400"},
-		{"wake", decide.Action{Kind: decide.WakeMe, After: 500e6, Token: 77},
+		{"wake", decide.Action{Kind: decide.SetTimer, After: 500e6, TimerID: 77},
 			"8c 00000003 000000001dcd6500 000000000000004d"},
 		{"reserve", decide.Action{Kind: decide.Reserve, Request: 0x5d3a91c4, Server: serverB},
 			"1e 00000003 5d3a91c4 0a9011f2 1f6c"},
@@ -207,8 +207,8 @@
 		{"cancel", decide.Action{Kind: decide.Cancel, Request: 1, Attempt: 2}, "5a 00000003 00000001 02"},
 		{"move", decide.Action{Kind: decide.Move, Request: 1}, "78 00000003 00000001"},
 		{"probe", decide.Action{Kind: decide.Probe, Server: serverA}, "46 00000003 0a124a07 1f43"},
-		{"watch", decide.Action{Kind: decide.Watch}, "32 00000003 01"},
-		{"note", decide.Action{Kind: decide.Note, Text: "two servers known"},
+		{"watch", decide.Action{Kind: decide.WatchList}, "32 00000003 01"},
+		{"note", decide.Action{Kind: decide.Note, Reason: "two servers known"},
 			"6e 00000003 0011 74776f2073657276657273206b6e6f776e"},
 	}
 	for _, tt := range tests {
@@ -270,8 +270,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := decide.Class{Aim: 1e9, AimPerK: 40e6, Deadline: 4e9, TokenAim: 60e6, Worth: 1,
-		Repeat: decide.Keyed, Scope: decide.ScopeZone, Window: 5e9}
+	want := decide.Class{FirstTokenTarget: 1e9, FirstTokenTargetPerK: 40e6, Deadline: 4e9, TokenIntervalTarget: 60e6, Value: 1,
+		RetryPolicy: decide.Keyed, DedupScope: decide.ScopeZone, DedupWindow: 5e9}
 	if !reflect.DeepEqual(s.Classes, []decide.Class{want}) {
 		t.Errorf("classes: %+v", s.Classes)
 	}
@@ -279,7 +279,7 @@
 	if !reflect.DeepEqual(s.Kinds, kinds) || !reflect.DeepEqual(names, []string{"x0", "x1"}) {
 		t.Errorf("kinds %+v, report %v", s.Kinds, names)
 	}
-	if s.Routers != 2 || s.Index != 1 || s.FallMultiple != 4 || s.MaxRetryAfter != 500e6 || s.Probing {
+	if s.Routers != 2 || s.Index != 1 || s.OverloadMultiple != 4 || s.MaxRetryAfter != 500e6 || s.Probing {
 		t.Errorf("got %+v", s)
 	}
 }
--- a/internal/soak/judge_answers.go
+++ b/internal/soak/judge_answers.go
@@ -64,11 +64,11 @@
 	switch {
 	case last == nil:
 		add(ruleContent, "a stream without an attempt at a writer")
-	case last.Silenced:
+	case last.ConnLost:
 		e.leftWaiting(a, last, add)
 	case last.Outcome == standin.Streamed && !stoppedWriting(a):
 		add(ruleLost, "cut off though its engine has written it to its end")
-	case last.Outcome == standin.GivenUp && !stoppedWriting(a):
+	case last.Outcome == standin.Cancelled && !stoppedWriting(a):
 		add(ruleLost, "cut off while its engine was writing")
 	default:
 		e.leftWaiting(a, last, add)
@@ -104,7 +104,7 @@
 // mayHaveRun tells whether a request has had an effect, as far as anybody but its engines can know.
 func (e *evidence) mayHaveRun(a *ask) bool {
 	for _, t := range e.attempts[a.id] {
-		if t.Writer && !t.Outcome.NeverRan() {
+		if t.Writer && !t.Outcome.NeverExecuted() {
 			return true
 		}
 	}
--- a/internal/standin/chat/run.go
+++ b/internal/standin/chat/run.go
@@ -22,7 +22,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	b := &e.behaviour
-	p := &plan{turnAway: e.chance("turned away", b.TurnAway), slowness: max(b.Slowness, 1)}
+	p := &plan{turnAway: e.chance("turned away", b.Refuse), slowness: max(b.Slowdown, 1)}
 	if e.busy >= e.opts.Slots {
 		p.turnAway = true
 	}
@@ -31,15 +31,15 @@
 	}
 	p.fail = e.chance("errors", b.Fail)
 	p.resetAtStart = e.chance("resets at the start", b.ResetAtStart)
-	p.spoilAtStart = e.chance("spoilt answers", b.SpoilAtStart)
-	p.endless = e.chance("endless heads", b.Endless)
-	p.interim = e.chance("interim answers", b.Interim)
-	p.secondAnswer = e.chance("second answers", b.SecondAnswer)
-	p.closeIdle = e.chance("idle connections closed", b.CloseIdle)
+	p.spoilAtStart = e.chance("spoilt answers", b.MalformedAnswer)
+	p.endless = e.chance("endless heads", b.EndlessHeader)
+	p.interim = e.chance("interim answers", b.InterimResponse)
+	p.secondAnswer = e.chance("second answers", b.DuplicateAnswer)
+	p.closeIdle = e.chance("idle connections closed", b.CloseAfterAnswer)
 	if e.opts.Writer {
 		p.resetInStream = e.chance("resets in a stream", b.ResetInStream)
-		p.spoilInStream = e.chance("spoilt streams", b.SpoilInStream)
-		p.cut = 1 + e.random.IntN(max(e.opts.Work.Events, 1))
+		p.spoilInStream = e.chance("spoilt streams", b.MalformedStream)
+		p.cut = 1 + e.random.IntN(max(e.opts.Timing.EventsPerStream, 1))
 	}
 	return p
 }
@@ -55,8 +55,8 @@
 	e := c.engine
 	p := e.plan()
 	if p.turnAway {
-		ok := c.answer(503, "", platform.UnrunHeader+": 1")
-		e.opts.Cluster.end(a, TurnedAway)
+		ok := c.answer(503, "", platform.UnprocessedHeader+": 1")
+		e.opts.Cluster.end(a, Refused)
 		return ok
 	}
 	e.count(1)
@@ -67,26 +67,26 @@
 	outcome := c.carryOut(ctx, a, p)
 	stop()
 	switch outcome {
-	case Streamed, Read, Broken, Spoilt: // it had ended before a router could give it up
+	case Streamed, Read, ConnReset, Malformed: // it had ended before a router could give it up
 	default:
 		if ctx.Err() != nil {
-			outcome = GivenUp
+			outcome = Cancelled
 		}
 	}
 	e.mu.Lock()
-	if e.dead && outcome == GivenUp {
-		outcome = Died
+	if e.dead && outcome == Cancelled {
+		outcome = EngineDied
 	}
 	e.mu.Unlock()
 	e.opts.Cluster.end(a, outcome)
 	switch outcome {
-	case Broken:
+	case ConnReset:
 		reset(c.Conn)
 		return false
-	case Spoilt: // open, and of no use; the router has to close it
+	case Malformed: // open, and of no use; the router has to close it
 		c.br.Peek(1)
 		return false
-	case GivenUp, Died:
+	case Cancelled, EngineDied:
 		return false
 	}
 	if p.secondAnswer {
@@ -101,17 +101,17 @@
 	e := c.engine
 	switch {
 	case p.resetAtStart:
-		return Broken
+		return ConnReset
 	case !c.works(ctx, 0):
-		return GivenUp
+		return Cancelled
 	case p.spoilAtStart:
 		io.WriteString(c, "\x01\x02 what is this\r\n\r\n")
-		return Spoilt
+		return Malformed
 	case p.endless:
 		return c.endless(ctx)
 	case p.fail:
 		c.answer(500, "")
-		return Errored
+		return Failed
 	case p.interim:
 		io.WriteString(c, "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n")
 	}
@@ -119,7 +119,7 @@
 		return c.read(ctx, a, p)
 	}
 	if !e.opts.Cluster.isHeld(a.Request) {
-		c.answer(410, "", platform.UnrunHeader+": 1")
+		c.answer(410, "", platform.UnprocessedHeader+": 1")
 		return StateGone
 	}
 	return c.write(ctx, a, p)
@@ -152,52 +152,52 @@
 	io.WriteString(c, "HTTP/1.1 200 OK\r\n")
 	for n := 0; ; n++ {
 		if _, err := fmt.Fprintf(c, "X-Field-%d: a\r\n", n); err != nil || !c.works(ctx, time.Millisecond) {
-			return GivenUp
+			return Cancelled
 		}
 	}
 }
 
 func (c *engineConn) read(ctx context.Context, a *Attempt, p *plan) Outcome {
-	if !c.works(ctx, p.takes(c.engine.opts.Work.Read)) {
-		return GivenUp
+	if !c.works(ctx, p.takes(c.engine.opts.Timing.ReadTime)) {
+		return Cancelled
 	}
 	c.engine.opts.Cluster.hold(a.Request, c.engine.opts.ID)
 	if !c.answer(202, `{"cached_tokens":0}`) {
-		return GivenUp
+		return Cancelled
 	}
 	return Read
 }
 
 func (c *engineConn) write(ctx context.Context, a *Attempt, p *plan) Outcome {
-	w := c.engine.opts.Work
-	if !c.works(ctx, p.takes(w.FirstToken)) {
-		return GivenUp
+	w := c.engine.opts.Timing
+	if !c.works(ctx, p.takes(w.FirstTokenTime)) {
+		return Cancelled
 	}
 	c.engine.opts.Cluster.letGo(a.Request) // the stream has it now
-	_, err := io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Type: "+platform.EventsType+"\r\nTransfer-Encoding: chunked\r\n\r\n")
+	_, err := io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Type: "+platform.EventStreamType+"\r\nTransfer-Encoding: chunked\r\n\r\n")
 	if err != nil {
-		return GivenUp
+		return Cancelled
 	}
-	for n := range w.Events {
-		if n > 0 && !c.works(ctx, p.takes(w.Event)) {
-			return GivenUp
+	for n := range w.EventsPerStream {
+		if n > 0 && !c.works(ctx, p.takes(w.EventInterval)) {
+			return Cancelled
 		}
 		if n == p.cut && p.resetInStream {
-			return Broken
+			return ConnReset
 		}
 		if n == p.cut && p.spoilInStream {
 			io.WriteString(c, "zz\r\n")
-			return Spoilt
+			return Malformed
 		}
 		if !c.event(a, EventText(a.Request, c.engine.opts.ID, n)) {
-			return GivenUp
+			return Cancelled
 		}
 	}
 	if !c.event(a, LastEvent) {
-		return GivenUp
+		return Cancelled
 	}
 	if _, err := io.WriteString(c, "0\r\n\r\n"); err != nil {
-		return GivenUp
+		return Cancelled
 	}
 	return Streamed
 }
--- a/internal/standin/engine/role_test.go
+++ b/internal/standin/engine/role_test.go
@@ -18,12 +18,12 @@
 func changeable(t *testing.T) (*Server, *engine.Client) {
 	t.Helper()
 	read, write := Prefill(), Decode()
-	read.ReadPerS, write.Step = 2000, time.Millisecond
-	s := New(Config{Name: "e", Addr: "127.0.0.1:0", Spec: read, Other: &write, Change: 10 * time.Millisecond, Seed: 1}, nil)
+	read.ReadTokensPerSecond, write.StepTime = 2000, time.Millisecond
+	s := New(Config{Name: "e", Addr: "127.0.0.1:0", Spec: read, OtherRole: &write, RoleChangeTime: 10 * time.Millisecond, Seed: 1}, nil)
 	if err := s.Start(); err != nil {
 		t.Fatal(err)
 	}
-	c := engine.New(engine.Options{DialTimeout: time.Second, MaxConns: 50, StreamIdle: time.Second, ReleaseWithin: time.Second, ProbeWithin: 5 * time.Second})
+	c := engine.New(engine.Options{DialTimeout: time.Second, MaxConns: 50, StreamIdleTimeout: time.Second, ReleaseTimeout: time.Second, ProbeTimeout: 5 * time.Second})
 	t.Cleanup(func() { c.Close(); s.Close() })
 	return s, c
 }
@@ -52,12 +52,12 @@
 func TestChangeOfRole(t *testing.T) {
 	s, c := changeable(t)
 	r, err := c.Role(t.Context(), s.Addr())
-	if err != nil || r.Role != engine.StagePrefill || r.Epoch != 1 || !steady(r) || !r.Other {
+	if err != nil || r.Role != engine.StagePrefill || r.Epoch != 1 || !steady(r) || !r.CanChange {
 		t.Fatalf("%+v, %v", r, err)
 	}
 	running := make(chan engine.Result, 1)
 	go func() { running <- c.Prefill(t.Context(), s.Addr(), readCall("a")) }()
-	for n := 0; n == 0; n, _ = s.Holding() {
+	for n := 0; n == 0; n, _ = s.Occupancy() {
 		time.Sleep(time.Millisecond)
 	}
 	// Many ask at once: one is granted, and an old epoch never is.
@@ -115,14 +115,14 @@
 	q := readCall("a")
 	q.Params.PromptTokens = 20000 // ten seconds: it does not empty by itself
 	go func() { done <- c.Prefill(ctx, s.Addr(), q) }()
-	for n := 0; n == 0; n, _ = s.Holding() {
+	for n := 0; n == 0; n, _ = s.Occupancy() {
 		time.Sleep(time.Millisecond)
 	}
 	c.ChangeRole(t.Context(), s.Addr(), &engine.RoleChange{To: engine.StageDecode, Epoch: 1})
-	if r, ok, err := c.StayRole(t.Context(), s.Addr(), &engine.RoleStay{Epoch: 1}); !ok || err != nil || !steady(r) || r.Role != engine.StagePrefill {
+	if r, ok, err := c.CancelRoleChange(t.Context(), s.Addr(), &engine.RoleChangeCancel{Epoch: 1}); !ok || err != nil || !steady(r) || r.Role != engine.StagePrefill {
 		t.Errorf("%+v, %v, %v", r, ok, err)
 	}
-	if _, ok, _ := c.StayRole(t.Context(), s.Addr(), &engine.RoleStay{Epoch: 1}); ok {
+	if _, ok, _ := c.CancelRoleChange(t.Context(), s.Addr(), &engine.RoleChangeCancel{Epoch: 1}); ok {
 		t.Error("a change was taken back that there is not")
 	}
 	cancel()
@@ -143,7 +143,7 @@
 	} {
 		t.Run(c.fault, func(t *testing.T) {
 			s, client := changeable(t)
-			if err := s.Play(Fault{Kind: c.fault, For: time.Hour, Size: 0.001}); err != nil {
+			if err := s.InjectFault(Fault{Kind: c.fault, Duration: time.Hour, Size: 0.001}); err != nil {
 				t.Fatal(err)
 			}
 			if _, ok, err := client.ChangeRole(t.Context(), s.Addr(), &engine.RoleChange{To: engine.StageDecode, Epoch: 1}); ok != c.grant || err != nil {
@@ -151,7 +151,7 @@
 			}
 			if c.fault == "role_hang" {
 				until(t, s, client, "it changes", func(r engine.Role) bool { return r.Phase == engine.PhaseChanging })
-				s.Clear("")
+				s.ClearFaults("")
 			}
 			until(t, s, client, "it is steady", func(r engine.Role) bool {
 				return steady(r) && r.Role == c.role && r.Epoch == c.epoch && (c.fault != "role_die" || !r.Since.IsZero())
