--- a/internal/standin/engine/server.go
+++ b/internal/standin/engine/server.go
@@ -33,31 +33,31 @@
 
 // Config is what a Server is made of.
 type Config struct {
-	Name   string
-	Addr   string // where it listens; port 0 takes a free one and keeps it over restarts
-	Cell   string
-	Spec   Spec
-	Other  *Spec         // what it can do in its other role; nil: it has but one
-	Change time.Duration // that a change of role takes, once it is empty
-	Keeps  bool          // it keeps prefixes over a change
-	Link   *Link         // of the cell, shared by its engines; nil: as fast as the port
-	Seed   uint64
-	Cold   bool       // starts cold
-	Record *audit.Log // nil: none
-	Log    *slog.Logger
+	Name             string
+	Addr             string // where it listens; port 0 takes a free one and keeps it over restarts
+	Cell             string
+	Spec             Spec
+	OtherRole        *Spec         // what it can do in its other role; nil: it has but one
+	RoleChangeTime   time.Duration // that a change of role takes, once it is empty
+	KeepsPrefixCache bool          // it keeps prefixes over a change
+	Link             *Link         // of the cell, shared by its engines; nil: as fast as the port
+	Seed             uint64
+	StartCold        bool       // starts cold
+	AuditLog         *audit.Log // nil: none
+	Log              *slog.Logger
 }
 
 // Link is the one link out of a cell. Moves share it evenly, since each takes it for one chunk at a time.
 type Link struct {
-	mu    sync.Mutex
-	free  time.Time
-	PerS  float64 // tokens a second
-	slow  float64
-	until time.Time
+	mu              sync.Mutex
+	free            time.Time
+	TokensPerSecond float64 // tokens a second
+	slow            float64
+	until           time.Time
 }
 
-// Slow makes the link so many times slower for a while.
-func (l *Link) Slow(times float64, d time.Duration) {
+// SlowDown makes the link so many times slower for a while.
+func (l *Link) SlowDown(times float64, d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.slow, l.until = times, time.Now().Add(d)
@@ -67,7 +67,7 @@
 func (l *Link) take(ctx context.Context, tokens float64) {
 	l.mu.Lock()
 	now := time.Now()
-	perS := l.PerS
+	perS := l.TokensPerSecond
 	if now.Before(l.until) {
 		perS /= max(l.slow, 1)
 	}
@@ -103,7 +103,7 @@
 
 	mu      sync.Mutex
 	life    *life // nil while down
-	role    Turns
+	role    RoleState
 	faults  faults
 	since   time.Time
 	drained bool
@@ -179,7 +179,7 @@
 func (s *Server) Start() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.startLocked(s.cfg.Cold)
+	return s.startLocked(s.cfg.StartCold)
 }
 
 func (s *Server) startLocked(cold bool) error {
@@ -216,12 +216,12 @@
 // recordStart tells the audit of a start, in whichever role.
 func (s *Server) recordStart(now time.Time, cold bool) {
 	spec := s.spec.Load()
-	rec := audit.Record{At: now.UnixNano(), Who: s.cfg.Name, What: audit.Started, N: spec.capacity(), Work: spec.ColdFrom,
-		Deadline: int64(spec.ColdFor), Note: stageOf(spec)}
+	rec := audit.Record{At: now.UnixNano(), Who: s.cfg.Name, Kind: audit.Started, N: spec.capacity(), Work: spec.InitialCapacity,
+		Deadline: int64(spec.SlowStartTime), Note: stageOf(spec)}
 	if !cold {
-		rec.At -= int64(spec.ColdFor)
+		rec.At -= int64(spec.SlowStartTime)
 	}
-	s.cfg.Record.Add(rec)
+	s.cfg.AuditLog.Add(rec)
 }
 
 // Addr is where the engine listens.
@@ -231,15 +231,15 @@
 	return s.addr
 }
 
-// Since is its last start; the zero time when it started warm.
-func (s *Server) Since() time.Time {
+// ColdStart is its last start; the zero time when it started warm.
+func (s *Server) ColdStart() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.since
 }
 
-// Up tells whether it runs.
-func (s *Server) Up() bool {
+// Running tells whether it runs.
+func (s *Server) Running() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.life != nil
@@ -312,21 +312,21 @@
 	s.drained = true
 }
 
-// Play begins a fault.
-func (s *Server) Play(f Fault) error {
+// InjectFault begins a fault.
+func (s *Server) InjectFault(f Fault) error {
 	if err := f.Check(); err != nil {
 		return err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.log.Info("fault", "kind", f.Kind, "for", f.For, "size", f.Size, "class", f.Class)
+	s.log.Info("fault", "kind", f.Kind, "for", f.Duration, "size", f.Size, "class", f.Class)
 	switch f.Kind {
 	case "crash":
-		s.crashLocked(f.For)
+		s.crashLocked(f.Duration)
 	case "vanish":
 		if l := s.life; l != nil {
 			l.silent = true
-			s.after(f.For, func() {
+			s.after(f.Duration, func() {
 				if s.life == l {
 					s.crashLocked(time.Millisecond)
 				}
@@ -337,20 +337,20 @@
 		s.drained = true
 		s.after(time.Duration(f.Size*float64(time.Second)), func() {
 			if s.life == l {
-				s.crashLocked(f.For)
+				s.crashLocked(f.Duration)
 			}
 		})
 	case "ageing":
 		l := s.life
 		s.faults.add(f, time.Now())
-		s.after(f.For, func() {
+		s.after(f.Duration, func() {
 			if s.life == l {
 				s.crashLocked(time.Second)
 			}
 		})
 	case "origin_slow":
 		if s.cfg.Link != nil {
-			s.cfg.Link.Slow(f.Size, f.For)
+			s.cfg.Link.SlowDown(f.Size, f.Duration)
 		}
 		s.faults.add(f, time.Now())
 	default:
@@ -359,8 +359,8 @@
 	return nil
 }
 
-// Clear ends the faults of a kind, or all with "".
-func (s *Server) Clear(kind string) {
+// ClearFaults ends the faults of a kind, or all with "".
+func (s *Server) ClearFaults(kind string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults.clear(kind)
@@ -380,8 +380,8 @@
 	}()
 }
 
-func (s *Server) record(what audit.What, st *state, note string) {
-	s.cfg.Record.Add(audit.Record{Who: s.cfg.Name, What: what, ID: st.attempt, Client: st.client,
+func (s *Server) record(what audit.EventKind, st *state, note string) {
+	s.cfg.AuditLog.Add(audit.Record{Who: s.cfg.Name, Kind: what, ID: st.attempt, Client: st.client,
 		Router: st.router, Note: note})
 }
 
@@ -413,7 +413,7 @@
 			}
 			l.s.mu.Unlock()
 		default:
-			t := time.NewTimer(l.s.spec.Load().ReportEvery)
+			t := time.NewTimer(l.s.spec.Load().ReportInterval)
 			select {
 			case <-l.wake:
 			case <-t.C:
@@ -433,11 +433,11 @@
 
 // sample takes a load report now and then; what is told is one of some time ago.
 func (l *life) sample(now time.Time) {
-	if n := len(l.reports); n > 0 && now.Sub(l.reports[n-1].at) < l.s.spec.Load().ReportEvery {
+	if n := len(l.reports); n > 0 && now.Sub(l.reports[n-1].at) < l.s.spec.Load().ReportInterval {
 		return
 	}
 	share, waiting, latency := l.model.load()
-	l.reports = append(l.reports, report{now, engine.LoadReport{MemoryShare: &share, WaitingTokens: &waiting,
+	l.reports = append(l.reports, report{now, engine.LoadReport{MemoryUse: &share, QueuedTokens: &waiting,
 		LatencyMillis: &latency}})
 	late := l.s.spec.Load().ReportDelay + time.Duration(l.s.faults.largest("report_late", 0, now)*1e9)
 	for len(l.reports) > 1 && now.Sub(l.reports[1].at) >= late {
@@ -463,11 +463,11 @@
 	mux.HandleFunc("POST "+engine.StatePath+"{handle}/release", l.withState(l.release))
 	mux.HandleFunc("POST "+engine.StatePath+"{handle}/claim", l.withState(l.claim))
 	mux.HandleFunc("POST "+engine.StatePath+"{handle}/renew", l.withState(l.renew))
-	mux.HandleFunc("PUT "+engine.PlacePath+"{request}", l.reserve)
-	mux.HandleFunc("DELETE "+engine.PlacePath+"{request}", l.giveUp)
-	mux.HandleFunc("POST "+engine.PlacePath+"{request}/state", l.stateComes)
-	mux.HandleFunc("POST "+engine.RequestPath+"{request}/place", l.tellPlace)
-	mux.HandleFunc("DELETE "+engine.RequestPath+"{request}", l.callOff)
+	mux.HandleFunc("PUT "+engine.ReservationPath+"{request}", l.reserve)
+	mux.HandleFunc("DELETE "+engine.ReservationPath+"{request}", l.giveUp)
+	mux.HandleFunc("POST "+engine.ReservationPath+"{request}/state", l.stateComes)
+	mux.HandleFunc("POST "+engine.ReadPath+"{request}/place", l.tellPlace)
+	mux.HandleFunc("DELETE "+engine.ReadPath+"{request}", l.callOff)
 	mux.HandleFunc("GET "+engine.RolePath, l.tellRole)
 	mux.HandleFunc("POST "+engine.RolePath, l.changeRole)
 	mux.HandleFunc("POST "+engine.RolePath+"/stay", l.stay)
@@ -478,7 +478,7 @@
 		var f Fault
 		err := kserve.Decode(http.MaxBytesReader(w, r.Body, 4096), &f)
 		if err == nil {
-			err = l.s.Play(f)
+			err = l.s.InjectFault(f)
 		}
 		if err != nil {
 			writeJSON(w, http.StatusBadRequest, kserve.ErrorResponse{Error: err.Error()})
@@ -531,8 +531,8 @@
 	router string
 }
 
-func (a *attempt) record(what audit.What, note string) {
-	a.l.s.cfg.Record.Add(audit.Record{Who: a.l.s.cfg.Name, What: what, ID: a.id, Client: a.p.Client,
+func (a *attempt) record(what audit.EventKind, note string) {
+	a.l.s.cfg.AuditLog.Add(audit.Record{Who: a.l.s.cfg.Name, Kind: what, ID: a.id, Client: a.p.Client,
 		Router: a.router, Class: a.p.Class, Stage: a.p.Stage, Work: a.l.s.spec.Load().meanWork(), Note: note})
 }
 
@@ -553,38 +553,38 @@
 	fallen, drained := l.model.fallen, l.s.drained || l.s.role.Phase != engine.PhaseSteady
 	if fallen && !l.silent {
 		l.silent = true
-		l.s.cfg.Record.Add(audit.Record{Who: l.s.cfg.Name, What: audit.Fell})
+		l.s.cfg.AuditLog.Add(audit.Record{Who: l.s.cfg.Name, Kind: audit.OverloadFailed})
 	}
 	l.s.mu.Unlock()
 	role := a.p.Stage == engine.StagePrefill && l.s.spec.Load().Role&decide.Reader == 0 ||
 		a.p.Stage == engine.StageDecode && l.s.spec.Load().Role&decide.Writer == 0
 	switch {
-	case fallen || ill != nil && ill.How == "silence":
-		a.record(audit.Turned, "silence")
+	case fallen || ill != nil && ill.Mode == "silence":
+		a.record(audit.Rejected, "silence")
 		l.hush(r.Context())
 		panic(http.ErrAbortHandler)
 	case endless != nil:
-		a.record(audit.Turned, "long headers")
+		a.record(audit.Rejected, "long headers")
 		l.longHeaders(w)
 		return false
 	case failing != nil || ill != nil:
-		a.record(audit.Turned, "error")
+		a.record(audit.Rejected, "error")
 		writeJSON(w, http.StatusInternalServerError, kserve.ErrorResponse{Error: "the engine failed"})
 		return false
 	case drained:
-		a.record(audit.Turned, engine.RefusedDraining)
+		a.record(audit.Rejected, engine.RefusedDraining)
 		l.turn(w, engine.RefusedDraining, "the engine is draining")
 		return false
 	case role:
-		a.record(audit.Turned, engine.RefusedRole)
+		a.record(audit.Rejected, engine.RefusedRole)
 		l.turn(w, engine.RefusedRole, "the engine does not do this stage")
 		return false
 	case throttled != nil:
-		a.record(audit.Turned, engine.RefusedFull)
+		a.record(audit.Rejected, engine.RefusedFull)
 		l.turn(w, engine.RefusedFull, "no more of this class")
 		return false
-	case int(a.p.PromptTokens)+1 > l.s.spec.Load().Context:
-		a.record(audit.Turned, "context")
+	case int(a.p.PromptTokens)+1 > l.s.spec.Load().MaxContextTokens:
+		a.record(audit.Rejected, "context")
 		writeJSON(w, http.StatusBadRequest, kserve.ErrorResponse{Error: "the prompt is longer than the context"})
 		return false
 	}
@@ -618,7 +618,7 @@
 		n, _ = strconv.Atoi(m[1])
 	} else {
 		const sigma = 0.6
-		mean := max(l.s.spec.Load().MeanAnswer, 1)
+		mean := max(l.s.spec.Load().MeanAnswerTokens, 1)
 		d := distuv.LogNormal{Mu: math.Log(mean) - sigma*sigma/2, Sigma: sigma,
 			Src: rand.NewPCG(xxhash.Sum64String(prompt), l.s.cfg.Seed)}
 		n = int(d.Rand())
@@ -659,7 +659,7 @@
 	}
 	l.s.mu.Unlock()
 	if err != nil {
-		a.record(audit.Turned, engine.RefusedFull)
+		a.record(audit.Rejected, engine.RefusedFull)
 		l.turn(w, engine.RefusedFull, err.Error())
 		return
 	}
@@ -700,7 +700,7 @@
 	st := l.holdLocked(a, q)
 	l.s.mu.Unlock()
 	a.record(audit.Ended, "read")
-	answer := engine.ReadParams{Handle: st.id, Source: l.s.addr, Tokens: float64(q.prompt), Kept: float64(q.kept)}
+	answer := engine.ReadParams{Handle: st.id, Source: l.s.addr, Tokens: float64(q.prompt), CachedTokens: float64(q.kept)}
 	if placeAt != "" && l.push(r.Context(), st, placeAt, a.p.Request) {
 		answer.Handle, answer.Source = "place-"+a.p.Request, placeAt
 	}
@@ -757,12 +757,12 @@
 		l.s.mu.Lock()
 		defer l.s.mu.Unlock()
 		if l.states[st.id] == st && st.claims == 0 {
-			l.dropLocked(st, audit.Lapsed)
+			l.dropLocked(st, audit.Expired)
 		}
 	})
 }
 
-func (l *life) dropLocked(st *state, what audit.What) {
+func (l *life) dropLocked(st *state, what audit.EventKind) {
 	if l.states[st.id] != st {
 		return
 	}
@@ -827,7 +827,7 @@
 	}
 	if st.claims--; st.claims == 0 {
 		st.lease.Reset(st.hold)
-		l.s.record(audit.Unclaimed, st, "")
+		l.s.record(audit.ClaimEnded, st, "")
 	}
 }
 
@@ -855,10 +855,10 @@
 func (l *life) fetch(w http.ResponseWriter, r *http.Request, st *state) {
 	l.claimed(st, true)
 	defer l.claimed(st, false)
-	w.Header().Set("Content-Length", strconv.Itoa(st.prompt*l.s.spec.Load().TokenBytes))
+	w.Header().Set("Content-Length", strconv.Itoa(st.prompt*l.s.spec.Load().StateBytesPerToken))
 	w.Header().Set(engine.TokensHeader, strconv.Itoa(st.prompt))
 	w.Header().Set(engine.InfoHeader, strconv.Itoa(st.answer))
-	w.Header().Set(engine.SumHeader, strconv.FormatUint(stateSum(st.id, st.prompt*l.s.spec.Load().TokenBytes), 16))
+	w.Header().Set(engine.ChecksumHeader, strconv.FormatUint(stateSum(st.id, st.prompt*l.s.spec.Load().StateBytesPerToken), 16))
 	if l.sendState(r.Context(), w, st, r.Header.Get("Kv-Cell")) != nil {
 		return
 	}
@@ -872,21 +872,21 @@
 func (l *life) sendState(ctx context.Context, w io.Writer, st *state, toCell string) error {
 	const chunk = 256 // tokens
 	gen := newPattern(st.id)
-	buf := make([]byte, chunk*l.s.spec.Load().TokenBytes)
+	buf := make([]byte, chunk*l.s.spec.Load().StateBytesPerToken)
 	for left := st.prompt; left > 0; left -= chunk {
 		n := min(left, chunk)
 		l.s.mu.Lock()
 		slow := l.s.faults.largest("origin_slow", 1, time.Now())
 		l.s.mu.Unlock()
 		if toCell == l.s.cfg.Cell || l.s.cfg.Link == nil {
-			pause(ctx, time.Duration(float64(n)/l.s.spec.Load().PortPerS*slow*1e9))
+			pause(ctx, time.Duration(float64(n)/l.s.spec.Load().PortTokensPerSecond*slow*1e9))
 		} else {
 			l.s.cfg.Link.take(ctx, float64(n))
 		}
 		if err := cmp.Or(ctx.Err(), l.ctx.Err()); err != nil {
 			return err
 		}
-		part := buf[:n*l.s.spec.Load().TokenBytes]
+		part := buf[:n*l.s.spec.Load().StateBytesPerToken]
 		gen.fill(part)
 		if _, err := w.Write(part); err != nil {
 			return err
@@ -928,7 +928,7 @@
 		return
 	}
 	if a.p.Handle == "" && l.s.spec.Load().Role != decide.Both {
-		a.record(audit.Turned, engine.RefusedNoState)
+		a.record(audit.Rejected, engine.RefusedNoState)
 		l.turn(w, engine.RefusedNoState, "no state is named, and the engine does not read")
 		return
 	}
@@ -943,7 +943,7 @@
 		err := l.model.admit(q)
 		l.s.mu.Unlock()
 		if err != nil {
-			a.record(audit.Turned, engine.RefusedFull)
+			a.record(audit.Rejected, engine.RefusedFull)
 			l.turn(w, engine.RefusedFull, err.Error())
 			return
 		}
@@ -951,7 +951,7 @@
 			return
 		}
 	}
-	a.record(audit.Ran, "")
+	a.record(audit.Executed, "")
 	l.signal()
 	l.stream(w, r, a, q, began)
 }
@@ -964,7 +964,7 @@
 		l.model.leave(q)
 		l.s.mu.Unlock()
 		l.signal()
-		a.record(audit.Turned, note)
+		a.record(audit.Rejected, note)
 	}
 	select {
 	case <-q.granted:
@@ -1031,8 +1031,8 @@
 	if _, err := io.Copy(sum, resp.Body); err != nil {
 		return 0, err
 	}
-	if got := strconv.FormatUint(sum.Sum64(), 16); got != resp.Header.Get(engine.SumHeader) {
-		return 0, fmt.Errorf("the state's sum is %s, want %s", got, resp.Header.Get(engine.SumHeader))
+	if got := strconv.FormatUint(sum.Sum64(), 16); got != resp.Header.Get(engine.ChecksumHeader) {
+		return 0, fmt.Errorf("the state's sum is %s, want %s", got, resp.Header.Get(engine.ChecksumHeader))
 	}
 	answer, err = strconv.Atoi(resp.Header.Get(engine.InfoHeader))
 	return max(answer, 1), err
@@ -1066,7 +1066,7 @@
 		l.model.leave(q)
 		l.s.mu.Unlock()
 		l.signal()
-		l.s.cfg.Record.Add(audit.Record{Who: l.s.cfg.Name, What: audit.Ended, ID: a.id, Client: a.p.Client,
+		l.s.cfg.AuditLog.Add(audit.Record{Who: l.s.cfg.Name, Kind: audit.Ended, ID: a.id, Client: a.p.Client,
 			Router: a.router, Class: a.p.Class, Stage: a.p.Stage, N: float64(q.written), Note: note})
 	}
 	for {
@@ -1133,8 +1133,8 @@
 
 func word(n int) string { return words[(n-1)%len(words)] + " " }
 
-// Holding tells how many sequences and how many states and places the engine holds now.
-func (s *Server) Holding() (sequences, held int) {
+// Occupancy tells how many sequences and how many states and places the engine holds now.
+func (s *Server) Occupancy() (sequences, held int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.life == nil {
--- a/roles/change.go
+++ b/roles/change.go
@@ -18,13 +18,13 @@
 // Epoch counts an engine's changes of role.
 type Epoch uint64
 
-// Standing is what an engine says of itself.
-type Standing struct {
-	Role   Stage
-	Epoch  Epoch
-	To     Stage // while it changes
-	Phase  Phase
-	Starts time.Time // its last start or change; zero: long ago
+// RoleState is what an engine says of itself.
+type RoleState struct {
+	Role      Stage
+	Epoch     Epoch
+	To        Stage // while it changes
+	Phase     Phase
+	StartedAt time.Time // its last start or change; zero: long ago
 }
 
 // Phase is where an engine is on its way.
@@ -52,79 +52,81 @@
 	return [...]string{"idle", "asking", "emptying", "changing", "resting"}[s]
 }
 
-// Limits are the deadlines of a change's steps, and how long a failed one rests.
-type Limits struct {
-	Ask    time.Duration // for the engine's answer, at least; twice Answer where that is more
-	Empty  time.Duration // for what runs to end
-	Change time.Duration // for the change itself
-	Rest   time.Duration // after a failure; doubled with each in a row, up to eight times
-	// Look is how often routers ask an engine for its role, Answer how long its word may take. They set how
+// Timeouts are the deadlines of a change's steps, and how long a failed one rests.
+type Timeouts struct {
+	AskTimeout    time.Duration // for the engine's answer, at least; twice Answer where that is more
+	EmptyTimeout  time.Duration // for what runs to end
+	ChangeTimeout time.Duration // for the change itself
+	Backoff       time.Duration // after a failure; doubled with each in a row, up to eight times
+	// CheckInterval is how often routers ask an engine for its role, ReplyTimeout how long its word may take. They set how
 	// long an engine that is to change takes nothing new before it does.
-	Look, Answer time.Duration
+	CheckInterval, ReplyTimeout time.Duration
 }
 
 // missed is how many looks may go unanswered before an engine's word is doubted.
 const missed = 4
 
 // doubt is the age at which a word is too old to send work by; 0: none is.
-func (l *Limits) doubt() time.Duration { return missed * l.Look }
+func (l *Timeouts) doubt() time.Duration { return missed * l.CheckInterval }
 
-func (l *Limits) old(now, heard time.Time) bool { return l.Look > 0 && now.Sub(heard) >= l.doubt() }
+func (l *Timeouts) old(now, heard time.Time) bool {
+	return l.CheckInterval > 0 && now.Sub(heard) >= l.doubt()
+}
 
-// Notice is how long a change is announced. A word that a router still sends by was given before the grant
+// NoticePeriod is how long a change is announced. A word that a router still sends by was given before the grant
 // and heard at most Answer later; it is doubted before the notice ends. So no router sends work of the old
 // role to an engine that has left it, however many looks are lost.
-func (l *Limits) Notice() time.Duration { return l.doubt() + 2*l.Answer }
+func (l *Timeouts) NoticePeriod() time.Duration { return l.doubt() + 2*l.ReplyTimeout }
 
 // ask is the deadline of the question.
-func (l *Limits) ask() time.Duration { return max(l.Ask, 2*l.Answer) }
+func (l *Timeouts) ask() time.Duration { return max(l.AskTimeout, 2*l.ReplyTimeout) }
 
 // empty is the deadline of the step in which what runs ends.
-func (l *Limits) empty() time.Duration { return l.Notice() + l.Empty }
+func (l *Timeouts) empty() time.Duration { return l.NoticePeriod() + l.EmptyTimeout }
 
 // ActionKind tells what a change asks of its surroundings.
 type ActionKind uint8
 
 // The kinds of actions.
 const (
-	Ask      ActionKind = iota // ask the engine to change to To, from Epoch
-	CallBack                   // ask it to stay, while it is still emptying
-	List                       // list it as View says
+	RequestChange ActionKind = iota // ask the engine to change to To, from Epoch
+	CancelChange                    // ask it to stay, while it is still emptying
+	UpdateListing                   // list it as View says
 )
 
-// View is how an engine is to be listed to the decision module.
-type View struct {
-	Role     Stage
-	Draining bool
-	Since    time.Time
+// Listing is how an engine is to be listed to the decision module.
+type Listing struct {
+	Role      Stage
+	Draining  bool
+	StartedAt time.Time
 }
 
 // Action is one thing to do.
 type Action struct {
-	Kind   ActionKind
-	Engine uint64
-	To     Stage
-	Epoch  Epoch
-	Notice time.Duration // Ask: it takes nothing new for so long before it changes
-	View   View
-	Why    string
+	Kind    ActionKind
+	Engine  uint64
+	To      Stage
+	Epoch   Epoch
+	Notice  time.Duration // Ask: it takes nothing new for so long before it changes
+	Listing Listing
+	Reason  string
 }
 
-// Ended is a change that is over, for logs and counts.
-type Ended struct {
-	Engine uint64
-	To     Stage
-	Done   bool
-	Why    string
-	Took   time.Duration
+// ChangeResult is a change that is over, for logs and counts.
+type ChangeResult struct {
+	Engine    uint64
+	To        Stage
+	Succeeded bool
+	Reason    string
+	Elapsed   time.Duration
 }
 
 // change is one engine as this router follows it.
 type change struct {
 	engine uint64
 	known  bool
-	now    Standing
-	view   View
+	now    RoleState
+	view   Listing
 	shown  bool
 	step   step
 	to     Stage
@@ -140,16 +142,16 @@
 // Follower follows all engines' roles, and changes under way. Its calls append the actions that answer
 // them. It is a pure state machine: times come in, and it is not safe for concurrent use.
 type Follower struct {
-	limits Limits
+	limits Timeouts
 	list   map[uint64]*change
-	ended  []Ended
+	ended  []ChangeResult
 }
 
 // NewFollower returns a Follower that knows no engine.
-func NewFollower(l Limits) *Follower { return &Follower{limits: l, list: map[uint64]*change{}} }
+func NewFollower(l Timeouts) *Follower { return &Follower{limits: l, list: map[uint64]*change{}} }
 
 // Ended returns the changes that have ended since the last call.
-func (f *Follower) Ended() []Ended {
+func (f *Follower) Ended() []ChangeResult {
 	out := f.ended
 	f.ended = nil
 	return out
@@ -184,11 +186,11 @@
 	c.step, c.to, c.from, c.began, c.by, c.back = asking, to, c.now.Epoch, now, now.Add(f.limits.ask()), false
 	// The module stops sending at once: work that is on its way when the engine grants would be refused.
 	out = f.show(c, out)
-	return append(out, Action{Kind: Ask, Engine: engine, To: to, Epoch: c.from, Notice: f.limits.Notice()}), nil
+	return append(out, Action{Kind: RequestChange, Engine: engine, To: to, Epoch: c.from, Notice: f.limits.NoticePeriod()}), nil
 }
 
 // Answered takes in the engine's answer to Ask. A refusal may come with what the engine is now.
-func (f *Follower) Answered(now time.Time, engine uint64, granted bool, s Standing, out []Action) []Action {
+func (f *Follower) Answered(now time.Time, engine uint64, granted bool, s RoleState, out []Action) []Action {
 	c := f.list[engine]
 	if c == nil || c.step != asking {
 		return out
@@ -209,12 +211,12 @@
 		return out
 	}
 	c.back = true
-	return append(out, Action{Kind: CallBack, Engine: engine, Epoch: c.from, Why: why})
+	return append(out, Action{Kind: CancelChange, Engine: engine, Epoch: c.from, Reason: why})
 }
 
 // Seen takes in what an engine says of itself, whoever changed it. What is older than what is known (an
 // answer that was overtaken) is passed over.
-func (f *Follower) Seen(now time.Time, engine uint64, s Standing, out []Action) []Action {
+func (f *Follower) Seen(now time.Time, engine uint64, s RoleState, out []Action) []Action {
 	c := f.list[engine]
 	if c == nil {
 		c = &change{engine: engine}
@@ -224,7 +226,7 @@
 	if c.known && c.stale(&s) {
 		return out
 	}
-	restarted := c.known && s.Starts.After(c.now.Starts)
+	restarted := c.known && s.StartedAt.After(c.now.StartedAt)
 	c.known, c.now, c.doubt = true, s, false
 	switch s.Phase {
 	case Steady:
@@ -235,7 +237,7 @@
 		}
 	case Changing:
 		if c.step != changing {
-			f.enter(now, c, changing, s.To, now.Add(f.limits.Change))
+			f.enter(now, c, changing, s.To, now.Add(f.limits.ChangeTimeout))
 		}
 	}
 	return f.show(c, out)
@@ -243,11 +245,11 @@
 
 // stale tells whether a word is older than the one that is known: overtaken on its way. A later start comes
 // before the epoch, since an engine that was set up anew counts from the beginning again.
-func (c *change) stale(s *Standing) bool {
+func (c *change) stale(s *RoleState) bool {
 	if s.Epoch < c.now.Epoch {
-		return !s.Starts.After(c.now.Starts)
+		return !s.StartedAt.After(c.now.StartedAt)
 	}
-	return s.Epoch == c.now.Epoch && s.Starts.Before(c.now.Starts)
+	return s.Epoch == c.now.Epoch && s.StartedAt.Before(c.now.StartedAt)
 }
 
 // Listed takes in an engine of the list with the role that the list gives. Until it has said itself what it
@@ -256,7 +258,7 @@
 	if f.list[engine] != nil {
 		return out
 	}
-	c := &change{engine: engine, now: Standing{Role: role}}
+	c := &change{engine: engine, now: RoleState{Role: role}}
 	f.list[engine] = c
 	return f.show(c, out)
 }
@@ -348,26 +350,26 @@
 func (f *Follower) fail(now time.Time, c *change, why string, out []Action) []Action {
 	f.end(now, c, false, why)
 	const mostDoubled = 3
-	rest := f.limits.Rest << min(c.fails, mostDoubled)
+	rest := f.limits.Backoff << min(c.fails, mostDoubled)
 	c.fails++
 	c.step, c.by = resting, now.Add(rest)
 	return out
 }
 
 func (f *Follower) end(now time.Time, c *change, done bool, why string) {
-	f.ended = append(f.ended, Ended{c.engine, c.to, done, why, now.Sub(c.began)})
+	f.ended = append(f.ended, ChangeResult{c.engine, c.to, done, why, now.Sub(c.began)})
 }
 
 // show lists an engine when that is a change. One that is on its way, or of which it is not known what it
 // does, is listed as draining, with the start that the module knows.
 func (f *Follower) show(c *change, out []Action) []Action {
-	v := View{Role: c.now.Role, Since: c.now.Starts}
+	v := Listing{Role: c.now.Role, StartedAt: c.now.StartedAt}
 	if !c.known || c.doubt || c.step == asking || c.now.Phase != Steady {
-		v.Draining, v.Since = true, c.view.Since
+		v.Draining, v.StartedAt = true, c.view.StartedAt
 	}
 	if c.view == v && c.shown {
 		return out
 	}
 	c.view, c.shown = v, true
-	return append(out, Action{Kind: List, Engine: c.engine, View: v})
+	return append(out, Action{Kind: UpdateListing, Engine: c.engine, Listing: v})
 }
--- a/roles/change_test.go
+++ b/roles/change_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-var limits = Limits{Ask: time.Second, Empty: 10 * time.Second, Change: 20 * time.Second, Rest: 5 * time.Second}
+var limits = Timeouts{AskTimeout: time.Second, EmptyTimeout: 10 * time.Second, ChangeTimeout: 20 * time.Second, Backoff: 5 * time.Second}
 
 var t0 = time.Unix(1000, 0)
 
@@ -18,14 +18,14 @@
 // follow returns a follower that knows engine 1 as a reader at epoch 3.
 func follow(t *testing.T) *Follower {
 	f := NewFollower(limits)
-	out := f.Seen(t0, 1, Standing{Role: Prefill, Epoch: 3, Starts: at(-100)}, nil)
-	if len(out) != 1 || out[0].Kind != List || out[0].View != (View{Role: Prefill, Since: at(-100)}) {
+	out := f.Seen(t0, 1, RoleState{Role: Prefill, Epoch: 3, StartedAt: at(-100)}, nil)
+	if len(out) != 1 || out[0].Kind != UpdateListing || out[0].Listing != (Listing{Role: Prefill, StartedAt: at(-100)}) {
 		t.Fatalf("%+v", out)
 	}
 	return f
 }
 
-func last(t *testing.T, f *Follower) Ended {
+func last(t *testing.T, f *Follower) ChangeResult {
 	t.Helper()
 	e := f.Ended()
 	if len(e) != 1 {
@@ -37,28 +37,28 @@
 func TestWayOfAChange(t *testing.T) {
 	f := follow(t)
 	out, err := f.Begin(at(0), 1, Decode, nil)
-	if err != nil || len(out) != 2 || out[0].View != (View{Role: Prefill, Draining: true, Since: at(-100)}) ||
-		out[1].Kind != Ask || out[1].To != Decode || out[1].Epoch != 3 {
+	if err != nil || len(out) != 2 || out[0].Listing != (Listing{Role: Prefill, Draining: true, StartedAt: at(-100)}) ||
+		out[1].Kind != RequestChange || out[1].To != Decode || out[1].Epoch != 3 {
 		t.Fatalf("%v %+v", err, out)
 	}
 	if f.May(1) || f.Away() != 1 {
 		t.Error("it may change while it changes")
 	}
-	f.Answered(at(0.1), 1, true, Standing{}, nil)
-	f.Seen(at(0.2), 1, Standing{Role: Prefill, Epoch: 3, To: Decode, Phase: Emptying, Starts: at(-100)}, nil)
-	f.Seen(at(4), 1, Standing{Role: Prefill, Epoch: 3, To: Decode, Phase: Changing, Starts: at(-100)}, nil)
-	out = f.Seen(at(9), 1, Standing{Role: Decode, Epoch: 4, Starts: at(9)}, nil)
-	if len(out) != 1 || out[0].View != (View{Role: Decode, Since: at(9)}) {
+	f.Answered(at(0.1), 1, true, RoleState{}, nil)
+	f.Seen(at(0.2), 1, RoleState{Role: Prefill, Epoch: 3, To: Decode, Phase: Emptying, StartedAt: at(-100)}, nil)
+	f.Seen(at(4), 1, RoleState{Role: Prefill, Epoch: 3, To: Decode, Phase: Changing, StartedAt: at(-100)}, nil)
+	out = f.Seen(at(9), 1, RoleState{Role: Decode, Epoch: 4, StartedAt: at(9)}, nil)
+	if len(out) != 1 || out[0].Listing != (Listing{Role: Decode, StartedAt: at(9)}) {
 		t.Errorf("it is to come back as a cold writer: %+v", out)
 	}
-	if e := last(t, f); !e.Done || e.Took != 9*time.Second {
+	if e := last(t, f); !e.Succeeded || e.Elapsed != 9*time.Second {
 		t.Errorf("%+v", e)
 	}
 	if !f.May(1) || f.Away() != 0 {
 		t.Error("it is not free again")
 	}
 	// A word from before is passed over.
-	if out = f.Seen(at(10), 1, Standing{Role: Prefill, Epoch: 3, Starts: at(-100)}, nil); len(out) != 0 {
+	if out = f.Seen(at(10), 1, RoleState{Role: Prefill, Epoch: 3, StartedAt: at(-100)}, nil); len(out) != 0 {
 		t.Errorf("%+v", out)
 	}
 }
@@ -66,68 +66,68 @@
 // Each step's failure has its exit: the change ends, with its reason, the engine is listed as what it is,
 // and it rests.
 func TestFailuresOfAChange(t *testing.T) {
-	old := Standing{Role: Prefill, Epoch: 3, Starts: at(-100)}
-	empty := Standing{Role: Prefill, Epoch: 3, To: Decode, Phase: Emptying, Starts: at(-100)}
-	busy := Standing{Role: Prefill, Epoch: 3, To: Decode, Phase: Changing, Starts: at(-100)}
-	anew := Standing{Role: Prefill, Epoch: 3, Starts: at(2)}
-	other := Standing{Role: Prefill, Epoch: 5, Starts: at(2)}
+	old := RoleState{Role: Prefill, Epoch: 3, StartedAt: at(-100)}
+	empty := RoleState{Role: Prefill, Epoch: 3, To: Decode, Phase: Emptying, StartedAt: at(-100)}
+	busy := RoleState{Role: Prefill, Epoch: 3, To: Decode, Phase: Changing, StartedAt: at(-100)}
+	anew := RoleState{Role: Prefill, Epoch: 3, StartedAt: at(2)}
+	other := RoleState{Role: Prefill, Epoch: 5, StartedAt: at(2)}
 	for _, c := range []struct {
 		name string
 		play func(f *Follower)
 		why  string
-		view View
+		view Listing
 	}{
 		{"it refuses", func(f *Follower) { f.Answered(at(0.1), 1, false, old, nil) }, "the engine refused: it is at another epoch, or busy with another change",
-			View{Role: Prefill, Since: at(-100)}},
+			Listing{Role: Prefill, StartedAt: at(-100)}},
 		{"it refuses, for it has changed meanwhile", func(f *Follower) { f.Answered(at(0.1), 1, false, other, nil) },
-			"the engine refused: it is at another epoch, or busy with another change", View{Role: Prefill, Since: at(2)}},
-		{"no answer", func(f *Follower) { f.Tick(at(1), nil) }, "no answer to the question", View{Role: Prefill, Since: at(-100)}},
+			"the engine refused: it is at another epoch, or busy with another change", Listing{Role: Prefill, StartedAt: at(2)}},
+		{"no answer", func(f *Follower) { f.Tick(at(1), nil) }, "no answer to the question", Listing{Role: Prefill, StartedAt: at(-100)}},
 		{"it dies while it empties, and is started anew", func(f *Follower) {
 			f.Answered(at(0.1), 1, true, old, nil)
 			f.Seen(at(1), 1, empty, nil)
 			f.Seen(at(2), 1, anew, nil)
-		}, "it was started anew in its old role", View{Role: Prefill, Since: at(2)}},
+		}, "it was started anew in its old role", Listing{Role: Prefill, StartedAt: at(2)}},
 		{"it changes its mind", func(f *Follower) {
 			f.Answered(at(0.1), 1, true, old, nil)
 			f.Seen(at(1), 1, empty, nil)
 			f.Seen(at(2), 1, old, nil)
-		}, "it went on in its old role", View{Role: Prefill, Since: at(-100)}},
+		}, "it went on in its old role", Listing{Role: Prefill, StartedAt: at(-100)}},
 		{"it does not empty, nor stay", func(f *Follower) {
 			f.Answered(at(0.1), 1, true, old, nil)
 			f.Seen(at(1), 1, empty, nil)
 			f.Tick(at(11), nil)
 			f.Tick(at(13), nil)
-		}, "it neither empties nor stays", View{Role: Prefill, Draining: true, Since: at(-100)}},
+		}, "it neither empties nor stays", Listing{Role: Prefill, Draining: true, StartedAt: at(-100)}},
 		{"it hangs in the change", func(f *Follower) {
 			f.Answered(at(0.1), 1, true, old, nil)
 			f.Seen(at(1), 1, busy, nil)
 			f.Tick(at(22), nil)
-		}, "the change takes too long", View{Role: Prefill, Draining: true, Since: at(-100)}},
+		}, "the change takes too long", Listing{Role: Prefill, Draining: true, StartedAt: at(-100)}},
 		{"it comes back in its old role", func(f *Follower) {
 			f.Answered(at(0.1), 1, true, old, nil)
 			f.Seen(at(1), 1, busy, nil)
 			f.Seen(at(2), 1, old, nil)
-		}, "it came back in its old role", View{Role: Prefill, Since: at(-100)}},
+		}, "it came back in its old role", Listing{Role: Prefill, StartedAt: at(-100)}},
 		{"it comes back in another role", func(f *Follower) {
 			f.Answered(at(0.1), 1, true, old, nil)
 			f.Seen(at(1), 1, busy, nil)
 			f.Seen(at(2), 1, other, nil)
-		}, "it came back in another role", View{Role: Prefill, Since: at(2)}},
+		}, "it came back in another role", Listing{Role: Prefill, StartedAt: at(2)}},
 		{"it is called back", func(f *Follower) {
 			f.Answered(at(0.1), 1, true, old, nil)
 			f.Seen(at(1), 1, empty, nil)
-			if out := f.CallOff(1, "half of the readers died", nil); len(out) != 1 || out[0].Kind != CallBack || out[0].Epoch != 3 {
+			if out := f.CallOff(1, "half of the readers died", nil); len(out) != 1 || out[0].Kind != CancelChange || out[0].Epoch != 3 {
 				panic(out)
 			}
 			f.Seen(at(2), 1, old, nil)
-		}, "called back", View{Role: Prefill, Since: at(-100)}},
-		{"it is gone", func(f *Follower) { f.Gone(at(2), 1) }, "it is gone", View{}},
+		}, "called back", Listing{Role: Prefill, StartedAt: at(-100)}},
+		{"it is gone", func(f *Follower) { f.Gone(at(2), 1) }, "it is gone", Listing{}},
 	} {
 		f := follow(t)
 		f.Begin(at(0), 1, Decode, nil)
 		c.play(f)
 		e := f.Ended()
-		if len(e) != 1 || e[0].Done || e[0].Why != c.why {
+		if len(e) != 1 || e[0].Succeeded || e[0].Reason != c.why {
 			t.Errorf("%s: %+v", c.name, e)
 		}
 		if f.Away() != 0 {
@@ -149,19 +149,19 @@
 // A router that starts while a change is half made follows it as if it were its own.
 func TestChangeOfAnotherRouter(t *testing.T) {
 	f := NewFollower(limits)
-	out := f.Seen(at(0), 1, Standing{Role: Prefill, Epoch: 3, To: Decode, Phase: Changing, Starts: at(-100)}, nil)
-	if len(out) != 1 || !out[0].View.Draining || f.Away() != 1 {
+	out := f.Seen(at(0), 1, RoleState{Role: Prefill, Epoch: 3, To: Decode, Phase: Changing, StartedAt: at(-100)}, nil)
+	if len(out) != 1 || !out[0].Listing.Draining || f.Away() != 1 {
 		t.Errorf("%+v", out)
 	}
-	f.Seen(at(3), 1, Standing{Role: Decode, Epoch: 4, Starts: at(3)}, nil)
-	if e := last(t, f); !e.Done {
+	f.Seen(at(3), 1, RoleState{Role: Decode, Epoch: 4, StartedAt: at(3)}, nil)
+	if e := last(t, f); !e.Succeeded {
 		t.Errorf("%+v", e)
 	}
 }
 
 // truth is an engine: it grants one change from its epoch, and refuses all else.
 type truth struct {
-	s     Standing
+	s     RoleState
 	alive bool
 }
 
@@ -179,18 +179,18 @@
 func TestManyRoutersAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := t0
-		e := &truth{s: Standing{Role: Prefill, Epoch: 1, Starts: at(-100)}, alive: true}
+		e := &truth{s: RoleState{Role: Prefill, Epoch: 1, StartedAt: at(-100)}, alive: true}
 		routers := make([]*Follower, 3)
-		views := make([]View, 3)
+		views := make([]Listing, 3)
 		begun, ended := make([]int, 3), make([]int, 3)
 		var mail []func() // on its way: it comes in any order, or never
 		var do func(i int, acts []Action)
 		do = func(i int, acts []Action) {
 			for _, a := range acts {
 				switch a.Kind {
-				case List:
-					views[i] = a.View
-				case Ask:
+				case UpdateListing:
+					views[i] = a.Listing
+				case RequestChange:
 					mail = append(mail, func() {
 						granted := e.ask(a.To, a.Epoch)
 						s := e.s
@@ -201,7 +201,7 @@
 							}
 						})
 					})
-				case CallBack:
+				case CancelChange:
 					mail = append(mail, func() {
 						if e.alive && e.s.Phase == Emptying && e.s.Epoch == a.Epoch {
 							e.s.Phase = Steady
@@ -210,7 +210,7 @@
 				}
 			}
 		}
-		look := func(i int, s Standing) {
+		look := func(i int, s RoleState) {
 			do(i, routers[i].Seen(now, 1, s, nil))
 			c := routers[i].list[1]
 			if !views[i].Draining && (c.now.Phase != Steady || views[i].Role != c.now.Role) {
@@ -267,14 +267,14 @@
 				case e.s.Phase == Emptying:
 					e.s.Phase = Changing
 				case e.s.Phase == Changing:
-					e.s = Standing{Role: e.s.To, Epoch: e.s.Epoch + 1, Starts: now}
+					e.s = RoleState{Role: e.s.To, Epoch: e.s.Epoch + 1, StartedAt: now}
 				}
 			},
 			"engine dies": func(t *rapid.T) { e.alive = false },
 			"engine restarts": func(t *rapid.T) {
 				if !e.alive {
 					e.alive = true
-					e.s = Standing{Role: e.s.Role, Epoch: e.s.Epoch, Starts: now}
+					e.s = RoleState{Role: e.s.Role, Epoch: e.s.Epoch, StartedAt: now}
 				}
 			},
 			"router restarts": func(t *rapid.T) { fresh(which()) },
@@ -288,9 +288,9 @@
 		mail = nil
 		now = now.Add(time.Millisecond)
 		if !e.alive {
-			e.s = Standing{Role: e.s.Role, Epoch: e.s.Epoch, Starts: now}
+			e.s = RoleState{Role: e.s.Role, Epoch: e.s.Epoch, StartedAt: now}
 		} else if e.s.Phase != Steady {
-			e.s = Standing{Role: e.s.To, Epoch: e.s.Epoch + 1, Starts: now}
+			e.s = RoleState{Role: e.s.To, Epoch: e.s.Epoch + 1, StartedAt: now}
 		}
 		for range 20 {
 			now = now.Add(10 * time.Second)
@@ -304,7 +304,7 @@
 			if r.Away() != 0 || !r.May(1) {
 				t.Fatalf("router %d is left at step %v", i, r.list[1].step)
 			}
-			if views[i] != (View{Role: e.s.Role, Since: e.s.Starts}) {
+			if views[i] != (Listing{Role: e.s.Role, StartedAt: e.s.StartedAt}) {
 				t.Fatalf("router %d lists it as %+v, it is %+v", i, views[i], e.s)
 			}
 			if ended[i] < begun[i] {
@@ -318,13 +318,13 @@
 func TestListedUntilItSpeaks(t *testing.T) {
 	f := NewFollower(limits)
 	out := f.Listed(1, Prefill, nil)
-	if len(out) != 1 || !out[0].View.Draining {
+	if len(out) != 1 || !out[0].Listing.Draining {
 		t.Fatalf("%+v", out)
 	}
 	if out = f.Listed(1, Prefill, nil); len(out) != 0 {
 		t.Errorf("told again: %+v", out)
 	}
-	if out = f.Seen(at(1), 1, Standing{Role: Prefill, Epoch: 1}, nil); len(out) != 1 || out[0].View != (View{Role: Prefill}) {
+	if out = f.Seen(at(1), 1, RoleState{Role: Prefill, Epoch: 1}, nil); len(out) != 1 || out[0].Listing != (Listing{Role: Prefill}) {
 		t.Errorf("%+v", out)
 	}
 	if out = f.Listed(1, Decode, nil); len(out) != 0 {
@@ -336,10 +336,10 @@
 // is passed over all the same.
 func TestWordsInDisorder(t *testing.T) {
 	f := follow(t)
-	if out := f.Seen(at(1), 1, Standing{Role: Decode, Epoch: 1, Starts: at(-1)}, nil); len(out) != 1 || out[0].View.Role != Decode {
+	if out := f.Seen(at(1), 1, RoleState{Role: Decode, Epoch: 1, StartedAt: at(-1)}, nil); len(out) != 1 || out[0].Listing.Role != Decode {
 		t.Errorf("set up anew: %+v", out)
 	}
-	for _, old := range []Standing{{Role: Prefill, Epoch: 1, Starts: at(-2)}, {Role: Prefill, Epoch: 0, Starts: at(-1)}} {
+	for _, old := range []RoleState{{Role: Prefill, Epoch: 1, StartedAt: at(-2)}, {Role: Prefill, Epoch: 0, StartedAt: at(-1)}} {
 		if out := f.Seen(at(2), 1, old, nil); len(out) != 0 {
 			t.Errorf("%+v was believed: %+v", old, out)
 		}
@@ -350,14 +350,14 @@
 // it is the way to them that fails, and none is doubted.
 func TestOldWordsAreDoubted(t *testing.T) {
 	l := limits
-	l.Look, l.Answer = time.Second, 100*time.Millisecond
+	l.CheckInterval, l.ReplyTimeout = time.Second, 100*time.Millisecond
 	f := NewFollower(l)
 	for id := range uint64(4) {
-		f.Seen(at(0), id, Standing{Role: Prefill, Epoch: 1}, nil)
+		f.Seen(at(0), id, RoleState{Role: Prefill, Epoch: 1}, nil)
 	}
 	speak := func(s float64, ids ...uint64) (out []Action) {
 		for _, id := range ids {
-			out = f.Seen(at(s), id, Standing{Role: Prefill, Epoch: 1}, out)
+			out = f.Seen(at(s), id, RoleState{Role: Prefill, Epoch: 1}, out)
 		}
 		return f.Tick(at(s), out)
 	}
@@ -365,16 +365,16 @@
 		t.Errorf("%+v", out)
 	}
 	out := speak(4, 0, 1, 2)
-	if len(out) != 1 || out[0].Engine != 3 || !out[0].View.Draining || f.May(3) {
+	if len(out) != 1 || out[0].Engine != 3 || !out[0].Listing.Draining || f.May(3) {
 		t.Errorf("%+v", out)
 	}
-	if out := speak(5, 0, 1, 2, 3); len(out) != 1 || out[0].View.Draining || !f.May(3) {
+	if out := speak(5, 0, 1, 2, 3); len(out) != 1 || out[0].Listing.Draining || !f.May(3) {
 		t.Errorf("it speaks again: %+v", out)
 	}
 	if out := speak(20, 0); len(out) != 0 {
 		t.Errorf("most are silent: %+v", out)
 	}
-	if n := l.Notice(); n <= l.doubt()+l.Answer {
+	if n := l.NoticePeriod(); n <= l.doubt()+l.ReplyTimeout {
 		t.Errorf("a change is announced for %v, a word believed for %v", n, l.doubt())
 	}
 }
--- a/roles/manager.go
+++ b/roles/manager.go
@@ -7,60 +7,60 @@
 	"time"
 )
 
-// Turn shares out the right to begin changes among routers that do not talk: time is cut into slots, and in
+// TurnOrder shares out the right to begin changes among routers that do not talk: time is cut into slots, and in
 // each slot one router may begin, by its index. What it begins is seen by the others before their turn, if
 // they look at the engines' roles at least four times a slot and clocks differ by less than a quarter of
 // one: a router begins only in the middle half of its slot. The turn of a dead router passes unused.
-type Turn struct {
-	Routers int
-	Index   int
-	Slot    time.Duration
+type TurnOrder struct {
+	Routers    int
+	Index      int
+	SlotLength time.Duration
 }
 
-// May tells whether it is this router's turn at a point of wall time.
-func (t Turn) May(now time.Time) bool {
-	if t.Routers <= 1 || t.Slot <= 0 {
+// Allows tells whether it is this router's turn at a point of wall time.
+func (t TurnOrder) Allows(now time.Time) bool {
+	if t.Routers <= 1 || t.SlotLength <= 0 {
 		return true
 	}
 	at := now.UnixNano()
-	slot := int64(t.Slot)
+	slot := int64(t.SlotLength)
 	into := at % slot
 	return (at/slot)%int64(t.Routers) == int64(t.Index) && into >= slot/4 && into < slot-slot/4
 }
 
-// Info is what discovery and the settings tell of an engine.
-type Info struct {
-	ID       uint64
-	Kind     int
-	Cell     int
-	Role     Stage           // by the list
-	Cap      [stages]float64 // tokens a second by role; 0: it can't
-	Draining bool            // somebody else drains it
-	Unsound  bool            // it is held to be failing
-	Held     float64         // tokens that a change would lose
+// EngineInfo is what discovery and the settings tell of an engine.
+type EngineInfo struct {
+	ID         uint64
+	Kind       int
+	Cell       int
+	Role       Stage           // by the list
+	Capacity   [stages]float64 // tokens a second by role; 0: it can't
+	Draining   bool            // somebody else drains it
+	Unhealthy  bool            // it is held to be failing
+	HeldTokens float64         // tokens that a change would lose
 }
 
 // Config is what a Manager works by.
 type Config struct {
-	Classes    int
-	Limits     Limits
-	Costs      Costs
-	Confidence float64       // with which a change has to pay, in (0.5, 1)
-	Looks      int           // plans in a row that have to agree; 0: one
-	Every      time.Duration // between plans
-	ColdFor    time.Duration // an engine is not changed again before it is warm
-	Turn       Turn
-	Dry        bool // plan and tell, change nothing
+	Classes          int
+	Timeouts         Timeouts
+	Costs            Costs
+	Confidence       float64       // with which a change has to pay, in (0.5, 1)
+	ConsecutivePlans int           // plans in a row that have to agree; 0: one
+	PlanInterval     time.Duration // between plans
+	SlowStartTime    time.Duration // an engine is not changed again before it is warm
+	TurnOrder        TurnOrder
+	DryRun           bool // plan and tell, change nothing
 }
 
-// Report is a plan as it was judged, for people.
-type Report struct {
-	At      time.Time
-	Demand  [stages]Work // over all routers
-	Plan    Plan
-	Verdict Verdict
-	Begun   int
-	Err     error
+// PlanReport is a plan as it was judged, for people.
+type PlanReport struct {
+	At           time.Time
+	Demand       [stages]Work // over all routers
+	Plan         Plan
+	Verdict      Verdict
+	ChangesBegun int
+	Err          error
 }
 
 // Manager ties demand, planner, judge and follower together. Times come in, actions go out; it is not safe
@@ -71,30 +71,30 @@
 	demand *Demand
 	judge  Judge
 	follow *Follower
-	infos  map[uint64]*Info
+	infos  map[uint64]*EngineInfo
 	next   time.Time
 	waits  bool // for its turn, with a plan that pays
-	last   Report
+	last   PlanReport
 }
 
 // NewManager returns a Manager that has seen nothing.
 func NewManager(cfg Config, now time.Time) *Manager {
-	return &Manager{cfg: cfg, start: now, demand: NewDemand(cfg.Classes, cfg.Costs.Horizon), follow: NewFollower(cfg.Limits),
-		judge: Judge{Confidence: cfg.Confidence, Looks: cfg.Looks}, infos: map[uint64]*Info{}, next: now.Add(cfg.Every)}
+	return &Manager{cfg: cfg, start: now, demand: NewDemand(cfg.Classes, cfg.Costs.Horizon), follow: NewFollower(cfg.Timeouts),
+		judge: Judge{Confidence: cfg.Confidence, Looks: cfg.ConsecutivePlans}, infos: map[uint64]*EngineInfo{}, next: now.Add(cfg.PlanInterval)}
 }
 
-// Arrived, Read and Written take in what this router sees of the traffic.
-func (m *Manager) Arrived(now time.Time, a Arrival) { m.demand.Arrived(now.Sub(m.start), a) }
+// ObserveArrival, Read and Written take in what this router sees of the traffic.
+func (m *Manager) ObserveArrival(now time.Time, a RequestInfo) { m.demand.Arrived(now.Sub(m.start), a) }
 
-// Read takes in a finished read.
-func (m *Manager) Read(a Arrival) { m.demand.Read(a) }
+// ObserveRead takes in a finished read.
+func (m *Manager) ObserveRead(a RequestInfo) { m.demand.Read(a) }
 
-// Written takes in an answer, as far as it is known.
-func (m *Manager) Written(a Arrival) { m.demand.Written(a) }
+// ObserveOutput takes in an answer, as far as it is known.
+func (m *Manager) ObserveOutput(a RequestInfo) { m.demand.Written(a) }
 
-// Listed takes in all engines that there are. Those that are not among them are gone.
-func (m *Manager) Listed(now time.Time, list []Info, out []Action) []Action {
-	seen := make(map[uint64]*Info, len(list))
+// UpdateEngines takes in all engines that there are. Those that are not among them are gone.
+func (m *Manager) UpdateEngines(now time.Time, list []EngineInfo, out []Action) []Action {
+	seen := make(map[uint64]*EngineInfo, len(list))
 	for i := range list {
 		info := list[i]
 		seen[info.ID] = &info
@@ -111,33 +111,33 @@
 	return out
 }
 
-// Standing takes in an engine's word on its role.
-func (m *Manager) Standing(now time.Time, id uint64, s Standing, out []Action) []Action {
+// ObserveState takes in an engine's word on its role.
+func (m *Manager) ObserveState(now time.Time, id uint64, s RoleState, out []Action) []Action {
 	if m.infos[id] == nil {
 		return out
 	}
 	return m.follow.Seen(now, id, s, out)
 }
 
-// Answered takes in an engine's answer to Ask.
-func (m *Manager) Answered(now time.Time, id uint64, granted bool, s Standing, out []Action) []Action {
+// HandleAnswer takes in an engine's answer to Ask.
+func (m *Manager) HandleAnswer(now time.Time, id uint64, granted bool, s RoleState, out []Action) []Action {
 	return m.follow.Answered(now, id, granted, s, out)
 }
 
-// Ended returns the changes that have ended since the last call.
-func (m *Manager) Ended() []Ended { return m.follow.Ended() }
+// TakeResults returns the changes that have ended since the last call.
+func (m *Manager) TakeResults() []ChangeResult { return m.follow.Ended() }
 
-// Last returns the last plan as it was judged.
-func (m *Manager) Last() Report { return m.last }
+// LastReport returns the last plan as it was judged.
+func (m *Manager) LastReport() PlanReport { return m.last }
 
 // Tick looks after deadlines, and plans when it is time, or when its turn has come for a plan that pays. It is
 // to be called some times a second.
 func (m *Manager) Tick(now time.Time, out []Action) []Action {
 	out = m.follow.Tick(now, out)
-	if now.Before(m.next) && !(m.waits && m.cfg.Turn.May(now)) {
+	if now.Before(m.next) && !(m.waits && m.cfg.TurnOrder.Allows(now)) {
 		return out
 	}
-	m.next = now.Add(m.cfg.Every)
+	m.next = now.Add(m.cfg.PlanInterval)
 	return m.plan(now, out)
 }
 
@@ -149,12 +149,12 @@
 		if c == nil || !c.known {
 			continue // it has not said what it does
 		}
-		e := Engine{ID: id, Kind: info.Kind, Cell: info.Cell, Role: c.now.Role, Cap: info.Cap, Held: info.Held}
-		e.Absent = info.Unsound || info.Draining || c.doubt
+		e := Engine{ID: id, Kind: info.Kind, Cell: info.Cell, Role: c.now.Role, Cap: info.Capacity, Held: info.HeldTokens}
+		e.Absent = info.Unhealthy || info.Draining || c.doubt
 		if !e.Absent && (c.now.Phase != Steady || c.step == asking) {
 			e.Coming, e.Role = true, c.to
 		}
-		cold := !c.now.Starts.IsZero() && now.Sub(c.now.Starts) < m.cfg.ColdFor
+		cold := !c.now.StartedAt.IsZero() && now.Sub(c.now.StartedAt) < m.cfg.SlowStartTime
 		e.Fixed = cold || !m.follow.May(id)
 		out = append(out, e)
 	}
@@ -164,7 +164,7 @@
 func (m *Manager) plan(now time.Time, out []Action) []Action {
 	// Each router sees its part of the traffic; the front layer spreads it evenly but for chance, which the
 	// forecast's own spread grows with.
-	all := math.Max(float64(m.cfg.Turn.Routers), 1)
+	all := math.Max(float64(m.cfg.TurnOrder.Routers), 1)
 	demand := m.demand.Forecast(now.Sub(m.start))
 	for st := range demand {
 		demand[st].Mean *= all
@@ -172,14 +172,14 @@
 	}
 	engines := m.engines(now)
 	p, err := Solve(engines, demand, m.cfg.Costs)
-	m.last = Report{At: now, Demand: demand, Plan: p, Err: err}
+	m.last = PlanReport{At: now, Demand: demand, Plan: p, Err: err}
 	if err != nil {
 		return out
 	}
 	m.last.Verdict = m.judge.Look(&p, demand)
 	out = m.callOff(engines, demand, out)
-	m.waits = m.last.Verdict.Change && !m.cfg.Dry && !m.cfg.Turn.May(now)
-	if !m.last.Verdict.Change || m.cfg.Dry || m.waits {
+	m.waits = m.last.Verdict.Change && !m.cfg.DryRun && !m.cfg.TurnOrder.Allows(now)
+	if !m.last.Verdict.Change || m.cfg.DryRun || m.waits {
 		return out
 	}
 	for _, mv := range p.Moves {
@@ -189,7 +189,7 @@
 			continue
 		}
 		out = next
-		m.last.Begun++
+		m.last.ChangesBegun++
 	}
 	return out
 }
@@ -220,8 +220,8 @@
 		// As sure as a change has to be, and worth more than the change was expected to bring, else plans chase
 		// each other.
 		const least = 0.05
-		if served(back, m.cfg.Costs.Load, cases) > served(cap, m.cfg.Costs.Load, cases)+least &&
-			sure(cap, back, m.cfg.Costs.Load, cases) >= m.cfg.Confidence {
+		if served(back, m.cfg.Costs.MaxLoad, cases) > served(cap, m.cfg.Costs.MaxLoad, cases)+least &&
+			sure(cap, back, m.cfg.Costs.MaxLoad, cases) >= m.cfg.Confidence {
 			out = m.follow.CallOff(e.ID, "the work is where the engine was", out)
 		}
 	}
@@ -230,12 +230,12 @@
 
 // Status is one engine as a Manager sees it, for people.
 type Status struct {
-	Engine uint64
-	Known  bool // it has said what it does
-	Now    Standing
-	Step   string // of a change that is followed: idle, asking, emptying, changing, resting
-	Since  time.Time
-	WhyNot string // why it would not be changed now; "" it could be
+	Engine          uint64
+	Known           bool // it has said what it does
+	State           RoleState
+	Step            string // of a change that is followed: idle, asking, emptying, changing, resting
+	ChangeStartedAt time.Time
+	BlockedReason   string // why it would not be changed now; "" it could be
 }
 
 // Status returns all engines, by number.
@@ -245,21 +245,21 @@
 		st := Status{Engine: id, Step: idle.String()}
 		c := m.follow.list[id]
 		if c != nil && c.known {
-			st.Known, st.Now, st.Step, st.Since = true, c.now, c.step.String(), c.began
+			st.Known, st.State, st.Step, st.ChangeStartedAt = true, c.now, c.step.String(), c.began
 		}
 		switch {
 		case !st.Known:
-			st.WhyNot = "it has not said what it does"
+			st.BlockedReason = "it has not said what it does"
 		case c.doubt:
-			st.WhyNot = "it does not tell its role any more"
+			st.BlockedReason = "it does not tell its role any more"
 		case c.step == resting:
-			st.WhyNot = "a change of it failed; it rests until " + c.by.UTC().Format(time.TimeOnly)
+			st.BlockedReason = "a change of it failed; it rests until " + c.by.UTC().Format(time.TimeOnly)
 		case c.step != idle || c.now.Phase != Steady:
-			st.WhyNot = "it is on its way"
+			st.BlockedReason = "it is on its way"
 		case m.infos[id].Draining:
-			st.WhyNot = "it is draining"
-		case !c.now.Starts.IsZero() && now.Sub(c.now.Starts) < m.cfg.ColdFor:
-			st.WhyNot = "it is cold"
+			st.BlockedReason = "it is draining"
+		case !c.now.StartedAt.IsZero() && now.Sub(c.now.StartedAt) < m.cfg.SlowStartTime:
+			st.BlockedReason = "it is cold"
 		}
 		out = append(out, st)
 	}
--- a/roles/manager_test.go
+++ b/roles/manager_test.go
@@ -22,24 +22,24 @@
 
 func newSite(t *testing.T, routers, readers, writers int, change func(*Config)) *site {
 	s := &site{t: t, now: at(0), rng: rand.New(rand.NewPCG(1, 2)), engines: map[uint64]*truth{}, ready: map[uint64]time.Time{}}
-	var infos []Info
+	var infos []EngineInfo
 	for i := range readers + writers {
 		role := Prefill
 		if i >= readers {
 			role = Decode
 		}
 		id := uint64(i + 1)
-		s.engines[id] = &truth{s: Standing{Role: role, Epoch: 1}, alive: true}
-		infos = append(infos, Info{ID: id, Cell: i % 2, Cap: [stages]float64{10000, 1000}})
+		s.engines[id] = &truth{s: RoleState{Role: role, Epoch: 1}, alive: true}
+		infos = append(infos, EngineInfo{ID: id, Cell: i % 2, Capacity: [stages]float64{10000, 1000}})
 	}
 	for i := range routers {
-		cfg := Config{Classes: 1, Limits: limits, Costs: Costs{Horizon: 45 * time.Second, Away: 11 * time.Second, Load: [stages]float64{0.8, 0.8}, Changes: 2},
-			Confidence: 0.85, Every: 5 * time.Second, ColdFor: 13 * time.Second, Turn: Turn{routers, i, 10 * time.Second}}
+		cfg := Config{Classes: 1, Timeouts: limits, Costs: Costs{Horizon: 45 * time.Second, AwayTime: 11 * time.Second, MaxLoad: [stages]float64{0.8, 0.8}, MaxChanging: 2},
+			Confidence: 0.85, PlanInterval: 5 * time.Second, SlowStartTime: 13 * time.Second, TurnOrder: TurnOrder{routers, i, 10 * time.Second}}
 		if change != nil {
 			change(&cfg)
 		}
 		m := NewManager(cfg, s.now)
-		m.Listed(s.now, infos, nil)
+		m.UpdateEngines(s.now, infos, nil)
 		s.managers = append(s.managers, m)
 	}
 	return s
@@ -54,9 +54,9 @@
 			if m == nil {
 				continue
 			}
-			m.Arrived(s.now, Arrival{})
-			m.Read(Arrival{Prompt: prompt * math.Exp(0.6*s.rng.NormFloat64()-0.18)})
-			m.Written(Arrival{Answer: answer * math.Exp(0.6*s.rng.NormFloat64()-0.18)})
+			m.ObserveArrival(s.now, RequestInfo{})
+			m.ObserveRead(RequestInfo{PromptTokens: prompt * math.Exp(0.6*s.rng.NormFloat64()-0.18)})
+			m.ObserveOutput(RequestInfo{OutputTokens: answer * math.Exp(0.6*s.rng.NormFloat64()-0.18)})
 		}
 		away := 0
 		for id, e := range s.engines {
@@ -69,7 +69,7 @@
 					s.ready[id] = s.now.Add(3 * time.Second)
 				} else {
 					if e.s.Phase == Changing {
-						e.s = Standing{Role: e.s.To, Epoch: e.s.Epoch + 1, Starts: s.now}
+						e.s = RoleState{Role: e.s.To, Epoch: e.s.Epoch + 1, StartedAt: s.now}
 					}
 					delete(s.ready, id)
 				}
@@ -84,7 +84,7 @@
 			if s.now.UnixMilli()%1000 == 0 {
 				for id := range uint64(len(s.engines)) {
 					if e := s.engines[id+1]; e.alive {
-						out = m.Standing(s.now, id+1, e.s, out)
+						out = m.ObserveState(s.now, id+1, e.s, out)
 					}
 				}
 			}
@@ -97,14 +97,14 @@
 	for _, a := range acts {
 		e := s.engines[a.Engine]
 		switch a.Kind {
-		case Ask:
+		case RequestChange:
 			granted := e.ask(a.To, a.Epoch)
 			if granted {
 				s.begun++
 				s.ready[a.Engine] = s.now.Add(2 * time.Second)
 			}
-			s.do(m, m.Answered(s.now, a.Engine, granted, e.s, nil))
-		case CallBack:
+			s.do(m, m.HandleAnswer(s.now, a.Engine, granted, e.s, nil))
+		case CancelChange:
 			if e.alive && e.s.Phase == Emptying && e.s.Epoch == a.Epoch {
 				e.s.Phase = Steady
 			}
@@ -173,9 +173,9 @@
 	if s.begun != 0 {
 		t.Errorf("%d changes", s.begun)
 	}
-	dry := newSite(t, 1, 6, 6, func(c *Config) { c.Dry = true })
+	dry := newSite(t, 1, 6, 6, func(c *Config) { c.DryRun = true })
 	dry.run(10*time.Minute, 40, 1800, 40)
-	if r := dry.managers[0].Last(); dry.begun != 0 || len(r.Plan.Moves) == 0 || !r.Verdict.Change {
+	if r := dry.managers[0].LastReport(); dry.begun != 0 || len(r.Plan.Moves) == 0 || !r.Verdict.Change {
 		t.Errorf("%d changes; last plan %+v", dry.begun, r)
 	}
 }
@@ -191,7 +191,7 @@
 		t.Fatal("no change was begun")
 	}
 	for i, m := range s.managers {
-		if m.last.Begun > 0 {
+		if m.last.ChangesBegun > 0 {
 			s.managers[i] = nil
 		}
 	}
@@ -208,7 +208,7 @@
 
 // Half of the readers die while a reader is on its way to write: it is called back.
 func TestChangeIsCalledBack(t *testing.T) {
-	s := newSite(t, 1, 6, 6, func(c *Config) { c.Limits.Empty = time.Hour; c.Costs.Changes = 1 })
+	s := newSite(t, 1, 6, 6, func(c *Config) { c.Timeouts.EmptyTimeout = time.Hour; c.Costs.MaxChanging = 1 })
 	s.run(2*time.Minute, 40, 500, 100)
 	for i := 0; s.begun == 0 && i < 900; i++ {
 		s.run(time.Second, 40, 900, 165) // 36,000 and 6,600: a writer more would help
@@ -223,7 +223,7 @@
 			s.ready[id] = s.now.Add(time.Hour) // it empties slowly
 		}
 	}
-	var left []Info
+	var left []EngineInfo
 	dead := 0
 	for id := range uint64(12) {
 		info := *s.managers[0].infos[id+1]
@@ -234,14 +234,14 @@
 		}
 		left = append(left, info)
 	}
-	s.managers[0].Listed(s.now, left, nil)
+	s.managers[0].UpdateEngines(s.now, left, nil)
 	s.run(30*time.Second, 40, 900, 165)
 	if e := s.engines[moving]; e.s.Phase != Steady || e.s.Role != Prefill {
 		t.Errorf("it is %+v", e.s)
 	}
 	found := false
-	for _, e := range s.managers[0].Ended() {
-		found = found || e.Why == "called back"
+	for _, e := range s.managers[0].TakeResults() {
+		found = found || e.Reason == "called back"
 	}
 	if !found {
 		t.Error("nobody said so")
@@ -249,14 +249,14 @@
 }
 
 func TestTurns(t *testing.T) {
-	turns := []Turn{{3, 0, 10 * time.Second}, {3, 1, 10 * time.Second}, {3, 2, 10 * time.Second}}
+	turns := []TurnOrder{{3, 0, 10 * time.Second}, {3, 1, 10 * time.Second}, {3, 2, 10 * time.Second}}
 	had := make([]int, 3)
 	for ms := 0; ms < 60000; ms += 100 {
 		now := t0.Add(time.Duration(ms) * time.Millisecond)
 		n := 0
 		for i, turn := range turns {
 			// Clocks that are off by up to a fifth of a slot.
-			if turn.May(now.Add(time.Duration(i-1) * 2 * time.Second)) {
+			if turn.Allows(now.Add(time.Duration(i-1) * 2 * time.Second)) {
 				had[i]++
 				n++
 			}
@@ -268,16 +268,16 @@
 	if had[0] == 0 || had[1] == 0 || had[2] == 0 {
 		t.Errorf("turns %v", had)
 	}
-	if !(Turn{}).May(t0) {
+	if !(TurnOrder{}).Allows(t0) {
 		t.Error("a router alone waits for its turn")
 	}
 }
 
 // An engine that is still cold is not changed again, however great the need.
 func TestColdEnginesStay(t *testing.T) {
-	s := newSite(t, 1, 6, 6, func(c *Config) { c.ColdFor = time.Hour })
+	s := newSite(t, 1, 6, 6, func(c *Config) { c.SlowStartTime = time.Hour })
 	for _, e := range s.engines {
-		e.s.Starts = s.now
+		e.s.StartedAt = s.now
 	}
 	s.run(15*time.Minute, 40, 1800, 40)
 	if s.begun != 0 {
@@ -288,9 +288,9 @@
 // A router whose plans never fall into its turn plans again when the turn comes.
 func TestPlanThatWaitsForItsTurn(t *testing.T) {
 	// Slots of five seconds and plans every ten: each plan is made at the start of the other router's slot.
-	s := newSite(t, 2, 6, 6, func(c *Config) { c.Every, c.Turn.Slot = 10*time.Second, 5*time.Second })
+	s := newSite(t, 2, 6, 6, func(c *Config) { c.PlanInterval, c.TurnOrder.SlotLength = 10*time.Second, 5*time.Second })
 	for i := range s.managers {
-		s.managers[i].cfg.Turn.Index = 1
+		s.managers[i].cfg.TurnOrder.Index = 1
 		s.managers[i].next = s.now.Add(10 * time.Second)
 		if i > 0 {
 			s.managers[i] = nil
@@ -301,6 +301,6 @@
 	}
 	s.run(15*time.Minute, 40, 1800, 40)
 	if s.begun == 0 {
-		t.Errorf("no change was begun: %+v", s.managers[0].Last().Verdict)
+		t.Errorf("no change was begun: %+v", s.managers[0].LastReport().Verdict)
 	}
 }
--- a/roles/plan_test.go
+++ b/roles/plan_test.go
@@ -16,7 +16,7 @@
 }
 
 func costs() Costs {
-	return Costs{Horizon: 5 * time.Minute, Away: 30 * time.Second, Reread: 0.5, Load: [stages]float64{0.8, 0.8}, Changes: 3}
+	return Costs{Horizon: 5 * time.Minute, AwayTime: 30 * time.Second, Reread: 0.5, MaxLoad: [stages]float64{0.8, 0.8}, MaxChanging: 3}
 }
 
 // fleet is engines that can do both, in two cells.
@@ -50,7 +50,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		ok := len(p.Moves) == c.moves && (c.moves == 0) == (p.Then == p.Now)
+		ok := len(p.Moves) == c.moves && (c.moves == 0) == (p.ServedAfter == p.ServedNow)
 		for _, m := range p.Moves {
 			ok = ok && m.To == c.to
 		}
@@ -62,12 +62,12 @@
 
 func TestPlanKeepsItsBounds(t *testing.T) {
 	c := costs()
-	c.Least[Decode] = 5
+	c.MinEngines[Decode] = 5
 	if p, _ := Solve(fleet(6, 6), work(90000, 500), c); len(p.Moves) != 1 {
 		t.Errorf("five writers at least: %+v", p)
 	}
 	c = costs()
-	c.Most[Prefill] = 8
+	c.MaxEngines[Prefill] = 8
 	if p, _ := Solve(fleet(6, 6), work(90000, 500), c); len(p.Moves) != 2 {
 		t.Errorf("eight readers at most: %+v", p)
 	}
@@ -90,7 +90,7 @@
 	f[11].Fixed = true
 	f[10].Cap[Prefill] = 0
 	c = costs()
-	c.Changes = 1
+	c.MaxChanging = 1
 	if p, _ := Solve(f, work(90000, 500), c); len(p.Moves) != 1 || p.Moves[0] != (Move{10, Prefill}) {
 		t.Errorf("%+v", p)
 	}
@@ -100,7 +100,7 @@
 	if p, _ := Solve(f, work(90000, 500), costs()); len(p.Moves) != 0 {
 		t.Errorf("all are fixed: %+v", p)
 	}
-	c.Away = c.Horizon
+	c.AwayTime = c.Horizon
 	if _, err := Solve(f, work(1, 1), c); !errors.Is(err, ErrHorizon) {
 		t.Error(err)
 	}
@@ -114,9 +114,9 @@
 	for i := range f {
 		f[i].Held = 1e6 // tokens that have to be read again
 	}
-	c.Away = 5 * time.Second
+	c.AwayTime = 5 * time.Second
 	cheap, _ := Solve(f, work(52000, 3700), c)
-	c.Away = 280 * time.Second
+	c.AwayTime = 280 * time.Second
 	dear, _ := Solve(f, work(52000, 3700), c)
 	if len(cheap.Moves) == 0 || len(dear.Moves) != 0 {
 		t.Errorf("cheap %+v, dear %+v", cheap, dear)
@@ -139,14 +139,14 @@
 		}
 		demand := work(rapid.Float64Range(0, 120000).Draw(t, "read"), rapid.Float64Range(0, 9000).Draw(t, "write"))
 		c := costs()
-		c.Changes = rapid.IntRange(0, 4).Draw(t, "changes")
+		c.MaxChanging = rapid.IntRange(0, 4).Draw(t, "changes")
 		p, err := Solve(f, demand, c)
 		if err != nil {
 			t.Fatal(err)
 		}
 		best := brute(f, demand, c)
-		if p.Then < best-0.01 || p.Then > best+1e-9 || len(p.Moves) > c.Changes {
-			t.Fatalf("found %.4f with %v, the best is %.4f", p.Then, p.Moves, best)
+		if p.ServedAfter < best-0.01 || p.ServedAfter > best+1e-9 || len(p.Moves) > c.MaxChanging {
+			t.Fatalf("found %.4f with %v, the best is %.4f", p.ServedAfter, p.Moves, best)
 		}
 	})
 }
@@ -154,10 +154,10 @@
 // brute tries every subset of moves.
 func brute(f []Engine, demand [stages]Work, c Costs) float64 {
 	cases := scenarios(demand)
-	here := 1 - c.Away.Seconds()/c.Horizon.Seconds()
+	here := 1 - c.AwayTime.Seconds()/c.Horizon.Seconds()
 	best := 0.0
 	for set := range 1 << len(f) {
-		if bits.OnesCount(uint(set)) > c.Changes {
+		if bits.OnesCount(uint(set)) > c.MaxChanging {
 			continue
 		}
 		var cap [stages]float64
@@ -186,7 +186,7 @@
 			ok = ok && (had[st] == 0 || total[st] > 0)
 		}
 		if ok {
-			best = math.Max(best, served(cap, c.Load, cases))
+			best = math.Max(best, served(cap, c.MaxLoad, cases))
 		}
 	}
 	return best
@@ -214,7 +214,7 @@
 				f = append(f, Engine{ID: uint64(i + 1), Kind: i % 2, Cell: i / 6, Role: Stage(i / 2 % 2), Cap: [stages]float64{10000, 1000}})
 			}
 			c := costs()
-			c.Changes = n / 10
+			c.MaxChanging = n / 10
 			for b.Loop() {
 				if _, err := Solve(f, work(float64(n)*7000, float64(n)*200), c); err != nil {
 					b.Fatal(err)
