--- a/decide/admission.go
+++ b/decide/admission.go
@@ -4,102 +4,104 @@
 
 import "math"
 
-// excess: this router's part of a tenant's share is used up; traffic beyond is the first to go.
-func (r *Router) excess(q *request) bool {
-	if q.job.Tenant >= len(r.tenants) || r.set.Tenants[q.job.Tenant].RequestsPerSecond <= 0 {
+// isOverQuota: this router's part of a tenant's share is used up; traffic beyond is the first to go.
+func (r *Router) isOverQuota(q *request) bool {
+	if q.job.Tenant >= len(r.tenants) || r.cfg.Tenants[q.job.Tenant].RequestsPerSecond <= 0 {
 		return false
 	}
 	t := &r.tenants[q.job.Tenant]
-	part := shareSlack * r.set.Tenants[q.job.Tenant].RequestsPerSecond / float64(r.set.Routers)
-	seconds := float64(r.now-t.at) / float64(Second)
-	t.left, t.at = min(max(t.left, -part)+part*seconds, part*shareBurst), r.now
-	return t.left < 1
+	part := quotaSlack * r.cfg.Tenants[q.job.Tenant].RequestsPerSecond / float64(r.cfg.Routers)
+	seconds := float64(r.now-t.updatedAt) / float64(Second)
+	t.remaining, t.updatedAt = min(max(t.remaining, -part)+part*seconds, part*quotaBurst), r.now
+	return t.remaining < 1
 }
 
-// books is the share of the sound writers' memory that is held if every router holds as much as this one.
+// bookedUse is the share of the sound writers' memory that is held if every router holds as much as this one.
 // It shows at once what reports tell late; it may harm a router with more than its part of the traffic.
-func (r *Router) books() float64 {
-	if r.many {
+func (r *Router) bookedUse() float64 {
+	if r.manyRouters {
 		return 0 // this router's few streams tell nothing of the others'
 	}
 	booked, memory := 0.0, 0.0
 	for _, s := range r.writers {
-		if s.ready && !r.suspect(s, false) {
-			booked += s.booked
-			memory += s.memory
+		if s.ready && !r.isSuspect(s, false) {
+			booked += s.bookedTokens
+			memory += s.memoryTokens
 		}
 	}
 	if memory <= 0 {
 		return 0 // the settings do not tell it
 	}
-	return answerGrowth * booked * float64(r.set.Routers) / memory
+	return answerGrowth * booked * float64(r.cfg.Routers) / memory
 }
 
-// refusal is how likely a request is to be refused at its arrival: what would come late takes the place of
+// refusalProbability is how likely a request is to be refused at its arrival: what would come late takes the place of
 // what could come in time, and full writers work twice. It may harm when a few servers make the usual times.
-func (r *Router) refusal(q *request) float64 {
+func (r *Router) refusalProbability(q *request) float64 {
 	reader, writer := r.pickReader(q), r.pickWriter(q, true)
 	if reader == nil || writer == nil {
 		return 0 // sending will find out
 	}
 	wait := r.readWait(q, reader)
-	if r.many && !r.told(reader) { // it may not have been heard lately, others of its pool have
-		wait = max(wait, (r.median(Reader, r.recent)-1)*r.fresh(q, reader)*r.pace)
+	if r.manyRouters && !r.hasFreshReport(reader) { // it may not have been heard lately, others of its pool have
+		wait = max(wait, (r.medianTime(Reader, r.recentResponseTime)-1)*r.uncachedTokens(q, reader)*r.nsPerToken)
 	}
-	wait += r.median(Writer, r.recent) * writeExpected
-	excess := r.excess(q)
-	late := wait / (admitShare * float64(r.aim(q)))
+	wait += r.medianTime(Writer, r.recentResponseTime) * firstTokenUnit
+	excess := r.isOverQuota(q)
+	late := wait / (admitShare * float64(r.firstTokenTarget(q)))
 	if excess {
-		late *= excessTimes
+		late *= overQuotaFactor
 	}
 	chance := 1 - math.Pow(max(late, 1), -admitPower)
-	if writer.share < 0 {
+	if writer.memoryUse < 0 {
 		return chance
 	}
-	spare := fullSpare * r.set.Classes[q.job.Class].Value / max(r.mostWorth, 1e-9)
+	spare := highValueSpare * r.cfg.Classes[q.job.Class].Value / max(r.maxValue, 1e-9)
 	if excess {
-		spare = -excessRoom
+		spare = -overQuotaRoom
 	}
-	full := (max(r.footprint(writer, q.job.PromptTokens), r.books()) - fullLow - spare) / (fullHigh - fullLow)
+	full := (max(r.projectedUse(writer, q.job.PromptTokens), r.bookedUse()) - refuseFromUse - spare) / (refuseAllUse - refuseFromUse)
 	return max(chance, min(full, 1))
 }
 
-// remembered stretches a memory of single servers: the more routers, the rarer each uses one.
-func (r *Router) remembered(span Duration) Duration {
-	return max(span, min(span*Duration(r.set.Routers)/fewRouters, longMemory))
+// retention stretches a memory of single servers: the more routers, the rarer each uses one.
+func (r *Router) retention(span Duration) Duration {
+	return max(span, min(span*Duration(r.cfg.Routers)/fewRouters, maxRetention))
 }
 
 // readWait is how long a request should wait in a reader's queue, beyond its own bare read.
 func (r *Router) readWait(q *request, s *server) float64 {
-	fresh := r.fresh(q, s)
-	if r.told(s) {
-		return (r.backlog(s) + paceTokens) * r.pace
+	fresh := r.uncachedTokens(q, s)
+	if r.hasFreshReport(s) {
+		return (r.backlog(s) + minReadTokens) * r.nsPerToken
 	}
-	return (r.recent(s)*(s.waiting+fresh+paceTokens) - fresh) * r.pace
+	return (r.recentResponseTime(s)*(s.queuedTokens+fresh+minReadTokens) - fresh) * r.nsPerToken
 }
 
-// told tells whether a reader's own word on its queue is news. Few routers know it from their own reads.
-func (r *Router) told(s *server) bool { return r.many && s.toldAt > 0 && r.now-s.toldAt < askFresh }
+// hasFreshReport tells whether a reader's own word on its queue is news. Few routers know it from their own reads.
+func (r *Router) hasFreshReport(s *server) bool {
+	return r.manyRouters && s.reportedAt > 0 && r.now-s.reportedAt < reportFreshness
+}
 
 // backlog is how many tokens wait at a reader, as far as this router can tell.
 func (r *Router) backlog(s *server) float64 {
-	if !r.told(s) {
-		return s.waiting
+	if !r.hasFreshReport(s) {
+		return s.queuedTokens
 	}
-	return max(s.waiting, s.queue-float64(r.now-s.toldAt)/r.pace)
+	return max(s.queuedTokens, s.reportedQueue-float64(r.now-s.reportedAt)/r.nsPerToken)
 }
 
 // hasRoom tells whether a reader is under the spill bound and would not have a request refused.
 func (r *Router) hasRoom(q *request, s *server) bool {
-	bound := spillShare * float64(r.leastAim) / r.pace
-	if !r.told(s) {
-		bound /= float64(r.set.Routers) // as many may wait there for each of the others
+	bound := spilloverShare * float64(r.minTarget) / r.nsPerToken
+	if !r.hasFreshReport(s) {
+		bound /= float64(r.cfg.Routers) // as many may wait there for each of the others
 	}
-	return r.backlog(s) <= bound && r.readWait(q, s) <= admitShare*float64(r.aim(q))
+	return r.backlog(s) <= bound && r.readWait(q, s) <= admitShare*float64(r.firstTokenTarget(q))
 }
 
-// recent is a server's answer time, faded once it is old: what is refused brings no news.
-func (r *Router) recent(s *server) float64 {
-	span := r.remembered(fadeSpan)
-	return s.answer * decay(max(0, r.now-s.answered-span), span)
+// recentResponseTime is a server's answer time, faded once it is old: what is refused brings no news.
+func (r *Router) recentResponseTime(s *server) float64 {
+	span := r.retention(fadeSpan)
+	return s.responseTime * decay(max(0, r.now-s.respondedAt-span), span)
 }
--- a/decide/ask_test.go
+++ b/decide/ask_test.go
@@ -37,7 +37,7 @@
 
 // silent answers a probe with its time-out.
 func (w *world) silent(s ServerID) []Action {
-	return w.do(Event{Kind: Probed, Server: s, Outcome: TimedOut, Elapsed: w.r.set.DialTimeout})
+	return w.do(Event{Kind: Probed, Server: s, Outcome: TimedOut, Elapsed: w.r.cfg.DialTimeout})
 }
 
 // idle answers all probes: nothing waits, and little is held.
@@ -245,7 +245,7 @@
 	for _, s := range append(writers, asked[0]) {
 		w.tells(s, 0.1, 0)
 	}
-	w.now += 2 * askFresh // the other is silent, and what this one told is no news any more
+	w.now += 2 * reportFreshness // the other is silent, and what this one told is no news any more
 	_, acts = w.arrive(safe)
 	if again, _ := probes(acts); !slices.Contains(again, asked[0]) {
 		t.Fatalf("the second request asks %v, want %d again", again, asked[0])
@@ -264,7 +264,7 @@
 	w := newWorld(sparseOf(t))
 	_, acts := w.arrive(safe)
 	round, writers := probes(acts)
-	w.now += w.r.set.DialTimeout + ms
+	w.now += w.r.cfg.DialTimeout + ms
 	for _, s := range append(writers, round...) {
 		acts = w.silent(s)
 	}
@@ -272,7 +272,7 @@
 		t.Errorf("after %v were silent: %v, want a read", round, acts)
 	}
 	acts = w.do(Event{Kind: Arrived, Request: 99, Job: Job{Class: safe, SessionID: 5, PrefixID: 98, PromptTokens: 1000,
-		Deadline: w.now + w.r.set.DialTimeout}})
+		Deadline: w.now + w.r.cfg.DialTimeout}})
 	if find(acts, Send) == nil {
 		t.Errorf("with little time left: %v, want a read at once", acts)
 	}
--- a/decide/books.go
+++ b/decide/books.go
@@ -13,10 +13,10 @@
 
 // ServerViews returns what the module believes of each server, by their ids.
 func (r *Router) ServerViews() []ServerView {
-	out := make([]ServerView, 0, len(r.order))
-	for _, s := range r.order {
-		out = append(out, ServerView{Server: s.id, Pending: s.pending, Streams: s.streams, BookedTokens: s.booked,
-			QueuedTokens: s.waiting, MemoryUse: s.share, Ejected: r.suspect(s, false)})
+	out := make([]ServerView, 0, len(r.byID))
+	for _, s := range r.byID {
+		out = append(out, ServerView{Server: s.id, Pending: s.unanswered, Streams: s.streams, BookedTokens: s.bookedTokens,
+			QueuedTokens: s.queuedTokens, MemoryUse: s.memoryUse, Ejected: r.isSuspect(s, false)})
 	}
 	return out
 }
--- a/decide/cold_fleet_test.go
+++ b/decide/cold_fleet_test.go
@@ -139,7 +139,7 @@
 func (f *coldFleet) send(router int, a Action) {
 	const read, first, stream = 100 * ms, 50 * ms, 2 * Second
 	if start, ok := f.coldAt[a.Server]; ok && f.now >= start && f.now-start < f.set.SlowStartTime {
-		told := f.routers[router].servers[a.Server].since == start
+		told := f.routers[router].servers[a.Server].startedAt == start
 		f.sends[a.Server] = append(f.sends[a.Server], coldSend{f.now, told})
 	}
 	attempt := f.routers[router].requests[a.Request].attempts - 1
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -74,7 +74,7 @@
 	if ev.Report == (Report{}) {
 		ev.Report = Report{MemoryUse: -1, QueuedKTokens: -1, Latency: -1}
 	}
-	w.r.timed = [Both + 1]bool{} // tests put answer times in by hand
+	w.r.timesSorted = [Both + 1]bool{} // tests put answer times in by hand
 	return w.r.Handle(w.now, &ev, nil)
 }
 
@@ -381,8 +381,8 @@
 		w := newWorld(t, settings(), fleet())
 		id, writer := w.read(unsafeClass)
 		w.do(Event{Kind: AttemptEnded, Request: id, Attempt: 1, Server: writer, Outcome: o, Closed: true})
-		for _, s := range w.r.order {
-			if s.streams != 0 || s.booked != 0 || s.pending != 0 || s.waiting != 0 {
+		for _, s := range w.r.byID {
+			if s.streams != 0 || s.bookedTokens != 0 || s.unanswered != 0 || s.queuedTokens != 0 {
 				t.Errorf("outcome %d left %+v", o, s)
 			}
 		}
@@ -445,7 +445,7 @@
 			id, acts := w.arrive(safe)
 			for i, st := range tt.at {
 				s := w.r.servers[ServerID(11+i)]
-				s.streams, s.booked, s.share = st.streams, st.booked, st.share
+				s.streams, s.bookedTokens, s.memoryUse = st.streams, st.booked, st.share
 			}
 			if got := w.sent(w.end(id, 0, w.sent(acts), ReadDone)); got != tt.want {
 				t.Errorf("picked %d, want %d", got, tt.want)
@@ -470,16 +470,16 @@
 	if b, _ := home(2); a != b {
 		t.Errorf("two routers read one text at %d and %d", a, b)
 	}
-	w.r.servers[a].waiting = 1e9
+	w.r.servers[a].queuedTokens = 1e9
 	_, acts := w.arrive(safe)
 	next := w.sent(acts)
 	if next == a {
 		t.Error("no spill from a home past its bound")
 	}
-	for _, s := range w.r.order {
-		s.waiting = 2e9
+	for _, s := range w.r.byID {
+		s.queuedTokens = 2e9
 	}
-	w.r.servers[5].waiting = 1e9
+	w.r.servers[5].queuedTokens = 1e9
 	if _, acts := w.arrive(safe); w.sent(acts) != 5 {
 		t.Error("with all past the bound the fewest waiting tokens decide")
 	}
@@ -493,12 +493,12 @@
 		id, writer := w.read(safe)
 		w.end(id, 1, writer, ConnectFailed)
 		s := w.r.servers[writer]
-		if !w.r.suspect(s, false) {
+		if !w.r.isSuspect(s, false) {
 			t.Error("not left out")
 		}
-		w.now = s.until
+		w.now = s.ejectedUntil
 		w.r.now = w.now
-		if w.r.suspect(s, false) || !w.r.suspect(s, true) {
+		if w.r.isSuspect(s, false) || !w.r.isSuspect(s, true) {
 			t.Error("a trial is due, but not with what can't be repeated")
 		}
 	})
@@ -514,8 +514,8 @@
 	})
 	t.Run("all look dead", func(t *testing.T) {
 		w := newWorld(t, settings(), fleet())
-		for _, s := range w.r.order {
-			s.bench, s.until = longestBench, w.now+longestBench
+		for _, s := range w.r.byID {
+			s.ejection, s.ejectedUntil = maxEjection, w.now+maxEjection
 		}
 		_, acts := w.arrive(safe)
 		w.sent(acts)
@@ -531,8 +531,8 @@
 	w.ids++
 	acts := w.do(Event{Kind: Arrived, Request: w.ids, Job: Job{SessionID: 5, PromptTokens: 30000,
 		Deadline: w.now + 6*Second}})
-	if a := find(acts, Send); a == nil || float64(a.After) < 30000*w.r.pace {
-		t.Errorf("got %+v at a pace of %v ns a token", a, w.r.pace)
+	if a := find(acts, Send); a == nil || float64(a.After) < 30000*w.r.nsPerToken {
+		t.Errorf("got %+v at a pace of %v ns a token", a, w.r.nsPerToken)
 	}
 }
 
@@ -573,11 +573,11 @@
 		set.Classes[1] = set.Classes[0]
 		set.Classes[1].Value = 3
 		w := newWorld(t, set, fleet())
-		for _, s := range w.r.order {
-			s.share = share
+		for _, s := range w.r.byID {
+			s.memoryUse = share
 		}
 		for range 100 {
-			w.r.servers[11].sent, w.r.servers[12].sent, w.r.servers[13].sent = 0, 0, 0
+			w.r.servers[11].sentTokens, w.r.servers[12].sentTokens, w.r.servers[13].sentTokens = 0, 0, 0
 			if _, acts := w.arrive(class); find(acts, Refuse) != nil {
 				n++
 			}
@@ -597,16 +597,16 @@
 // i49e514), and the memory of a jam fades.
 func TestJammedLinksAreAvoided(t *testing.T) {
 	w := newWorld(t, settings(), fleet())
-	w.r.learnMove(sameCell, 50*ms)
+	w.r.recordTransfer(sameCell, 50*ms)
 	calm := w.r.far(otherZone)
 	if w.r.far(sameCell) != 0 || w.r.far(sameZone) <= 0 || calm <= w.r.far(sameZone) {
 		t.Errorf("handicaps %v, %v, %v", w.r.far(sameCell), w.r.far(sameZone), calm)
 	}
 	for range 10 {
-		w.r.learnMove(otherZone, 2*Second)
+		w.r.recordTransfer(otherZone, 2*Second)
 	}
 	jam := w.r.far(otherZone)
-	w.r.now += 10 * jamSpan
+	w.r.now += 10 * congestionSpan
 	if jam < 4*calm || w.r.far(otherZone) > 1.1*calm {
 		t.Errorf("calm %v, jam %v, later %v", calm, jam, w.r.far(otherZone))
 	}
@@ -619,12 +619,12 @@
 		set := settings()
 		set.Tenants = []Tenant{{RequestsPerSecond: 1000}, {RequestsPerSecond: 2}}
 		w := newWorld(t, set, fleet())
-		for _, s := range w.r.order {
-			s.share = share
+		for _, s := range w.r.byID {
+			s.memoryUse = share
 		}
 		for range 100 {
 			w.now += 10 * ms
-			w.r.servers[11].sent, w.r.servers[12].sent, w.r.servers[13].sent = 0, 0, 0
+			w.r.servers[11].sentTokens, w.r.servers[12].sentTokens, w.r.servers[13].sentTokens = 0, 0, 0
 			w.ids++
 			if find(w.do(Event{Kind: Arrived, Request: w.ids, Job: Job{Tenant: tenant, SessionID: uint64(w.ids),
 				PromptTokens: 1000, Deadline: w.now + 4*Second}}), Refuse) != nil {
@@ -645,10 +645,10 @@
 // left by a slow hall filled up between two reports).
 func TestOwnBooksShowBeforeReports(t *testing.T) {
 	w := newWorld(t, settings(), fleet())
-	for _, s := range w.r.order {
-		s.share = 0.1
+	for _, s := range w.r.byID {
+		s.memoryUse = 0.1
 		if s.role == Writer {
-			s.booked = 0.6 * s.memory
+			s.bookedTokens = 0.6 * s.memoryTokens
 		}
 	}
 	if _, acts := w.arrive(safe); find(acts, Refuse) == nil {
@@ -670,9 +670,9 @@
 		caps = append(caps, a.After)
 		w.do(Event{Kind: AttemptEnded, Request: id, Server: a.Server, Outcome: TimedOut, Elapsed: a.After})
 		w.do(Event{Kind: ClientLeft, Request: id})
-		for _, s := range w.r.order {
-			s.answers, s.bench = 0, 0 // the times that were learned would refuse before
-			s.answer = 0
+		for _, s := range w.r.byID {
+			s.responses, s.ejection = 0, 0 // the times that were learned would refuse before
+			s.responseTime = 0
 		}
 	}
 	if first, last := caps[0], caps[len(caps)-1]; first >= 3*Second || last < 4*Second-ms {
@@ -698,7 +698,7 @@
 		id, writer := w.read(unsafeClass)
 		w.end(id, 1, writer, Error)
 	}
-	if n := w.r.count(Writer, func(s *server) bool { return s.failing > 0 }); n == 0 {
+	if n := w.r.countServers(Writer, func(s *server) bool { return s.failureRate > 0 }); n == 0 {
 		t.Error("errors of writers are not counted")
 	}
 }
@@ -709,13 +709,13 @@
 	w := newWorld(t, settings(), fleet())
 	_, acts := w.arrive(safe)
 	home := w.r.servers[w.sent(acts)]
-	home.answer, home.answers, home.answered = 100, slowSamples, w.now
+	home.responseTime, home.responses, home.respondedAt = 100, minSamples, w.now
 	for range 20 {
 		_, acts := w.arrive(safe)
 		if a := find(acts, Send); a == nil || a.Server == home.id {
 			t.Fatalf("got %+v with an idle reader beside a slow home", acts)
 		}
-		w.r.servers[1].waiting, w.r.servers[2].waiting = 0, 0
+		w.r.servers[1].queuedTokens, w.r.servers[2].queuedTokens = 0, 0
 	}
 }
 
@@ -751,13 +751,13 @@
 	s := w.r.servers[w.sent(acts)]
 	w.now += 10 * ms
 	w.serve() // the home answers a later one
-	before, again := s.answer, w.r.again
+	before, again := s.responseTime, w.r.timeoutBudget
 	w.now += Second
 	if acts := w.do(Event{Kind: AttemptEnded, Request: id, Server: s.id, Outcome: TimedOut, Elapsed: Second}); find(acts, Send) == nil {
 		t.Errorf("not tried again: %v", kinds(acts))
 	}
-	if s.answer != before || w.r.again != again || s.failing > 0.01 {
-		t.Errorf("answer %v -> %v, time-outs left %v -> %v, failing %v", before, s.answer, again, w.r.again, s.failing)
+	if s.responseTime != before || w.r.timeoutBudget != again || s.failureRate > 0.01 {
+		t.Errorf("answer %v -> %v, time-outs left %v -> %v, failing %v", before, s.responseTime, again, w.r.timeoutBudget, s.failureRate)
 	}
 }
 
@@ -767,7 +767,7 @@
 	for _, tt := range []struct {
 		answer float64
 		lost   bool
-	}{{1, true}, {2 * calmTimes, false}} {
+	}{{1, true}, {2 * calmFactor, false}} {
 		w := newWorld(t, settings(), fleet())
 		first, acts := w.arrive(safe)
 		s := w.r.servers[w.sent(acts)]
@@ -778,13 +778,13 @@
 		}
 		w.now += 10 * ms
 		w.do(Event{Kind: AttemptEnded, Request: first, Server: s.id, Outcome: ReadDone, Elapsed: 11 * ms, CachedTokens: 800})
-		for _, o := range w.r.order {
-			o.answer, o.answers = tt.answer, slowSamples
+		for _, o := range w.r.byID {
+			o.responseTime, o.responses = tt.answer, minSamples
 		}
-		again := w.r.again
+		again := w.r.timeoutBudget
 		w.now += Second
 		w.do(Event{Kind: AttemptEnded, Request: second, Server: s.id, Outcome: TimedOut, Elapsed: Second + 10*ms})
-		if lost := w.r.again == again; lost != tt.lost {
+		if lost := w.r.timeoutBudget == again; lost != tt.lost {
 			t.Errorf("usual time %v: taken for lost: %v", tt.answer, lost)
 		}
 	}
@@ -839,7 +839,7 @@
 	}
 	asked := 0
 	for range 200 {
-		w.now += tickEvery
+		w.now += checkInterval
 		if find(w.do(Event{Kind: Timer}), WatchList) != nil {
 			asked++
 		}
@@ -879,10 +879,10 @@
 						t.Fatalf("class %d, outcome %d, writer %v, after %v: %v", class, o, atWriter, late, kinds(acts))
 					}
 					ran := atWriter && o != Full && o != ConnectFailed && o != NotStarted && o != ReadDone
-					rep, scope := w.r.set.Classes[class].RetryPolicy, w.r.set.Classes[class].DedupScope
+					rep, scope := w.r.cfg.Classes[class].RetryPolicy, w.r.cfg.Classes[class].DedupScope
 					switch {
 					case ran && rep == Unsafe && fail == nil,
-						ran && rep == Keyed && send != nil && late+w.r.set.DialTimeout >= w.r.set.Classes[class].DedupWindow,
+						ran && rep == Keyed && send != nil && late+w.r.cfg.DialTimeout >= w.r.cfg.Classes[class].DedupWindow,
 						ran && rep == Keyed && refuse != nil && scope != ScopeAll:
 						t.Errorf("class %d, outcome %d after %v: %v breaks rule 2", class, o, late, kinds(acts))
 					case ran && rep == Keyed && send != nil && scope == ScopeZone &&
@@ -926,11 +926,11 @@
 		}
 	}
 	// No request here is ever answered, and the reader of each is asked a few times whether it can be reached.
-	if checks > mostAsked*requests {
+	if checks > maxReachProbes*requests {
 		t.Errorf("%d checks of servers for %d requests without an answer", checks, requests)
 	}
-	if cost := float64(probes) * set.ProbeCost / float64(requests); probes == 0 || cost > 1.2*probePoints {
-		t.Errorf("%d probes for %d requests cost %.4f, allowed %.4f", probes, requests, cost, probePoints)
+	if cost := float64(probes) * set.ProbeCost / float64(requests); probes == 0 || cost > 1.2*maxProbeCost {
+		t.Errorf("%d probes for %d requests cost %.4f, allowed %.4f", probes, requests, cost, maxProbeCost)
 	}
 }
 
@@ -943,7 +943,7 @@
 			w.end(id, 0, w.sent(acts), o)
 			w.do(Event{Kind: ClientLeft, Request: id})
 		}
-		return w.r.coldGap(Reader, 1)
+		return w.r.slowStartInterval(Reader, 1)
 	}
 	if done, failed := gap(ReadDone), gap(Full); done >= failed || failed != settings().SlowStartTime {
 		t.Errorf("gap after reads %d, after failures %d: failures must not open the budget", done, failed)
@@ -978,8 +978,8 @@
 	w := newWorld(t, set, list)
 	sent := [2][2]int{}
 	for i := 0; i < 300; i++ {
-		q := &request{job: Job{PromptTokens: 1000}, state: w.r.servers[ServerID(1+i%2*4)]}
-		sent[q.state.cell][w.r.pickWriter(q, true).cell]++
+		q := &request{job: Job{PromptTokens: 1000}, stateAt: w.r.servers[ServerID(1+i%2*4)]}
+		sent[q.stateAt.cell][w.r.pickWriter(q, true).cell]++
 	}
 	if kept := sent[0][0]; kept < 30 || kept > 75 {
 		t.Errorf("the crowded cell kept %d of 150 states, about a third expected", kept)
@@ -1001,22 +1001,22 @@
 		set.Routers = c.routers
 		w := newWorld(t, set, fleet())
 		s := w.r.servers[1]
-		s.answer, s.answers, s.answered = 10, 1, w.now
+		s.responseTime, s.responses, s.respondedAt = 10, 1, w.now
 		w.now += 10 * Second
 		for i := 0; i < 60; i++ { // the other reader finds the text kept each time, though it is new here
 			id, acts := w.arrive(safe)
 			reader := w.sent(acts)
-			w.r.servers[reader].kept = map[uint64]float64{}
+			w.r.servers[reader].cachedTokens = map[uint64]float64{}
 			w.now += 20 * ms
 			w.do(Event{Kind: AttemptEnded, Request: id, Server: reader, Outcome: ReadDone, CachedTokens: 800, Elapsed: 20 * ms})
 			w.do(Event{Kind: ClientLeft, Request: id})
 		}
-		s.answer, s.answered = 10, w.now-10*Second
-		if got := w.r.recent(s) > 1; got != c.slow {
+		s.responseTime, s.respondedAt = 10, w.now-10*Second
+		if got := w.r.recentResponseTime(s) > 1; got != c.slow {
 			t.Errorf("%d routers: slow answer remembered after 10 s: %v", c.routers, got)
 		}
-		q := &request{key: 5, job: Job{PrefixID: 5, PromptTokens: 1000, PrefixTokens: 800}}
-		if got := w.r.fresh(q, s); got < c.fresh || got > c.fresh+10 {
+		q := &request{prefixKey: 5, job: Job{PrefixID: 5, PromptTokens: 1000, PrefixTokens: 800}}
+		if got := w.r.uncachedTokens(q, s); got < c.fresh || got > c.fresh+10 {
 			t.Errorf("%d routers: %g tokens taken for new, %g expected", c.routers, got, c.fresh)
 		}
 	}
@@ -1030,7 +1030,7 @@
 		w := newWorld(t, set, fleet())
 		id, writer := w.read(safe)
 		w.end(id, 1, writer, Error)
-		if got := w.r.suspect(w.r.servers[writer], false); got != left {
+		if got := w.r.isSuspect(w.r.servers[writer], false); got != left {
 			t.Errorf("%d routers: left out after one error: %v", routers, got)
 		}
 	}
@@ -1043,9 +1043,9 @@
 		set.Routers = routers
 		w := newWorld(t, set, fleet())
 		for _, id := range []ServerID{11, 12, 13} {
-			w.r.learn(w.r.servers[id], 6)
+			w.r.recordTime(w.r.servers[id], 6)
 		}
-		if got := w.r.usual(Writer, nil); got != want {
+		if got := w.r.typicalTime(Writer, nil); got != want {
 			t.Errorf("%d routers: usual time %g after one answer of each, %g expected", routers, got, want)
 		}
 	}
@@ -1057,13 +1057,13 @@
 		set := settings()
 		set.Routers = routers
 		w := newWorld(t, set, fleet())
-		w.r.learn(w.r.servers[2], 40)
-		w.r.learn(w.r.servers[2], 40)
-		q := &request{key: 1, job: Job{PrefixID: 1, PromptTokens: 1000}}
+		w.r.recordTime(w.r.servers[2], 40)
+		w.r.recordTime(w.r.servers[2], 40)
+		q := &request{prefixKey: 1, job: Job{PrefixID: 1, PromptTokens: 1000}}
 		for key := uint64(1); w.r.pickReader(q).id != 1; key++ {
-			q.key = key
+			q.prefixKey = key
 		}
-		return w.r.refusal(q)
+		return w.r.refusalProbability(q)
 	}
 	if few, many := refusal(2), refusal(200); few != 0 || many < 0.5 {
 		t.Errorf("refused with chance %g by one of two routers, %g by one of 200", few, many)
@@ -1097,8 +1097,8 @@
 		}
 	}
 	w.do(Event{Kind: ListChanged, Servers: []Listing{{Server: 1, Kind: 1, Condition: Ready, StartedAt: w.now}}})
-	if s := w.r.servers[1]; !s.ready || !w.r.cold(s) || s.bench != 0 {
-		t.Errorf("back under its name: ready %v, cold %v, bench %d", s.ready, w.r.cold(s), s.bench)
+	if s := w.r.servers[1]; !s.ready || !w.r.isCold(s) || s.ejection != 0 {
+		t.Errorf("back under its name: ready %v, cold %v, bench %d", s.ready, w.r.isCold(s), s.ejection)
 	}
 }
 
@@ -1113,7 +1113,7 @@
 		w.do(Event{Kind: ListChanged, Servers: []Listing{{Server: id, Kind: 0, Condition: Ready}}})
 		w.do(Event{Kind: ListChanged, Servers: []Listing{{Server: id, Kind: 0, Condition: Gone}}})
 	}
-	if n, most := len(w.r.order), len(fleet())+5; n > most || len(w.r.servers) != n {
+	if n, most := len(w.r.byID), len(fleet())+5; n > most || len(w.r.servers) != n {
 		t.Errorf("%d servers (%d by id) are remembered, at most %d should be", n, len(w.r.servers), most)
 	}
 	var all []Listing
@@ -1124,8 +1124,8 @@
 	w.do(Event{Kind: ListChanged, Servers: all})
 	w.now += 2 * forgetAfter
 	w.do(Event{Kind: ListChanged})
-	if len(w.r.order) != 1 || w.r.servers[writer] == nil {
-		t.Errorf("%d servers are left, want the one writer whose attempt is out", len(w.r.order))
+	if len(w.r.byID) != 1 || w.r.servers[writer] == nil {
+		t.Errorf("%d servers are left, want the one writer whose attempt is out", len(w.r.byID))
 	}
 }
 
@@ -1149,17 +1149,17 @@
 	for range 300 {
 		r := New(&Settings{Routers: 1}, 1, 0)
 		for i := range 1 + rng.IntN(9) {
-			s := &server{id: ServerID(i), role: Role(1 + rng.IntN(3)), ready: rng.IntN(4) > 0, answers: slowSamples, answer: float64(rng.IntN(5))}
-			r.order = append(r.order, s)
+			s := &server{id: ServerID(i), role: Role(1 + rng.IntN(3)), ready: rng.IntN(4) > 0, responses: minSamples, responseTime: float64(rng.IntN(5))}
+			r.byID = append(r.byID, s)
 		}
 		for range 5 {
-			r.learn(r.order[rng.IntN(len(r.order))], float64(rng.IntN(5)))
+			r.recordTime(r.byID[rng.IntN(len(r.byID))], float64(rng.IntN(5)))
 			for role := Reader; role <= Both; role++ {
-				for _, but := range append([]*server{nil}, r.order...) {
+				for _, but := range append([]*server{nil}, r.byID...) {
 					var times []float64
-					for _, s := range r.order {
-						if s != but && s.role&role != 0 && s.ready && s.answers >= slowSamples {
-							times = append(times, s.answer)
+					for _, s := range r.byID {
+						if s != but && s.role&role != 0 && s.ready && s.responses >= minSamples {
+							times = append(times, s.responseTime)
 						}
 					}
 					want := 0.0
@@ -1167,7 +1167,7 @@
 						sort.Float64s(times)
 						want = times[len(times)/2]
 					}
-					if got := r.usual(role, but); got != want {
+					if got := r.typicalTime(role, but); got != want {
 						t.Fatalf("median %v, want %v of %v", got, want, times)
 					}
 				}
@@ -1181,7 +1181,7 @@
 // more than half of them stay in use. A state that is gone says nothing of the server.
 func TestTurningAwayIsASymptom(t *testing.T) {
 	left := func(w *world) int {
-		return w.r.count(Writer, func(s *server) bool { return w.r.suspect(s, false) })
+		return w.r.countServers(Writer, func(s *server) bool { return w.r.isSuspect(s, false) })
 	}
 	w := newWorld(t, settings(), fleet())
 	bad := &Event{Kind: AttemptEnded, Outcome: Full}
@@ -1235,7 +1235,7 @@
 // A request that has waited for this router for longer than a process may be held up is refused: those that were taken come
 // first.
 func TestRequestsThatWaitedForTheRouter(t *testing.T) {
-	for waited, refused := range map[Duration]bool{0: false, MaxPause: false, waitedLong: false, waitedLong + ms: true} {
+	for waited, refused := range map[Duration]bool{0: false, MaxPause: false, maxRouterDelay: false, maxRouterDelay + ms: true} {
 		w := newWorld(t, settings(), fleet())
 		acts := w.do(Event{Kind: Arrived, Request: 1, RouterDelay: waited, Job: Job{PromptTokens: 1000, Deadline: w.now + 4*Second}})
 		if got := find(acts, Refuse) != nil; got != refused {
--- a/decide/health.go
+++ b/decide/health.go
@@ -4,42 +4,42 @@
 
 import "slices"
 
-// suspect: a server keeps silent while attempts wait, or is benched; what is sent once is no trial.
-func (r *Router) suspect(s *server, once bool) bool {
-	if s.pending > 0 && float64(r.now-s.quietFrom) > r.quietLimit(s) {
+// isSuspect: a server keeps silent while attempts wait, or is benched; what is sent once is no trial.
+func (r *Router) isSuspect(s *server, once bool) bool {
+	if s.unanswered > 0 && float64(r.now-s.silentSince) > r.silenceLimit(s) {
 		return true
 	}
-	return s.bench > 0 && (once || r.now < s.until || s.pending > 0)
+	return s.ejection > 0 && (once || r.now < s.ejectedUntil || s.unanswered > 0)
 }
 
-func (r *Router) quietLimit(s *server) float64 {
-	expect := writeExpected
+func (r *Router) silenceLimit(s *server) float64 {
+	expect := firstTokenUnit
 	if s.role == Reader {
 		expect = r.readTime(s)
 	}
-	return max(quietTypical*r.usual(s.role, s)*expect, quietFloor*float64(r.leastAim))
+	return max(silenceFactor*r.typicalTime(s.role, s)*expect, minSilenceShare*float64(r.minTarget))
 }
 
-func (r *Router) timeOf(s *server, role Role) bool {
-	return s.role&role != 0 && s.ready && (s.answers >= slowSamples || r.many && s.answers > 0)
+func (r *Router) hasResponseTime(s *server, role Role) bool {
+	return s.role&role != 0 && s.ready && (s.responses >= minSamples || r.manyRouters && s.responses > 0)
 }
 
-// usual is the median answer time of the servers of a role, without one of them. The order of the times is
+// typicalTime is the median answer time of the servers of a role, without one of them. The order of the times is
 // kept while none changes: it is asked for every server that an event looks at.
-func (r *Router) usual(role Role, but *server) float64 {
-	if !r.timed[role] {
-		r.timed[role], r.times[role] = true, r.times[role][:0]
-		for _, s := range r.order {
-			if r.timeOf(s, role) {
-				r.times[role] = append(r.times[role], s.answer)
+func (r *Router) typicalTime(role Role, but *server) float64 {
+	if !r.timesSorted[role] {
+		r.timesSorted[role], r.sortedTimes[role] = true, r.sortedTimes[role][:0]
+		for _, s := range r.byID {
+			if r.hasResponseTime(s, role) {
+				r.sortedTimes[role] = append(r.sortedTimes[role], s.responseTime)
 			}
 		}
-		slices.Sort(r.times[role])
+		slices.Sort(r.sortedTimes[role])
 	}
-	times := r.times[role]
+	times := r.sortedTimes[role]
 	n, gap := len(times), len(times)
-	if but != nil && n > 0 && r.timeOf(but, role) {
-		gap, _ = slices.BinarySearch(times, but.answer)
+	if but != nil && n > 0 && r.hasResponseTime(but, role) {
+		gap, _ = slices.BinarySearch(times, but.responseTime)
 		n--
 	}
 	switch {
@@ -51,10 +51,10 @@
 	return times[n/2]
 }
 
-func (r *Router) median(role Role, of func(*server) float64) float64 {
+func (r *Router) medianTime(role Role, of func(*server) float64) float64 {
 	var times []float64
-	for _, s := range r.order {
-		if r.timeOf(s, role) {
+	for _, s := range r.byID {
+		if r.hasResponseTime(s, role) {
 			times = append(times, of(s))
 		}
 	}
@@ -65,91 +65,91 @@
 	return times[len(times)/2]
 }
 
-// learn takes in an answer time. The ordered times are kept up to date, as sorting all of them anew after
+// recordTime takes in an answer time. The ordered times are kept up to date, as sorting all of them anew after
 // each answer takes long where servers are many.
-func (r *Router) learn(s *server, spent float64) {
-	r.dropTime(s)
-	if s.answers == 0 {
-		s.answer = spent
-	}
-	s.answer += answerGain * (spent - s.answer)
-	s.answers++
-	s.answered = r.now
-	r.addTime(s)
+func (r *Router) recordTime(s *server, spent float64) {
+	r.removeTime(s)
+	if s.responses == 0 {
+		s.responseTime = spent
+	}
+	s.responseTime += averageGain * (spent - s.responseTime)
+	s.responses++
+	s.respondedAt = r.now
+	r.insertTime(s)
 }
 
-// dropTime takes a server's answer time out of the ordered ones. It has to be called before the time changes.
-func (r *Router) dropTime(s *server) {
+// removeTime takes a server's answer time out of the ordered ones. It has to be called before the time changes.
+func (r *Router) removeTime(s *server) {
 	for role := Reader; role <= Both; role++ {
-		if r.timed[role] && r.timeOf(s, role) {
-			at, _ := slices.BinarySearch(r.times[role], s.answer)
-			r.times[role] = slices.Delete(r.times[role], at, at+1)
+		if r.timesSorted[role] && r.hasResponseTime(s, role) {
+			at, _ := slices.BinarySearch(r.sortedTimes[role], s.responseTime)
+			r.sortedTimes[role] = slices.Delete(r.sortedTimes[role], at, at+1)
 		}
 	}
 }
 
-// addTime puts it back.
-func (r *Router) addTime(s *server) {
+// insertTime puts it back.
+func (r *Router) insertTime(s *server) {
 	for role := Reader; role <= Both; role++ {
-		if r.timed[role] && r.timeOf(s, role) {
-			at, _ := slices.BinarySearch(r.times[role], s.answer)
-			r.times[role] = slices.Insert(r.times[role], at, s.answer)
+		if r.timesSorted[role] && r.hasResponseTime(s, role) {
+			at, _ := slices.BinarySearch(r.sortedTimes[role], s.responseTime)
+			r.sortedTimes[role] = slices.Insert(r.sortedTimes[role], at, s.responseTime)
 		}
 	}
 }
 
-// good: a server has answered in so much time. A benched one is back if that is no longer slow.
-func (r *Router) good(q *request, s *server, spent float64) {
-	if mean, work := &r.meanWork[q.stage], r.workOf(q, q.stage); !r.cold(s) {
+// recordSuccess: a server has answered in so much time. A benched one is back if that is no longer slow.
+func (r *Router) recordSuccess(q *request, s *server, spent float64) {
+	if mean, work := &r.meanWork[q.stage], r.workOf(q, q.stage); !r.isCold(s) {
 		if *mean == 0 {
 			*mean = work
 		}
-		*mean += mixGain * (work - *mean)
-		r.dones[q.stage].add(r.now, work/max(*mean, 1))
-		r.coldRate = [Both + 1]float64{}
-		r.coldGap(s.role, 1) // notes what a warm one does
-	}
-	s.failing *= 1 - failGain
-	usual := r.usual(s.role, s)
-	if s.bench > 0 {
-		r.dropTime(s)
-		s.answer = spent
-		r.addTime(s)
-	}
-	r.learn(s, spent)
-	slow := usual > 0 && s.answer > slowTimes*usual
+		*mean += meanWorkGain * (work - *mean)
+		r.completedWork[q.stage].add(r.now, work/max(*mean, 1))
+		r.slowStartBudgets = [Both + 1]float64{}
+		r.slowStartInterval(s.role, 1) // notes what a warm one does
+	}
+	s.failureRate *= 1 - failureGain
+	usual := r.typicalTime(s.role, s)
+	if s.ejection > 0 {
+		r.removeTime(s)
+		s.responseTime = spent
+		r.insertTime(s)
+	}
+	r.recordTime(s, spent)
+	slow := usual > 0 && s.responseTime > slowFactor*usual
 	switch {
-	case slow && s.answers >= slowSamples:
-		r.benchIt(s, false)
-	case s.bench > 0:
-		s.bench, s.failing = 0, failAfterTrial
+	case slow && s.responses >= minSamples:
+		r.eject(s, false)
+	case s.ejection > 0:
+		s.ejection, s.failureRate = 0, failureAfterTrial
 	}
 }
 
-// bad: an attempt at a server has failed. With many routers the next one here would tell too late.
-func (r *Router) bad(s *server, dead bool) {
-	s.failing += failGain * (1 - s.failing)
-	if dead || s.failing > failLimit || s.bench > 0 || r.many {
-		r.benchIt(s, dead)
+// recordFailure: an attempt at a server has failed. With many routers the next one here would tell too late.
+func (r *Router) recordFailure(s *server, dead bool) {
+	s.failureRate += failureGain * (1 - s.failureRate)
+	if dead || s.failureRate > failureLimit || s.ejection > 0 || r.manyRouters {
+		r.eject(s, dead)
 	}
 }
 
-// benchIt leaves a server out for a while, longer each time that its trial fails.
-func (r *Router) benchIt(s *server, dead bool) {
-	if s.bench > 0 && r.now < s.until {
+// eject leaves a server out for a while, longer each time that its trial fails.
+func (r *Router) eject(s *server, dead bool) {
+	if s.ejection > 0 && r.now < s.ejectedUntil {
 		return
 	}
-	sound := r.count(s.role, func(t *server) bool { return t.bench == 0 })
-	if !dead && s.bench == 0 && 2*(sound-1) < r.count(s.role, func(*server) bool { return true }) {
+	sound := r.countServers(s.role, func(t *server) bool { return t.ejection == 0 })
+	if !dead && s.ejection == 0 && 2*(sound-1) < r.countServers(s.role, func(*server) bool { return true }) {
 		return // when half of a pool looks bad it is load, and leaving servers out makes it worse
 	}
-	s.bench = min(max(2*s.bench, r.remembered(firstBench)), r.remembered(longestBench))
-	s.until = r.now + s.bench
+	s.ejection = min(max(2*s.ejection, r.retention(minEjection)), r.retention(maxEjection))
+	s.ejectedUntil = r.now + s.ejection
 }
 
-// count tells how many ready servers of a role are as wanted.
-func (r *Router) count(role Role, wanted func(*server) bool) (n int) {
-	for _, s := range r.order {
+// countServers tells how many ready servers of a role are as wanted.
+func (r *Router) countServers(role Role, wanted func(*server) bool) (n int) {
+	for _, s := range r.byID {
 		if s.ready && s.role&role != 0 && wanted(s) {
 			n++
 		}
--- a/decide/limits.go
+++ b/decide/limits.go
@@ -22,21 +22,21 @@
 	HoldSlack = 250 * Second / 1000
 	// DeadlineSlack is how much more time than its client has left a server may be told.
 	DeadlineSlack = 150 * Second / 1000
-	// leastTold is the part of what is left that a server is told at the least.
-	leastTold = 0.5
+	// minAdvertisedShare is the part of what is left that a server is told at the least.
+	minAdvertisedShare = 0.5
 )
 
 // AdvertisedTimeLeft is how much time a server is told where so much is left. A request may have been stamped late,
 // and its last byte may leave late, by HoldUp each. DeadlineSlack covers one of them.
 func AdvertisedTimeLeft(left Duration) Duration {
-	return max(left-MaxPause, Duration(leastTold*float64(left)), Second/1000)
+	return max(left-MaxPause, Duration(minAdvertisedShare*float64(left)), Second/1000)
 }
 
-// repeatUntil is the last instant at which a repeat's last byte may leave; 0 where there is none.
-func (r *Router) repeatUntil(q *request) Time {
-	c := &r.set.Classes[q.job.Class]
-	if !q.mayRun || c.RetryPolicy != Keyed {
+// retryDeadline is the last instant at which a repeat's last byte may leave; 0 where there is none.
+func (r *Router) retryDeadline(q *request) Time {
+	c := &r.cfg.Classes[q.job.Class]
+	if !q.mayHaveRun || c.RetryPolicy != Keyed {
 		return 0
 	}
-	return q.runAt + c.DedupWindow - MaxPause
+	return q.firstRunAt + c.DedupWindow - MaxPause
 }
--- a/decide/liveness_test.go
+++ b/decide/liveness_test.go
@@ -8,7 +8,7 @@
 	set := settings()
 	set.Probing, set.PauseHoldOnArrival, set.HoldTimeout = true, true, Second
 	w = newWorld(t, set, fleet())
-	w.r.again = 0
+	w.r.timeoutBudget = 0
 	if writer {
 		id, s = w.read(class)
 		return w, id, s, 1
@@ -20,7 +20,7 @@
 // checked lets time pass until a server is asked whether it can be reached.
 func (w *world) checked(most Duration) *Action {
 	for end := w.now + most; w.now < end; {
-		w.now += tickEvery
+		w.now += checkInterval
 		acts := w.do(Event{Kind: Timer})
 		for i := range acts {
 			if acts[i].Kind == Probe && acts[i].NewConnection {
@@ -45,7 +45,7 @@
 				t.Errorf("writer %v: asked %+v", writer, check)
 				continue
 			}
-			w.now += w.r.set.DialTimeout
+			w.now += w.r.cfg.DialTimeout
 			acts := w.do(Event{Kind: Probed, Server: s, NewConnection: true, Outcome: o})
 			cancel := find(acts, Cancel)
 			if (cancel != nil) != (o == ConnectFailed || !writer) {
@@ -54,7 +54,7 @@
 			if cancel != nil && (cancel.Request != id || cancel.Attempt != attempt) {
 				t.Errorf("writer %v: called off %+v", writer, cancel)
 			}
-			if most := w.r.set.HoldTimeout + 300*ms - MaxPause; cancel != nil && w.now-began > most {
+			if most := w.r.cfg.HoldTimeout + 300*ms - MaxPause; cancel != nil && w.now-began > most {
 				t.Errorf("writer %v: called off after %d ms, at most %d are allowed", writer, (w.now-began)/ms, most/ms)
 			}
 			again := 0
@@ -62,7 +62,7 @@
 				w.do(Event{Kind: Probed, Server: s, NewConnection: true, Outcome: o})
 				again++
 			}
-			if again >= mostAsked { // the answer may be dropped later
+			if again >= maxReachProbes { // the answer may be dropped later
 				t.Errorf("writer %v, outcome %d: asked %d times again", writer, o, again)
 			}
 		}
@@ -89,9 +89,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			w, id, s, _ := waiting(t, safe, true)
-			w.now += w.r.set.DialTimeout + ms // it may have been sent only now
+			w.now += w.r.cfg.DialTimeout + ms // it may have been sent only now
 			then(w, id, s)
-			most := w.r.set.HoldTimeout - w.r.set.DialTimeout - 2*tickEvery
+			most := w.r.cfg.HoldTimeout - w.r.cfg.DialTimeout - 2*checkInterval
 			if name == "first token" || name == "client gone" {
 				most = 5 * Second
 			}
@@ -136,7 +136,7 @@
 				t.Error("called off at the second answer")
 			}
 			for most := began + 3*Second; ; {
-				w.now += tickEvery
+				w.now += checkInterval
 				if find(w.do(Event{Kind: Timer}), Cancel) != nil {
 					return
 				}
@@ -152,9 +152,9 @@
 func TestLongReadsAtAReaderWithoutAQueue(t *testing.T) {
 	for waitingK, waited := range map[float64]bool{0: false, 10: true, -1: true} {
 		w, id, s, _ := waiting(t, safe, false)
-		w.r.requests[id].expect = float64(Second)
+		w.r.requests[id].expectedTime = float64(Second)
 		last := []Action(nil)
-		for range mostAsked {
+		for range maxReachProbes {
 			check := w.checked(3 * Second)
 			if check == nil || check.Server != s {
 				t.Fatalf("asked %+v", check)
@@ -173,12 +173,12 @@
 	for usual, quick := range map[float64]bool{0.3: true, 1: false, 3: false} {
 		w, id, _, _ := waiting(t, safe, false)
 		q := w.r.requests[id]
-		q.expect = float64(Second)
-		for _, s := range w.r.order {
-			s.answers, s.answer = slowSamples, usual
+		q.expectedTime = float64(Second)
+		for _, s := range w.r.byID {
+			s.responses, s.responseTime = minSamples, usual
 		}
-		w.r.timed = [Both + 1]bool{}
-		if got := w.r.isQuickRead(q); got != quick {
+		w.r.timesSorted = [Both + 1]bool{}
+		if got := w.r.isShortRead(q); got != quick {
 			t.Errorf("usual %v: quick %v", usual, got)
 		}
 	}
@@ -189,7 +189,7 @@
 	w, id, s, attempt := waiting(t, safe, false)
 	began := w.now
 	for w.now < began+2*Second {
-		w.now += tickEvery
+		w.now += checkInterval
 		w.do(Event{Kind: Probed, Server: s, Outcome: Served}) // in answer to whatever
 		acts := w.do(Event{Kind: Timer})
 		if check := find(acts, Probe); check != nil && check.NewConnection {
@@ -197,7 +197,7 @@
 			if c := find(acts, Cancel); c == nil || c.Request != id || c.Attempt != attempt {
 				t.Errorf("after the check: %v", kinds(acts))
 			}
-			if most := w.r.set.HoldTimeout + 300*ms - MaxPause; w.now-began > most {
+			if most := w.r.cfg.HoldTimeout + 300*ms - MaxPause; w.now-began > most {
 				t.Errorf("called off after %d ms, at most %d are allowed", (w.now-began)/ms, most/ms)
 			}
 			return
@@ -213,7 +213,7 @@
 	began := w.now
 	var release *Action
 	for w.now < began+2*Second {
-		w.now += tickEvery
+		w.now += checkInterval
 		acts := w.do(Event{Kind: Timer})
 		if find(acts, Cancel) != nil {
 			t.Fatal("the writer was called off")
@@ -226,7 +226,7 @@
 				t.Error("let go twice")
 			}
 			release = r
-			if most := w.r.set.HoldTimeout + 300*ms - MaxPause; w.now-began > most {
+			if most := w.r.cfg.HoldTimeout + 300*ms - MaxPause; w.now-began > most {
 				t.Errorf("let go after %d ms, at most %d are allowed", (w.now-began)/ms, most/ms)
 			}
 		}
@@ -258,9 +258,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := newWorld(t, set, fleet())
-			w.r.again = tt.again
-			for _, s := range w.r.order {
-				s.answers, s.answer = slowSamples, tt.answer
+			w.r.timeoutBudget = tt.again
+			for _, s := range w.r.byID {
+				s.responses, s.responseTime = minSamples, tt.answer
 			}
 			id, acts := w.arrive(safe)
 			read := find(acts, Send)
@@ -286,7 +286,7 @@
 	w.now += 500 * ms
 	w.do(Event{Kind: Probed, Server: s, NewConnection: true, Outcome: Served}) // it can be reached; the answer is lost all the same
 	w.end(id, 0, s, TimedOut)
-	if q := w.r.requests[id]; q == nil || q.heldAt != began {
+	if q := w.r.requests[id]; q == nil || q.holdStart != began {
 		t.Errorf("what the read may have left counts from %+v", q)
 	}
 }
--- a/decide/membership.go
+++ b/decide/membership.go
@@ -7,52 +7,52 @@
 	"slices"
 )
 
-// list takes in what discovery tells.
-func (r *Router) list(ev *Event) {
-	r.timed = [Both + 1]bool{}
+// updateList takes in what discovery tells.
+func (r *Router) updateList(ev *Event) {
+	r.timesSorted = [Both + 1]bool{}
 	if ev.Kind == ListCached {
-		r.act(Action{Kind: SetTimer, After: tickEvery})
-		if r.set.PullMembership {
-			r.act(Action{Kind: WatchList})
+		r.emit(Action{Kind: SetTimer, After: checkInterval})
+		if r.cfg.PullMembership {
+			r.emit(Action{Kind: WatchList})
 		}
 	}
 	if ev.Kind != ListChanged {
-		for _, s := range r.order {
+		for _, s := range r.byID {
 			r.setReady(s, false)
 		}
 	}
 	for _, l := range ev.Servers {
 		s := r.servers[l.Server]
 		if s == nil {
-			s = &server{id: l.Server, hash: mix(uint64(l.Server)), share: -1, since: l.StartedAt, leftAt: r.now,
-				kept: map[uint64]float64{}}
+			s = &server{id: l.Server, hash: mix(uint64(l.Server)), memoryUse: -1, startedAt: l.StartedAt, leftAt: r.now,
+				cachedTokens: map[uint64]float64{}}
 			r.servers[l.Server] = s
-			r.order = append(r.order, s)
-			s.coldAt, s.coldWork = r.now, r.random()
+			r.byID = append(r.byID, s)
+			s.coldSentAt, s.coldSentWork = r.now, r.random()
 			s.probedAt = r.now - Duration(r.random()*float64(Second)) // in no common order
 		}
 		s.zone, s.cell = l.Zone, l.Cell
 		r.setReady(s, l.Condition == Ready)
-		if l.Kind < len(r.set.Kinds) {
-			s.role, s.memory = r.set.Kinds[l.Kind].Role, r.set.Kinds[l.Kind].Memory
+		if l.Kind < len(r.cfg.Kinds) {
+			s.role, s.memoryTokens = r.cfg.Kinds[l.Kind].Role, r.cfg.Kinds[l.Kind].Memory
 		}
-		if l.StartedAt != s.since {
+		if l.StartedAt != s.startedAt {
 			// Restarted: empty, cold, and what it was blamed for is past.
-			s.since, s.share, s.sent, s.kept = l.StartedAt, -1, 0, map[uint64]float64{}
-			s.bench, s.failing, s.answers = 0, 0, 0
-			s.coldAt, s.coldWork = r.now, r.random() // not all routers at once
+			s.startedAt, s.memoryUse, s.sentTokens, s.cachedTokens = l.StartedAt, -1, 0, map[uint64]float64{}
+			s.ejection, s.failureRate, s.responses = 0, 0, 0
+			s.coldSentAt, s.coldSentWork = r.now, r.random() // not all routers at once
 		}
 	}
-	slices.SortFunc(r.order, func(a, b *server) int { return cmp.Compare(a.id, b.id) })
-	r.forget()
-	r.sortByRole()
-	r.countCells()
+	slices.SortFunc(r.byID, func(a, b *server) int { return cmp.Compare(a.id, b.id) })
+	r.forgetRemoved()
+	r.groupByRole()
+	r.updateCellRoom()
 }
 
-// sortByRole makes the lists of the servers that decisions choose from.
-func (r *Router) sortByRole() {
+// groupByRole makes the lists of the servers that decisions choose from.
+func (r *Router) groupByRole() {
 	r.readers, r.writers = r.readers[:0], r.writers[:0]
-	for _, s := range r.order {
+	for _, s := range r.byID {
 		switch {
 		case !s.ready || s.role == 0:
 		case s.role == Reader:
@@ -71,10 +71,10 @@
 	s.ready = ready
 }
 
-// forget drops servers that left long ago, unless something is out there: a year of new ids fills the memory.
-func (r *Router) forget() {
-	r.order = slices.DeleteFunc(r.order, func(s *server) bool {
-		if s.ready || s.pending > 0 || s.streams > 0 || s.probing || r.now-s.leftAt < forgetAfter {
+// forgetRemoved drops servers that left long ago, unless something is out there: a year of new ids fills the memory.
+func (r *Router) forgetRemoved() {
+	r.byID = slices.DeleteFunc(r.byID, func(s *server) bool {
+		if s.ready || s.unanswered > 0 || s.streams > 0 || s.probeInFlight || r.now-s.leftAt < forgetAfter {
 			return false
 		}
 		delete(r.servers, s.id)
@@ -82,12 +82,12 @@
 	})
 }
 
-// countCells sets the room of each cell: its part of the writers over its part of the readers.
-func (r *Router) countCells() {
+// updateCellRoom sets the room of each cell: its part of the writers over its part of the readers.
+func (r *Router) updateCellRoom() {
 	const all = -1
-	clear(r.room)
+	clear(r.cellRoom)
 	readers, writers := map[int]float64{}, map[int]float64{}
-	for _, s := range r.order {
+	for _, s := range r.byID {
 		if s.ready && s.role == Reader {
 			readers[s.cell]++
 			readers[all]++
@@ -96,7 +96,7 @@
 			writers[all]++
 		}
 	}
-	for _, s := range r.order {
-		r.room[s.cell] = writers[s.cell] * readers[all] / max(readers[s.cell]*writers[all], 1e-9)
+	for _, s := range r.byID {
+		r.cellRoom[s.cell] = writers[s.cell] * readers[all] / max(readers[s.cell]*writers[all], 1e-9)
 	}
 }
--- a/decide/probing.go
+++ b/decide/probing.go
@@ -5,108 +5,110 @@
 
 import "slices"
 
-// asks tells whether servers are asked before they are picked: by many routers, where it is cheap.
-func (r *Router) asks() bool { return r.many && r.set.Probing && r.set.ProbeCost*askMost <= askPoints }
+// probesBeforeRouting tells whether servers are asked before they are picked: by many routers, where it is cheap.
+func (r *Router) probesBeforeRouting() bool {
+	return r.manyRouters && r.cfg.Probing && r.cfg.ProbeCost*maxProbedReaders <= maxRoutingProbeCost
+}
 
-// askWriters asks writers near a reader, so that the refusal and the pick go by what they say then.
-func (r *Router) askWriters(q *request, from *server) {
-	if !r.asks() || q.from != nil && q.from.cell == from.cell {
+// probeWriters asks writers near a reader, so that the refusal and the pick go by what they say then.
+func (r *Router) probeWriters(q *request, from *server) {
+	if !r.probesBeforeRouting() || q.probedNear != nil && q.probedNear.cell == from.cell {
 		return
 	}
-	q.from = from
-	q.asked = slices.DeleteFunc(q.asked, func(s *server) bool { return s.role != Reader })
-	for range askPair {
+	q.probedNear = from
+	q.probeEnded = slices.DeleteFunc(q.probeEnded, func(s *server) bool { return s.role != Reader })
+	for range probePair {
 		if s := r.pickWriter(q, false); s != nil {
-			q.asked = append(q.asked, s)
+			q.probeEnded = append(q.probeEnded, s)
 			r.probe(s)
 		}
 	}
 }
 
-// ask asks the next readers of the walk from a key's home for their load, and tells whether the request has
+// probeReaders asks the next readers of the walk from a key's home for their load, and tells whether the request has
 // to wait for an answer. No second time-out is waited for, and none by who has little time left.
-func (r *Router) ask(q *request) bool {
-	roomy := func(s *server) bool { return s.role == Reader && r.told(s) && r.hasRoom(q, s) }
-	if !r.asks() || r.now-q.arrived > r.set.DialTimeout || q.job.Deadline-r.now < 2*r.set.DialTimeout ||
-		slices.ContainsFunc(q.asked, roomy) {
+func (r *Router) probeReaders(q *request) bool {
+	roomy := func(s *server) bool { return s.role == Reader && r.hasFreshReport(s) && r.hasRoom(q, s) }
+	if !r.probesBeforeRouting() || r.now-q.arrivedAt > r.cfg.DialTimeout || q.job.Deadline-r.now < 2*r.cfg.DialTimeout ||
+		slices.ContainsFunc(q.probeEnded, roomy) {
 		return false
 	}
-	walk := r.nextInWalk(q)
+	walk := r.nextToProbe(q)
 	waits := false
-	if len(walk) > 0 && len(q.asked) == 0 {
-		r.askWriters(q, walk[0])
+	if len(walk) > 0 && len(q.probeEnded) == 0 {
+		r.probeWriters(q, walk[0])
 	}
-	for _, s := range walk[:max(0, min(askPair+askMost-len(q.asked), len(walk)))] {
-		q.asked = append(q.asked, s)
-		if !r.told(s) {
+	for _, s := range walk[:max(0, min(probePair+maxProbedReaders-len(q.probeEnded), len(walk)))] {
+		q.probeEnded = append(q.probeEnded, s)
+		if !r.hasFreshReport(s) {
 			waits = true
 			r.probe(s)
 		}
 	}
-	if q.askAt = r.now; waits {
-		r.asking = append(r.asking, q)
+	if q.probesSentAt = r.now; waits {
+		r.awaitingProbes = append(r.awaitingProbes, q)
 	}
 	return waits
 }
 
-// nextInWalk returns the next askPair readers of the walk from a key's home that were not asked yet.
-func (r *Router) nextInWalk(q *request) []*server {
-	next := make([]*server, 0, askPair+1)
+// nextToProbe returns the next askPair readers of the walk from a key's home that were not asked yet.
+func (r *Router) nextToProbe(q *request) []*server {
+	next := make([]*server, 0, probePair+1)
 	for _, s := range r.readers {
-		near := q.nearness(s)
-		if len(next) == askPair && near <= q.nearness(next[askPair-1]) || slices.Contains(q.asked, s) ||
-			!r.candidate(q, s, reading, true) {
+		near := q.rendezvousScore(s)
+		if len(next) == probePair && near <= q.rendezvousScore(next[probePair-1]) || slices.Contains(q.probeEnded, s) ||
+			!r.isCandidate(q, s, reading, true) {
 			continue
 		}
 		at := len(next)
-		for at > 0 && near > q.nearness(next[at-1]) {
+		for at > 0 && near > q.rendezvousScore(next[at-1]) {
 			at--
 		}
 		next = slices.Insert(next, at, s)
-		next = next[:min(len(next), askPair)]
+		next = next[:min(len(next), probePair)]
 	}
 	return next
 }
 
 func (r *Router) probe(s *server) {
-	if !s.probing {
-		s.probing, s.probedAt = true, r.now
-		r.act(Action{Kind: Probe, Server: s.id})
+	if !s.probeInFlight {
+		s.probeInFlight, s.probedAt = true, r.now
+		r.emit(Action{Kind: Probe, Server: s.id})
 	}
 }
 
-// heard goes on with the requests that wait for no answer any more.
-func (r *Router) heard() {
-	waiting := r.asking
-	r.asking = nil
+// resumeProbed goes on with the requests that wait for no answer any more.
+func (r *Router) resumeProbed() {
+	waiting := r.awaitingProbes
+	r.awaitingProbes = nil
 	for _, q := range waiting {
-		if slices.ContainsFunc(q.asked, func(s *server) bool { return s.probing && s.probedAt <= q.askAt }) {
-			r.asking = append(r.asking, q)
-		} else if !q.closed && !r.ask(q) {
+		if slices.ContainsFunc(q.probeEnded, func(s *server) bool { return s.probeInFlight && s.probedAt <= q.probesSentAt }) {
+			r.awaitingProbes = append(r.awaitingProbes, q)
+		} else if !q.closed && !r.probeReaders(q) {
 			r.admit(q)
 		}
 	}
 }
 
-// tick looks after what no event brings up.
-func (r *Router) tick() {
-	r.act(Action{Kind: SetTimer, After: tickEvery})
-	if r.unwatched && r.random() < watchChance {
-		r.unwatched = false
-		r.act(Action{Kind: WatchList})
-	}
-	if !r.set.Probing {
+// periodicCheck looks after what no event brings up.
+func (r *Router) periodicCheck() {
+	r.emit(Action{Kind: SetTimer, After: checkInterval})
+	if r.watchFailed && r.random() < watchChance {
+		r.watchFailed = false
+		r.emit(Action{Kind: WatchList})
+	}
+	if !r.cfg.Probing {
 		return
 	}
-	r.lookAtWaits()
-	for ; r.probes >= 1; r.probes-- {
+	r.checkUnconfirmed()
+	for ; r.probeBudget >= 1; r.probeBudget-- {
 		var next *server
-		for _, s := range r.order {
-			if s.ready && !s.probing && (next == nil || s.probedAt < next.probedAt) {
+		for _, s := range r.byID {
+			if s.ready && !s.probeInFlight && (next == nil || s.probedAt < next.probedAt) {
 				next = s
 			}
 		}
-		if next == nil || r.now-next.probedAt < probeFastest {
+		if next == nil || r.now-next.probedAt < minProbeInterval {
 			return
 		}
 		r.probe(next)
@@ -119,23 +121,23 @@
 		return
 	}
 	if !ev.NewConnection {
-		s.probing = false
+		s.probeInFlight = false
 	}
-	r.reached(s, ev)
+	r.recordReachability(s, ev)
 	if ev.Outcome == Served {
-		r.report(s, ev.Report)
+		r.recordReport(s, ev.Report)
 	} else {
-		r.bad(s, ev.Outcome == ConnectFailed)
+		r.recordFailure(s, ev.Outcome == ConnectFailed)
 	}
-	r.heard()
+	r.resumeProbed()
 }
 
-// report takes in a load report. One that repeats the last share is the old one told again.
-func (r *Router) report(s *server, rep Report) {
-	if rep.MemoryUse >= 0 && rep.MemoryUse != s.share {
-		s.share, s.sent = rep.MemoryUse, 0
+// recordReport takes in a load recordReport. One that repeats the last share is the old one told again.
+func (r *Router) recordReport(s *server, rep Report) {
+	if rep.MemoryUse >= 0 && rep.MemoryUse != s.memoryUse {
+		s.memoryUse, s.sentTokens = rep.MemoryUse, 0
 	}
 	if rep.QueuedKTokens >= 0 || rep.MemoryUse >= 0 {
-		s.queue, s.toldAt = max(0, rep.QueuedKTokens)*thousand, r.now
+		s.reportedQueue, s.reportedAt = max(0, rep.QueuedKTokens)*thousand, r.now
 	}
 }
--- a/decide/reader.go
+++ b/decide/reader.go
@@ -7,33 +7,33 @@
 	for pass := range 3 {
 		strict, among := pass < 2, r.readers
 		if pass == 0 { // first those that were asked
-			among = q.asked
+			among = q.probeEnded
 		}
-		if s := r.home(q, among, strict); s != nil {
+		if s := r.preferredReader(q, among, strict); s != nil {
 			return s
 		}
-		if s := r.fewest(q, among, strict); s != nil {
+		if s := r.shortestQueue(q, among, strict); s != nil {
 			return s
 		}
 	}
 	return nil
 }
 
-// home is the reader that is nearest to a key's home and has room. Whether one may be picked is looked at
+// preferredReader is the reader that is nearest to a key's preferredReader and has room. Whether one may be picked is looked at
 // only where it is nearer than the best so far, which is rare: readers are many.
-func (r *Router) home(q *request, among []*server, strict bool) (home *server) {
+func (r *Router) preferredReader(q *request, among []*server, strict bool) (home *server) {
 	nearest := uint64(0)
 	for _, s := range among {
-		if near := q.nearness(s); (home == nil || near > nearest) && s.role == Reader &&
-			r.candidate(q, s, reading, strict) && r.hasRoom(q, s) {
+		if near := q.rendezvousScore(s); (home == nil || near > nearest) && s.role == Reader &&
+			r.isCandidate(q, s, reading, strict) && r.hasRoom(q, s) {
 			home, nearest = s, near
 		}
 	}
 	return home
 }
 
-// fewest is the reader with the fewest tokens waiting; of equals the one of the lowest id.
-func (r *Router) fewest(q *request, among []*server, strict bool) (fewest *server) {
+// shortestQueue is the reader with the shortestQueue tokens waiting; of equals the one of the lowest id.
+func (r *Router) shortestQueue(q *request, among []*server, strict bool) (fewest *server) {
 	least := 0.0
 	for _, s := range among {
 		if s.role != Reader {
@@ -43,28 +43,28 @@
 		if fewest != nil && (n > least || n == least && s.id > fewest.id) {
 			continue
 		}
-		if r.candidate(q, s, reading, strict) {
+		if r.isCandidate(q, s, reading, strict) {
 			fewest, least = s, n
 		}
 	}
 	return fewest
 }
 
-// nearness orders the readers in the walk from a key's home.
-func (q *request) nearness(s *server) uint64 { return mix(q.key ^ s.hash) }
+// rendezvousScore orders the readers in the walk from a key's home.
+func (q *request) rendezvousScore(s *server) uint64 { return mix(q.prefixKey ^ s.hash) }
 
-// fresh guesses how many tokens of a prompt a reader has not kept.
-func (r *Router) fresh(q *request, s *server) float64 {
-	kept := max(s.kept[q.key], s.kept[q.job.SessionID])
-	return max(1, q.job.PromptTokens-max(kept, r.found*q.job.PrefixTokens))
+// uncachedTokens guesses how many tokens of a prompt a reader has not kept.
+func (r *Router) uncachedTokens(q *request, s *server) float64 {
+	kept := max(s.cachedTokens[q.prefixKey], s.cachedTokens[q.job.SessionID])
+	return max(1, q.job.PromptTokens-max(kept, r.cachedShare*q.job.PrefixTokens))
 }
 
-func (s *server) keep(key uint64, tokens float64) {
+func (s *server) addCached(key uint64, tokens float64) {
 	if key == 0 || tokens <= 0 {
 		return
 	}
-	if len(s.kept) >= keptEntries {
-		s.kept = map[uint64]float64{}
+	if len(s.cachedTokens) >= maxCachedEntries {
+		s.cachedTokens = map[uint64]float64{}
 	}
-	s.kept[key] = tokens
+	s.cachedTokens[key] = tokens
 }
--- a/decide/request.go
+++ b/decide/request.go
@@ -4,51 +4,51 @@
 
 // arrive takes a new request and sends it to a reader.
 func (r *Router) arrive(ev *Event) {
-	if ev.Job.Class >= len(r.set.Classes) { // of unknown effect
-		r.act(Action{Kind: Fail, Request: ev.Request, Reason: "its class is unknown"})
+	if ev.Job.Class >= len(r.cfg.Classes) { // of unknown effect
+		r.emit(Action{Kind: Fail, Request: ev.Request, Reason: "its class is unknown"})
 		return
 	}
-	q := &request{id: ev.Request, job: ev.Job, arrived: r.now, key: ev.Job.PrefixID}
-	if q.key == 0 {
-		q.key = ev.Job.SessionID
+	q := &request{id: ev.Request, job: ev.Job, arrivedAt: r.now, prefixKey: ev.Job.PrefixID}
+	if q.prefixKey == 0 {
+		q.prefixKey = ev.Job.SessionID
 	}
 	r.requests[q.id] = q
-	r.again = min(r.again+againPart, againMost)
+	r.timeoutBudget = min(r.timeoutBudget+timeoutBudgetPart, maxTimeoutBudget)
 	// Each request pays for the probes that it may cost, so that many routers cost no more than few.
-	r.probes = min(r.probes+probePoints/max(r.set.ProbeCost, probePoints/mostProbes), float64(len(r.order)))
-	w := &r.work[q.job.Class]
-	w.prompt += answerGain * (q.job.PromptTokens - w.prompt)
-	if r.tooLate() || !r.endsInTime(q) {
+	r.probeBudget = min(r.probeBudget+maxProbeCost/max(r.cfg.ProbeCost, maxProbeCost/maxProbesEarned), float64(len(r.byID)))
+	w := &r.classWork[q.job.Class]
+	w.prompt += averageGain * (q.job.PromptTokens - w.prompt)
+	if r.pastAcceptance() || !r.endsInTime(q) {
 		r.giveUp(q, "the router is shutting down")
-	} else if ev.RouterDelay > waitedLong {
+	} else if ev.RouterDelay > maxRouterDelay {
 		r.giveUp(q, "the router itself has more to do than it can")
-	} else if !r.ask(q) {
+	} else if !r.probeReaders(q) {
 		r.admit(q)
 	}
 }
 
 // admit refuses a request or begins with it.
 func (r *Router) admit(q *request) {
-	if r.random() < r.refusal(q) {
+	if r.random() < r.refusalProbability(q) {
 		r.giveUp(q, "the answer would come late")
 		return
 	}
 	if n := q.job.Tenant; n < len(r.tenants) {
-		r.tenants[n].left--
+		r.tenants[n].remaining--
 	}
-	r.read(q)
+	r.sendToReader(q)
 }
 
-// read sends a request to a reader; without any, to a writer that reads by itself.
-func (r *Router) read(q *request) {
+// sendToReader sends a request to a reader; without any, to a writer that reads by itself.
+func (r *Router) sendToReader(q *request) {
 	if s := r.pickReader(q); s == nil || !r.send(q, s, reading) {
-		q.alone = true
-		r.write(q)
+		q.needsMixed = true
+		r.sendToWriter(q)
 	}
 }
 
-// write sends a request whose state waits to a writer, or gives it up.
-func (r *Router) write(q *request) {
+// sendToWriter sends a request whose state waits to a writer, or gives it up.
+func (r *Router) sendToWriter(q *request) {
 	if !r.endsInTime(q) {
 		r.giveUp(q, "the router is shutting down")
 	} else if s := r.pickWriter(q, true); s == nil || !r.send(q, s, writing) {
@@ -56,45 +56,45 @@
 	}
 }
 
-// first: the answer has begun. It now belongs to the client, and all else that was held is let go.
-func (r *Router) first(ev *Event) {
+// firstToken: the answer has begun. It now belongs to the client, and all else that was held is let go.
+func (r *Router) firstToken(ev *Event) {
 	s := r.servers[ev.Server]
 	q := r.requests[ev.Request]
-	if s == nil || q == nil || q.out != s || q.stage != writing {
+	if s == nil || q == nil || q.sentTo != s || q.stage != writing {
 		return
 	}
-	s.quietFrom, s.heardAt, s.pending = r.now, r.now, s.pending-1 // it has been heard
-	r.good(q, s, float64(ev.Elapsed)/q.expect)
-	r.learnMove(distance(q, s), ev.Elapsed)
-	q.stage, q.mayHold, q.state, q.startedAt = streaming, false, nil, r.now
+	s.silentSince, s.lastResponse, s.unanswered = r.now, r.now, s.unanswered-1 // it has been heard
+	r.recordSuccess(q, s, float64(ev.Elapsed)/q.expectedTime)
+	r.recordTransfer(distance(q, s), ev.Elapsed)
+	q.stage, q.mayHold, q.stateAt, q.streamStart = streaming, false, nil, r.now
 }
 
-// ended: an attempt has its outcome.
-func (r *Router) ended(ev *Event) {
+// attemptEnded: an attempt has its outcome.
+func (r *Router) attemptEnded(ev *Event) {
 	s := r.servers[ev.Server]
 	if s != nil {
-		r.report(s, ev.Report)
+		r.recordReport(s, ev.Report)
 	}
 	q := r.requests[ev.Request]
-	if q == nil || s == nil || q.out != s || ev.Attempt != q.attempts-1 {
+	if q == nil || s == nil || q.sentTo != s || ev.Attempt != q.attempts-1 {
 		return
 	}
-	r.unbook(q, s, ev)
-	r.noteHeld(q, ev.Outcome)
+	r.recordOutcome(q, s, ev)
+	r.updateHold(q, ev.Outcome)
 	was := q.stage
-	q.out = nil
+	q.sentTo = nil
 	if was == reading && ev.Outcome == ReadDone {
-		if q.job.PrefixTokens > 0 && s.kept[q.key] == 0 && r.many {
-			r.found += answerGain * (min(ev.CachedTokens/q.job.PrefixTokens, 1) - r.found)
+		if q.job.PrefixTokens > 0 && s.cachedTokens[q.prefixKey] == 0 && r.manyRouters {
+			r.cachedShare += averageGain * (min(ev.CachedTokens/q.job.PrefixTokens, 1) - r.cachedShare)
 		}
-		q.state, q.mayHold, q.alone = s, true, false
-		s.keep(q.key, q.job.PrefixTokens)
-		s.keep(q.job.SessionID, q.job.PromptTokens)
+		q.stateAt, q.mayHold, q.needsMixed = s, true, false
+		s.addCached(q.prefixKey, q.job.PrefixTokens)
+		s.addCached(q.job.SessionID, q.job.PromptTokens)
 	}
 	// Four outcomes prove that an attempt at a writer never ran.
 	unrun := ev.Outcome == Full || ev.Outcome == ConnectFailed || ev.Outcome == NotStarted || ev.Outcome == ReadDone
-	if was != reading && !unrun && !q.mayRun {
-		q.mayRun, q.runOn, q.runAt = true, s, r.now-ev.Elapsed
+	if was != reading && !unrun && !q.mayHaveRun {
+		q.mayHaveRun, q.firstRunOn, q.firstRunAt = true, s, r.now-ev.Elapsed
 	}
 	if ev.Closed || q.closed {
 		r.close(q)
@@ -103,92 +103,92 @@
 	q.tried = append(q.tried, s)
 	switch {
 	case ev.Outcome == ReadDone:
-		r.write(q)
-	case ev.Outcome == NotStarted || float64(q.job.Deadline-r.now) <= r.usual(Writer, nil)*writeExpected,
-		q.mayHold && (ev.Outcome == ConnectFailed || r.seeks()) &&
-			r.now+r.set.DialTimeout > r.heldUntil(q.heldAt):
+		r.sendToWriter(q)
+	case ev.Outcome == NotStarted || float64(q.job.Deadline-r.now) <= r.typicalTime(Writer, nil)*firstTokenUnit,
+		q.mayHold && (ev.Outcome == ConnectFailed || r.checksLiveness()) &&
+			r.now+r.cfg.DialTimeout > r.releaseDeadline(q.holdStart):
 		// Nothing more would be answered before the client leaves, or what is held would stay too long: no
 		// connection that does not come up claims it, and the next may not come up either.
 		r.giveUp(q, "no time for another attempt")
 	case was == reading || ev.NoState:
-		q.state = nil
-		r.read(q)
-	case q.state == nil || !q.state.ready && ev.Outcome != Full:
-		r.read(q)
+		q.stateAt = nil
+		r.sendToReader(q)
+	case q.stateAt == nil || !q.stateAt.ready && ev.Outcome != Full:
+		r.sendToReader(q)
 	default:
-		r.write(q)
+		r.sendToWriter(q)
 	}
 }
 
-// unbook undoes what an attempt had booked and draws the lesson of its outcome.
-func (r *Router) unbook(q *request, s *server, ev *Event) {
+// recordOutcome undoes what an attempt had booked and draws the lesson of its outcome.
+func (r *Router) recordOutcome(q *request, s *server, ev *Event) {
 	if q.stage == reading {
-		s.waiting = max(0, s.waiting-q.tokens)
+		s.queuedTokens = max(0, s.queuedTokens-q.bookedTokens)
 	} else {
 		s.streams--
-		s.booked = max(0, s.booked-q.tokens)
-		s.sent -= q.tokens
+		s.bookedTokens = max(0, s.bookedTokens-q.bookedTokens)
+		s.sentTokens -= q.bookedTokens
 	}
 	if q.stage == streaming {
 		if ev.Outcome == Served {
-			w := &r.work[q.job.Class]
-			w.answer += answerGain * (float64(r.now-q.startedAt) - w.answer)
+			w := &r.classWork[q.job.Class]
+			w.answerTime += averageGain * (float64(r.now-q.streamStart) - w.answerTime)
 		}
 	} else {
-		s.pending--
+		s.unanswered--
 	}
 	switch ev.Outcome {
 	case Served:
-		s.quietFrom, s.heardAt = r.now, r.now
+		s.silentSince, s.lastResponse = r.now, r.now
 	case Full:
-		s.quietFrom, s.heardAt = r.now, r.now
+		s.silentSince, s.lastResponse = r.now, r.now
 		// Against one that turns away what its peers take. When half of a pool does, it is load: see benchIt.
 		if !ev.NoState {
-			r.bad(s, false)
+			r.recordFailure(s, false)
 		}
 	case ReadDone:
-		s.quietFrom, s.heardAt = r.now, r.now
-		if r.found > 0 {
-			q.expect = max(q.expect+(q.job.PromptTokens-ev.CachedTokens-q.tokens)*r.pace, paceTokens*r.pace)
+		s.silentSince, s.lastResponse = r.now, r.now
+		if r.cachedShare > 0 {
+			q.expectedTime = max(q.expectedTime+(q.job.PromptTokens-ev.CachedTokens-q.bookedTokens)*r.nsPerToken, minReadTokens*r.nsPerToken)
 		}
-		r.good(q, s, float64(ev.Elapsed)/q.expect)
-		if pace := float64(ev.Elapsed) / max(q.job.PromptTokens-ev.CachedTokens, paceTokens); pace < r.pace {
-			r.pace += paceDown * (pace - r.pace)
+		r.recordSuccess(q, s, float64(ev.Elapsed)/q.expectedTime)
+		if pace := float64(ev.Elapsed) / max(q.job.PromptTokens-ev.CachedTokens, minReadTokens); pace < r.nsPerToken {
+			r.nsPerToken += fasterReadGain * (pace - r.nsPerToken)
 		} else {
-			r.pace *= 1 + paceUp
+			r.nsPerToken *= 1 + slowerReadStep
 		}
 	case Error, Reset, TimedOut, ConnectFailed:
 		if ev.Outcome == Error {
-			s.heardAt = r.now
+			s.lastResponse = r.now
 		}
 		if ev.Outcome == TimedOut && q.stage != streaming {
-			if q.sentAt < s.quietFrom && r.usual(s.role, nil) < calmTimes {
+			if q.sentAt < s.silentSince && r.typicalTime(s.role, nil) < calmFactor {
 				return // the server was heard since, and no queue is long: this one or its answer was lost
 			}
 			// At least so long: under load that all share, the usual time grows and time-outs with it.
-			r.learn(s, float64(ev.Elapsed)/q.expect)
-			r.again = max(0, r.again-1)
+			r.recordTime(s, float64(ev.Elapsed)/q.expectedTime)
+			r.timeoutBudget = max(0, r.timeoutBudget-1)
 			if q.stage == writing {
-				r.learnMove(distance(q, s), ev.Elapsed)
+				r.recordTransfer(distance(q, s), ev.Elapsed)
 			}
 		}
 		if q.stage != reading || ev.Outcome != Error {
 			// An error at a reader costs a moment and no effect; leaving the reader out costs its texts.
-			r.bad(s, ev.Outcome == ConnectFailed)
+			r.recordFailure(s, ev.Outcome == ConnectFailed)
 		}
 	}
 }
 
-// clientGone: nothing is owed any more; what is out is called off, what is held is let go.
-func (r *Router) clientGone(id RequestID) {
+// clientLeft: nothing is owed any more; what is out is called off, what is held is let go.
+func (r *Router) clientLeft(id RequestID) {
 	q := r.requests[id]
 	if q == nil {
 		return
 	}
 	q.closed = true
-	if q.out == nil {
+	if q.sentTo == nil {
 		r.close(q)
-	} else if q.stage != streaming && r.set.MayCancel {
-		r.act(Action{Kind: Cancel, Request: q.id, Attempt: q.attempts - 1})
+	} else if q.stage != streaming && r.cfg.MayCancel {
+		r.emit(Action{Kind: Cancel, Request: q.id, Attempt: q.attempts - 1})
 	}
 }
--- a/decide/shutdown.go
+++ b/decide/shutdown.go
@@ -5,17 +5,17 @@
 // what may not end in time is not begun.
 
 // Terms of a planned restart (PROTOCOL, 'Figures'): new connections come for up to shutdownArrivals after the
-// signal. The process is killed no sooner than its longest deadline, taken as shutdownLongest where that is
+// signal. The process is killed no sooner than its longest deadline, taken as shutdownMaxDeadline where that is
 // longer, plus shutdownGrace. What comes later than shutdownGrace has to be answered by then.
 const (
-	shutdownArrivals = 400 * Second / 1000
-	shutdownLongest  = 3 * Second
-	shutdownGrace    = 700 * Second / 1000
+	shutdownArrivals    = 400 * Second / 1000
+	shutdownMaxDeadline = 3 * Second
+	shutdownGrace       = 700 * Second / 1000
 	// shutdownMargin is left beside HoldUp for timers that fire late and for an answer's way to its client.
 	shutdownMargin = 50 * Second / 1000
-	// shutdownRest is how long a connection rests after an answer before a shutdown closes it: the answer is
+	// shutdownLinger is how long a connection rests after an answer before a shutdown closes it: the answer is
 	// read meanwhile, and a client that sends its next request at once is answered.
-	shutdownRest = 100 * Second / 1000
+	shutdownLinger = 100 * Second / 1000
 )
 
 // Shutdown is a router's plan for its end.
@@ -34,14 +34,14 @@
 	for i := range classes {
 		longest = max(longest, classes[i].Deadline)
 	}
-	killed := taken - MaxPause + min(longest, shutdownLongest) + shutdownGrace
+	killed := taken - MaxPause + min(longest, shutdownMaxDeadline) + shutdownGrace
 	answerBy := killed - MaxPause - shutdownMargin
 	return Shutdown{
 		AcceptUntil: taken - MaxPause + shutdownGrace - shutdownMargin,
 		ListenUntil: taken + shutdownArrivals + 2*MaxPause,
 		GiveUpBy:    answerBy - shutdownMargin,
 		AnswerBy:    answerBy,
-		LingerFor:   shutdownRest,
+		LingerFor:   shutdownLinger,
 	}
 }
 
@@ -56,8 +56,8 @@
 	}
 }
 
-// tooLate tells whether a request comes too late in a shutdown to be taken.
-func (r *Router) tooLate() bool { return r.shutdown != nil && r.now > r.shutdown.AcceptUntil }
+// pastAcceptance tells whether a request comes too late in a shutdown to be taken.
+func (r *Router) pastAcceptance() bool { return r.shutdown != nil && r.now > r.shutdown.AcceptUntil }
 
 // endsInTime tells whether what a writer is sent now should be answered to its end before the router is
 // killed: such answers took less in the mean. Where that is not so, its client does better to go elsewhere
@@ -66,7 +66,7 @@
 	if r.shutdown == nil {
 		return true
 	}
-	usual := r.usual(Writer, nil)*writeExpected + r.work[q.job.Class].answer
+	usual := r.typicalTime(Writer, nil)*firstTokenUnit + r.classWork[q.job.Class].answerTime
 	return r.now+Duration(usual) <= r.shutdown.AnswerBy
 }
 
@@ -75,5 +75,5 @@
 	if r.shutdown != nil {
 		return 0
 	}
-	return r.set.MaxRetryAfter
+	return r.cfg.MaxRetryAfter
 }
--- a/decide/shutdown_test.go
+++ b/decide/shutdown_test.go
@@ -29,7 +29,7 @@
 
 // shutDown tells a world's router to end.
 func (w *world) shutDown() *Shutdown {
-	plan := PlanShutdown(w.now, w.r.set.Classes)
+	plan := PlanShutdown(w.now, w.r.cfg.Classes)
 	w.do(Event{Kind: ShuttingDown, Shutdown: &plan})
 	return &plan
 }
@@ -49,7 +49,7 @@
 			t.Errorf("class %d: %+v", class, acts)
 		}
 		w = newWorld(t, settings(), fleet())
-		w.r.work[class].answer = float64(10 * Second)
+		w.r.classWork[class].answerTime = float64(10 * Second)
 		w.shutDown()
 		if _, acts := w.arrive(class); find(acts, Refuse) == nil || find(acts, Send) != nil {
 			t.Errorf("class %d with long answers: %+v", class, acts)
@@ -66,7 +66,7 @@
 		reader := w.sent(acts)
 		w.shutDown()
 		if long {
-			w.r.work[unsafeClass].answer = float64(5 * Second)
+			w.r.classWork[unsafeClass].answerTime = float64(5 * Second)
 		}
 		acts = w.end(id, 0, reader, ReadDone)
 		if (find(acts, Send) != nil) == long || (find(acts, Refuse) != nil) != long || (find(acts, Release) != nil) != long {
@@ -78,7 +78,7 @@
 // No attempt is given more time than is left until what has not begun is given up.
 func TestTimeOutsInAShutdown(t *testing.T) {
 	w := newWorld(t, settings(), fleet())
-	w.r.again = 0 // time-outs reach to the deadline
+	w.r.timeoutBudget = 0 // time-outs reach to the deadline
 	id, acts := w.arrive(safe)
 	reader := w.sent(acts)
 	w.now += Second
