--- a/cmd/mintdoor/day.go
+++ b/cmd/mintdoor/day.go
@@ -199,8 +199,8 @@
 			if err != nil {
 				return err
 			}
-			rules := audit.Rules{AnswerGrace: set.AnswerGrace, DrainGrace: set.DrainGrace, ListEvery: set.ListEvery,
-				FallMultiple: set.FallMultiple, FallWithin: set.FallWithin, LetGoWithin: set.LetGoWithin, RouterNotice: notice,
+			rules := audit.Rules{AnswerGrace: set.AnswerGrace, DrainGrace: set.DrainGrace, ListEvery: set.ListInterval,
+				FallMultiple: set.OverloadMultiple, FallWithin: set.OverloadWindow, LetGoWithin: set.HoldTimeout, RouterNotice: notice,
 				Slack: slack, Windows: map[string]time.Duration{}}
 			for _, c := range set.Classes {
 				rules.Windows[c.Name] = time.Duration(c.DedupWindow)
--- a/internal/day/client.go
+++ b/internal/day/client.go
@@ -80,7 +80,7 @@
 		told = c.deadline(a) // the router does not know that it will go
 	}
 	p := kserve.Parameters{front.ParamClass: class.Name, front.ParamSession: a.session, front.ParamPromptTokens: a.prompt,
-		front.ParamMaxTokens: class.MaxTokens, front.ParamDeadline: float64(told) / 1e6, front.ParamHint: a.hint,
+		front.ParamMaxTokens: class.MaxTokens, front.ParamDeadline: float64(told) / 1e6, front.ParamLengthHint: a.hint,
 		front.ParamRepeat: repeat}
 	if a.text != "" {
 		p[front.ParamSharedText], p[front.ParamSharedTokens] = a.text, a.shared
@@ -130,7 +130,7 @@
 	if resp.StatusCode != http.StatusOK {
 		return refusal(resp)
 	}
-	events := kserve.NewEvents(resp.Body, 1<<16)
+	events := kserve.NewEventReader(resp.Body, 1<<16)
 	for first := true; ; first = false {
 		data, err := events.Next()
 		if err != nil {
--- a/internal/day/script.go
+++ b/internal/day/script.go
@@ -154,35 +154,35 @@
 }
 
 func num(p *float64) func(string) error {
-	return func(s string) (err error) { *p, err = config.Number(s); return }
+	return func(s string) (err error) { *p, err = config.ParseNumber(s); return }
 }
 
 func toks(p *float64) func(string) error {
-	return func(s string) (err error) { *p, err = config.Tokens(s); return }
+	return func(s string) (err error) { *p, err = config.ParseTokens(s); return }
 }
 
 func dur(p *time.Duration) func(string) error {
-	return func(s string) (err error) { *p, err = config.Duration(s); return }
+	return func(s string) (err error) { *p, err = config.ParseDuration(s); return }
 }
 
 func count(p *int) func(string) error {
-	return func(s string) (err error) { *p, err = config.Count(s); return }
+	return func(s string) (err error) { *p, err = config.ParseCount(s); return }
 }
 
 func build(file string, lines []config.Line, errs config.Errors) (*Script, error) {
 	s := Default()
 	s.File = file
-	seed := func(v string) error { n, err := config.Count(v); s.Seed = uint64(n); return err }
+	seed := func(v string) error { n, err := config.ParseCount(v); s.Seed = uint64(n); return err }
 	top := []field{
 		{"length", dur(&s.Length)}, {"seed", seed}, {"speed", num(&s.Speed)}, {"routers", count(&s.Routers)},
-		{"rate", func(v string) (err error) { s.Rate, err = config.Rate(v); return }}, {"load", num(&s.Load)},
+		{"rate", func(v string) (err error) { s.Rate, err = config.ParseRate(v); return }}, {"load", num(&s.Load)},
 		{"cells", count(&s.Cells)}, {"link", toks(&s.Link)}, {"notice", dur(&s.Notice)}, {"silent-notice", dur(&s.Silent)},
 		{"add", dur(&s.Add)}, {"front-notice", dur(&s.FrontNotice)},
 		{"answer-grace", dur(&s.AnswerGrace)}, {"drain-grace", dur(&s.DrainGrace)}, {"let-go-within", dur(&s.LetGoWithin)},
 		{"fall-multiple", num(&s.FallMultiple)}, {"fall-within", dur(&s.FallWithin)}, {"start-capacity", num(&s.StartCapacity)},
 		{"cold-for", dur(&s.ColdFor)}, {"retry-after", dur(&s.MaxRetryAfter)},
 		{"trace", func(v string) error { s.TraceFile = v; return nil }}, {"change", dur(&s.Change)},
-		{"shift", func(v string) (err error) { s.Shift, err = config.Choice(v, "off", "dry", "on"); return }},
+		{"shift", func(v string) (err error) { s.Shift, err = config.ParseChoice(v, "off", "dry", "on"); return }},
 	}
 	for i := range lines {
 		l := &lines[i]
@@ -195,7 +195,7 @@
 			c := defaultClass(l.Words[1].Text)
 			pairs(l, 2, &errs, []field{{"share", num(&c.Share)}, {"worth", num(&c.Worth)}, {"aim", dur(&c.Aim)}, {"aim-per-1000", dur(&c.AimPerK)},
 				{"deadline", dur(&c.Deadline)}, {"token-aim", dur(&c.TokenAim)},
-				{"repeat", func(v string) (err error) { c.Repeat, err = config.Choice(v, "safe", "keyed", "unsafe"); return }},
+				{"repeat", func(v string) (err error) { c.Repeat, err = config.ParseChoice(v, "safe", "keyed", "unsafe"); return }},
 				{"new", toks(&c.New)}, {"answer", toks(&c.Answer)}, {"max-tokens", count(&c.MaxTokens)}, {"turns", num(&c.Turns)},
 				{"think", dur(&c.Think)}, {"texts", count(&c.Texts)}, {"text-tokens", toks(&c.TextTokens)}, {"text-share", num(&c.TextShare)}})
 			s.Classes = append(s.Classes, c)
@@ -281,7 +281,7 @@
 		return e, false
 	}
 	var err error
-	if e.At, err = config.Duration(l.Words[1].Text); err != nil {
+	if e.At, err = config.ParseDuration(l.Words[1].Text); err != nil {
 		errs.Add(l, "at: %v", err)
 	}
 	e.Kind = l.Words[2].Text
--- a/internal/day/swing.go
+++ b/internal/day/swing.go
@@ -85,17 +85,17 @@
 	for _, d := range []struct {
 		name string
 		at   time.Duration
-	}{{"shift-every", h.Every}, {"shift-look", h.Look}, {"shift-slot", h.Slot}, {"shift-horizon", h.Horizon}, {"shift-away", h.Away},
-		{"shift-empty", h.Empty}, {"shift-change", h.Change}, {"shift-rest", h.Rest}} {
+	}{{"shift-every", h.PlanInterval}, {"shift-look", h.CheckInterval}, {"shift-slot", h.Slot}, {"shift-horizon", h.Horizon}, {"shift-away", h.ChangeCost},
+		{"shift-empty", h.EmptyTimeout}, {"shift-change", h.ChangeTimeout}, {"shift-rest", h.FailureBackoff}} {
 		fmt.Fprintf(&b, "%s %v\n", d.name, d.at.Round(time.Millisecond))
 	}
 	return b.String()
 }
 
 // shift are the defaults of shifting roles, at the speed of a scaled script.
-func (s *Script) shift() config.Shift {
-	h := config.Defaults().Shift
-	for _, d := range []*time.Duration{&h.Every, &h.Look, &h.Slot, &h.Horizon, &h.Away, &h.Empty, &h.Change, &h.Rest} {
+func (s *Script) shift() config.RoleChanges {
+	h := config.Defaults().RoleChanges
+	for _, d := range []*time.Duration{&h.PlanInterval, &h.CheckInterval, &h.Slot, &h.Horizon, &h.ChangeCost, &h.EmptyTimeout, &h.ChangeTimeout, &h.FailureBackoff} {
 		*d = time.Duration(float64(*d) / s.Speed)
 	}
 	return h
@@ -104,7 +104,7 @@
 // split asks engines for a split, as somebody would who knows the traffic: those that can go without leaving
 // the last of their role in a cell, in order.
 func (p *player) split(ctx context.Context, readers int) {
-	c := engine.New(engine.Options{DialTimeout: time.Second, MaxConns: 4, ProbeWithin: time.Second})
+	c := engine.New(engine.Options{DialTimeout: time.Second, MaxConns: 4, ProbeTimeout: time.Second})
 	defer c.Close()
 	type one struct {
 		m    *fleet.Member
@@ -131,7 +131,7 @@
 	if n < 0 {
 		from, to, n = to, from, -n
 	}
-	limits := roles.Limits{Look: p.s.shift().Look, Answer: config.Defaults().ProbeWithin} // as the routers announce a change
+	limits := roles.Timeouts{CheckInterval: p.s.shift().CheckInterval, ReplyTimeout: config.Defaults().ProbeTimeout} // as the routers announce a change
 	for _, e := range all {
 		key := e.m.Cell + " " + from
 		if n == 0 || e.role.Role != from || e.role.Phase != engine.PhaseSteady || left[key] < 2 {
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -23,16 +23,16 @@
 	State decide.Condition
 	// Weight compares engines of one role; 1 when not told.
 	Weight float64
-	// Since is the last start; the zero time is long ago.
-	Since time.Time
+	// StartedAt is the last start; the zero time is long ago.
+	StartedAt time.Time
 }
 
 // ID is the engine's number towards the decision module: the same at every router, and of no meaning.
 func (e *Engine) ID() decide.ServerID { return decide.ServerID(xxhash.Sum64String(e.Name)) }
 
-// Number maps a name of a zone or cell to the number by which the module compares them. It hangs on the
+// LocationNumber maps a name of a zone or cell to the number by which the module compares them. It hangs on the
 // name alone, so nothing has to be kept, and the empty name is 0.
-func Number(name string) int {
+func LocationNumber(name string) int {
 	if name == "" {
 		return 0
 	}
@@ -52,9 +52,9 @@
 	Run(ctx context.Context, tell func(Update)) error
 }
 
-// Check sorts a list by name and returns its first fault: a double name or address. Two entries of one
+// SortAndCheck sorts a list by name and returns its first fault: a double name or address. Two entries of one
 // address would let a router send to one engine as if it were two.
-func Check(list []Engine) error {
+func SortAndCheck(list []Engine) error {
 	slices.SortFunc(list, func(a, b Engine) int {
 		switch {
 		case a.Name < b.Name:
@@ -82,9 +82,9 @@
 	return nil
 }
 
-// Changes returns what to tell of the way from one list to another: entries new or changed, and those
+// Diff returns what to tell of the way from one list to another: entries new or changed, and those
 // gone, with State Gone. Both lists are sorted by name.
-func Changes(old, now []Engine) []Engine {
+func Diff(old, now []Engine) []Engine {
 	var out []Engine
 	i, j := 0, 0
 	for i < len(old) || j < len(now) {
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -16,7 +16,7 @@
 	return []Engine{
 		{Name: "d1", Addr: "127.0.0.1:9002", Kind: "decode", State: decide.Draining, Weight: 1},
 		{Name: "p1", Addr: "127.0.0.1:9001", Kind: "prefill", Cell: "a", Zone: "hall one", State: decide.Ready,
-			Weight: 1.5, Since: time.Date(2026, 3, 1, 5, 0, 0, 0, time.UTC)},
+			Weight: 1.5, StartedAt: time.Date(2026, 3, 1, 5, 0, 0, 0, time.UTC)},
 	}
 }
 
@@ -53,18 +53,18 @@
 	old := sample()
 	now := []Engine{old[0], {Name: "p2", Addr: "127.0.0.1:9003", Kind: "prefill", State: decide.Ready}}
 	now[0].State = decide.Ready
-	got := Changes(old, now)
+	got := Diff(old, now)
 	if len(got) != 3 || got[0].Name != "d1" || got[0].State != decide.Ready || got[1].Name != "p1" ||
 		got[1].State != decide.Gone || got[2].Name != "p2" {
 		t.Errorf("%+v", got)
 	}
-	if got := Changes(old, old); len(got) != 0 {
+	if got := Diff(old, old); len(got) != 0 {
 		t.Errorf("no change, but %+v", got)
 	}
 }
 
 func TestNumbers(t *testing.T) {
-	if Number("") != 0 || Number("a") == Number("b") || Number("a") <= 0 {
+	if LocationNumber("") != 0 || LocationNumber("a") == LocationNumber("b") || LocationNumber("a") <= 0 {
 		t.Error("zones and cells are not told apart")
 	}
 }
@@ -79,7 +79,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	updates := make(chan Update, 16)
 	done := make(chan error, 1)
-	f := &File{Path: path, Every: time.Millisecond}
+	f := &File{Path: path, Interval: time.Millisecond}
 	go func() { done <- f.Run(ctx, func(u Update) { updates <- u }) }()
 	next := func() Update {
 		t.Helper()
--- a/internal/discovery/file.go
+++ b/internal/discovery/file.go
@@ -23,14 +23,14 @@
 // An engine that is gone has no line. A list without a single line is taken at its word only if it says
 // so with the line 'empty', lest a truncated file empty the router.
 type File struct {
-	Path  string
-	Every time.Duration // how often the file is looked at
-	Kinds []string      // kinds that are known; nil: all are
+	Path     string
+	Interval time.Duration // how often the file is looked at
+	Kinds    []string      // kinds that are known; nil: all are
 }
 
 // Run reads the file until ctx ends.
 func (f *File) Run(ctx context.Context, tell func(Update)) error {
-	tick := time.NewTicker(f.Every)
+	tick := time.NewTicker(f.Interval)
 	defer tick.Stop()
 	var last string
 	var failed string
@@ -81,7 +81,7 @@
 	if err := errs.Err(); err != nil {
 		return nil, err
 	}
-	if err := Check(list); err != nil {
+	if err := SortAndCheck(list); err != nil {
 		return nil, fmt.Errorf("%s: %w", file, err)
 	}
 	return list, nil
@@ -101,7 +101,7 @@
 	}
 	var err error
 	e.Name = l.Words[1].Text
-	e.Addr, err = config.Address(l.Words[2].Text)
+	e.Addr, err = config.ParseAddress(l.Words[2].Text)
 	note("address", err)
 	rest := l.Words[3:]
 	if len(rest)%2 != 0 {
@@ -118,16 +118,16 @@
 		case "zone":
 			e.Zone = v
 		case "state":
-			_, err = config.Choice(v, "ready", "draining")
+			_, err = config.ParseChoice(v, "ready", "draining")
 			note(key, err)
 			if v == "draining" {
 				e.State = decide.Draining
 			}
 		case "weight":
-			e.Weight, err = config.Number(v)
+			e.Weight, err = config.ParseNumber(v)
 			note(key, err)
 		case "since":
-			e.Since, err = config.Instant(v)
+			e.StartedAt, err = config.ParseTime(v)
 			note(key, err)
 		default:
 			errs.Add(l, "found %q, expected kind, cell, zone, state, weight or since", key)
@@ -136,7 +136,7 @@
 	if e.Kind == "" {
 		errs.Add(l, "engine %s has no kind", e.Name)
 	} else if kinds != nil {
-		_, err = config.Choice(e.Kind, kinds...)
+		_, err = config.ParseChoice(e.Kind, kinds...)
 		note("kind", err)
 	}
 	return e, len(*errs) == before
@@ -162,8 +162,8 @@
 		if e.Weight != 1 {
 			fmt.Fprintf(&b, " weight %v", e.Weight)
 		}
-		if !e.Since.IsZero() {
-			fmt.Fprintf(&b, " since %s", e.Since.UTC().Format(time.RFC3339Nano))
+		if !e.StartedAt.IsZero() {
+			fmt.Fprintf(&b, " since %s", e.StartedAt.UTC().Format(time.RFC3339Nano))
 		}
 		b.WriteByte('\n')
 	}
--- a/internal/e2e/hard_test.go
+++ b/internal/e2e/hard_test.go
@@ -41,8 +41,8 @@
 func (w *world) kept() {
 	w.t.Helper()
 	records, dropped := w.record.Records()
-	rep := audit.Check(records, dropped, audit.Rules{DrainGrace: w.set.DrainGrace, ListEvery: w.set.ListEvery,
-		FallMultiple: w.set.FallMultiple, FallWithin: w.set.FallWithin, LetGoWithin: w.set.LetGoWithin, Slack: 2 * time.Second})
+	rep := audit.Check(records, dropped, audit.Rules{DrainGrace: w.set.DrainGrace, ListEvery: w.set.ListInterval,
+		FallMultiple: w.set.OverloadMultiple, FallWithin: w.set.OverloadWindow, LetGoWithin: w.set.HoldTimeout, Slack: 2 * time.Second})
 	for _, f := range rep.Findings {
 		w.t.Errorf("rule %d: %s", f.Rule, f.Text)
 	}
@@ -643,15 +643,15 @@
 
 // brokenWorld runs a router whose module is broken on purpose over real engines.
 func brokenWorld(t *testing.T, w *world, module func(router.Decider) router.Decider, letGo bool) *router.Router {
-	client := engine.New(engine.Options{DialTimeout: time.Second, MaxConns: 100, StreamIdle: time.Second,
-		ReleaseWithin: 250 * time.Millisecond, ProbeWithin: time.Second})
+	client := engine.New(engine.Options{DialTimeout: time.Second, MaxConns: 100, StreamIdleTimeout: time.Second,
+		ReleaseTimeout: 250 * time.Millisecond, ProbeTimeout: time.Second})
 	var engines router.Engines = client
 	if !letGo {
 		engines = noRelease{client}
 	}
-	r := router.New(router.Config{Name: "broken", Model: "helpline", Settings: w.set.Decide(discovery.Number),
-		Kinds: []string{"prefill", "decode"}, Engines: engines, Seed: 1, MaxOpen: 100, StreamParts: 8, ClientStall: time.Second,
-		Settle: time.Second, NewDecider: func(set *decide.Settings, seed uint64, now decide.Time) router.Decider {
+	r := router.New(router.Config{Name: "broken", Model: "helpline", Settings: w.set.Decide(discovery.LocationNumber),
+		Kinds: []string{"prefill", "decode"}, Engines: engines, Seed: 1, MaxOpen: 100, StreamBuffer: 8, ClientStallTimeout: time.Second,
+		StopTimeout: time.Second, NewDecider: func(set *decide.Settings, seed uint64, now decide.Time) router.Decider {
 			return module(decide.New(set, seed, now))
 		}})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -661,7 +661,7 @@
 	for _, m := range w.fleet.Members() {
 		list = append(list, discovery.Engine{Name: m.Name, Addr: m.Engine.Addr(), Kind: m.Group.Kind, State: decide.Ready, Weight: 1})
 	}
-	if err := discovery.Check(list); err != nil {
+	if err := discovery.SortAndCheck(list); err != nil {
 		t.Fatal(err)
 	}
 	r.Update(discovery.Update{Engines: list})
--- a/internal/engine/chat/chat.go
+++ b/internal/engine/chat/chat.go
@@ -57,15 +57,15 @@
 
 // Options bound what the client does.
 type Options struct {
-	DialTimeout   time.Duration
-	ConnIdle      time.Duration // idle connections are closed after this
-	MaxConns      int           // to all engines
-	SpareConns    int           // more for releases
-	StreamIdle    time.Duration // without an event for so long a stream has broken
-	ReleaseWithin time.Duration
-	CallOffAgain  time.Duration // after a read was called off it is called off once more
-	ProbeWithin   time.Duration
-	Log           *slog.Logger // nil: none
+	DialTimeout       time.Duration
+	IdleConnTimeout   time.Duration // idle connections are closed after this
+	MaxConns          int           // to all engines
+	ReleaseConns      int           // more for releases
+	StreamIdleTimeout time.Duration // without an event for so long a stream has broken
+	ReleaseTimeout    time.Duration
+	CancelRetryDelay  time.Duration // after a read was called off it is called off once more
+	ProbeTimeout      time.Duration
+	Log               *slog.Logger // nil: none
 }
 
 // Client speaks to all engines; a router.Engines. It is safe for concurrent use.
@@ -88,7 +88,7 @@
 	}
 	return &Client{opts: opts, readEnds: readEnds, restFor: restFor, firstTry: firstTry,
 		closeArrives: closeArrives, heard: map[string]time.Time{}, listed: map[string]struct{}{}, pool: &pool{dialTimeout: opts.DialTimeout,
-			keep: opts.ConnIdle, standsAfter: standsAfter, most: opts.MaxConns, spare: opts.SpareConns}}
+			keep: opts.IdleConnTimeout, standsAfter: standsAfter, most: opts.MaxConns, spare: opts.ReleaseConns}}
 }
 
 // Run closes idle connections before their engines do, until ctx ends; then all.
@@ -141,7 +141,7 @@
 // attempt starts an attempt of a request.
 func (c *Client) attempt(ctx context.Context, addr string, q *engine.Call) (*exchange, error) {
 	x, err := c.start(ctx, addr, &call{method: "POST", target: q.Message.Target, id: q.Params.Request,
-		fields: q.Message.Fields, body: q.Message.Body, until: q.Until, fresh: q.Once, heardWithin: q.HeardWithin, gate: q.Gate})
+		fields: q.Message.Fields, body: q.Message.Body, until: q.ResponseDeadline, fresh: q.NonIdempotent, heardWithin: q.LastResponseWithin, gate: q.Gate})
 	x.rest = c.restFor
 	return x, err
 }
@@ -166,7 +166,7 @@
 	if err := json.Unmarshal(b, &v); err != nil || v.Cached < 0 {
 		return x.failed(fmt.Errorf("%w: no account of the read: %.60q", http1.ErrMalformed, b))
 	}
-	return engine.Result{Outcome: decide.ReadDone, Kept: v.Cached, Report: x.report(),
+	return engine.Result{Outcome: decide.ReadDone, CachedTokens: v.Cached, Report: x.report(),
 		State: &engine.State{Addr: addr, Handle: q.Params.Request, Tokens: q.Params.PromptTokens}}
 }
 
@@ -195,7 +195,7 @@
 	if err != nil {
 		return x.failed(err)
 	}
-	e := events{x: x, chunks: http1.NewChunks(x.conn.br, maxChunk), report: x.report()}
+	e := events{x: x, chunks: http1.NewChunkedReader(x.conn.br, maxChunk), report: x.report()}
 	tokens := 0
 	for {
 		event, err := e.next()
@@ -224,8 +224,8 @@
 }
 
 // Reserve asks for a place ahead and tells whether it is known to be held.
-func (c *Client) Reserve(ctx context.Context, addr string, p *engine.PlaceRequest) (bool, error) {
-	ctx, cancel := context.WithTimeout(ctx, c.opts.ProbeWithin)
+func (c *Client) Reserve(ctx context.Context, addr string, p *engine.ReservationRequest) (bool, error) {
+	ctx, cancel := context.WithTimeout(ctx, c.opts.ProbeTimeout)
 	defer cancel()
 	x, err := c.start(ctx, addr, &call{method: "POST", target: platform.HoldsPath + p.Request})
 	defer x.done()
@@ -240,7 +240,7 @@
 
 // Probe asks for a load report; fresh: on a connection that is made for it, which tells whether the engine is reached.
 func (c *Client) Probe(ctx context.Context, addr string, fresh bool) engine.Result {
-	ctx, cancel := context.WithTimeoutCause(ctx, c.opts.ProbeWithin, engine.ErrTimedOut)
+	ctx, cancel := context.WithTimeoutCause(ctx, c.opts.ProbeTimeout, engine.ErrTimedOut)
 	defer cancel()
 	x, err := c.start(ctx, addr, &call{method: "GET", target: platform.LoadPath, fresh: fresh})
 	defer x.done()
@@ -252,10 +252,10 @@
 		return x.failed(err)
 	}
 	if x.status != 200 {
-		return engine.Result{Outcome: decide.Error, Report: engine.Untold(), Err: fmt.Errorf("status %d", x.status)}
+		return engine.Result{Outcome: decide.Error, Report: engine.NoReport(), Err: fmt.Errorf("status %d", x.status)}
 	}
 	r := engine.Result{Outcome: decide.Served, Report: parseLoad(b)}
-	if v, n := x.head.Get(platform.LoadHeader); n > 0 && r.Report == engine.Untold() {
+	if v, n := x.head.Get(platform.LoadHeader); n > 0 && r.Report == engine.NoReport() {
 		r.Report = parseLoad([]byte(v))
 	}
 	return r
--- a/internal/engine/chat/chat_test.go
+++ b/internal/engine/chat/chat_test.go
@@ -112,8 +112,8 @@
 }
 
 func newClient(t *testing.T, change func(*Options)) *Client {
-	o := Options{DialTimeout: time.Second, ConnIdle: time.Minute, MaxConns: 10, SpareConns: 2,
-		StreamIdle: 10 * time.Second, ReleaseWithin: 10 * time.Second, ProbeWithin: 10 * time.Second}
+	o := Options{DialTimeout: time.Second, IdleConnTimeout: time.Minute, MaxConns: 10, ReleaseConns: 2,
+		StreamIdleTimeout: 10 * time.Second, ReleaseTimeout: 10 * time.Second, ProbeTimeout: 10 * time.Second}
 	if change != nil {
 		change(&o)
 	}
@@ -124,7 +124,7 @@
 }
 
 func request() *engine.Call {
-	return &engine.Call{Params: engine.Params{Request: "id1"}, Until: time.Now().Add(time.Minute),
+	return &engine.Call{Params: engine.Params{Request: "id1"}, ResponseDeadline: time.Now().Add(time.Minute),
 		Message: &engine.Message{Target: "/v1/chat/completions?a=b", Fields: []http1.Field{{Name: "Idempotency-Key", Value: "k7"}}, Body: []byte(`{"x":1}`)}}
 }
 
@@ -176,7 +176,7 @@
 			if res.Outcome != c.want || res.NoState != c.noState || (c.want == decide.ReadDone) != (res.Err == nil) {
 				t.Fatalf("outcome %d, no state %v, err %v", res.Outcome, res.NoState, res.Err)
 			}
-			if c.want == decide.ReadDone && (res.Kept != 4096 || res.State.Addr != p.addr || res.State.Handle != "id1") {
+			if c.want == decide.ReadDone && (res.CachedTokens != 4096 || res.State.Addr != p.addr || res.State.Handle != "id1") {
 				t.Errorf("%+v", res)
 			}
 			if p.requests() != 1 {
@@ -240,7 +240,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := play(t, true, always(streamHead+chunk(eventA)+after))
-			c := newClient(t, func(o *Options) { o.StreamIdle = 20 * time.Millisecond })
+			c := newClient(t, func(o *Options) { o.StreamIdleTimeout = 20 * time.Millisecond })
 			res := c.Decode(t.Context(), p.addr, request(), func(string) error { return nil })
 			if res.Outcome != decide.Reset || res.Tokens != 1 || c.pool.idle.Len() != 0 {
 				t.Errorf("%+v, %d kept", res, c.pool.idle.Len())
@@ -270,7 +270,7 @@
 			_, err = io.WriteString(conn, chunk(": x\n\n"))
 		}
 	}()
-	c := newClient(t, func(o *Options) { o.StreamIdle = 50 * time.Millisecond })
+	c := newClient(t, func(o *Options) { o.StreamIdleTimeout = 50 * time.Millisecond })
 	res := c.Decode(t.Context(), l.Addr().String(), request(), func(string) error { return nil })
 	if res.Outcome != decide.Reset || res.Tokens != 1 {
 		t.Errorf("%+v", res)
@@ -285,7 +285,7 @@
 	c.Prefill(t.Context(), p.addr, request())
 	h := p.heads[0]
 	id, _ := h.Get(platform.IDHeader)
-	left, _ := h.Get(platform.LeftHeader)
+	left, _ := h.Get(platform.TimeLeftHeader)
 	if key, n := h.Get("Idempotency-Key"); key != "k7" || n != 1 {
 		t.Errorf("%d idempotency keys, %q", n, key)
 	}
@@ -347,7 +347,7 @@
 	c := newClient(t, nil)
 	c.Prefill(t.Context(), p.addr, request())
 	once := request()
-	once.Once = true
+	once.NonIdempotent = true
 	if c.pool.idle.Len() != 1 {
 		t.Fatal("nothing was kept")
 	}
@@ -492,7 +492,7 @@
 // The bound holds over all engines: the connection unused for longest makes room, and a release finds some
 // even when attempts hold all.
 func TestBoundOfConnections(t *testing.T) {
-	c := newClient(t, func(o *Options) { o.MaxConns, o.SpareConns = 2, 1 })
+	c := newClient(t, func(o *Options) { o.MaxConns, o.ReleaseConns = 2, 1 })
 	answer := always(whole("202 x", "{}"))
 	var peers []*peer
 	for range 3 {
@@ -538,7 +538,7 @@
 	if h := p.heads[1]; h.Line != "DELETE /v1/holds/id1 HTTP/1.1" {
 		t.Errorf("%+v", h)
 	}
-	if err := c.CallOff(t.Context(), p.addr, "id2"); err != nil || p.heads[2].Line != "DELETE /v1/holds/id2 HTTP/1.1" {
+	if err := c.CancelRead(t.Context(), p.addr, "id2"); err != nil || p.heads[2].Line != "DELETE /v1/holds/id2 HTTP/1.1" {
 		t.Errorf("%v", err)
 	}
 }
@@ -551,7 +551,7 @@
 	c.readEnds = time.Hour
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Millisecond)
 	defer cancel()
-	if err := c.CallOff(ctx, p.addr, "id1"); err == nil || p.requests() != 0 {
+	if err := c.CancelRead(ctx, p.addr, "id1"); err == nil || p.requests() != 0 {
 		t.Errorf("%v, %d calls", err, p.requests())
 	}
 }
@@ -569,13 +569,13 @@
 		t.Errorf("%+v", r)
 	}
 	for name, want := range map[string]bool{"yes": true, "no": false, "who": false} {
-		if held, err := c.Reserve(t.Context(), p.addr, &engine.PlaceRequest{Request: name}); held != want || err != nil {
+		if held, err := c.Reserve(t.Context(), p.addr, &engine.ReservationRequest{Request: name}); held != want || err != nil {
 			t.Errorf("%s: %v %v", name, held, err)
 		}
 	}
 	for _, answer := range []string{whole("503 x", ""), whole("200 OK", "nonsense")} {
 		q := play(t, true, always(answer))
-		if r := c.Probe(t.Context(), q.addr, false); r.Report != engine.Untold() || (r.Outcome == decide.Served) != strings.Contains(answer, "200") {
+		if r := c.Probe(t.Context(), q.addr, false); r.Report != engine.NoReport() || (r.Outcome == decide.Served) != strings.Contains(answer, "200") {
 			t.Errorf("%q: %+v", answer, r)
 		}
 	}
@@ -609,7 +609,7 @@
 	cl := newClient(t, nil)
 	q := request()
 	for i, within := range []time.Duration{0, time.Hour, time.Nanosecond, 0} {
-		q.HeardWithin = within
+		q.LastResponseWithin = within
 		if res := cl.Prefill(t.Context(), p.addr, q); res.Outcome != decide.ReadDone {
 			t.Fatalf("call %d: %+v", i, res)
 		}
--- a/internal/engine/chat/crossings_test.go
+++ b/internal/engine/chat/crossings_test.go
@@ -76,13 +76,13 @@
 		io.Copy(io.Discard, br)
 	})
 	c := newClient(t, nil)
-	if res := c.Prefill(t.Context(), addr, request()); res.Kept != 1 {
+	if res := c.Prefill(t.Context(), addr, request()); res.CachedTokens != 1 {
 		t.Fatalf("the first: %+v", res)
 	}
 	c.pool.standsAfter = 2 * time.Second // until the second answer has come
 	res := c.Prefill(t.Context(), addr, request())
-	if res.Outcome != decide.ReadDone || res.Kept != 7 {
-		t.Errorf("the second: outcome %d, %g kept, %v", res.Outcome, res.Kept, res.Err)
+	if res.Outcome != decide.ReadDone || res.CachedTokens != 7 {
+		t.Errorf("the second: outcome %d, %g kept, %v", res.Outcome, res.CachedTokens, res.Err)
 	}
 	if len(requests) != 1 || <-requests != 1 {
 		t.Errorf("the second connection did not carry it once")
@@ -130,7 +130,7 @@
 	<-reading
 	c.Forget(p.addr)
 	goOn <- true
-	if res := <-ended; res.Outcome != decide.ReadDone || res.Kept != 3 {
+	if res := <-ended; res.Outcome != decide.ReadDone || res.CachedTokens != 3 {
 		t.Errorf("%+v", res)
 	}
 	if n := c.pool.idle.Len(); n != 0 || c.pool.total != 0 || len(c.pool.out) != 0 {
@@ -203,7 +203,7 @@
 		silent = append(silent, l.Addr().String())
 	}
 	p := play(t, true, always("HTTP/1.1 204 x\r\n\r\n"))
-	c := newClient(t, func(o *Options) { o.ReleaseWithin = 8 * time.Second })
+	c := newClient(t, func(o *Options) { o.ReleaseTimeout = 8 * time.Second })
 	c.firstTry = 2 * time.Second // five in turn would take longer
 	c.heard[p.addr] = time.Now().Add(-time.Second)
 	for _, addr := range silent {
@@ -222,7 +222,7 @@
 
 // Where no engine takes a release it ends with its time, and leaves nothing behind.
 func TestReleaseThatNobodyTakes(t *testing.T) {
-	c := newClient(t, func(o *Options) { o.ReleaseWithin = 100 * time.Millisecond })
+	c := newClient(t, func(o *Options) { o.ReleaseTimeout = 100 * time.Millisecond })
 	for _, addr := range []string{"", "127.0.0.1:1"} {
 		if err := c.Release(t.Context(), &engine.State{Addr: addr, Handle: "id1"}); !errors.Is(err, context.DeadlineExceeded) {
 			t.Errorf("%q: %v", addr, err)
@@ -245,8 +245,8 @@
 		held = calls == 1 // the read ends well right after the first call
 		return "HTTP/1.1 204 x\r\n\r\n"
 	})
-	c := newClient(t, func(o *Options) { o.CallOffAgain = time.Millisecond })
-	if err := c.CallOff(t.Context(), p.addr, "id1"); err != nil {
+	c := newClient(t, func(o *Options) { o.CancelRetryDelay = time.Millisecond })
+	if err := c.CancelRead(t.Context(), p.addr, "id1"); err != nil {
 		t.Error(err)
 	}
 	mu.Lock()
@@ -261,7 +261,7 @@
 // others may hear an engine while a read hangs there.
 func TestCalledOffAgainAndAgain(t *testing.T) {
 	for name, callOff := range map[string]func(c *Client, ctx context.Context, addr string) error{
-		"the request is over": func(c *Client, ctx context.Context, addr string) error { return c.CallOff(ctx, addr, "id1") },
+		"the request is over": func(c *Client, ctx context.Context, addr string) error { return c.CancelRead(ctx, addr, "id1") },
 		"the answer has begun": func(c *Client, ctx context.Context, addr string) error {
 			return c.CallOffLater(ctx, addr, "id1")
 		},
@@ -274,7 +274,7 @@
 			}
 			addr := gone.Addr().String()
 			gone.Close() // nobody answers there
-			c := newClient(t, func(o *Options) { o.CallOffAgain = time.Millisecond })
+			c := newClient(t, func(o *Options) { o.CancelRetryDelay = time.Millisecond })
 			c.heard[p.addr], c.heard[addr] = time.Now(), time.Now().Add(time.Hour)
 			if err := callOff(c, t.Context(), addr); err != nil {
 				t.Error(err)
--- a/internal/engine/chat/exchange.go
+++ b/internal/engine/chat/exchange.go
@@ -137,7 +137,7 @@
 	told := time.Duration(0)
 	if !q.until.IsZero() {
 		told = time.Duration(decide.AdvertisedTimeLeft(decide.Duration(time.Until(q.until))))
-		head = append(head, platform.LeftHeader+": "+strconv.FormatInt(told.Milliseconds(), 10)+"\r\n"...)
+		head = append(head, platform.TimeLeftHeader+": "+strconv.FormatInt(told.Milliseconds(), 10)+"\r\n"...)
 	}
 	for _, f := range q.fields {
 		head = append(head, f.Name+": "+f.Value+"\r\n"...)
@@ -209,13 +209,13 @@
 	case length > maxBody:
 		return nil, fmt.Errorf("%w: body of %d bytes", http1.ErrTooLarge, length)
 	case chunked:
-		b, err := io.ReadAll(io.LimitReader(http1.NewChunks(x.conn.br, maxChunk), maxBody+1))
+		b, err := io.ReadAll(io.LimitReader(http1.NewChunkedReader(x.conn.br, maxChunk), maxBody+1))
 		if err == nil && len(b) > maxBody {
 			err = fmt.Errorf("%w: body", http1.ErrTooLarge)
 		}
 		x.whole = err == nil
 		return b, err
-	case length == http1.Untold: // to the connection's end
+	case length == http1.UnknownLength: // to the connection's end
 		return io.ReadAll(io.LimitReader(x.conn.br, maxBody))
 	}
 	b := make([]byte, length)
@@ -238,12 +238,12 @@
 
 // failed tells how an exchange with an error ended. What was not written to its last byte never ran.
 func (x *exchange) failed(err error) engine.Result {
-	r := engine.Result{Report: engine.Untold(), Err: err}
+	r := engine.Result{Report: engine.NoReport(), Err: err}
 	cause := context.Cause(x.ctx)
 	if x.written && !x.whole && !endedByPeer(err) {
 		x.giveUp()
 	}
-	denied, isDenied := engine.Denied(err)
+	denied, isDenied := engine.DenialOutcome(err)
 	switch {
 	case isDenied:
 		r.Outcome = denied
@@ -267,7 +267,7 @@
 	if !x.whole {
 		x.giveUp()
 	}
-	if v, _ := x.head.Get(platform.UnrunHeader); v == "1" {
+	if v, _ := x.head.Get(platform.UnprocessedHeader); v == "1" {
 		switch x.status {
 		case 503, 504:
 			r.Outcome = decide.Full
@@ -288,7 +288,7 @@
 func parseLoad(b []byte) decide.Report {
 	var v map[string]any
 	if json.Unmarshal(b, &v) != nil {
-		return engine.Untold()
+		return engine.NoReport()
 	}
 	return settings.ParseReport(func(name string) (float64, bool) {
 		f, ok := v[name].(float64)
--- a/internal/engine/client_test.go
+++ b/internal/engine/client_test.go
@@ -52,8 +52,8 @@
 }
 
 func newClient(t *testing.T, change func(*Options)) *Client {
-	o := Options{DialTimeout: time.Second, MaxConns: 10, ConnIdle: time.Second, StreamIdle: 100 * time.Millisecond,
-		ReleaseWithin: 100 * time.Millisecond, ProbeWithin: 100 * time.Millisecond}
+	o := Options{DialTimeout: time.Second, MaxConns: 10, IdleConnTimeout: time.Second, StreamIdleTimeout: 100 * time.Millisecond,
+		ReleaseTimeout: 100 * time.Millisecond, ProbeTimeout: 100 * time.Millisecond}
 	if change != nil {
 		change(&o)
 	}
@@ -100,7 +100,7 @@
 		if res.Outcome != c.want || res.NoState != c.noState || (res.Outcome == decide.ReadDone) != (res.Err == nil) {
 			t.Errorf("%s: outcome %d (no state %v), err %v; want %d", c.name, res.Outcome, res.NoState, res.Err, c.want)
 		}
-		if c.want == decide.ReadDone && (*res.State != State{"x:1", "h", 9} || res.Kept != 4) {
+		if c.want == decide.ReadDone && (*res.State != State{"x:1", "h", 9} || res.CachedTokens != 4) {
 			t.Errorf("%s: %+v", c.name, res)
 		}
 	}
@@ -135,7 +135,7 @@
 		if res.Outcome != c.want || res.Tokens != c.tokens || n != c.tokens {
 			t.Errorf("%s: outcome %d, %d tokens, err %v; want %d and %d", c.name, res.Outcome, n, res.Err, c.want, c.tokens)
 		}
-		if c.want == decide.Served && (res.Finish != "stop" || res.Report.MemoryUse != 0.5) {
+		if c.want == decide.Served && (res.FinishReason != "stop" || res.Report.MemoryUse != 0.5) {
 			t.Errorf("%s: %+v", c.name, res)
 		}
 	}
@@ -196,17 +196,17 @@
 
 func TestLoadReports(t *testing.T) {
 	half, k := 0.5, 1500.0
-	r := &LoadReport{MemoryShare: &half, WaitingTokens: &k}
+	r := &LoadReport{MemoryUse: &half, QueuedTokens: &k}
 	want := decide.Report{MemoryUse: 0.5, QueuedKTokens: 1.5, Latency: -1}
-	if got := ParseLoadHeader(r.Header()); got != want || r.Decide() != want {
+	if got := ParseLoadHeader(r.Header()); got != want || r.Report() != want {
 		t.Errorf("%q is %+v", r.Header(), got)
 	}
 	for value, want := range map[string]decide.Report{
 		`JSON {"named_metrics":{"latency_ms":20}}`:                         {MemoryUse: -1, QueuedKTokens: -1, Latency: 20},
-		`TEXT named_metrics.kv_cache_utilization=NaN, latency_ms=x, cpu=1`: Untold(),
-		`TEXT named_metrics.kv_cache_utilization=-1`:                       Untold(),
-		`BIN xyz`: Untold(),
-		``:        Untold(),
+		`TEXT named_metrics.kv_cache_utilization=NaN, latency_ms=x, cpu=1`: NoReport(),
+		`TEXT named_metrics.kv_cache_utilization=-1`:                       NoReport(),
+		`BIN xyz`: NoReport(),
+		``:        NoReport(),
 	} {
 		if got := ParseLoadHeader(value); got != want {
 			t.Errorf("%q is %+v, want %+v", value, got, want)
--- a/internal/engine/wire.go
+++ b/internal/engine/wire.go
@@ -17,20 +17,20 @@
 
 // The paths and headers of the protocol beside KServe's own.
 const (
-	LoadPath    = "/v2/load"      // GET: the load report
-	StatePath   = "/v2/kv/state/" // GET: fetch; POST .../release, .../renew, .../claim
-	PlacePath   = "/v2/kv/place/" // PUT: hold; DELETE: give up; POST .../state: the state moves there
-	RolePath    = "/v2/role"      // GET: Role; POST: RoleChange; POST .../stay: RoleStay
-	RequestPath = "/v2/kv/read/"  // DELETE: call a read off, or its state; POST .../place: where it is to go
+	LoadPath        = "/v2/load"      // GET: the load report
+	StatePath       = "/v2/kv/state/" // GET: fetch; POST .../release, .../renew, .../claim
+	ReservationPath = "/v2/kv/place/" // PUT: hold; DELETE: give up; POST .../state: the state moves there
+	RolePath        = "/v2/role"      // GET: Role; POST: RoleChange; POST .../stay: RoleStay
+	ReadPath        = "/v2/kv/read/"  // DELETE: call a read off, or its state; POST .../place: where it is to go
 
 	// RefusedHeader says why an engine has not run a request at all.
 	RefusedHeader = "Kv-Refused"
 	// LoadHeader carries a load report as text (ORCA, the open request cost aggregation format).
 	LoadHeader = "Endpoint-Load-Metrics"
 	// TokensHeader and SumHeader describe a state that is fetched; the sum is its xxhash64 in hex.
-	TokensHeader = "Kv-Tokens"
-	SumHeader    = "Kv-Sum"
-	InfoHeader   = "Kv-Info"
+	TokensHeader   = "Kv-Tokens"
+	ChecksumHeader = "Kv-Sum"
+	InfoHeader     = "Kv-Info"
 )
 
 // The reasons in RefusedHeader. Each proves that nothing ran.
@@ -64,30 +64,30 @@
 	HoldMillis   float64 `json:"kv_hold_ms,omitempty"`
 }
 
-// PlaceRequest asks for a place ahead.
-type PlaceRequest struct {
+// ReservationRequest asks for a place ahead.
+type ReservationRequest struct {
 	Request    string  `json:"request"`
 	Tokens     float64 `json:"tokens"`
 	Source     string  `json:"source"` // the engine that reads
 	HoldMillis float64 `json:"hold_ms"`
 }
 
-// PlaceResponse answers it.
-type PlaceResponse struct {
+// ReservationResponse answers it.
+type ReservationResponse struct {
 	Held bool `json:"held"`
 }
 
-// PlaceNotice tells a reading engine where the state is to go.
-type PlaceNotice struct {
-	Place string `json:"place"`
+// ReservationNotice tells a reading engine where the state is to go.
+type ReservationNotice struct {
+	WriterAddr string `json:"place"`
 }
 
 // ReadParams are the parameters of a finished read.
 type ReadParams struct {
-	Handle string  `json:"kv_handle"`
-	Source string  `json:"kv_source"`
-	Tokens float64 `json:"kv_tokens"`
-	Kept   float64 `json:"kept_tokens"`
+	Handle       string  `json:"kv_handle"`
+	Source       string  `json:"kv_source"`
+	Tokens       float64 `json:"kv_tokens"`
+	CachedTokens float64 `json:"kept_tokens"`
 }
 
 // The phases of an engine on its way from one role to another.
@@ -99,12 +99,12 @@
 
 // Role is what an engine says of its role. Its own word, with its epoch, is the truth.
 type Role struct {
-	Role  string    `json:"role"` // StagePrefill, StageDecode or "both"
-	Epoch uint64    `json:"epoch"`
-	Phase string    `json:"phase"`
-	To    string    `json:"to,omitempty"`    // while it changes
-	Since time.Time `json:"since,omitzero"`  // its last start or change; zero: long ago
-	Other bool      `json:"other,omitempty"` // it can change
+	Role      string    `json:"role"` // StagePrefill, StageDecode or "both"
+	Epoch     uint64    `json:"epoch"`
+	Phase     string    `json:"phase"`
+	To        string    `json:"to,omitempty"`    // while it changes
+	Since     time.Time `json:"since,omitzero"`  // its last start or change; zero: long ago
+	CanChange bool      `json:"other,omitempty"` // it can change
 }
 
 // RoleChange asks for a change from an epoch. The engine grants it (200) only if it is steady at that epoch;
@@ -121,32 +121,32 @@
 // MaxNoticeMillis bounds what a router may ask an engine to wait for.
 const MaxNoticeMillis = 600_000
 
-// RoleStay takes a change back while the engine is still emptying: 200, else 409.
-type RoleStay struct {
+// RoleChangeCancel takes a change back while the engine is still emptying: 200, else 409.
+type RoleChangeCancel struct {
 	Epoch uint64 `json:"epoch"`
 }
 
 // LoadReport is a load report on the wire; a field that is not told is nil.
 type LoadReport struct {
-	MemoryShare   *float64 `json:"kv_cache_utilization,omitempty"`
-	WaitingTokens *float64 `json:"waiting_prompt_tokens,omitempty"`
+	MemoryUse     *float64 `json:"kv_cache_utilization,omitempty"`
+	QueuedTokens  *float64 `json:"waiting_prompt_tokens,omitempty"`
 	LatencyMillis *float64 `json:"latency_ms,omitempty"`
 }
 
-// Untold is a report that tells nothing.
-func Untold() decide.Report { return decide.Report{MemoryUse: -1, QueuedKTokens: -1, Latency: -1} }
+// NoReport is a report that tells nothing.
+func NoReport() decide.Report { return decide.Report{MemoryUse: -1, QueuedKTokens: -1, Latency: -1} }
 
-// Decide turns a wire report into the module's.
-func (l *LoadReport) Decide() decide.Report {
-	r := Untold()
+// Report turns a wire report into the module's.
+func (l *LoadReport) Report() decide.Report {
+	r := NoReport()
 	if l == nil {
 		return r
 	}
-	if l.MemoryShare != nil {
-		r.MemoryUse = *l.MemoryShare
+	if l.MemoryUse != nil {
+		r.MemoryUse = *l.MemoryUse
 	}
-	if l.WaitingTokens != nil {
-		r.QueuedKTokens = *l.WaitingTokens / 1000
+	if l.QueuedTokens != nil {
+		r.QueuedKTokens = *l.QueuedTokens / 1000
 	}
 	if l.LatencyMillis != nil {
 		r.Latency = *l.LatencyMillis
@@ -171,8 +171,8 @@
 		first = false
 		b.WriteString(metricPrefix + name + "=" + strconv.FormatFloat(*v, 'g', 6, 64))
 	}
-	put("kv_cache_utilization", l.MemoryShare)
-	put("waiting_prompt_tokens", l.WaitingTokens)
+	put("kv_cache_utilization", l.MemoryUse)
+	put("waiting_prompt_tokens", l.QueuedTokens)
 	put("latency_ms", l.LatencyMillis)
 	return b.String()
 }
@@ -199,20 +199,20 @@
 			}
 			switch strings.TrimPrefix(name, metricPrefix) {
 			case "kv_cache_utilization":
-				l.MemoryShare = &f
+				l.MemoryUse = &f
 			case "waiting_prompt_tokens":
-				l.WaitingTokens = &f
+				l.QueuedTokens = &f
 			case "latency_ms":
 				l.LatencyMillis = &f
 			}
 		}
 	}
-	for _, p := range []**float64{&l.MemoryShare, &l.WaitingTokens, &l.LatencyMillis} {
+	for _, p := range []**float64{&l.MemoryUse, &l.QueuedTokens, &l.LatencyMillis} {
 		if *p != nil && !(**p >= 0 && **p < 1e12) { // NaN too
 			*p = nil
 		}
 	}
-	return l.Decide()
+	return l.Report()
 }
 
 // State names a read state that waits at an engine. Addr is where it is fetched.
@@ -245,24 +245,24 @@
 	Prompt string
 	Params Params
 
-	Message *Message  // nil: the engine gets Prompt and Params
-	Until   time.Time // the router waits no longer for the first sign
-	Once    bool      // it may not be sent again if it may have run
-	// HeardWithin: a kept connection may carry it only if an answer has come on that so recently; 0: any may.
-	HeardWithin time.Duration
-	Gate        Gate // nil: nobody is asked
+	Message          *Message  // nil: the engine gets Prompt and Params
+	ResponseDeadline time.Time // the router waits no longer for the first sign
+	NonIdempotent    bool      // it may not be sent again if it may have run
+	// LastResponseWithin: a kept connection may carry it only if an answer has come on that so recently; 0: any may.
+	LastResponseWithin time.Duration
+	Gate               Gate // nil: nobody is asked
 }
 
 // Result is how an attempt ended.
 type Result struct {
-	Outcome decide.Outcome
-	NoState bool
-	Kept    float64
-	Report  decide.Report
-	State   *State // of a finished read
-	Finish  string // why the answer ended, as the engine said
-	Tokens  int    // of the answer that were handed on
-	Err     error  // what went wrong, for the log; nil when served or read
+	Outcome      decide.Outcome
+	NoState      bool
+	CachedTokens float64
+	Report       decide.Report
+	State        *State // of a finished read
+	FinishReason string // why the answer ended, as the engine said
+	Tokens       int    // of the answer that were handed on
+	Err          error  // what went wrong, for the log; nil when served or read
 }
 
 // The causes by which the owner of an attempt ends it before its time. They are given to the attempt's
@@ -277,10 +277,10 @@
 
 // Options bound what the client does.
 type Options struct {
-	DialTimeout   time.Duration
-	ConnIdle      time.Duration
-	MaxConns      int // to one engine
-	StreamIdle    time.Duration
-	ReleaseWithin time.Duration
-	ProbeWithin   time.Duration
+	DialTimeout       time.Duration
+	IdleConnTimeout   time.Duration
+	MaxConns          int // to one engine
+	StreamIdleTimeout time.Duration
+	ReleaseTimeout    time.Duration
+	ProbeTimeout      time.Duration
 }
--- a/internal/front/chat/crossings_test.go
+++ b/internal/front/chat/crossings_test.go
@@ -70,7 +70,7 @@
 			if b, err := br.ReadByte(); !errors.Is(err, syscall.ECONNRESET) {
 				t.Errorf("got %q, %v, want a reset", b, err)
 			}
-			w.eventually("closed", func() bool { return w.front.Conns() == 0 })
+			w.eventually("closed", func() bool { return w.front.OpenConns() == 0 })
 			if n := w.engines.sent(); n != 1 {
 				t.Errorf("%d requests were sent on, want the first alone", n)
 			}
@@ -93,10 +93,10 @@
 			w.inState(resting)
 			io.WriteString(client, whole[:cut])
 			w.inState(receiving)
-			w.front.ShutDown()
-			w.front.CloseResting(0)
-			w.front.ExpireFresh()
-			w.front.CloseResting(0)
+			w.front.BeginShutdown()
+			w.front.CloseIdle(0)
+			w.front.RefuseUnused()
+			w.front.CloseIdle(0)
 			io.WriteString(client, whole[cut:])
 			resp, got, err := answer(t, br)
 			if resp.StatusCode != 200 || !resp.Close || got != eventA+eventEnd || err != nil {
@@ -157,8 +157,8 @@
 	w := start(t, served, nil)
 	_, silentBr := w.dial()
 	w.inState(fresh)
-	w.front.ShutDown()
-	w.front.ExpireFresh()
+	w.front.BeginShutdown()
+	w.front.RefuseUnused()
 	if resp, _, err := answer(t, silentBr); resp.StatusCode != 503 || !resp.Close || err != nil {
 		t.Errorf("%+v %v", resp, err)
 	}
@@ -179,18 +179,18 @@
 	if err != nil || resp.Close {
 		t.Fatalf("%+v %v", resp, err)
 	}
-	w.front.ShutDown()
+	w.front.BeginShutdown()
 	close(gate)
 	if _, err := io.Copy(io.Discard, resp.Body); err != nil {
 		t.Fatal(err)
 	}
 	w.inState(resting)
-	w.front.CloseResting(time.Hour) // it has not rested for so long
+	w.front.CloseIdle(time.Hour) // it has not rested for so long
 	io.WriteString(c, message("b"))
 	if resp, got, err := answer(t, br); resp.StatusCode != 200 || !resp.Close || got != eventA+eventEnd || err != nil {
 		t.Errorf("%+v %q %v", resp, got, err)
 	}
-	w.eventually("it is closed", func() bool { return w.front.Conns() == 0 })
+	w.eventually("it is closed", func() bool { return w.front.OpenConns() == 0 })
 }
 
 // A request that has not come to its end when the router gives up is refused: its last byte may come in that moment.
@@ -200,9 +200,9 @@
 	whole := message("a")
 	io.WriteString(c, whole[:len(whole)-1])
 	w.inState(receiving)
-	w.front.ShutDown()
-	w.front.ExpireFresh() // is none of its business
-	w.front.ExpireReceiving()
+	w.front.BeginShutdown()
+	w.front.RefuseUnused() // is none of its business
+	w.front.RefuseIncomplete()
 	if resp, _, err := answer(t, br); resp.StatusCode != 503 || !resp.Close || err != nil {
 		t.Errorf("%+v %v", resp, err)
 	}
@@ -219,7 +219,7 @@
 // bytes. The connections kept for that are few.
 func TestRefusalForRoomArrives(t *testing.T) {
 	gate := make(chan bool)
-	w := start(t, gated(gate), func(o *Options) { o.MaxConns, o.MaxRefused = 1, 1 })
+	w := start(t, gated(gate), func(o *Options) { o.MaxConns, o.MaxRefusedConns = 1, 1 })
 	w.front.lingerFor = time.Minute
 	open, openBr := w.dial()
 	io.WriteString(open, message("a"))
@@ -235,14 +235,14 @@
 	if _, err := br.ReadByte(); err != io.EOF {
 		t.Errorf("after the refusal: %v", err)
 	}
-	w.eventually("it lingers", func() bool { return w.front.Conns() == 2 })
+	w.eventually("it lingers", func() bool { return w.front.OpenConns() == 2 })
 	_, thirdBr := w.dial() // beyond the few: closed at once
 	ends(t, thirdBr)
-	if n := w.front.Conns(); n > 2 {
+	if n := w.front.OpenConns(); n > 2 {
 		t.Errorf("%d connections", n)
 	}
 	second.Close()
-	w.eventually("room again", func() bool { return w.front.Conns() == 1 })
+	w.eventually("room again", func() bool { return w.front.OpenConns() == 1 })
 	close(gate)
 	if resp, _, err := answer(t, openBr); resp.StatusCode != 200 || err != nil {
 		t.Errorf("the open one: %+v %v", resp, err)
@@ -252,7 +252,7 @@
 // A request that is coming is not cut off for room: whoever finds none is refused, and only a client that has sent for
 // long without an end is answered as late.
 func TestRoomIsNotMadeOfRequestsThatCome(t *testing.T) {
-	w := start(t, served, func(o *Options) { o.MaxConns, o.MaxRefused = 1, 4 })
+	w := start(t, served, func(o *Options) { o.MaxConns, o.MaxRefusedConns = 1, 4 })
 	slow, slowBr := w.dial()
 	m := message("a")
 	io.WriteString(slow, m[:100])
@@ -271,7 +271,7 @@
 	w.inState(receiving)
 	s := &w.front.conns
 	s.mu.Lock()
-	c.entry.since = time.Now().Add(-w.front.opts.Within) // it has sent for long
+	c.entry.since = time.Now().Add(-w.front.opts.RequestTimeout) // it has sent for long
 	s.mu.Unlock()
 	third, _ := w.dial()
 	io.WriteString(third, message("c"))
@@ -294,7 +294,7 @@
 			io.WriteString(c, m[:len(m)-1])
 			w.inState(receiving)
 			leave(c.(*net.TCPConn))
-			w.eventually("closed", func() bool { return w.front.Conns() == 0 })
+			w.eventually("closed", func() bool { return w.front.OpenConns() == 0 })
 			if n := w.engines.sent(); n != 0 {
 				t.Errorf("%d requests were sent on", n)
 			}
@@ -328,7 +328,7 @@
 					writing <- true
 				}
 				w.eventually("gone", func() bool { return w.router.Stats().Gone == 1 && w.router.Stats().Open == 0 })
-				w.eventually("closed", func() bool { return w.front.Conns() == 0 })
+				w.eventually("closed", func() bool { return w.front.OpenConns() == 0 })
 				if n := w.router.Stats().Sends; n != 2 {
 					t.Errorf("%d attempts", n)
 				}
--- a/internal/front/chat/leave_test.go
+++ b/internal/front/chat/leave_test.go
@@ -52,7 +52,7 @@
 			}
 			c.Close()
 			w.eventually("gone", func() bool { return w.router.Stats().Gone == 1 && w.router.Stats().Open == 0 })
-			w.eventually("closed", func() bool { return w.front.Conns() == 0 })
+			w.eventually("closed", func() bool { return w.front.OpenConns() == 0 })
 			if n := w.router.Stats().Sends; n != 2 {
 				t.Errorf("%d attempts, want the read and the write of the first request", n)
 			}
@@ -83,11 +83,11 @@
 // connection is ended for sending first, and what still comes is read and not served.
 func TestLastAnswerIsNotReset(t *testing.T) {
 	gate := make(chan bool)
-	w := start(t, gated(gate), func(o *Options) { o.BodyBytes = 3 * readBuffer })
+	w := start(t, gated(gate), func(o *Options) { o.MaxBodyMemory = 3 * readBuffer })
 	c, br := w.dial()
 	io.WriteString(c, message("a"))
 	w.eventually("taken", func() bool { return w.router.Stats().Sends == 2 })
-	w.front.ShutDown()
+	w.front.BeginShutdown()
 	io.WriteString(c, big("b")) // more than is read ahead: some of it stays unread
 	close(gate)
 	resp, got, err := answer(t, br)
@@ -98,7 +98,7 @@
 		t.Errorf("after the answer %d bytes and %v, want the end", n, err)
 	}
 	c.Close()
-	w.eventually("closed", func() bool { return w.front.Conns() == 0 })
+	w.eventually("closed", func() bool { return w.front.OpenConns() == 0 })
 	if n := w.router.Stats().Sends; n != 2 {
 		t.Errorf("%d attempts: what was read after the end was sent on", n)
 	}
@@ -122,7 +122,7 @@
 
 // Where the bodies have no room left nothing is read ahead, and nothing is counted for it.
 func TestNoRoomToReadAhead(t *testing.T) {
-	f := New(Options{BodyBytes: readBuffer - 1}, nil)
+	f := New(Options{MaxBodyMemory: readBuffer - 1}, nil)
 	c := &conn{front: f}
 	if err := c.readAhead(); !errors.Is(err, errNoRoom) {
 		t.Errorf("got %v", err)
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -113,7 +113,7 @@
 
 func field(b []byte) (Field, error) {
 	name, value, ok := strings.Cut(string(b), ":")
-	if !ok || !Token(name) { // a folded line and a space before the colon end here too
+	if !ok || !IsToken(name) { // a folded line and a space before the colon end here too
 		return Field{}, malformed("header line %.40q", b)
 	}
 	value = strings.Trim(value, " \t")
@@ -125,8 +125,8 @@
 	return Field{name, value}, nil
 }
 
-// Token tells whether s is a token of RFC 9110, 5.6.2.
-func Token(s string) bool {
+// IsToken tells whether s is a token of RFC 9110, 5.6.2.
+func IsToken(s string) bool {
 	for i := 0; i < len(s); i++ {
 		c := s[i]
 		if !('a' <= c && c <= 'z' || 'A' <= c && c <= 'Z' || '0' <= c && c <= '9' ||
@@ -142,7 +142,7 @@
 	method, rest, _ := strings.Cut(h.Line, " ")
 	target, version, ok := strings.Cut(rest, " ")
 	target = originForm(target)
-	if !ok || !Token(method) || !strings.HasPrefix(target, "/") ||
+	if !ok || !IsToken(method) || !strings.HasPrefix(target, "/") ||
 		version != "HTTP/1.1" && version != "HTTP/1.0" {
 		return "", "", false, malformed("request line %.60q", h.Line)
 	}
@@ -214,8 +214,8 @@
 	return out
 }
 
-// Untold is the length of a body about which a head says nothing.
-const Untold = -1
+// UnknownLength is the length of a body about which a head says nothing.
+const UnknownLength = -1
 
 // Framing tells how a body is framed: in chunks, or length bytes of it. A message that has both lengths, or
 // one of them twice, may be read in two ways, and the other reader would see another request in its body
@@ -232,9 +232,9 @@
 		if !strings.EqualFold(te, "chunked") {
 			return 0, false, malformed("Transfer-Encoding %.40q", te)
 		}
-		return Untold, true, nil
+		return UnknownLength, true, nil
 	case lengths == 0:
-		return Untold, false, nil
+		return UnknownLength, false, nil
 	}
 	if cl == "" || strings.Trim(cl, "0123456789") != "" { // ParseInt would take a sign
 		return 0, false, malformed("Content-Length %.40q", cl)
@@ -246,8 +246,8 @@
 	return length, false, nil
 }
 
-// Chunks reads a body in chunks.
-type Chunks struct {
+// ChunkedReader reads a body in chunks.
+type ChunkedReader struct {
 	br   *bufio.Reader
 	max  int64 // bytes of one chunk
 	left int64 // of the chunk under way
@@ -255,12 +255,14 @@
 	done bool
 }
 
-// NewChunks returns a reader of the chunks in br, none of them over max bytes.
-func NewChunks(br *bufio.Reader, max int64) *Chunks { return &Chunks{br: br, max: max} }
+// NewChunkedReader returns a reader of the chunks in br, none of them over max bytes.
+func NewChunkedReader(br *bufio.Reader, max int64) *ChunkedReader {
+	return &ChunkedReader{br: br, max: max}
+}
 
 // Read implements io.Reader. It never crosses from one chunk into the next, and returns io.EOF only after
 // the last chunk and its trailer.
-func (c *Chunks) Read(p []byte) (int, error) {
+func (c *ChunkedReader) Read(p []byte) (int, error) {
 	if c.done {
 		return 0, io.EOF
 	}
@@ -296,7 +298,7 @@
 	return err
 }
 
-func (c *Chunks) next() error {
+func (c *ChunkedReader) next() error {
 	b, err := line(c.br)
 	if err != nil {
 		return err
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -72,9 +72,9 @@
 		chunked bool
 		want    error
 	}{
-		{"", Untold, false, nil},
+		{"", UnknownLength, false, nil},
 		{"Content-Length: 5\r\n", 5, false, nil},
-		{"Transfer-Encoding: Chunked\r\n", Untold, true, nil},
+		{"Transfer-Encoding: Chunked\r\n", UnknownLength, true, nil},
 		{"Content-Length: 5\r\nTransfer-Encoding: chunked\r\n", 0, false, ErrMalformed},
 		{"Transfer-Encoding: chunked\r\nContent-Length: 0\r\n", 0, false, ErrMalformed},
 		{"Content-Length: 5\r\nContent-Length: 5\r\n", 0, false, ErrMalformed},
@@ -116,7 +116,7 @@
 		{"trailer without end", "0\r\n" + strings.Repeat("a: b\r\n", maxFields+1), "", ErrTooLarge},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			got, err := io.ReadAll(NewChunks(reader(c.in), 100))
+			got, err := io.ReadAll(NewChunkedReader(reader(c.in), 100))
 			if string(got) != c.out || !errors.Is(err, c.want) {
 				t.Errorf("%q, %v; want %q, %v", got, err, c.out, c.want)
 			}
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -16,7 +16,7 @@
 // Set is the metrics of one router. It is safe for concurrent use.
 type Set struct {
 	registry *prometheus.Registry
-	Shift    *Shift // nil until NewShift
+	Roles    *RoleMetrics // nil until NewShift
 }
 
 // New returns the metrics of a router: stats are its counts, read at each scrape.
@@ -78,9 +78,9 @@
 	ch <- prometheus.MustNewConstMetric(ready, prometheus.GaugeValue, float64(s.Engines))
 }
 
-// Shift is what is counted of shifting roles. Every router follows every change, so that each counts all that
+// RoleMetrics is what is counted of shifting roles. Every router follows every change, so that each counts all that
 // it has seen: do not add routers up.
-type Shift struct {
+type RoleMetrics struct {
 	changes  *prometheus.CounterVec
 	took     *prometheus.HistogramVec
 	lost     *prometheus.CounterVec
@@ -94,9 +94,9 @@
 
 var stages = [...]string{roles.Prefill: "prefill", roles.Decode: "decode"}
 
-// NewShift adds the metrics of shifting roles to a set.
-func (s *Set) NewShift() *Shift {
-	m := &Shift{
+// NewRoleMetrics adds the metrics of shifting roles to a set.
+func (s *Set) NewRoleMetrics() *RoleMetrics {
+	m := &RoleMetrics{
 		changes: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "mintdoor_role_changes_total",
 			Help: "Changes of role that have ended, by the role that was asked for and by result."}, []string{"to", "result"}),
 		took: prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "mintdoor_role_change_seconds", Help: "Time of a change, from its asking to its end.",
@@ -120,12 +120,12 @@
 			m.changes.WithLabelValues(to, result)
 		}
 	}
-	s.Shift = m
+	s.Roles = m
 	return m
 }
 
-// Ended counts a change that has ended. cold is what coldness will take, as full time in seconds.
-func (m *Shift) Ended(e *roles.Ended, cold float64) {
+// ChangeEnded counts a change that has ended. cold is what coldness will take, as full time in seconds.
+func (m *RoleMetrics) ChangeEnded(e *roles.Ended, cold float64) {
 	if m == nil {
 		return
 	}
@@ -139,8 +139,8 @@
 	m.lost.WithLabelValues(stages[e.To], "away").Add(e.Took.Seconds())
 }
 
-// Planned takes in a plan and the time that it took in seconds.
-func (m *Shift) Planned(r *roles.Report, took float64) {
+// PlanMade takes in a plan and the time that it took in seconds.
+func (m *RoleMetrics) PlanMade(r *roles.Report, took float64) {
 	if m == nil {
 		return
 	}
@@ -154,8 +154,8 @@
 	m.planning.Observe(took)
 }
 
-// Engines takes in where all engines are.
-func (m *Shift) Engines(list []roles.Status) {
+// SetEngines takes in where all engines are.
+func (m *RoleMetrics) SetEngines(list []roles.Status) {
 	if m == nil {
 		return
 	}
@@ -169,8 +169,8 @@
 	}
 }
 
-// Unseen counts observations that did not fit.
-func (m *Shift) Unseen() {
+// ObservationDropped counts observations that did not fit.
+func (m *RoleMetrics) ObservationDropped() {
 	if m != nil {
 		m.unseen.Inc()
 	}
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -261,7 +261,7 @@
 		stop()
 		for range w.done {
 		}
-		if w.node.guard.Violated() > 0 {
+		if w.node.guard.ViolationCount() > 0 {
 			w.t.Errorf("violations: %v\n%s", w.node.guard.Violations(), w.log.String())
 		}
 	})
@@ -350,7 +350,7 @@
 	}
 	open.ask("b")
 	w.eventually("one is open", func() bool { return w.open(writer) == 1 })
-	w.eventually("all are there", func() bool { return w.node.front.Conns() == 3 })
+	w.eventually("all are there", func() bool { return w.node.front.OpenConns() == 3 })
 	w.node.Drain()
 	if _, err := idle.br.ReadByte(); err != io.EOF {
 		t.Errorf("a connection between requests: %v", err)
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -11,16 +11,16 @@
 
 // The headers.
 const (
-	IDHeader      = "X-Correlation-Id"
-	ClassHeader   = "X-Service-Class"
-	TenantHeader  = "X-Account"
-	SessionHeader = "X-Session-Key"
-	LeftHeader    = "X-Time-Left-Ms"
-	FactsHeader   = "X-Facts"
-	RepeatHeader  = "X-Repeat"      // 1: a client's retry; again: it asks for the rest of a broken stream
-	UnrunHeader   = "X-Unprocessed" // 1: nothing of the request has run
-	LoadHeader    = "X-Backend-Load"
+	IDHeader          = "X-Correlation-Id"
+	ClassHeader       = "X-Service-Class"
+	TenantHeader      = "X-Account"
+	SessionHeader     = "X-Session-Key"
+	TimeLeftHeader    = "X-Time-Left-Ms"
+	FactsHeader       = "X-Facts"
+	RepeatHeader      = "X-Repeat"      // 1: a client's retry; again: it asks for the rest of a broken stream
+	UnprocessedHeader = "X-Unprocessed" // 1: nothing of the request has run
+	LoadHeader        = "X-Backend-Load"
 )
 
-// EventsType is the type of a stream of events.
-const EventsType = "text/event-stream"
+// EventStreamType is the type of a stream of events.
+const EventStreamType = "text/event-stream"
--- a/internal/router/actions.go
+++ b/internal/router/actions.go
@@ -53,8 +53,8 @@
 		r.probe(a.Server, a.NewConnection)
 		return
 	case decide.WatchList:
-		if r.cfg.Watch != nil {
-			r.cfg.Watch()
+		if r.cfg.WatchList != nil {
+			r.cfg.WatchList()
 		}
 		return
 	case decide.Note:
@@ -108,7 +108,7 @@
 	guarded, err := r.begin(act, f, s, at)
 	if err != nil {
 		r.later = append(r.later, decide.Event{Kind: decide.AttemptEnded, Request: f.id, Server: act.Server,
-			Attempt: guarded.Number, Outcome: decide.NotStarted, Closed: f.answered(), Report: engine.Untold()})
+			Attempt: guarded.Number, Outcome: decide.NotStarted, Closed: f.answered(), Report: engine.NoReport()})
 		return
 	}
 	a := &attempt{flight: f, server: act.Server, addr: s.addr, prefill: s.role == decide.Reader,
@@ -117,7 +117,7 @@
 	f.out = a
 	a.limit = r.timers.add(&entry{at: at, attempt: a})
 	r.fill(a, f)
-	a.call.HeardWithin = time.Duration(act.LastResponseWithin)
+	a.call.LastResponseWithin = time.Duration(act.LastResponseWithin)
 	r.keep.sent(a)
 	r.count.sends.Add(1)
 	r.work.Add(1)
@@ -132,36 +132,36 @@
 
 // begin asks the guard for an attempt at an engine, which is given up at some time. With an error it may not start.
 func (r *Router) begin(act *decide.Action, f *flight, s *server, at decide.Time) (*guard.Attempt, error) {
-	limits := guard.Limits{Within: time.Duration(at - r.now), DrainGrace: time.Duration(r.cfg.Settings.DrainGrace)}
+	limits := guard.Limits{Timeout: time.Duration(at - r.now), DrainGrace: time.Duration(r.cfg.Settings.DrainGrace)}
 	if act.SendBy != 0 {
-		limits.NotAfter = r.wall(act.SendBy)
+		limits.SendBy = r.wall(act.SendBy)
 	}
 	switch {
 	case s == nil:
-		return f.guarded().Skip(limits, errNoServer)
+		return f.guarded().SkipAttempt(limits, errNoServer)
 	case r.now >= f.deadline:
-		return f.guarded().Skip(limits, errNoTime)
+		return f.guarded().SkipAttempt(limits, errNoTime)
 	case f.guarded().Attempts() >= r.cfg.Settings.MaxAttempts:
-		return f.guarded().Skip(limits, errAllAttempts)
+		return f.guarded().SkipAttempt(limits, errAllAttempts)
 	}
 	limits.Engine, limits.Stage = s.name, engine.StageDecode
 	if s.role == decide.Reader {
 		limits.Stage = engine.StagePrefill
 	}
-	limits.Withdrawn = func() (time.Duration, bool) { return s.withdrawnFor(r.clock()) }
-	return f.guarded().Begin(limits)
+	limits.WithdrawnFor = func() (time.Duration, bool) { return s.withdrawnFor(r.clock()) }
+	return f.guarded().BeginAttempt(limits)
 }
 
 // fill makes what the attempt carries.
 func (r *Router) fill(a *attempt, f *flight) {
 	j := &f.q.job
 	a.call = engine.Call{ID: f.name + "." + strconv.Itoa(a.number), Model: r.cfg.Model, Message: j.Message,
-		Once:  !a.prefill && r.cfg.Settings.Classes[j.Class].RetryPolicy == decide.Unsafe,
-		Gate:  a.guarded,
-		Until: r.wall(a.limit.at), Params: engine.Params{
+		NonIdempotent:    !a.prefill && r.cfg.Settings.Classes[j.Class].RetryPolicy == decide.Unsafe,
+		Gate:             a.guarded,
+		ResponseDeadline: r.wall(a.limit.at), Params: engine.Params{
 			Stage: engine.StageDecode, Request: f.name, Client: j.ClientID, Class: j.ClassName, Tenant: j.TenantName,
-			Session: j.Session, SharedText: j.SharedText, PromptTokens: j.PromptTokens,
-			SharedTokens: j.SharedTokens, MaxTokens: j.MaxTokens,
+			Session: j.Session, SharedText: j.SharedPrefix, PromptTokens: j.PromptTokens,
+			SharedTokens: j.PrefixTokens, MaxTokens: j.MaxTokens,
 			HoldMillis: float64(r.cfg.Settings.HoldTimeout) / 1e6,
 		}}
 	switch {
@@ -194,7 +194,7 @@
 		if p := recover(); p != nil {
 			r.count.panics.Add(1)
 			r.log.Error("an attempt panicked", "request", a.flight.name, "panic", fmt.Sprint(p), "stack", string(debug.Stack()))
-			res = engine.Result{Outcome: decide.Reset, Report: engine.Untold(), Err: errPanicked}
+			res = engine.Result{Outcome: decide.Reset, Report: engine.NoReport(), Err: errPanicked}
 		}
 	}()
 	if a.prefill {
@@ -233,7 +233,7 @@
 			return nil
 		default:
 		}
-		stall := time.NewTimer(r.cfg.ClientStall)
+		stall := time.NewTimer(r.cfg.ClientStallTimeout)
 		defer stall.Stop()
 		select {
 		case q.parts <- text:
@@ -251,7 +251,7 @@
 	s := r.servers[id]
 	if s == nil {
 		r.later = append(r.later, decide.Event{Kind: decide.Probed, Server: id, NewConnection: fresh, Outcome: decide.ConnectFailed,
-			Report: engine.Untold()})
+			Report: engine.NoReport()})
 		return
 	}
 	r.count.probes.Add(1)
@@ -278,7 +278,7 @@
 	}
 	p := &place{server: id, addr: s.addr}
 	f.place = p
-	ask := &engine.PlaceRequest{Request: f.name, Tokens: f.q.job.PromptTokens, Source: f.out.addr,
+	ask := &engine.ReservationRequest{Request: f.name, Tokens: f.q.job.PromptTokens, Source: f.out.addr,
 		HoldMillis: float64(r.cfg.Settings.HoldTimeout) / 1e6}
 	r.work.Add(1)
 	go func() {
@@ -305,7 +305,7 @@
 	}
 	if f.out != nil && f.out.prefill {
 		r.tell(&decide.Event{Kind: decide.ReservationAnswer, Request: f.id, Server: m.server, Attempt: f.out.number,
-			Granted: m.held, Report: engine.Untold()}, f)
+			Granted: m.held, Report: engine.NoReport()}, f)
 	}
 }
 
--- a/internal/router/crossings_test.go
+++ b/internal/router/crossings_test.go
@@ -75,9 +75,9 @@
 	p1, d1, d2 := fleet()[2], fleet()[0], fleet()[1]
 	fake := &fakeEngines{decode: func(_ context.Context, addr string, _ *engine.Call, _ func(string) error) engine.Result {
 		if addr == d1.Addr {
-			return engine.Result{Outcome: decide.TimedOut, Report: engine.Untold(), Err: engine.ErrTimedOut}
+			return engine.Result{Outcome: decide.TimedOut, Report: engine.NoReport(), Err: engine.ErrTimedOut}
 		}
-		return engine.Result{Outcome: decide.Full, NoState: true, Report: engine.Untold(), Err: errors.New("410")}
+		return engine.Result{Outcome: decide.Full, NoState: true, Report: engine.NoReport(), Err: errors.New("410")}
 	}}
 	module := withModule(func(_ decide.Time, ev *decide.Event, out []decide.Action) []decide.Action {
 		send := func(e discovery.Engine) []decide.Action {
@@ -96,7 +96,7 @@
 		return append(out, decide.Action{Kind: decide.Refuse, Request: ev.Request},
 			decide.Action{Kind: decide.Release, Request: ev.Request})
 	})
-	g := start(t, fake, func(cfg *Config) { cfg.Holds = ByRequest; module(cfg) })
+	g := start(t, fake, func(cfg *Config) { cfg.HoldMode = PerRequest; module(cfg) })
 	j := job(0)
 	j.Name = "client-1"
 	if _, end := g.all(g.submit(j)); end.Kind != Refused || end.Attempts != 3 {
@@ -147,8 +147,8 @@
 	<-calls
 	plan := g.ShutDown(time.Now().Add(-3 * time.Second))
 	after := g.submit(long)
-	if q := <-calls; q.Until.After(plan.GiveUpBy) {
-		t.Errorf("an engine was told %v more than there is", q.Until.Sub(plan.GiveUpBy))
+	if q := <-calls; q.ResponseDeadline.After(plan.GiveUpBy) {
+		t.Errorf("an engine was told %v more than there is", q.ResponseDeadline.Sub(plan.GiveUpBy))
 	}
 	for _, q := range []*Request{before, after} {
 		if _, end := g.all(q); end.Kind != Failed || !end.TimedOut {
--- a/internal/router/holds.go
+++ b/internal/router/holds.go
@@ -7,17 +7,17 @@
 	"mintdoor/internal/engine"
 )
 
-// Holds tells how engines hold what waits for a request between its stages.
-type Holds uint8
+// HoldMode tells how engines hold what waits for a request between its stages.
+type HoldMode uint8
 
 const (
 	// Leased states have handles of their own and are held for a time that the router renews. Each is let go
 	// as soon as the module says so.
-	Leased Holds = iota
-	// ByRequest: all that is held stands under the request's one id until it is let go. Letting go takes
+	Leased HoldMode = iota
+	// PerRequest: all that is held stands under the request's one id until it is let go. Letting go takes
 	// whatever is there when the call arrives, also what a later attempt has just read, so it waits until the
 	// request is over. Until then an attempt is out, and the time of rule 5 rests.
-	ByRequest
+	PerRequest
 )
 
 // keeper sees to what engines hold for requests. All but orphaned is called by the loop.
@@ -115,7 +115,7 @@
 
 // releaseWhileOut lets go now. The request's end lets go once more, of whatever the attempt has left.
 func (k byRequest) releaseWhileOut(f *flight) {
-	f.guarded().LetGo(time.Duration(k.r.cfg.Settings.HoldTimeout))
+	f.guarded().Released(time.Duration(k.r.cfg.Settings.HoldTimeout))
 	if s := f.state; s != nil {
 		k.r.letGo(f.name, s)
 		f.state, f.owed = nil, true
@@ -146,13 +146,13 @@
 	held := a.flight.guarded()
 	switch {
 	case res.Outcome == decide.Served || a.streaming:
-		held.Consumed()
+		held.HoldConsumed()
 	case res.Outcome == decide.ReadDone:
-		held.Held(time.Now())
-	case a.prefill && res.Outcome != decide.Error && !answered(res.Outcome) && a.guarded.HasSent(): // as far as is known it was out
-		held.Held(time.Now())
-	case a.guarded.HasSent():
-		held.Used()
+		held.HoldStarted(time.Now())
+	case a.prefill && res.Outcome != decide.Error && !answered(res.Outcome) && a.guarded.WasSent(): // as far as is known it was out
+		held.HoldStarted(time.Now())
+	case a.guarded.WasSent():
+		held.HoldUsed()
 	}
 }
 
@@ -160,7 +160,7 @@
 	if f.out != nil {
 		return // the loop stops; the attempt is orphaned
 	}
-	f.guarded().LetGo(time.Duration(k.r.cfg.Settings.HoldTimeout))
+	f.guarded().Released(time.Duration(k.r.cfg.Settings.HoldTimeout))
 	if f.lost != "" {
 		k.r.callOff(f.lost, f.name) // also lets go of what is known, and of what other lost reads have left
 		return
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -13,52 +13,52 @@
 
 // Job is a request's meaning, as a front has understood it.
 type Job struct {
-	Name         string // by which engines know the request over all its attempts; "": the router makes one
-	ClientID     string // as the client gave it; echoed, and told to engines
-	Class        int    // index of the settings
-	ClassName    string
-	Tenant       int // index of the settings; past its end: none
-	TenantName   string
-	Session      string // "" none
-	SharedText   string // name of the text that the prompt shares with others; "" none
-	Deadline     time.Time
-	Hint         time.Duration // rough length of the answer as time; 0 not told
-	Prompt       string
-	Message      *engine.Message // the client's own, where engines get it unchanged; nil else
-	PromptTokens float64
-	SharedTokens float64
-	MaxTokens    int
-	Repeat       bool // the client says that it repeats
-	AfterBreak   bool // the client resumes a broken stream
-	// Guarded is the request's state since its first byte, as its front has begun it; nil: the core begins it.
-	Guarded *guard.Request
+	Name              string // by which engines know the request over all its attempts; "": the router makes one
+	ClientID          string // as the client gave it; echoed, and told to engines
+	Class             int    // index of the settings
+	ClassName         string
+	Tenant            int // index of the settings; past its end: none
+	TenantName        string
+	Session           string // "" none
+	SharedPrefix      string // name of the text that the prompt shares with others; "" none
+	Deadline          time.Time
+	LengthHint        time.Duration // rough length of the answer as time; 0 not told
+	Prompt            string
+	Message           *engine.Message // the client's own, where engines get it unchanged; nil else
+	PromptTokens      float64
+	PrefixTokens      float64
+	MaxTokens         int
+	ClientRetry       bool // the client says that it repeats
+	AfterInterruption bool // the client resumes a broken stream
+	// Guard is the request's state since its first byte, as its front has begun it; nil: the core begins it.
+	Guard *guard.Request
 }
 
-// Kind tells how a request ended.
-type Kind uint8
+// EndingKind tells how a request ended.
+type EndingKind uint8
 
 // The endings. Every request that Submit took gets exactly one.
 const (
-	Served  Kind = iota + 1
-	Refused      // nothing has run, or a repeat does no harm: the client may come again
-	Failed       // no word on its effect
-	Moved        // a running stream was ended so that its client goes on elsewhere
-	Gone         // the client left before
+	Served  EndingKind = iota + 1
+	Refused            // nothing has run, or a repeat does no harm: the client may come again
+	Failed             // no word on its effect
+	Moved              // a running stream was ended so that its client goes on elsewhere
+	Gone               // the client left before
 )
 
-func (k Kind) String() string {
+func (k EndingKind) String() string {
 	return [...]string{"none", "served", "refused", "failed", "moved", "gone"}[k]
 }
 
 // Ending is a request's final answer.
 type Ending struct {
-	Kind       Kind
-	Reason     string        // for people, of Refused, Failed and Gone
-	RetryAfter time.Duration // Refused: stay away so long; 0 no advice
-	TimedOut   bool          // Failed: for want of time
-	Finish     string        // Served: why the answer ended, as the engine said
-	Tokens     int           // handed on before the end
-	Attempts   int
+	Kind         EndingKind
+	Reason       string        // for people, of Refused, Failed and Gone
+	RetryAfter   time.Duration // Refused: stay away so long; 0 no advice
+	TimedOut     bool          // Failed: for want of time
+	FinishReason string        // Served: why the answer ended, as the engine said
+	Tokens       int           // handed on before the end
+	Attempts     int
 }
 
 // Request is a request as its front sees it. One goroutine reads it.
@@ -117,7 +117,7 @@
 		select {
 		case <-q.done: // it has its ending
 		default:
-			q.job.Guarded.ClientLeft()
+			q.job.Guard.ClientLeft()
 		}
 		q.router.post(message{kind: clientLeft, q: q})
 	}
@@ -126,15 +126,15 @@
 // closeGuarded ends the guarded state of a request that came without one.
 func (q *Request) closeGuarded(reason string) {
 	if q.ownsGuarded {
-		q.job.Guarded.Over(reason)
+		q.job.Guard.Finish(reason)
 	}
 }
 
 // notTaken ends the guarded state of a request that came without one: the error is its answer.
 func (q *Request) notTaken(err error) {
 	if q.ownsGuarded {
-		q.job.Guarded.Decide(Refused.String(), err.Error())
-		q.job.Guarded.Over("not taken")
+		q.job.Guard.Decide(Refused.String(), err.Error())
+		q.job.Guard.Finish("not taken")
 	}
 }
 
@@ -154,14 +154,14 @@
 // expire answers a request that the loop has left without an answer up to a time.
 func (q *Request) expire(due time.Time) {
 	if late := time.Since(due); late > time.Duration(decide.MaxPause) {
-		q.router.cfg.Guard.HeldUp(late)
+		q.router.cfg.Guard.ProcessPaused(late)
 	}
-	if !q.job.Guarded.Expire(noAnswer) {
+	if !q.job.Guard.Expire(noAnswer) {
 		return
 	}
-	q.finish(Ending{Kind: Failed, Reason: noAnswer, TimedOut: true, Attempts: q.job.Guarded.Attempts()})
+	q.finish(Ending{Kind: Failed, Reason: noAnswer, TimedOut: true, Attempts: q.job.Guard.Attempts()})
 	q.router.count.ended[Failed].Add(1)
-	q.router.log.Error("the loop is late: a request was answered beside it", "request", q.job.Name, "trail", q.job.Guarded.Trail())
+	q.router.log.Error("the loop is late: a request was answered beside it", "request", q.job.Name, "trail", q.job.Guard.Trail())
 	q.router.post(message{kind: expired, q: q})
 }
 
@@ -170,11 +170,11 @@
 
 // The errors of Submit: the request was not taken, and nothing of it has run.
 var (
-	ErrStopping = errors.New("the router is stopping")
-	ErrTooMany  = errors.New("too many requests are open")
-	ErrLate     = errors.New("the deadline has passed")
-	ErrOpen     = errors.New("a request of this name is open")
+	ErrStopping        = errors.New("the router is stopping")
+	ErrTooManyRequests = errors.New("too many requests are open")
+	ErrDeadlinePassed  = errors.New("the deadline has passed")
+	ErrDuplicateName   = errors.New("a request of this name is open")
 )
 
-// Waiting tells whether Next would return a token at once.
-func (q *Request) Waiting() bool { return len(q.parts) > 0 }
+// HasToken tells whether Next would return a token at once.
+func (q *Request) HasToken() bool { return len(q.parts) > 0 }
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -62,7 +62,7 @@
 }
 
 func readDone(addr string, q *engine.Call) engine.Result {
-	return engine.Result{Outcome: decide.ReadDone, Report: engine.Untold(),
+	return engine.Result{Outcome: decide.ReadDone, Report: engine.NoReport(),
 		State: &engine.State{Addr: addr, Handle: "kv-" + q.Params.Request, Tokens: 10}}
 }
 
@@ -75,10 +75,10 @@
 }
 
 func stream(ctx context.Context, sink func(string) error, n int) engine.Result {
-	res := engine.Result{Outcome: decide.Served, Report: engine.Untold(), Finish: "stop"}
+	res := engine.Result{Outcome: decide.Served, Report: engine.NoReport(), FinishReason: "stop"}
 	for i := range n {
 		if err := sink(fmt.Sprintf("t%d ", i)); err != nil {
-			return engine.Result{Outcome: decide.Cancelled, Report: engine.Untold(), Err: err, Tokens: i}
+			return engine.Result{Outcome: decide.Cancelled, Report: engine.NoReport(), Err: err, Tokens: i}
 		}
 		res.Tokens++
 	}
@@ -88,7 +88,7 @@
 // wait blocks until an attempt is called off and tells the cause as its outcome.
 func wait(ctx context.Context) engine.Result {
 	<-ctx.Done()
-	res := engine.Result{Outcome: decide.Cancelled, Report: engine.Untold(), Err: context.Cause(ctx)}
+	res := engine.Result{Outcome: decide.Cancelled, Report: engine.NoReport(), Err: context.Cause(ctx)}
 	if errors.Is(res.Err, engine.ErrTimedOut) {
 		res.Outcome = decide.TimedOut
 	}
@@ -102,7 +102,7 @@
 	return nil
 }
 
-func (f *fakeEngines) Reserve(_ context.Context, addr string, p *engine.PlaceRequest) (bool, error) {
+func (f *fakeEngines) Reserve(_ context.Context, addr string, p *engine.ReservationRequest) (bool, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.places = append(f.places, "hold "+addr)
@@ -187,7 +187,7 @@
 
 func start(t *testing.T, fake *fakeEngines, change func(*Config)) *rig {
 	cfg := Config{Name: "r", Model: "m", Settings: settings(), Kinds: []string{"prefill", "decode"}, Engines: fake,
-		Seed: 1, MaxOpen: 1000, StreamParts: 4, ClientStall: time.Minute, Settle: 5 * time.Second}
+		Seed: 1, MaxOpen: 1000, StreamBuffer: 4, ClientStallTimeout: time.Minute, StopTimeout: 5 * time.Second}
 	if change != nil {
 		change(&cfg)
 	}
@@ -199,7 +199,7 @@
 		stop()
 		<-r.Stopped()
 		r.cfg.Guard.Close()
-		if r.cfg.Guard.Violated() > 0 {
+		if r.cfg.Guard.ViolationCount() > 0 {
 			t.Errorf("violations: %v", r.cfg.Guard.Violations())
 		}
 	})
@@ -247,7 +247,7 @@
 func TestServed(t *testing.T) {
 	g := start(t, &fakeEngines{}, nil)
 	text, end := g.all(g.submit(job(0)))
-	if text != "t0 t1 t2 " || end.Kind != Served || end.Finish != "stop" || end.Tokens != 3 || end.Attempts != 2 {
+	if text != "t0 t1 t2 " || end.Kind != Served || end.FinishReason != "stop" || end.Tokens != 3 || end.Attempts != 2 {
 		t.Errorf("%q, %+v", text, end)
 	}
 	g.eventually("the row is gone", func() bool { return g.Stats().Open == 0 })
@@ -335,7 +335,7 @@
 	decodes := 0
 	fake := &fakeEngines{decode: func(context.Context, string, *engine.Call, func(string) error) engine.Result {
 		decodes++
-		return engine.Result{Outcome: decide.Reset, Report: engine.Untold(), Err: errors.New("cut off")}
+		return engine.Result{Outcome: decide.Reset, Report: engine.NoReport(), Err: errors.New("cut off")}
 	}}
 	g := start(t, fake, nil)
 	_, end := g.all(g.submit(job(1)))
@@ -376,7 +376,7 @@
 func TestStreamBreaks(t *testing.T) {
 	fake := &fakeEngines{decode: func(ctx context.Context, _ string, _ *engine.Call, sink func(string) error) engine.Result {
 		stream(ctx, sink, 2)
-		return engine.Result{Outcome: decide.Reset, Report: engine.Untold(), Tokens: 2, Err: errors.New("cut off")}
+		return engine.Result{Outcome: decide.Reset, Report: engine.NoReport(), Tokens: 2, Err: errors.New("cut off")}
 	}}
 	g := start(t, fake, nil)
 	text, end := g.all(g.submit(job(0)))
@@ -389,7 +389,7 @@
 func TestClientStalls(t *testing.T) {
 	g := start(t, &fakeEngines{decode: func(ctx context.Context, _ string, _ *engine.Call, sink func(string) error) engine.Result {
 		return stream(ctx, sink, 100)
-	}}, func(c *Config) { c.ClientStall = 20 * time.Millisecond })
+	}}, func(c *Config) { c.ClientStallTimeout = 20 * time.Millisecond })
 	q := g.submit(job(0))
 	g.eventually("the stream is given up", func() bool { return g.Stats().Gone == 1 && g.Stats().Open == 0 })
 	text, end := g.all(q)
@@ -603,12 +603,12 @@
 		func(c *Config) { c.MaxOpen = 2 })
 	a := g.submit(job(0))
 	g.submit(job(0))
-	if _, err := g.Submit(job(0)); !errors.Is(err, ErrTooMany) {
+	if _, err := g.Submit(job(0)); !errors.Is(err, ErrTooManyRequests) {
 		t.Errorf("a third of two: %v", err)
 	}
 	late := job(0)
 	late.Deadline = time.Now().Add(-time.Second)
-	if _, err := g.Submit(late); !errors.Is(err, ErrLate) {
+	if _, err := g.Submit(late); !errors.Is(err, ErrDeadlinePassed) {
 		t.Errorf("past its deadline: %v", err)
 	}
 	a.Abandon()
@@ -653,13 +653,13 @@
 func TestFlightStateMachine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := guard.New(nil)
-		f := &flight{q: &Request{done: make(chan struct{}), job: Job{Guarded: g.Receive()}}}
+		f := &flight{q: &Request{done: make(chan struct{}), job: Job{Guard: g.Receive()}}}
 		f.guarded().Accepted("a", time.Now().Add(time.Hour))
 		answers, granted := 0, false
 		var last *attempt
 		t.Repeat(map[string]func(*rapid.T){
 			"begin": func(t *rapid.T) {
-				guarded, err := f.guarded().Begin(guard.Limits{})
+				guarded, err := f.guarded().BeginAttempt(guard.Limits{})
 				if (err == nil) != (f.out == nil && answers == 0 && !granted) {
 					t.Fatalf("an attempt: %v, after %d answers, another is out: %v, a stream has begun: %v", err, answers, f.out != nil, granted)
 				}
@@ -711,7 +711,7 @@
 				if answers > 1 || f.answered() != (answers == 1) {
 					t.Fatalf("%d answers", answers)
 				}
-				if v := g.Violated(); v > 0 {
+				if v := g.ViolationCount(); v > 0 {
 					t.Fatalf("%d violations", v)
 				}
 			},
@@ -824,7 +824,7 @@
 	defer goOn()
 	refused := false
 	for range arrivalBox + 10 {
-		if _, err := g.Submit(job(0)); errors.Is(err, ErrTooMany) {
+		if _, err := g.Submit(job(0)); errors.Is(err, ErrTooManyRequests) {
 			refused = true
 		}
 	}
--- a/internal/router/shutdown.go
+++ b/internal/router/shutdown.go
@@ -9,10 +9,10 @@
 
 // Shutdown is the plan of the router's end, as decide.Shutdown has it, on the wall clock.
 type Shutdown struct {
-	TakeUntil   time.Time
+	AcceptUntil time.Time
 	ListenUntil time.Time
 	GiveUpBy    time.Time
-	RestFor     time.Duration
+	LingerFor   time.Duration
 }
 
 // ShutDown tells the router that the process has taken the signal to end at some time. Requests are still taken for as
@@ -20,8 +20,8 @@
 func (r *Router) ShutDown(taken time.Time) Shutdown {
 	plan := decide.PlanShutdown(r.at(taken), r.cfg.Settings.Classes)
 	r.post(message{kind: shuttingDown, plan: &plan})
-	return Shutdown{TakeUntil: r.wall(plan.AcceptUntil), ListenUntil: r.wall(plan.ListenUntil), GiveUpBy: r.wall(plan.GiveUpBy),
-		RestFor: time.Duration(plan.LingerFor)}
+	return Shutdown{AcceptUntil: r.wall(plan.AcceptUntil), ListenUntil: r.wall(plan.ListenUntil), GiveUpBy: r.wall(plan.GiveUpBy),
+		LingerFor: time.Duration(plan.LingerFor)}
 }
 
 // shutDown bounds all that is open by the plan, and tells the module.
@@ -33,7 +33,7 @@
 	for _, f := range r.table.rows {
 		r.boundByShutdown(f)
 	}
-	r.tell(&decide.Event{Kind: decide.ShuttingDown, Shutdown: plan, Report: engine.Untold()})
+	r.tell(&decide.Event{Kind: decide.ShuttingDown, Shutdown: plan, Report: engine.NoReport()})
 }
 
 // boundByShutdown has a request answered by the time that the plan leaves to it. A stream that has begun runs on.
@@ -42,7 +42,7 @@
 		return
 	}
 	f.deadline = min(f.deadline, r.shutdown.GiveUpBy)
-	f.guarded().Bound(r.wall(f.deadline))
+	f.guarded().LimitDeadline(r.wall(f.deadline))
 	r.timers.sooner(f.guard, r.shutdown.AnswerBy)
 	if f.out != nil {
 		r.timers.sooner(f.out.limit, r.shutdown.GiveUpBy)
--- a/internal/shift/shift.go
+++ b/internal/shift/shift.go
@@ -26,7 +26,7 @@
 type Engines interface {
 	Role(ctx context.Context, addr string) (engine.Role, error)
 	ChangeRole(ctx context.Context, addr string, q *engine.RoleChange) (engine.Role, bool, error)
-	StayRole(ctx context.Context, addr string, q *engine.RoleStay) (engine.Role, bool, error)
+	CancelRoleChange(ctx context.Context, addr string, q *engine.RoleChangeCancel) (engine.Role, bool, error)
 }
 
 // Driver shifts roles. It is a discovery.Source over another one, and a router.Observer.
@@ -36,7 +36,7 @@
 	engines Engines
 	name    string
 	log     *slog.Logger
-	metrics *metrics.Shift // nil: none
+	metrics *metrics.RoleMetrics // nil: none
 
 	seen    chan observation
 	missed  atomic.Int64 // observations that did not fit
@@ -48,7 +48,7 @@
 	manager *roles.Manager
 	base    []discovery.Engine
 	byID    map[uint64]*discovery.Engine
-	views   map[uint64]roles.View
+	views   map[uint64]roles.Listing
 	asking  map[uint64]bool // a question about its role is out
 	work    sync.WaitGroup
 }
@@ -57,7 +57,7 @@
 type observation struct {
 	kind    uint8
 	at      time.Time
-	arrival roles.Arrival
+	arrival roles.RequestInfo
 }
 
 const (
@@ -82,26 +82,26 @@
 )
 
 // New returns a driver for the settings, which have shifting on or dry.
-func New(set *config.Settings, source discovery.Source, engines Engines, name string, log *slog.Logger, m *metrics.Shift) *Driver {
+func New(set *config.Settings, source discovery.Source, engines Engines, name string, log *slog.Logger, m *metrics.RoleMetrics) *Driver {
 	return &Driver{set: set, source: source, engines: engines, name: name, log: log, metrics: m,
 		seen: make(chan observation, maxObservations), results: make(chan result, 64),
-		byID: map[uint64]*discovery.Engine{}, views: map[uint64]roles.View{}, asking: map[uint64]bool{},
+		byID: map[uint64]*discovery.Engine{}, views: map[uint64]roles.Listing{}, asking: map[uint64]bool{},
 		manager: roles.NewManager(set.Roles(), time.Now())}
 }
 
 // Arrived, Read and Written are the router.Observer. They never block: what does not fit is counted.
 func (d *Driver) Arrived(j *router.Job) {
-	d.observe(observation{kind: sawArrival, arrival: roles.Arrival{Class: j.Class, Prompt: j.PromptTokens, Retry: j.Repeat}})
+	d.observe(observation{kind: sawArrival, arrival: roles.RequestInfo{Class: j.Class, PromptTokens: j.PromptTokens, Retry: j.ClientRetry}})
 }
 
 // Read implements router.Observer.
 func (d *Driver) Read(j *router.Job, kept float64) {
-	d.observe(observation{kind: sawRead, arrival: roles.Arrival{Class: j.Class, Prompt: j.PromptTokens, Kept: kept}})
+	d.observe(observation{kind: sawRead, arrival: roles.RequestInfo{Class: j.Class, PromptTokens: j.PromptTokens, CachedTokens: kept}})
 }
 
 // Written implements router.Observer.
 func (d *Driver) Written(j *router.Job, tokens int, whole bool) {
-	d.observe(observation{kind: sawWritten, arrival: roles.Arrival{Class: j.Class, Answer: float64(tokens), Cut: !whole}})
+	d.observe(observation{kind: sawWritten, arrival: roles.RequestInfo{Class: j.Class, OutputTokens: float64(tokens), Truncated: !whole}})
 }
 
 // Over implements router.Observer.
@@ -113,7 +113,7 @@
 	case d.seen <- o:
 	default:
 		d.missed.Add(1)
-		d.metrics.Unseen()
+		d.metrics.ObservationDropped()
 	}
 }
 
@@ -136,9 +136,9 @@
 func (d *Driver) Status() *Status { return d.status.Load() }
 
 func (d *Driver) keepStatus(now time.Time) {
-	st := &Status{At: now, Mode: d.set.Shift.Mode, Plan: d.manager.Last(), Unseen: d.missed.Load()}
+	st := &Status{At: now, Mode: d.set.RoleChanges.Mode, Plan: d.manager.Last(), Unseen: d.missed.Load()}
 	list := d.manager.Status(now)
-	d.metrics.Engines(list)
+	d.metrics.SetEngines(list)
 	for _, e := range list {
 		st.Engines = append(st.Engines, EngineStatus{d.nameOf(e.Engine), e})
 	}
@@ -166,7 +166,7 @@
 }
 
 func (d *Driver) loop(ctx context.Context, updates <-chan discovery.Update, tell func(discovery.Update)) {
-	tick, look := time.NewTicker(tickEvery), time.NewTicker(d.set.Shift.Look)
+	tick, look := time.NewTicker(tickEvery), time.NewTicker(d.set.RoleChanges.CheckInterval)
 	defer tick.Stop()
 	defer look.Stop()
 	for {
@@ -201,7 +201,7 @@
 			changed = d.carry(ctx, &acts[i]) || changed
 		}
 		for _, e := range d.manager.Ended() {
-			d.metrics.Ended(&e, roles.ColdLost(d.set.StartCapacity, d.set.ColdFor).Seconds())
+			d.metrics.ChangeEnded(&e, roles.ColdLost(d.set.InitialCapacity, d.set.SlowStartTime).Seconds())
 			level := slog.LevelInfo
 			if !e.Done {
 				level = slog.LevelWarn
@@ -239,7 +239,7 @@
 		id := uint64(e.ID())
 		d.byID[id] = e
 		kind, other := &d.set.Kinds[k], &d.set.Kinds[d.set.KindIndex(d.set.Kinds[k].Becomes)]
-		info := roles.Info{ID: id, Kind: min(k, d.set.KindIndex(other.Name)), Cell: discovery.Number(e.Cell), Role: stageOf(kind), Draining: e.State != decide.Ready}
+		info := roles.Info{ID: id, Kind: min(k, d.set.KindIndex(other.Name)), Cell: discovery.LocationNumber(e.Cell), Role: stageOf(kind), Draining: e.State != decide.Ready}
 		info.Cap[stageOf(kind)], info.Cap[stageOf(other)] = kind.Capacity, other.Capacity
 		infos = append(infos, info)
 	}
@@ -311,12 +311,12 @@
 }
 
 // standing turns an engine's word into the decisions' terms.
-func standing(r *engine.Role) (roles.Standing, bool) {
+func standing(r *engine.Role) (roles.RoleState, bool) {
 	stages := map[string]roles.Stage{engine.StagePrefill: roles.Prefill, engine.StageDecode: roles.Decode}
 	phases := map[string]roles.Phase{engine.PhaseSteady: roles.Steady, engine.PhaseEmptying: roles.Emptying, engine.PhaseChanging: roles.Changing}
 	role, ok := stages[r.Role]
 	phase, known := phases[r.Phase]
-	return roles.Standing{Role: role, Epoch: roles.Epoch(r.Epoch), To: stages[r.To], Phase: phase, Starts: r.Since}, ok && known
+	return roles.RoleState{Role: role, Epoch: roles.Epoch(r.Epoch), To: stages[r.To], Phase: phase, StartedAt: r.Since}, ok && known
 }
 
 // carry carries out an action and tells whether the list has changed.
@@ -326,21 +326,21 @@
 		return false
 	}
 	switch a.Kind {
-	case roles.List:
-		d.views[a.Engine] = a.View
+	case roles.UpdateListing:
+		d.views[a.Engine] = a.Listing
 		return true
-	case roles.Ask:
+	case roles.RequestChange:
 		d.log.Info("change of role asked for", "engine", e.Name, "to", stageName(a.To), "epoch", a.Epoch)
 		d.ask(ctx, a.Engine, e.Addr, &engine.RoleChange{To: stageName(a.To), Epoch: uint64(a.Epoch), Router: d.name,
 			NoticeMillis: float64(a.Notice) / 1e6})
-	case roles.CallBack:
-		d.log.Info("change of role called back", "engine", e.Name, "why", a.Why)
+	case roles.CancelChange:
+		d.log.Info("change of role called back", "engine", e.Name, "why", a.Reason)
 		addr, epoch := e.Addr, uint64(a.Epoch)
 		d.work.Add(1)
 		go func() {
 			defer d.work.Done()
 			// What comes of it is seen at the next look.
-			if _, _, err := d.engines.StayRole(ctx, addr, &engine.RoleStay{Epoch: epoch}); err != nil {
+			if _, _, err := d.engines.CancelRoleChange(ctx, addr, &engine.RoleChangeCancel{Epoch: epoch}); err != nil {
 				d.log.Warn("call back failed", "engine", addr, "err", err)
 			}
 		}()
@@ -365,8 +365,8 @@
 		if v.Draining {
 			e.State = decide.Draining
 		}
-		if v.Since.After(e.Since) {
-			e.Since = v.Since
+		if v.StartedAt.After(e.StartedAt) {
+			e.StartedAt = v.StartedAt
 		}
 	}
 	return out
@@ -379,7 +379,7 @@
 		return
 	}
 	d.report.Store(&r)
-	d.metrics.Planned(&r, took.Seconds())
+	d.metrics.PlanMade(&r, took.Seconds())
 	if r.Err != nil {
 		d.log.Error("plan of roles", "err", r.Err)
 	}
@@ -388,7 +388,7 @@
 	}
 	d.log.Info("plan of roles", "read/s", int(r.Demand[roles.Prefill].Mean), "write/s", int(r.Demand[roles.Decode].Mean), "moves", len(r.Plan.Moves),
 		"served", r.Plan.Now, "then", r.Plan.Then, "confidence", r.Verdict.Confidence, "why", r.Verdict.Why, "begun", r.Begun,
-		"dry", d.set.Shift.Mode == "dry", "unseen", d.missed.Load())
+		"dry", d.set.RoleChanges.Mode == "dry", "unseen", d.missed.Load())
 }
 
 func (d *Driver) nameOf(id uint64) string {
--- a/internal/shift/shift_test.go
+++ b/internal/shift/shift_test.go
@@ -39,7 +39,7 @@
 	return w.role, false, nil
 }
 
-func (w *words) StayRole(context.Context, string, *engine.RoleStay) (engine.Role, bool, error) {
+func (w *words) CancelRoleChange(context.Context, string, *engine.RoleChangeCancel) (engine.Role, bool, error) {
 	return w.role, false, nil
 }
 
@@ -87,7 +87,7 @@
 	changed := time.Now()
 	w.say(engine.Role{Role: engine.StageDecode, Epoch: 2, Phase: engine.PhaseSteady, Since: changed})
 	until("in its new role and cold", func(e *discovery.Engine) bool {
-		return e.Kind == "d" && e.State == decide.Ready && e.Since.Equal(changed)
+		return e.Kind == "d" && e.State == decide.Ready && e.StartedAt.Equal(changed)
 	})
 	cancel()
 	if err := <-done; err != nil {
--- a/internal/sim/node.go
+++ b/internal/sim/node.go
@@ -34,7 +34,7 @@
 
 // view is how an engine is listed to the module.
 type view struct {
-	roles.View
+	roles.Listing
 	drained time.Duration // since when it is draining; 0: it is not
 }
 
@@ -85,7 +85,7 @@
 			n.gone[u.index] = true
 			continue
 		}
-		n.views[u.index] = view{View: roles.View{Role: u.first, Since: u.since}} // the list knows of no changes
+		n.views[u.index] = view{Listing: roles.Listing{Role: u.first, StartedAt: u.since}} // the list knows of no changes
 		servers = append(servers, n.listing(u))
 	}
 	if n.s.cfg.Roles != nil {
@@ -93,7 +93,7 @@
 		cfg.Turn.Index, cfg.Turn.Routers = n.index, n.s.cfg.Settings.Routers
 		n.manager = roles.NewManager(cfg, n.s.wall())
 	}
-	n.tell(&decide.Event{Kind: decide.ListCached, Servers: servers, Report: engine.Untold()})
+	n.tell(&decide.Event{Kind: decide.ListCached, Servers: servers, Report: engine.NoReport()})
 	if n.manager != nil {
 		n.infos()
 		n.look(n.life)
@@ -142,8 +142,8 @@
 	case v.Draining:
 		l.Condition = decide.Draining
 	}
-	if !v.Since.IsZero() {
-		l.StartedAt = decide.Time(v.Since.UnixNano())
+	if !v.StartedAt.IsZero() {
+		l.StartedAt = decide.Time(v.StartedAt.UnixNano())
 	}
 	return l
 }
@@ -157,13 +157,13 @@
 		was := n.gone[u.index]
 		n.gone[u.index] = !there
 		if v := n.views[u.index]; there && was {
-			n.views[u.index] = view{View: roles.View{Role: u.first, Since: u.since}} // the list knows of no changes
-		} else if there && u.since.After(v.Since) { // it never left the list: what it said itself still counts
-			v.Since = u.since
+			n.views[u.index] = view{Listing: roles.Listing{Role: u.first, StartedAt: u.since}} // the list knows of no changes
+		} else if there && u.since.After(v.StartedAt) { // it never left the list: what it said itself still counts
+			v.StartedAt = u.since
 			n.views[u.index] = v
 		}
 		n.infos()
-		n.tell(&decide.Event{Kind: decide.ListChanged, Servers: []decide.Listing{n.listing(u)}, Report: engine.Untold()})
+		n.tell(&decide.Event{Kind: decide.ListChanged, Servers: []decide.Listing{n.listing(u)}, Report: engine.NoReport()})
 	}
 }
 
@@ -223,16 +223,16 @@
 	for _, a := range acts {
 		u := n.s.units[a.Engine-1]
 		switch a.Kind {
-		case roles.List:
-			v := view{View: a.View}
-			if old := n.views[u.index]; a.View.Draining {
+		case roles.UpdateListing:
+			v := view{Listing: a.Listing}
+			if old := n.views[u.index]; a.Listing.Draining {
 				if v.drained = old.drained; !old.Draining {
 					v.drained = n.s.now
 				}
 			}
 			n.views[u.index] = v
-			n.tell(&decide.Event{Kind: decide.ListChanged, Servers: []decide.Listing{n.listing(u)}, Report: engine.Untold()})
-		case roles.Ask:
+			n.tell(&decide.Event{Kind: decide.ListChanged, Servers: []decide.Listing{n.listing(u)}, Report: engine.NoReport()})
+		case roles.RequestChange:
 			n.s.after(net, func() {
 				if !u.up || u.faults[Mute] > 0 {
 					return
@@ -245,7 +245,7 @@
 					}
 				})
 			})
-		case roles.CallBack:
+		case roles.CancelChange:
 			n.s.after(net, func() { u.stay(uint64(a.Epoch)) })
 		}
 	}
@@ -262,7 +262,7 @@
 	n.flights[f.id] = f
 	n.s.open++
 	if n.manager != nil {
-		n.manager.Arrived(n.s.wall(), roles.Arrival{Class: e.Class, Prompt: float64(e.Prompt)})
+		n.manager.Arrived(n.s.wall(), roles.RequestInfo{Class: e.Class, PromptTokens: float64(e.Prompt)})
 	}
 	n.s.after(f.deadline-n.s.now, func() {
 		if f.answered || f.out != nil && f.out.streaming {
@@ -270,7 +270,7 @@
 		}
 		f.finish(0)
 		if n.flights[f.id] == f {
-			n.tell(&decide.Event{Kind: decide.ClientLeft, Request: f.id, Report: engine.Untold()})
+			n.tell(&decide.Event{Kind: decide.ClientLeft, Request: f.id, Report: engine.NoReport()})
 			n.settle(f)
 		}
 	})
@@ -278,7 +278,7 @@
 	if e.Text != "" {
 		text = max(xxhash.Sum64String(e.Text), 1)
 	}
-	n.tell(&decide.Event{Kind: decide.Arrived, Request: f.id, Report: engine.Untold(), Job: decide.Job{Class: e.Class, Tenant: 1 << 20,
+	n.tell(&decide.Event{Kind: decide.Arrived, Request: f.id, Report: engine.NoReport(), Job: decide.Job{Class: e.Class, Tenant: 1 << 20,
 		PrefixID: text, SessionID: uint64(f.id) | 1<<63, Deadline: module(f.deadline), PromptTokens: float64(e.Prompt), PrefixTokens: float64(e.Shared),
 		MaxOutputTokens: float64(n.s.cfg.MaxAnswer)}})
 	n.settle(f)
@@ -308,7 +308,7 @@
 		life, token := n.life, a.TimerID
 		s.after(time.Duration(a.After), func() {
 			if n.life == life {
-				n.tell(&decide.Event{Kind: decide.Timer, TimerID: token, Report: engine.Untold()})
+				n.tell(&decide.Event{Kind: decide.Timer, TimerID: token, Report: engine.NoReport()})
 			}
 		})
 		return
@@ -362,7 +362,7 @@
 		number := f.sends
 		f.sends++
 		n.later = append(n.later, decide.Event{Kind: decide.AttemptEnded, Request: f.id, Server: act.Server, Attempt: number, Outcome: decide.NotStarted,
-			Closed: f.answered, Report: engine.Untold()})
+			Closed: f.answered, Report: engine.NoReport()})
 		return
 	}
 	if grace := time.Duration(s.cfg.Settings.DrainGrace); v.Draining && v.drained > 0 && s.now-v.drained > grace+s.cfg.CheckDelay {
@@ -391,7 +391,7 @@
 	a.ending = true
 	s := a.f.n.s
 	s.after(s.cfg.Net, func() { a.u.leave(a) })
-	s.after(2*s.cfg.Net, func() { a.over(why, engine.Untold(), false, 0) })
+	s.after(2*s.cfg.Net, func() { a.over(why, engine.NoReport(), false, 0) })
 }
 
 // begun takes in the first token.
@@ -405,7 +405,7 @@
 	f.state = nil
 	f.began = n.s.now
 	n.tell(&decide.Event{Kind: decide.FirstToken, Request: f.id, Server: a.u.id(), Attempt: a.number, Elapsed: decide.Duration(n.s.now - a.sentAt),
-		Report: engine.Untold()})
+		Report: engine.NoReport()})
 }
 
 // over takes in an attempt's end.
@@ -424,14 +424,14 @@
 	case out == decide.ReadDone:
 		f.state = a.state
 		if n.manager != nil {
-			n.manager.Read(roles.Arrival{Class: e.Class, Prompt: float64(e.Prompt), Kept: kept})
+			n.manager.Read(roles.RequestInfo{Class: e.Class, PromptTokens: float64(e.Prompt), CachedTokens: kept})
 		}
 	case out == decide.Served || noState:
 		f.state = nil
 	}
 	if a.streaming {
 		if n.manager != nil {
-			n.manager.Written(roles.Arrival{Class: e.Class, Answer: float64(s.answer(e.Answer)), Cut: out != decide.Served})
+			n.manager.Written(roles.RequestInfo{Class: e.Class, OutputTokens: float64(s.answer(e.Answer)), Truncated: out != decide.Served})
 		}
 		if out == decide.Served {
 			c := &s.cfg.Settings.Classes[e.Class]
--- a/internal/sim/unit.go
+++ b/internal/sim/unit.go
@@ -65,9 +65,9 @@
 }
 
 // standing is its word on its role.
-func (u *unit) standing() roles.Standing {
+func (u *unit) standing() roles.RoleState {
 	phases := map[string]roles.Phase{engine.PhaseSteady: roles.Steady, engine.PhaseEmptying: roles.Emptying, engine.PhaseChanging: roles.Changing}
-	return roles.Standing{Role: u.stage(), Epoch: roles.Epoch(u.turns.Epoch), To: 1 - u.stage(), Phase: phases[u.turns.Phase], Starts: u.since}
+	return roles.RoleState{Role: u.stage(), Epoch: roles.Epoch(u.turns.Epoch), To: 1 - u.stage(), Phase: phases[u.turns.Phase], StartedAt: u.since}
 }
 
 // grant answers an asking for a change.
@@ -169,7 +169,7 @@
 		return cmp.Or(a.f.n.index-b.f.n.index, cmp.Compare(a.f.id, b.f.id), a.number-b.number)
 	})
 	for _, a := range out {
-		u.s.after(u.s.cfg.Net, func() { a.over(decide.Reset, engine.Untold(), false, 0) })
+		u.s.after(u.s.cfg.Net, func() { a.over(decide.Reset, engine.NoReport(), false, 0) })
 	}
 	clear(u.tasks)
 	clear(u.held)
@@ -220,7 +220,7 @@
 		return // called off on its way
 	}
 	if !u.up {
-		s.after(s.cfg.Net, func() { a.over(decide.ConnectFailed, engine.Untold(), false, 0) })
+		s.after(s.cfg.Net, func() { a.over(decide.ConnectFailed, engine.NoReport(), false, 0) })
 		return
 	}
 	if u.core.Weigh(s.wall()) {
--- a/internal/standin/chat/run.go
+++ b/internal/standin/chat/run.go
@@ -55,7 +55,7 @@
 	e := c.engine
 	p := e.plan()
 	if p.turnAway {
-		ok := c.answer(503, "", platform.UnrunHeader+": 1")
+		ok := c.answer(503, "", platform.UnprocessedHeader+": 1")
 		e.opts.Cluster.end(a, TurnedAway)
 		return ok
 	}
@@ -119,7 +119,7 @@
 		return c.read(ctx, a, p)
 	}
 	if !e.opts.Cluster.isHeld(a.Request) {
-		c.answer(410, "", platform.UnrunHeader+": 1")
+		c.answer(410, "", platform.UnprocessedHeader+": 1")
 		return StateGone
 	}
 	return c.write(ctx, a, p)
@@ -174,7 +174,7 @@
 		return GivenUp
 	}
 	c.engine.opts.Cluster.letGo(a.Request) // the stream has it now
-	_, err := io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Type: "+platform.EventsType+"\r\nTransfer-Encoding: chunked\r\n\r\n")
+	_, err := io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Type: "+platform.EventStreamType+"\r\nTransfer-Encoding: chunked\r\n\r\n")
 	if err != nil {
 		return GivenUp
 	}
--- a/internal/standin/engine/core.go
+++ b/internal/standin/engine/core.go
@@ -103,12 +103,12 @@
 	spec := &c.m.spec
 	if n := len(c.reports); n == 0 || now.Sub(c.reports[n-1].at) >= spec.ReportEvery {
 		share, waiting, latency := c.m.load()
-		c.reports = append(c.reports, report{now, engine.LoadReport{MemoryShare: &share, WaitingTokens: &waiting, LatencyMillis: &latency}})
+		c.reports = append(c.reports, report{now, engine.LoadReport{MemoryUse: &share, QueuedTokens: &waiting, LatencyMillis: &latency}})
 	}
 	for len(c.reports) > 1 && now.Sub(c.reports[1].at) >= spec.ReportDelay {
 		c.reports = c.reports[1:]
 	}
-	return c.reports[0].load.Decide()
+	return c.reports[0].load.Report()
 }
 
 // Capacity is the tokens a second that an engine of the spec reads, or writes with all slots in use.
--- a/internal/standin/engine/places.go
+++ b/internal/standin/engine/places.go
@@ -23,7 +23,7 @@
 
 // reserve holds a place, if a slot and memory are free at once and nothing waits.
 func (l *life) reserve(w http.ResponseWriter, r *http.Request) {
-	var p engine.PlaceRequest
+	var p engine.ReservationRequest
 	if err := kserve.Decode(http.MaxBytesReader(w, r.Body, 4096), &p); err != nil || p.Request != r.PathValue("request") {
 		writeJSON(w, http.StatusBadRequest, kserve.ErrorResponse{Error: "malformed"})
 		return
@@ -47,16 +47,16 @@
 		l.s.work.Add(1)
 		go func() { defer l.s.work.Done(); l.tellReader(p) }()
 	}
-	writeJSON(w, http.StatusOK, engine.PlaceResponse{Held: held})
+	writeJSON(w, http.StatusOK, engine.ReservationResponse{Held: held})
 }
 
 // tellReader tells the reading engine where the state is to go. The read may not have come there yet.
-func (l *life) tellReader(p engine.PlaceRequest) {
+func (l *life) tellReader(p engine.ReservationRequest) {
 	const tries, between = 20, 5 * time.Millisecond
 	ctx, cancel := context.WithTimeout(l.ctx, time.Second)
 	defer cancel()
 	for range tries {
-		req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+p.Source+engine.RequestPath+p.Request+"/place",
+		req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+p.Source+engine.ReadPath+p.Request+"/place",
 			bytes.NewReader([]byte(`{"place":"`+l.s.addr+`"}`)))
 		if err != nil {
 			return
@@ -74,12 +74,12 @@
 }
 
 func (l *life) tellPlace(w http.ResponseWriter, r *http.Request) {
-	var p engine.PlaceNotice
+	var p engine.ReservationNotice
 	err := kserve.Decode(http.MaxBytesReader(w, r.Body, 4096), &p)
 	l.s.mu.Lock()
 	under, known := l.reads[r.PathValue("request")]
 	if known && err == nil {
-		under.place = p.Place
+		under.place = p.WriterAddr
 	}
 	l.s.mu.Unlock()
 	if err != nil || !known {
@@ -98,11 +98,11 @@
 		return false
 	}
 	sum := strconv.FormatUint(xxhash.Sum64(body.Bytes()), 16)
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+engine.PlacePath+request+"/state", &body)
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+engine.ReservationPath+request+"/state", &body)
 	if err != nil {
 		return false
 	}
-	req.Header.Set(engine.SumHeader, sum)
+	req.Header.Set(engine.ChecksumHeader, sum)
 	req.Header.Set(engine.TokensHeader, strconv.Itoa(st.prompt))
 	req.Header.Set(engine.InfoHeader, strconv.Itoa(st.answer))
 	req.Header.Set("Kv-Hold-Ms", strconv.FormatFloat(float64(st.hold)/1e6, 'f', -1, 64))
@@ -128,7 +128,7 @@
 	hold, _ := strconv.ParseFloat(r.Header.Get("Kv-Hold-Ms"), 64)
 	l.s.mu.Lock()
 	p := l.places[r.PathValue("request")]
-	ok := err == nil && p != nil && p.state == nil && strconv.FormatUint(sum.Sum64(), 16) == r.Header.Get(engine.SumHeader)
+	ok := err == nil && p != nil && p.state == nil && strconv.FormatUint(sum.Sum64(), 16) == r.Header.Get(engine.ChecksumHeader)
 	if ok {
 		p.state = &state{answer: max(answer, 1)}
 		p.lease.Reset(time.Duration(max(hold, 1) * 1e6))
@@ -146,7 +146,7 @@
 func (l *life) dropPlaceAt(addr, request string) {
 	ctx, cancel := context.WithTimeout(l.ctx, time.Second)
 	defer cancel()
-	if resp, err := l.ask(ctx, http.MethodDelete, addr, engine.PlacePath+request); err == nil {
+	if resp, err := l.ask(ctx, http.MethodDelete, addr, engine.ReservationPath+request); err == nil {
 		resp.Body.Close()
 	}
 }
--- a/internal/standin/engine/role.go
+++ b/internal/standin/engine/role.go
@@ -82,7 +82,7 @@
 }
 
 func (s *Server) standing() engine.Role {
-	r := engine.Role{Role: stageOf(s.spec.Load()), Epoch: s.role.Epoch, Phase: s.role.Phase, Since: s.since, Other: s.cfg.OtherRole != nil}
+	r := engine.Role{Role: stageOf(s.spec.Load()), Epoch: s.role.Epoch, Phase: s.role.Phase, Since: s.since, CanChange: s.cfg.OtherRole != nil}
 	if r.Phase != engine.PhaseSteady {
 		r.To = s.role.To
 	}
@@ -127,7 +127,7 @@
 }
 
 func (l *life) stay(w http.ResponseWriter, r *http.Request) {
-	var q engine.RoleStay
+	var q engine.RoleChangeCancel
 	if err := kserve.Decode(http.MaxBytesReader(w, r.Body, 4096), &q); err != nil {
 		writeJSON(w, http.StatusBadRequest, kserve.ErrorResponse{Error: err.Error()})
 		return
--- a/internal/standin/engine/role_test.go
+++ b/internal/standin/engine/role_test.go
@@ -23,7 +23,7 @@
 	if err := s.Start(); err != nil {
 		t.Fatal(err)
 	}
-	c := engine.New(engine.Options{DialTimeout: time.Second, MaxConns: 50, StreamIdle: time.Second, ReleaseWithin: time.Second, ProbeWithin: 5 * time.Second})
+	c := engine.New(engine.Options{DialTimeout: time.Second, MaxConns: 50, StreamIdleTimeout: time.Second, ReleaseTimeout: time.Second, ProbeTimeout: 5 * time.Second})
 	t.Cleanup(func() { c.Close(); s.Close() })
 	return s, c
 }
@@ -52,7 +52,7 @@
 func TestChangeOfRole(t *testing.T) {
 	s, c := changeable(t)
 	r, err := c.Role(t.Context(), s.Addr())
-	if err != nil || r.Role != engine.StagePrefill || r.Epoch != 1 || !steady(r) || !r.Other {
+	if err != nil || r.Role != engine.StagePrefill || r.Epoch != 1 || !steady(r) || !r.CanChange {
 		t.Fatalf("%+v, %v", r, err)
 	}
 	running := make(chan engine.Result, 1)
@@ -119,10 +119,10 @@
 		time.Sleep(time.Millisecond)
 	}
 	c.ChangeRole(t.Context(), s.Addr(), &engine.RoleChange{To: engine.StageDecode, Epoch: 1})
-	if r, ok, err := c.StayRole(t.Context(), s.Addr(), &engine.RoleStay{Epoch: 1}); !ok || err != nil || !steady(r) || r.Role != engine.StagePrefill {
+	if r, ok, err := c.StayRole(t.Context(), s.Addr(), &engine.RoleChangeCancel{Epoch: 1}); !ok || err != nil || !steady(r) || r.Role != engine.StagePrefill {
 		t.Errorf("%+v, %v, %v", r, ok, err)
 	}
-	if _, ok, _ := c.StayRole(t.Context(), s.Addr(), &engine.RoleStay{Epoch: 1}); ok {
+	if _, ok, _ := c.StayRole(t.Context(), s.Addr(), &engine.RoleChangeCancel{Epoch: 1}); ok {
 		t.Error("a change was taken back that there is not")
 	}
 	cancel()
--- a/internal/standin/engine/server.go
+++ b/internal/standin/engine/server.go
@@ -437,7 +437,7 @@
 		return
 	}
 	share, waiting, latency := l.model.load()
-	l.reports = append(l.reports, report{now, engine.LoadReport{MemoryShare: &share, WaitingTokens: &waiting,
+	l.reports = append(l.reports, report{now, engine.LoadReport{MemoryUse: &share, QueuedTokens: &waiting,
 		LatencyMillis: &latency}})
 	late := l.s.spec.Load().ReportDelay + time.Duration(l.s.faults.largest("report_late", 0, now)*1e9)
 	for len(l.reports) > 1 && now.Sub(l.reports[1].at) >= late {
@@ -463,11 +463,11 @@
 	mux.HandleFunc("POST "+engine.StatePath+"{handle}/release", l.withState(l.release))
 	mux.HandleFunc("POST "+engine.StatePath+"{handle}/claim", l.withState(l.claim))
 	mux.HandleFunc("POST "+engine.StatePath+"{handle}/renew", l.withState(l.renew))
-	mux.HandleFunc("PUT "+engine.PlacePath+"{request}", l.reserve)
-	mux.HandleFunc("DELETE "+engine.PlacePath+"{request}", l.giveUp)
-	mux.HandleFunc("POST "+engine.PlacePath+"{request}/state", l.stateComes)
-	mux.HandleFunc("POST "+engine.RequestPath+"{request}/place", l.tellPlace)
-	mux.HandleFunc("DELETE "+engine.RequestPath+"{request}", l.callOff)
+	mux.HandleFunc("PUT "+engine.ReservationPath+"{request}", l.reserve)
+	mux.HandleFunc("DELETE "+engine.ReservationPath+"{request}", l.giveUp)
+	mux.HandleFunc("POST "+engine.ReservationPath+"{request}/state", l.stateComes)
+	mux.HandleFunc("POST "+engine.ReadPath+"{request}/place", l.tellPlace)
+	mux.HandleFunc("DELETE "+engine.ReadPath+"{request}", l.callOff)
 	mux.HandleFunc("GET "+engine.RolePath, l.tellRole)
 	mux.HandleFunc("POST "+engine.RolePath, l.changeRole)
 	mux.HandleFunc("POST "+engine.RolePath+"/stay", l.stay)
@@ -700,7 +700,7 @@
 	st := l.holdLocked(a, q)
 	l.s.mu.Unlock()
 	a.record(audit.Ended, "read")
-	answer := engine.ReadParams{Handle: st.id, Source: l.s.addr, Tokens: float64(q.prompt), Kept: float64(q.kept)}
+	answer := engine.ReadParams{Handle: st.id, Source: l.s.addr, Tokens: float64(q.prompt), CachedTokens: float64(q.kept)}
 	if placeAt != "" && l.push(r.Context(), st, placeAt, a.p.Request) {
 		answer.Handle, answer.Source = "place-"+a.p.Request, placeAt
 	}
@@ -858,7 +858,7 @@
 	w.Header().Set("Content-Length", strconv.Itoa(st.prompt*l.s.spec.Load().TokenBytes))
 	w.Header().Set(engine.TokensHeader, strconv.Itoa(st.prompt))
 	w.Header().Set(engine.InfoHeader, strconv.Itoa(st.answer))
-	w.Header().Set(engine.SumHeader, strconv.FormatUint(stateSum(st.id, st.prompt*l.s.spec.Load().TokenBytes), 16))
+	w.Header().Set(engine.ChecksumHeader, strconv.FormatUint(stateSum(st.id, st.prompt*l.s.spec.Load().TokenBytes), 16))
 	if l.sendState(r.Context(), w, st, r.Header.Get("Kv-Cell")) != nil {
 		return
 	}
@@ -1031,8 +1031,8 @@
 	if _, err := io.Copy(sum, resp.Body); err != nil {
 		return 0, err
 	}
-	if got := strconv.FormatUint(sum.Sum64(), 16); got != resp.Header.Get(engine.SumHeader) {
-		return 0, fmt.Errorf("the state's sum is %s, want %s", got, resp.Header.Get(engine.SumHeader))
+	if got := strconv.FormatUint(sum.Sum64(), 16); got != resp.Header.Get(engine.ChecksumHeader) {
+		return 0, fmt.Errorf("the state's sum is %s, want %s", got, resp.Header.Get(engine.ChecksumHeader))
 	}
 	answer, err = strconv.Atoi(resp.Header.Get(engine.InfoHeader))
 	return max(answer, 1), err
--- a/internal/trace/recorder.go
+++ b/internal/trace/recorder.go
@@ -97,11 +97,11 @@
 	switch n.kind {
 	case came:
 		// A client's repeat is left out: whoever plays the trace brings its own.
-		if n.job.Repeat {
+		if n.job.ClientRetry {
 			return
 		}
 		w := &waiting{job: n.job, at: n.at, entry: Entry{At: n.at.Sub(start), Class: n.job.Class, Prompt: int(n.job.PromptTokens),
-			Shared: min(int(n.job.SharedTokens), int(n.job.PromptTokens)), Text: n.job.SharedText}}
+			Shared: min(int(n.job.PrefixTokens), int(n.job.PromptTokens)), Text: n.job.SharedPrefix}}
 		if w.entry.Text == "" {
 			w.entry.Shared = 0
 		}
--- a/roles/demand.go
+++ b/roles/demand.go
@@ -20,14 +20,14 @@
 	stages
 )
 
-// Arrival is one request as it was asked, whatever became of it.
-type Arrival struct {
-	Class  int
-	Prompt float64 // tokens of the prompt
-	Kept   float64 // of them, found kept by the engine that read it; negative while not known
-	Answer float64 // tokens written; 0 while not known
-	Cut    bool    // the answer was longer than Answer: it was cut off, or the client left
-	Retry  bool    // a client's repeat: it is part of a request that was counted
+// RequestInfo is one request as it was asked, whatever became of it.
+type RequestInfo struct {
+	Class        int
+	PromptTokens float64 // tokens of the prompt
+	CachedTokens float64 // of them, found kept by the engine that read it; negative while not known
+	OutputTokens float64 // tokens written; 0 while not known
+	Truncated    bool    // the answer was longer than Answer: it was cut off, or the client left
+	Retry        bool    // a client's repeat: it is part of a request that was counted
 }
 
 // Work is a forecast of one stage's work, in tokens a second.
@@ -189,7 +189,7 @@
 }
 
 // Arrived takes in a request at its arrival. now does not go back.
-func (d *Demand) Arrived(now time.Duration, a Arrival) {
+func (d *Demand) Arrived(now time.Duration, a RequestInfo) {
 	if a.Class < 0 || a.Class >= len(d.classes) || a.Retry {
 		return
 	}
@@ -202,16 +202,16 @@
 }
 
 // Read takes in what had to be read of a prompt.
-func (d *Demand) Read(a Arrival) {
-	if a.Class >= 0 && a.Class < len(d.classes) && a.Prompt > 0 {
-		d.classes[a.Class].fresh.learn(math.Max(a.Prompt-math.Max(a.Kept, 0), 1), false)
+func (d *Demand) Read(a RequestInfo) {
+	if a.Class >= 0 && a.Class < len(d.classes) && a.PromptTokens > 0 {
+		d.classes[a.Class].fresh.learn(math.Max(a.PromptTokens-math.Max(a.CachedTokens, 0), 1), false)
 	}
 }
 
 // Written takes in how long an answer was, as far as it is known.
-func (d *Demand) Written(a Arrival) {
-	if a.Class >= 0 && a.Class < len(d.classes) && a.Answer > 0 {
-		d.classes[a.Class].answer.learn(a.Answer, a.Cut)
+func (d *Demand) Written(a RequestInfo) {
+	if a.Class >= 0 && a.Class < len(d.classes) && a.OutputTokens > 0 {
+		d.classes[a.Class].answer.learn(a.OutputTokens, a.Truncated)
 	}
 }
 
--- a/roles/manager.go
+++ b/roles/manager.go
@@ -43,7 +43,7 @@
 // Config is what a Manager works by.
 type Config struct {
 	Classes    int
-	Limits     Limits
+	Limits     Timeouts
 	Costs      Costs
 	Confidence float64       // with which a change has to pay, in (0.5, 1)
 	Looks      int           // plans in a row that have to agree; 0: one
@@ -84,13 +84,13 @@
 }
 
 // Arrived, Read and Written take in what this router sees of the traffic.
-func (m *Manager) Arrived(now time.Time, a Arrival) { m.demand.Arrived(now.Sub(m.start), a) }
+func (m *Manager) Arrived(now time.Time, a RequestInfo) { m.demand.Arrived(now.Sub(m.start), a) }
 
 // Read takes in a finished read.
-func (m *Manager) Read(a Arrival) { m.demand.Read(a) }
+func (m *Manager) Read(a RequestInfo) { m.demand.Read(a) }
 
 // Written takes in an answer, as far as it is known.
-func (m *Manager) Written(a Arrival) { m.demand.Written(a) }
+func (m *Manager) Written(a RequestInfo) { m.demand.Written(a) }
 
 // Listed takes in all engines that there are. Those that are not among them are gone.
 func (m *Manager) Listed(now time.Time, list []Info, out []Action) []Action {
@@ -112,7 +112,7 @@
 }
 
 // Standing takes in an engine's word on its role.
-func (m *Manager) Standing(now time.Time, id uint64, s Standing, out []Action) []Action {
+func (m *Manager) Standing(now time.Time, id uint64, s RoleState, out []Action) []Action {
 	if m.infos[id] == nil {
 		return out
 	}
@@ -120,7 +120,7 @@
 }
 
 // Answered takes in an engine's answer to Ask.
-func (m *Manager) Answered(now time.Time, id uint64, granted bool, s Standing, out []Action) []Action {
+func (m *Manager) Answered(now time.Time, id uint64, granted bool, s RoleState, out []Action) []Action {
 	return m.follow.Answered(now, id, granted, s, out)
 }
 
@@ -154,7 +154,7 @@
 		if !e.Absent && (c.now.Phase != Steady || c.step == asking) {
 			e.Coming, e.Role = true, c.to
 		}
-		cold := !c.now.Starts.IsZero() && now.Sub(c.now.Starts) < m.cfg.ColdFor
+		cold := !c.now.StartedAt.IsZero() && now.Sub(c.now.StartedAt) < m.cfg.ColdFor
 		e.Fixed = cold || !m.follow.May(id)
 		out = append(out, e)
 	}
@@ -232,7 +232,7 @@
 type Status struct {
 	Engine uint64
 	Known  bool // it has said what it does
-	Now    Standing
+	Now    RoleState
 	Step   string // of a change that is followed: idle, asking, emptying, changing, resting
 	Since  time.Time
 	WhyNot string // why it would not be changed now; "" it could be
@@ -258,7 +258,7 @@
 			st.WhyNot = "it is on its way"
 		case m.infos[id].Draining:
 			st.WhyNot = "it is draining"
-		case !c.now.Starts.IsZero() && now.Sub(c.now.Starts) < m.cfg.ColdFor:
+		case !c.now.StartedAt.IsZero() && now.Sub(c.now.StartedAt) < m.cfg.ColdFor:
 			st.WhyNot = "it is cold"
 		}
 		out = append(out, st)
--- a/roles/manager_test.go
+++ b/roles/manager_test.go
@@ -29,7 +29,7 @@
 			role = Decode
 		}
 		id := uint64(i + 1)
-		s.engines[id] = &truth{s: Standing{Role: role, Epoch: 1}, alive: true}
+		s.engines[id] = &truth{s: RoleState{Role: role, Epoch: 1}, alive: true}
 		infos = append(infos, Info{ID: id, Cell: i % 2, Cap: [stages]float64{10000, 1000}})
 	}
 	for i := range routers {
@@ -54,9 +54,9 @@
 			if m == nil {
 				continue
 			}
-			m.Arrived(s.now, Arrival{})
-			m.Read(Arrival{Prompt: prompt * math.Exp(0.6*s.rng.NormFloat64()-0.18)})
-			m.Written(Arrival{Answer: answer * math.Exp(0.6*s.rng.NormFloat64()-0.18)})
+			m.Arrived(s.now, RequestInfo{})
+			m.Read(RequestInfo{PromptTokens: prompt * math.Exp(0.6*s.rng.NormFloat64()-0.18)})
+			m.Written(RequestInfo{OutputTokens: answer * math.Exp(0.6*s.rng.NormFloat64()-0.18)})
 		}
 		away := 0
 		for id, e := range s.engines {
@@ -69,7 +69,7 @@
 					s.ready[id] = s.now.Add(3 * time.Second)
 				} else {
 					if e.s.Phase == Changing {
-						e.s = Standing{Role: e.s.To, Epoch: e.s.Epoch + 1, Starts: s.now}
+						e.s = RoleState{Role: e.s.To, Epoch: e.s.Epoch + 1, StartedAt: s.now}
 					}
 					delete(s.ready, id)
 				}
@@ -97,14 +97,14 @@
 	for _, a := range acts {
 		e := s.engines[a.Engine]
 		switch a.Kind {
-		case Ask:
+		case RequestChange:
 			granted := e.ask(a.To, a.Epoch)
 			if granted {
 				s.begun++
 				s.ready[a.Engine] = s.now.Add(2 * time.Second)
 			}
 			s.do(m, m.Answered(s.now, a.Engine, granted, e.s, nil))
-		case CallBack:
+		case CancelChange:
 			if e.alive && e.s.Phase == Emptying && e.s.Epoch == a.Epoch {
 				e.s.Phase = Steady
 			}
@@ -208,7 +208,7 @@
 
 // Half of the readers die while a reader is on its way to write: it is called back.
 func TestChangeIsCalledBack(t *testing.T) {
-	s := newSite(t, 1, 6, 6, func(c *Config) { c.Limits.Empty = time.Hour; c.Costs.Changes = 1 })
+	s := newSite(t, 1, 6, 6, func(c *Config) { c.Limits.EmptyTimeout = time.Hour; c.Costs.Changes = 1 })
 	s.run(2*time.Minute, 40, 500, 100)
 	for i := 0; s.begun == 0 && i < 900; i++ {
 		s.run(time.Second, 40, 900, 165) // 36,000 and 6,600: a writer more would help
@@ -277,7 +277,7 @@
 func TestColdEnginesStay(t *testing.T) {
 	s := newSite(t, 1, 6, 6, func(c *Config) { c.ColdFor = time.Hour })
 	for _, e := range s.engines {
-		e.s.Starts = s.now
+		e.s.StartedAt = s.now
 	}
 	s.run(15*time.Minute, 40, 1800, 40)
 	if s.begun != 0 {
