--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -125,18 +125,18 @@
 }
 
 // ChangeEnded counts a change that has ended. cold is what coldness will take, as full time in seconds.
-func (m *RoleMetrics) ChangeEnded(e *roles.Ended, cold float64) {
+func (m *RoleMetrics) ChangeEnded(e *roles.ChangeResult, cold float64) {
 	if m == nil {
 		return
 	}
 	result := "failed"
-	if e.Done {
+	if e.Succeeded {
 		result = "done"
 		m.lost.WithLabelValues(stages[e.To], "cold").Add(cold)
 	}
 	m.changes.WithLabelValues(stages[e.To], result).Inc()
-	m.took.WithLabelValues(result).Observe(e.Took.Seconds())
-	m.lost.WithLabelValues(stages[e.To], "away").Add(e.Took.Seconds())
+	m.took.WithLabelValues(result).Observe(e.Elapsed.Seconds())
+	m.lost.WithLabelValues(stages[e.To], "away").Add(e.Elapsed.Seconds())
 }
 
 // PlanMade takes in a plan and the time that it took in seconds.
