--- a/roles/manager.go
+++ b/roles/manager.go
@@ -7,37 +7,37 @@
 	"time"
 )
 
-// Turn shares out the right to begin changes among routers that do not talk: time is cut into slots, and in
+// TurnOrder shares out the right to begin changes among routers that do not talk: time is cut into slots, and in
 // each slot one router may begin, by its index. What it begins is seen by the others before their turn, if
 // they look at the engines' roles at least four times a slot and clocks differ by less than a quarter of
 // one: a router begins only in the middle half of its slot. The turn of a dead router passes unused.
-type Turn struct {
-	Routers int
-	Index   int
-	Slot    time.Duration
+type TurnOrder struct {
+	Routers    int
+	Index      int
+	SlotLength time.Duration
 }
 
 // May tells whether it is this router's turn at a point of wall time.
-func (t Turn) May(now time.Time) bool {
-	if t.Routers <= 1 || t.Slot <= 0 {
+func (t TurnOrder) May(now time.Time) bool {
+	if t.Routers <= 1 || t.SlotLength <= 0 {
 		return true
 	}
 	at := now.UnixNano()
-	slot := int64(t.Slot)
+	slot := int64(t.SlotLength)
 	into := at % slot
 	return (at/slot)%int64(t.Routers) == int64(t.Index) && into >= slot/4 && into < slot-slot/4
 }
 
 // Info is what discovery and the settings tell of an engine.
 type Info struct {
-	ID       uint64
-	Kind     int
-	Cell     int
-	Role     Stage           // by the list
-	Cap      [stages]float64 // tokens a second by role; 0: it can't
-	Draining bool            // somebody else drains it
-	Unsound  bool            // it is held to be failing
-	Held     float64         // tokens that a change would lose
+	ID         uint64
+	Kind       int
+	Cell       int
+	Role       Stage           // by the list
+	Capacity   [stages]float64 // tokens a second by role; 0: it can't
+	Draining   bool            // somebody else drains it
+	Unhealthy  bool            // it is held to be failing
+	HeldTokens float64         // tokens that a change would lose
 }
 
 // Config is what a Manager works by.
@@ -49,7 +49,7 @@
 	Looks      int           // plans in a row that have to agree; 0: one
 	Every      time.Duration // between plans
 	ColdFor    time.Duration // an engine is not changed again before it is warm
-	Turn       Turn
+	Turn       TurnOrder
 	Dry        bool // plan and tell, change nothing
 }
 
@@ -149,8 +149,8 @@
 		if c == nil || !c.known {
 			continue // it has not said what it does
 		}
-		e := Engine{ID: id, Kind: info.Kind, Cell: info.Cell, Role: c.now.Role, Cap: info.Cap, Held: info.Held}
-		e.Absent = info.Unsound || info.Draining || c.doubt
+		e := Engine{ID: id, Kind: info.Kind, Cell: info.Cell, Role: c.now.Role, Cap: info.Capacity, Held: info.HeldTokens}
+		e.Absent = info.Unhealthy || info.Draining || c.doubt
 		if !e.Absent && (c.now.Phase != Steady || c.step == asking) {
 			e.Coming, e.Role = true, c.to
 		}
--- a/roles/manager_test.go
+++ b/roles/manager_test.go
@@ -30,11 +30,11 @@
 		}
 		id := uint64(i + 1)
 		s.engines[id] = &truth{s: RoleState{Role: role, Epoch: 1}, alive: true}
-		infos = append(infos, Info{ID: id, Cell: i % 2, Cap: [stages]float64{10000, 1000}})
+		infos = append(infos, Info{ID: id, Cell: i % 2, Capacity: [stages]float64{10000, 1000}})
 	}
 	for i := range routers {
 		cfg := Config{Classes: 1, Limits: limits, Costs: Costs{Horizon: 45 * time.Second, Away: 11 * time.Second, Load: [stages]float64{0.8, 0.8}, Changes: 2},
-			Confidence: 0.85, Every: 5 * time.Second, ColdFor: 13 * time.Second, Turn: Turn{routers, i, 10 * time.Second}}
+			Confidence: 0.85, Every: 5 * time.Second, ColdFor: 13 * time.Second, Turn: TurnOrder{routers, i, 10 * time.Second}}
 		if change != nil {
 			change(&cfg)
 		}
@@ -249,7 +249,7 @@
 }
 
 func TestTurns(t *testing.T) {
-	turns := []Turn{{3, 0, 10 * time.Second}, {3, 1, 10 * time.Second}, {3, 2, 10 * time.Second}}
+	turns := []TurnOrder{{3, 0, 10 * time.Second}, {3, 1, 10 * time.Second}, {3, 2, 10 * time.Second}}
 	had := make([]int, 3)
 	for ms := 0; ms < 60000; ms += 100 {
 		now := t0.Add(time.Duration(ms) * time.Millisecond)
@@ -268,7 +268,7 @@
 	if had[0] == 0 || had[1] == 0 || had[2] == 0 {
 		t.Errorf("turns %v", had)
 	}
-	if !(Turn{}).May(t0) {
+	if !(TurnOrder{}).May(t0) {
 		t.Error("a router alone waits for its turn")
 	}
 }
@@ -288,7 +288,7 @@
 // A router whose plans never fall into its turn plans again when the turn comes.
 func TestPlanThatWaitsForItsTurn(t *testing.T) {
 	// Slots of five seconds and plans every ten: each plan is made at the start of the other router's slot.
-	s := newSite(t, 2, 6, 6, func(c *Config) { c.Every, c.Turn.Slot = 10*time.Second, 5*time.Second })
+	s := newSite(t, 2, 6, 6, func(c *Config) { c.Every, c.Turn.SlotLength = 10*time.Second, 5*time.Second })
 	for i := range s.managers {
 		s.managers[i].cfg.Turn.Index = 1
 		s.managers[i].next = s.now.Add(10 * time.Second)
