--- a/internal/sim/node.go
+++ b/internal/sim/node.go
@@ -90,7 +90,7 @@
 	}
 	if n.s.cfg.Roles != nil {
 		cfg := *n.s.cfg.Roles
-		cfg.Turn.Index, cfg.Turn.Routers = n.index, n.s.cfg.Settings.Routers
+		cfg.TurnOrder.Index, cfg.TurnOrder.Routers = n.index, n.s.cfg.Settings.Routers
 		n.manager = roles.NewManager(cfg, n.s.wall())
 	}
 	n.tell(&decide.Event{Kind: decide.ListCached, Servers: servers, Report: engine.NoReport()})
@@ -172,12 +172,12 @@
 	if n.manager == nil {
 		return
 	}
-	var list []roles.Info
+	var list []roles.EngineInfo
 	for _, u := range n.s.units {
 		if u.fixed || n.gone[u.index] {
 			continue
 		}
-		list = append(list, roles.Info{ID: uint64(u.id()), Cell: u.cell, Role: u.first,
+		list = append(list, roles.EngineInfo{ID: uint64(u.id()), Cell: u.cell, Role: u.first,
 			Capacity: [2]float64{roles.Prefill: n.s.cfg.Prefill.Capacity(), roles.Decode: n.s.cfg.Decode.Capacity()}})
 	}
 	n.carry(n.manager.Listed(n.s.wall(), list, nil))
--- a/roles/manager.go
+++ b/roles/manager.go
@@ -28,8 +28,8 @@
 	return (at/slot)%int64(t.Routers) == int64(t.Index) && into >= slot/4 && into < slot-slot/4
 }
 
-// Info is what discovery and the settings tell of an engine.
-type Info struct {
+// EngineInfo is what discovery and the settings tell of an engine.
+type EngineInfo struct {
 	ID         uint64
 	Kind       int
 	Cell       int
@@ -42,15 +42,15 @@
 
 // Config is what a Manager works by.
 type Config struct {
-	Classes    int
-	Limits     Timeouts
-	Costs      Costs
-	Confidence float64       // with which a change has to pay, in (0.5, 1)
-	Looks      int           // plans in a row that have to agree; 0: one
-	Every      time.Duration // between plans
-	ColdFor    time.Duration // an engine is not changed again before it is warm
-	Turn       TurnOrder
-	Dry        bool // plan and tell, change nothing
+	Classes          int
+	Timeouts         Timeouts
+	Costs            Costs
+	Confidence       float64       // with which a change has to pay, in (0.5, 1)
+	ConsecutivePlans int           // plans in a row that have to agree; 0: one
+	PlanInterval     time.Duration // between plans
+	SlowStartTime    time.Duration // an engine is not changed again before it is warm
+	TurnOrder        TurnOrder
+	DryRun           bool // plan and tell, change nothing
 }
 
 // Report is a plan as it was judged, for people.
@@ -71,7 +71,7 @@
 	demand *Demand
 	judge  Judge
 	follow *Follower
-	infos  map[uint64]*Info
+	infos  map[uint64]*EngineInfo
 	next   time.Time
 	waits  bool // for its turn, with a plan that pays
 	last   Report
@@ -79,8 +79,8 @@
 
 // NewManager returns a Manager that has seen nothing.
 func NewManager(cfg Config, now time.Time) *Manager {
-	return &Manager{cfg: cfg, start: now, demand: NewDemand(cfg.Classes, cfg.Costs.Horizon), follow: NewFollower(cfg.Limits),
-		judge: Judge{Confidence: cfg.Confidence, Looks: cfg.Looks}, infos: map[uint64]*Info{}, next: now.Add(cfg.Every)}
+	return &Manager{cfg: cfg, start: now, demand: NewDemand(cfg.Classes, cfg.Costs.Horizon), follow: NewFollower(cfg.Timeouts),
+		judge: Judge{Confidence: cfg.Confidence, Looks: cfg.ConsecutivePlans}, infos: map[uint64]*EngineInfo{}, next: now.Add(cfg.PlanInterval)}
 }
 
 // Arrived, Read and Written take in what this router sees of the traffic.
@@ -93,8 +93,8 @@
 func (m *Manager) Written(a RequestInfo) { m.demand.Written(a) }
 
 // Listed takes in all engines that there are. Those that are not among them are gone.
-func (m *Manager) Listed(now time.Time, list []Info, out []Action) []Action {
-	seen := make(map[uint64]*Info, len(list))
+func (m *Manager) Listed(now time.Time, list []EngineInfo, out []Action) []Action {
+	seen := make(map[uint64]*EngineInfo, len(list))
 	for i := range list {
 		info := list[i]
 		seen[info.ID] = &info
@@ -134,10 +134,10 @@
 // to be called some times a second.
 func (m *Manager) Tick(now time.Time, out []Action) []Action {
 	out = m.follow.Tick(now, out)
-	if now.Before(m.next) && !(m.waits && m.cfg.Turn.May(now)) {
+	if now.Before(m.next) && !(m.waits && m.cfg.TurnOrder.May(now)) {
 		return out
 	}
-	m.next = now.Add(m.cfg.Every)
+	m.next = now.Add(m.cfg.PlanInterval)
 	return m.plan(now, out)
 }
 
@@ -154,7 +154,7 @@
 		if !e.Absent && (c.now.Phase != Steady || c.step == asking) {
 			e.Coming, e.Role = true, c.to
 		}
-		cold := !c.now.StartedAt.IsZero() && now.Sub(c.now.StartedAt) < m.cfg.ColdFor
+		cold := !c.now.StartedAt.IsZero() && now.Sub(c.now.StartedAt) < m.cfg.SlowStartTime
 		e.Fixed = cold || !m.follow.May(id)
 		out = append(out, e)
 	}
@@ -164,7 +164,7 @@
 func (m *Manager) plan(now time.Time, out []Action) []Action {
 	// Each router sees its part of the traffic; the front layer spreads it evenly but for chance, which the
 	// forecast's own spread grows with.
-	all := math.Max(float64(m.cfg.Turn.Routers), 1)
+	all := math.Max(float64(m.cfg.TurnOrder.Routers), 1)
 	demand := m.demand.Forecast(now.Sub(m.start))
 	for st := range demand {
 		demand[st].Mean *= all
@@ -178,8 +178,8 @@
 	}
 	m.last.Verdict = m.judge.Look(&p, demand)
 	out = m.callOff(engines, demand, out)
-	m.waits = m.last.Verdict.Change && !m.cfg.Dry && !m.cfg.Turn.May(now)
-	if !m.last.Verdict.Change || m.cfg.Dry || m.waits {
+	m.waits = m.last.Verdict.Change && !m.cfg.DryRun && !m.cfg.TurnOrder.May(now)
+	if !m.last.Verdict.Change || m.cfg.DryRun || m.waits {
 		return out
 	}
 	for _, mv := range p.Moves {
@@ -258,7 +258,7 @@
 			st.WhyNot = "it is on its way"
 		case m.infos[id].Draining:
 			st.WhyNot = "it is draining"
-		case !c.now.StartedAt.IsZero() && now.Sub(c.now.StartedAt) < m.cfg.ColdFor:
+		case !c.now.StartedAt.IsZero() && now.Sub(c.now.StartedAt) < m.cfg.SlowStartTime:
 			st.WhyNot = "it is cold"
 		}
 		out = append(out, st)
--- a/roles/manager_test.go
+++ b/roles/manager_test.go
@@ -22,7 +22,7 @@
 
 func newSite(t *testing.T, routers, readers, writers int, change func(*Config)) *site {
 	s := &site{t: t, now: at(0), rng: rand.New(rand.NewPCG(1, 2)), engines: map[uint64]*truth{}, ready: map[uint64]time.Time{}}
-	var infos []Info
+	var infos []EngineInfo
 	for i := range readers + writers {
 		role := Prefill
 		if i >= readers {
@@ -30,11 +30,11 @@
 		}
 		id := uint64(i + 1)
 		s.engines[id] = &truth{s: RoleState{Role: role, Epoch: 1}, alive: true}
-		infos = append(infos, Info{ID: id, Cell: i % 2, Capacity: [stages]float64{10000, 1000}})
+		infos = append(infos, EngineInfo{ID: id, Cell: i % 2, Capacity: [stages]float64{10000, 1000}})
 	}
 	for i := range routers {
-		cfg := Config{Classes: 1, Limits: limits, Costs: Costs{Horizon: 45 * time.Second, Away: 11 * time.Second, Load: [stages]float64{0.8, 0.8}, Changes: 2},
-			Confidence: 0.85, Every: 5 * time.Second, ColdFor: 13 * time.Second, Turn: TurnOrder{routers, i, 10 * time.Second}}
+		cfg := Config{Classes: 1, Timeouts: limits, Costs: Costs{Horizon: 45 * time.Second, Away: 11 * time.Second, Load: [stages]float64{0.8, 0.8}, Changes: 2},
+			Confidence: 0.85, PlanInterval: 5 * time.Second, SlowStartTime: 13 * time.Second, TurnOrder: TurnOrder{routers, i, 10 * time.Second}}
 		if change != nil {
 			change(&cfg)
 		}
@@ -173,7 +173,7 @@
 	if s.begun != 0 {
 		t.Errorf("%d changes", s.begun)
 	}
-	dry := newSite(t, 1, 6, 6, func(c *Config) { c.Dry = true })
+	dry := newSite(t, 1, 6, 6, func(c *Config) { c.DryRun = true })
 	dry.run(10*time.Minute, 40, 1800, 40)
 	if r := dry.managers[0].Last(); dry.begun != 0 || len(r.Plan.Moves) == 0 || !r.Verdict.Change {
 		t.Errorf("%d changes; last plan %+v", dry.begun, r)
@@ -208,7 +208,7 @@
 
 // Half of the readers die while a reader is on its way to write: it is called back.
 func TestChangeIsCalledBack(t *testing.T) {
-	s := newSite(t, 1, 6, 6, func(c *Config) { c.Limits.EmptyTimeout = time.Hour; c.Costs.Changes = 1 })
+	s := newSite(t, 1, 6, 6, func(c *Config) { c.Timeouts.EmptyTimeout = time.Hour; c.Costs.Changes = 1 })
 	s.run(2*time.Minute, 40, 500, 100)
 	for i := 0; s.begun == 0 && i < 900; i++ {
 		s.run(time.Second, 40, 900, 165) // 36,000 and 6,600: a writer more would help
@@ -223,7 +223,7 @@
 			s.ready[id] = s.now.Add(time.Hour) // it empties slowly
 		}
 	}
-	var left []Info
+	var left []EngineInfo
 	dead := 0
 	for id := range uint64(12) {
 		info := *s.managers[0].infos[id+1]
@@ -275,7 +275,7 @@
 
 // An engine that is still cold is not changed again, however great the need.
 func TestColdEnginesStay(t *testing.T) {
-	s := newSite(t, 1, 6, 6, func(c *Config) { c.ColdFor = time.Hour })
+	s := newSite(t, 1, 6, 6, func(c *Config) { c.SlowStartTime = time.Hour })
 	for _, e := range s.engines {
 		e.s.StartedAt = s.now
 	}
@@ -288,9 +288,9 @@
 // A router whose plans never fall into its turn plans again when the turn comes.
 func TestPlanThatWaitsForItsTurn(t *testing.T) {
 	// Slots of five seconds and plans every ten: each plan is made at the start of the other router's slot.
-	s := newSite(t, 2, 6, 6, func(c *Config) { c.Every, c.Turn.SlotLength = 10*time.Second, 5*time.Second })
+	s := newSite(t, 2, 6, 6, func(c *Config) { c.PlanInterval, c.TurnOrder.SlotLength = 10*time.Second, 5*time.Second })
 	for i := range s.managers {
-		s.managers[i].cfg.Turn.Index = 1
+		s.managers[i].cfg.TurnOrder.Index = 1
 		s.managers[i].next = s.now.Add(10 * time.Second)
 		if i > 0 {
 			s.managers[i] = nil
