--- a/internal/shift/shift.go
+++ b/internal/shift/shift.go
@@ -41,7 +41,7 @@
 	seen    chan observation
 	missed  atomic.Int64 // observations that did not fit
 	results chan result
-	report  atomic.Pointer[roles.Report]
+	report  atomic.Pointer[roles.PlanReport]
 	status  atomic.Pointer[Status]
 
 	// What follows belongs to Run's loop.
@@ -121,7 +121,7 @@
 type Status struct {
 	At      time.Time
 	Mode    string
-	Plan    roles.Report
+	Plan    roles.PlanReport
 	Engines []EngineStatus
 	Unseen  int64 // observations of the traffic that did not fit
 }
@@ -387,7 +387,7 @@
 		return
 	}
 	d.log.Info("plan of roles", "read/s", int(r.Demand[roles.Prefill].Mean), "write/s", int(r.Demand[roles.Decode].Mean), "moves", len(r.Plan.Moves),
-		"served", r.Plan.Now, "then", r.Plan.Then, "confidence", r.Verdict.Confidence, "why", r.Verdict.Why, "begun", r.Begun,
+		"served", r.Plan.Now, "then", r.Plan.Then, "confidence", r.Verdict.Confidence, "why", r.Verdict.Why, "begun", r.ChangesBegun,
 		"dry", d.set.RoleChanges.Mode == "dry", "unseen", d.missed.Load())
 }
 
