--- a/decide/decide.go
+++ b/decide/decide.go
@@ -67,7 +67,7 @@
 	firstRunAt   Time    // when the first that may have run was sent
 	firstRunOn   *server
 	tried        []*server
-	probeEnded   []*server // were asked for their load for the next attempt
+	probed       []*server // were asked for their load for the next attempt
 	probedNear   *server   // near which writers were asked
 	probesSentAt Time      // only what was asked by then is waited for
 	needsMixed   bool      // no state is to be had: only a server that reads by itself will do
@@ -154,7 +154,7 @@
 	case ClientLeft:
 		r.clientLeft(ev.Request)
 	case Probed:
-		r.probed(ev)
+		r.probeEnded(ev)
 	case Timer:
 		r.periodicCheck()
 	case ShuttingDown:
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -598,17 +598,17 @@
 func TestJammedLinksAreAvoided(t *testing.T) {
 	w := newWorld(t, settings(), fleet())
 	w.r.recordTransfer(sameCell, 50*ms)
-	calm := w.r.far(otherZone)
-	if w.r.far(sameCell) != 0 || w.r.far(sameZone) <= 0 || calm <= w.r.far(sameZone) {
-		t.Errorf("handicaps %v, %v, %v", w.r.far(sameCell), w.r.far(sameZone), calm)
+	calm := w.r.transferPenalty(otherZone)
+	if w.r.transferPenalty(sameCell) != 0 || w.r.transferPenalty(sameZone) <= 0 || calm <= w.r.transferPenalty(sameZone) {
+		t.Errorf("handicaps %v, %v, %v", w.r.transferPenalty(sameCell), w.r.transferPenalty(sameZone), calm)
 	}
 	for range 10 {
 		w.r.recordTransfer(otherZone, 2*Second)
 	}
-	jam := w.r.far(otherZone)
+	jam := w.r.transferPenalty(otherZone)
 	w.r.now += 10 * congestionSpan
-	if jam < 4*calm || w.r.far(otherZone) > 1.1*calm {
-		t.Errorf("calm %v, jam %v, later %v", calm, jam, w.r.far(otherZone))
+	if jam < 4*calm || w.r.transferPenalty(otherZone) > 1.1*calm {
+		t.Errorf("calm %v, jam %v, later %v", calm, jam, w.r.transferPenalty(otherZone))
 	}
 }
 
--- a/decide/probing.go
+++ b/decide/probing.go
@@ -16,10 +16,10 @@
 		return
 	}
 	q.probedNear = from
-	q.probeEnded = slices.DeleteFunc(q.probeEnded, func(s *server) bool { return s.role != Reader })
+	q.probed = slices.DeleteFunc(q.probed, func(s *server) bool { return s.role != Reader })
 	for range probePair {
 		if s := r.pickWriter(q, false); s != nil {
-			q.probeEnded = append(q.probeEnded, s)
+			q.probed = append(q.probed, s)
 			r.probe(s)
 		}
 	}
@@ -30,16 +30,16 @@
 func (r *Router) probeReaders(q *request) bool {
 	roomy := func(s *server) bool { return s.role == Reader && r.hasFreshReport(s) && r.hasRoom(q, s) }
 	if !r.probesBeforeRouting() || r.now-q.arrivedAt > r.cfg.DialTimeout || q.job.Deadline-r.now < 2*r.cfg.DialTimeout ||
-		slices.ContainsFunc(q.probeEnded, roomy) {
+		slices.ContainsFunc(q.probed, roomy) {
 		return false
 	}
 	walk := r.nextToProbe(q)
 	waits := false
-	if len(walk) > 0 && len(q.probeEnded) == 0 {
+	if len(walk) > 0 && len(q.probed) == 0 {
 		r.probeWriters(q, walk[0])
 	}
-	for _, s := range walk[:max(0, min(probePair+maxProbedReaders-len(q.probeEnded), len(walk)))] {
-		q.probeEnded = append(q.probeEnded, s)
+	for _, s := range walk[:max(0, min(probePair+maxProbedReaders-len(q.probed), len(walk)))] {
+		q.probed = append(q.probed, s)
 		if !r.hasFreshReport(s) {
 			waits = true
 			r.probe(s)
@@ -56,7 +56,7 @@
 	next := make([]*server, 0, probePair+1)
 	for _, s := range r.readers {
 		near := q.rendezvousScore(s)
-		if len(next) == probePair && near <= q.rendezvousScore(next[probePair-1]) || slices.Contains(q.probeEnded, s) ||
+		if len(next) == probePair && near <= q.rendezvousScore(next[probePair-1]) || slices.Contains(q.probed, s) ||
 			!r.isCandidate(q, s, reading, true) {
 			continue
 		}
@@ -82,7 +82,7 @@
 	waiting := r.awaitingProbes
 	r.awaitingProbes = nil
 	for _, q := range waiting {
-		if slices.ContainsFunc(q.probeEnded, func(s *server) bool { return s.probeInFlight && s.probedAt <= q.probesSentAt }) {
+		if slices.ContainsFunc(q.probed, func(s *server) bool { return s.probeInFlight && s.probedAt <= q.probesSentAt }) {
 			r.awaitingProbes = append(r.awaitingProbes, q)
 		} else if !q.closed && !r.probeReaders(q) {
 			r.admit(q)
@@ -115,7 +115,7 @@
 	}
 }
 
-func (r *Router) probed(ev *Event) {
+func (r *Router) probeEnded(ev *Event) {
 	s := r.servers[ev.Server]
 	if s == nil {
 		return
--- a/decide/reader.go
+++ b/decide/reader.go
@@ -7,7 +7,7 @@
 	for pass := range 3 {
 		strict, among := pass < 2, r.readers
 		if pass == 0 { // first those that were asked
-			among = q.probeEnded
+			among = q.probed
 		}
 		if s := r.preferredReader(q, among, strict); s != nil {
 			return s
--- a/decide/writer.go
+++ b/decide/writer.go
@@ -7,13 +7,13 @@
 // pickWriter: among the writers that fit the fewest own streams, then the lowest D + W*N, ties at
 // random; when none fits, the smallest resulting footprint. Those that were asked come first, and D is what
 // they said then; with heard false, the next to be asked is picked.
-func (r *Router) pickWriter(q *request, heard bool) *server {
+func (r *Router) pickWriter(q *request, includeProbed bool) *server {
 	for pass := range 3 {
-		c := writerChoice{router: r, request: q, strict: pass < 2, probedOnly: pass == 0, probed: heard,
-			transferPenalty: [3]float64{r.far(0), r.far(1), r.far(2)}}
+		c := writerChoice{router: r, request: q, strict: pass < 2, probedOnly: pass == 0, includeProbed: includeProbed,
+			penalties: [3]float64{r.transferPenalty(0), r.transferPenalty(1), r.transferPenalty(2)}}
 		among := r.writers
 		if c.probedOnly {
-			among = q.probeEnded
+			among = q.probed
 		}
 		for _, s := range among {
 			c.compare(s)
@@ -30,10 +30,10 @@
 
 // writerChoice is the best writer so far.
 type writerChoice struct {
-	router                     *Router
-	request                    *request
-	strict, probedOnly, probed bool
-	transferPenalty            [3]float64 // handicaps by distance
+	router                            *Router
+	request                           *request
+	strict, probedOnly, includeProbed bool
+	penalties                         [3]float64 // handicaps by distance
 
 	pick          *server
 	streams, cost float64
@@ -45,8 +45,8 @@
 	if s.role&Writer == 0 {
 		return false
 	}
-	one := slices.Contains(c.request.probeEnded, s)
-	if c.probedOnly && !(one && s.reportedAt >= c.request.arrivedAt) || one && !c.probed {
+	one := slices.Contains(c.request.probed, s)
+	if c.probedOnly && !(one && s.reportedAt >= c.request.arrivedAt) || one && !c.includeProbed {
 		return false
 	}
 	return c.router.isCandidate(c.request, s, writing, c.strict)
@@ -59,7 +59,7 @@
 	distance := distance(q, s)
 	n := float64(s.streams)
 	if !c.probedOnly {
-		n += c.transferPenalty[distance]
+		n += c.penalties[distance]
 	}
 	if c.pick != nil && n > c.streams {
 		return
@@ -122,8 +122,8 @@
 	return 2
 }
 
-// far is the handicap, in streams, of a writer across a link; it grows with jams and fades without news.
-func (r *Router) far(d int) float64 {
+// transferPenalty is the handicap, in streams, of a writer across a link; it grows with jams and fades without news.
+func (r *Router) transferPenalty(d int) float64 {
 	base := [...]float64{0, crossCellPenalty, crossZonePenalty}[d] * min(1, fewRouters/float64(r.cfg.Routers))
 	late := r.transferTime[d]/max(r.transferTime[0], firstTokenUnit) - 1
 	return base * (1 + max(0, late)*decay(r.now-r.transferAt[d], congestionSpan))
