--- a/decide/api.go
+++ b/decide/api.go
@@ -1,41 +1,55 @@
-// Package decide is mintdoor's decision module: one Router per router process, fed with events,
-// answering with actions. This file is its interface. Every decision is in one of these:
+// Package decide makes the routing decisions of a mintdoor router. A Router is a pure state machine: it is fed
+// events and answers with actions. It opens no connections, reads no clock and starts no goroutines; those who
+// call it do. This file declares its interface.
 //
-//	tuning.go        every tuned value, with its reason
-//	decide.go        state, and Handle, the one event handler
-//	membership.go    what discovery tells
-//	request.go       the path of a request: refused or read, written, streamed, done
-//	admission.go     what is refused at its arrival
-//	reader.go        prefix home, spill, fewest waiting
-//	writer.go        fit, fewest own streams, lowest booked cost, smallest footprint; distances
-//	guards.go        send and giveUp, the only ways to an attempt and to an answer of this router's
-//	                 own, keep the rules 1 to 4; close keeps rule 5
-//	limits.go        slack for a process that is held up
-//	shutdown.go      what is still taken on once the router was told to end
-//	liveness.go      waits without a sign from a server
-//	slowstart.go     the budget of rule 4
-//	health.go        outlier ejection: symptoms, leaving out, the way back in
-//	probing.go       asking for load before a pick, and probes paced by their price
-//	timeouts.go      aims and time-outs
-//	arithmetic.go    rates, decay, random numbers
+// A request is read (prefill) by a reader, which keeps the resulting KV state until a writer fetches it and writes
+// (decodes) the answer. A send of a request to one server is an attempt. A hold is anything that a server keeps for
+// a request between the two stages: a KV state or a reservation. Five rules bind every decision:
+//
+//  1. A request gets exactly one final answer, by its deadline at the latest; no attempt begins after it.
+//  2. A request has at most one attempt in flight, and no attempt may execute a request a second time unless its
+//     class allows that.
+//  3. A server that is draining or removed from the list gets no new attempts.
+//  4. All routers together send a cold server no more than its slow-start budget.
+//  5. What servers hold for a request is used or released within a time limit.
+//
+// The decisions are in these files:
+//
+//	tuning.go        all tuned constants, with the reason for each
+//	decide.go        the state, and Handle, the only event handler
+//	membership.go    changes of the server list
+//	request.go       the path of a request: refused, or read, written and streamed
+//	admission.go     admission control: what is refused on arrival
+//	reader.go        choice of a reader: rendezvous hashing, spillover, shortest queue
+//	writer.go        choice of a writer: free memory, fewest streams, fewest booked tokens, lowest projected use
+//	guards.go        send starts every attempt and giveUp makes every answer of the router itself, so that rules 1
+//	                 to 4 hold; close does so for rule 5
+//	limits.go        time margins for pauses of the process
+//	shutdown.go      what is still accepted during a shutdown
+//	liveness.go      attempts without a response, reachability probes, and the release of holds in time
+//	slowstart.go     the slow-start budget of rule 4
+//	health.go        outlier ejection and recovery
+//	probing.go       load probes: before routing, and at a rate limited by their cost
+//	timeouts.go      latency targets and attempt timeouts
+//	arithmetic.go    rates, exponential decay, random numbers
 package decide
 
-// Time is a point on the router's own clock, in nanoseconds.
+// Time is an instant on the router's own clock, in nanoseconds.
 type Time int64
 
-// Duration is a span in nanoseconds.
+// Duration is a span of time in nanoseconds.
 type Duration = Time
 
 // Second is one second as a Duration.
 const Second Duration = 1e9
 
-// ServerID names a server; it says nothing of its place, kind or age.
+// ServerID identifies a server. It does not encode the server's location, kind or age.
 type ServerID uint64
 
-// RequestID names one client's try. Ids are never used twice.
+// RequestID identifies one request of a client. IDs are never reused.
 type RequestID uint32
 
-// Role tells which stages a kind of server can do.
+// Role says which stages a kind of server can do.
 type Role uint8
 
 // The roles of a kind of server.
@@ -45,94 +59,95 @@
 	Both = Reader | Writer
 )
 
-// RetryPolicy tells what a class allows after an attempt that may have run.
+// RetryPolicy says whether a request may be sent again after an attempt that may have executed it.
 type RetryPolicy uint8
 
-// The kinds of classes, by what a repeat does.
+// The retry policies.
 const (
-	Safe RetryPolicy = iota
-	Keyed
-	Unsafe
+	Safe   RetryPolicy = iota // may be executed any number of times
+	Keyed                     // servers within DedupScope drop duplicates by key during DedupWindow
+	Unsafe                    // must not be executed twice
 )
 
-// DedupScope is the group of servers that drops repeats of a keyed request.
+// DedupScope is the group of servers that drop duplicates of the same keyed request.
 type DedupScope uint8
 
-// The scopes of a keyed class.
+// The scopes within which duplicates of a keyed request are dropped.
 const (
 	ScopeAll DedupScope = iota
 	ScopeZone
 	ScopeCell
 )
 
-// Class is what the settings say of one class of requests.
+// Class holds the settings of one class of requests.
 type Class struct {
-	FirstTokenTarget     Duration // first token wanted within this time ...
-	FirstTokenTargetPerK Duration // ... plus this for each thousand prompt tokens
+	FirstTokenTarget     Duration // target time to the first token, without the part that depends on the prompt
+	FirstTokenTargetPerK Duration // added to the target for each 1000 prompt tokens
 	Deadline             Duration
-	TokenIntervalTarget  Duration // wanted time between tokens
-	Value                float64
-	LateValue            float64
+	TokenIntervalTarget  Duration // target time between two tokens
+	Value                float64  // of an answer that meets its targets
+	LateValue            float64  // of an answer that misses them, as a fraction of Value
 	RetryPolicy          RetryPolicy
 	DedupScope           DedupScope
-	DedupWindow          Duration // how long repeats of a keyed request are dropped
+	DedupWindow          Duration // how long duplicates of a keyed request are dropped
 }
 
-// Kind is what the settings say of one kind of machine.
+// Kind holds the settings of one kind of server.
 type Kind struct {
 	Role   Role
-	Memory float64 // tokens; 0 when not told
+	Memory float64 // in tokens; 0 if unknown
 }
 
-// Tenant is one customer's share of the traffic.
+// Tenant holds the settings of one tenant.
 type Tenant struct {
-	RequestsPerSecond float64 // requests a second within its share, over all routers; 0 when not told
+	RequestsPerSecond float64 // quota over all routers; 0 if unknown
 }
 
-// Settings is what a router is told at its start.
+// Settings holds the configuration of a router. It does not change while the router runs.
 type Settings struct {
-	Routers, Index int
+	Routers, Index int // how many routers there are, and which of them this one is
 	Zone           int
 	Classes        []Class
 	Kinds          []Kind
 	Tenants        []Tenant
-	OverQuotaValue float64 // worth of a request beyond its tenant's share, as a share of the usual
-
-	Probing        bool
-	MayCancel      bool
-	MayReserve     bool
-	Resume         bool
-	WritersRead    bool
-	PullMembership bool // the list is sent only to those that ask
-	MaxAttempts    int
-	MaxRetryAfter  Duration // 0: clients take no advice
+	OverQuotaValue float64 // value of a request over its tenant's quota, as a fraction of its class's value
+
+	Probing        bool     // probes are allowed
+	MayCancel      bool     // attempts may be cancelled
+	MayReserve     bool     // servers grant reservations
+	Resume         bool     // a client can resume a broken stream at another server
+	WritersRead    bool     // writers can read prompts themselves
+	PullMembership bool     // the server list is sent only on request
+	MaxAttempts    int      // per request
+	MaxRetryAfter  Duration // longest Retry-After of a refusal; 0 if clients do not honor it
 	DialTimeout    Duration
 
-	AnswerGrace        Duration
+	AnswerGrace        Duration // rule 1: a final answer may come this long after the deadline
 	AskWithin          Duration
-	DrainGrace         Duration
-	HoldTimeout        Duration
-	ReleaseAtEnd       bool // what is let go of an open request is held until the request is over
-	PauseHoldOnArrival bool // the time of what is held rests only for sends that have come to their server
-	OverloadMultiple   float64
-	OverloadWindow     Duration
-	InitialCapacity    float64
-	SlowStartTime      Duration
-
+	DrainGrace         Duration // rule 3: nothing is sent to a server this long after the list drains it
+	HoldTimeout        Duration // rule 5: what is held for a request is used or released within this time
+	ReleaseAtEnd       bool     // a release during a request takes effect only when the request ends
+	PauseHoldOnArrival bool     // the hold timer pauses only for attempts that have reached their server
+	OverloadMultiple   float64  // rule 4: a cold server fails if it is sent this multiple of its capacity ...
+	OverloadWindow     Duration // ... for this long
+	InitialCapacity    float64  // capacity of a server that has just started, as a fraction of a warm one's
+	SlowStartTime      Duration // how long a server is cold after its start
+
+	// Costs, as fractions of the result; ProbeCost is that of one probe per request.
 	ProbeCost, WasteCost, LateFailureCost, CrossZoneCost, CrossCellCost float64
 }
 
-// Report is a server's own account of its load; a field it did not tell is negative.
+// Report is a server's report of its load. A field that the server did not report is negative.
 type Report struct {
-	MemoryUse     float64 // share of memory held
-	QueuedKTokens float64 // thousands of prompt tokens to read or fetch
+	MemoryUse     float64 // fraction of the memory in use
+	QueuedKTokens float64 // thousands of prompt tokens that wait to be read or fetched
 	Latency       float64 // recent time to the end of a read or to the first token, in milliseconds
 }
 
-// Condition is what the list says of a server.
+// Condition is the condition of a server in the server list.
 type Condition uint8
 
-// The conditions in a list.
+// The conditions of a server.
 const (
 	Gone Condition = iota
 	Ready
@@ -145,108 +160,108 @@
 	Zone, Cell, Kind int
 	Condition        Condition
 	Weight           float64
-	StartedAt        Time // last start; 0 when long ago
+	StartedAt        Time // last start of the server; 0 if long ago
 }
 
-// Outcome tells how an attempt or a probe ended.
+// Outcome is how an attempt or a probe ended.
 type Outcome uint8
 
 // The outcomes.
 const (
-	Served Outcome = iota
-	ReadDone
-	Error
-	Full
-	TimedOut
-	ConnectFailed
-	Reset
-	Cancelled
-	NotStarted
+	Served        Outcome = iota // answered to the end; of a probe: the server answered
+	ReadDone                     // the reader holds the KV state
+	Error                        // the server answered with an error
+	Full                         // the server refused the attempt without executing it
+	TimedOut                     // no answer in time
+	ConnectFailed                // no connection to the server
+	Reset                        // the connection was lost
+	Cancelled                    // cancelled by the router
+	NotStarted                   // the router's own checks kept the attempt from being sent
 )
 
-// EventKind tells the fields of an Event that are meant.
+// EventKind is the kind of an Event. It determines which fields of the Event are set.
 type EventKind uint8
 
 // The kinds of events.
 const (
-	ListChanged       EventKind = iota // Servers: only the changes
-	ListFull                           // Servers: all that there are
-	ListCached                         // Servers: all, as this router last held them
-	ListFailed                         // an asking for the list failed
+	ListChanged       EventKind = iota // Servers holds only the changed entries
+	ListFull                           // Servers holds the whole list
+	ListCached                         // Servers holds the whole list as this router last stored it
+	ListFailed                         // a watch of the server list failed
 	Arrived                            // a new request
-	FirstToken                         // the answer of an attempt has begun
+	FirstToken                         // an attempt's first token has arrived
 	AttemptEnded                       // an attempt has an outcome
-	ClientLeft                         // the request is closed, nothing is owed
-	Timer                              // a WakeMe has come due
+	ClientLeft                         // the client has left; no answer is due
+	Timer                              // a timer set by SetTimer has expired
 	Probed                             // a probe has an outcome
-	ReservationAnswer                  // the answer to a place asked for ahead
+	ReservationAnswer                  // the answer to a Reserve
 	PeerMessage                        // a message of another router
-	ShuttingDown                       // the router was told to end: Shutdown
+	ShuttingDown                       // the router was told to shut down; Shutdown holds the plan
 )
 
-// Event is one thing that a router learns.
+// Event is the input of a Router.
 type Event struct {
 	Kind          EventKind
 	Request       RequestID
 	Server        ServerID
 	Attempt       int
 	Outcome       Outcome
-	Closed        bool     // Ended: the request has had its final answer
-	NoState       bool     // Ended with Full: there was no state to fetch
-	CachedTokens  float64  // Ended with ReadDone: prompt tokens found kept
+	Closed        bool     // AttemptEnded: the request has had its final answer
+	NoState       bool     // AttemptEnded with Full: the KV state to fetch was missing
+	CachedTokens  float64  // AttemptEnded with ReadDone: prompt tokens found in the reader's prefix cache
 	Elapsed       Duration // since the attempt or probe was sent
 	Report        Report
 	TimerID       uint64
-	Granted       bool // PlaceAnswer
-	NewConnection bool // Probed: as the action had it
+	Granted       bool // ReservationAnswer: the place is reserved
+	NewConnection bool // Probed: as in the Probe action
 	Servers       []Listing
 	Job           Job      // Arrived
-	RouterDelay   Duration // Arrived: for this router to take it
+	RouterDelay   Duration // Arrived: how long the request waited until this router took it
 
 	Shutdown *Shutdown // ShuttingDown
 }
 
-// Job is a request as it arrives.
+// Job describes a request as it arrives.
 type Job struct {
 	Class, Tenant                               int
-	SessionID, PrefixID                         uint64 // 0: none
+	SessionID, PrefixID                         uint64 // session and shared prefix; 0 if none
 	Deadline                                    Time
-	LengthHint                                  Duration // rough length of the answer; 0 when not told
-	PromptTokens, PrefixTokens, MaxOutputTokens float64  // tokens
-	ClientRetry, AfterInterruption              bool
+	LengthHint                                  Duration // approximate duration of the answer; 0 if unknown
+	PromptTokens, PrefixTokens, MaxOutputTokens float64
+	ClientRetry, AfterInterruption              bool // the client sends it again, or resumes a broken stream
 }
 
-// ActionKind tells the fields of an Action that are meant.
+// ActionKind is the kind of an Action. It determines which fields of the Action are set.
 type ActionKind uint8
 
 // The kinds of actions.
 const (
-	Send      ActionKind = iota // Request, Server, After (the time-out; 0: until the client gives up)
+	Send      ActionKind = iota // Request, Server, After (the timeout; 0 if only the client's patience limits it)
 	Cancel                      // Request, Attempt
-	Refuse                      // Request, After (stay away so long), Text (the reason)
-	Fail                        // Request, Text (the reason)
+	Refuse                      // Request, After (the Retry-After), Reason
+	Fail                        // Request, Reason
 	Release                     // Request
 	Move                        // Request
-	SetTimer                    // After, Token
-	Probe                       // Server, Fresh (on a connection that is made for it)
+	SetTimer                    // After, TimerID
+	Probe                       // Server, NewConnection (the probe opens a connection of its own)
 	Reserve                     // Request, Server
-	WatchList                   // ask for the list and its changes
-	Note                        // Text
+	WatchList                   // request the server list and its changes
+	Note                        // Reason (the text of the note)
 )
 
-// Action is one thing that a router does.
+// Action is the output of a Router.
 type Action struct {
 	Kind    ActionKind
 	Request RequestID
 	Server  ServerID
 	Attempt int
 	After   Duration
-	// SendBy, of Send: the last byte may not leave later; 0 is no bound.
+	// SendBy is the latest time at which the last byte of a Send may leave; 0 if there is no limit.
 	SendBy Time
-	// LastResponseWithin, of Send: a kept connection may carry it only if an answer has come on that so recently; 0: any
-	// may. A connection can fall silent with no error, and what is sent on it then never arrives.
+	// LastResponseWithin is the maximum age of the last response on a kept connection that carries a Send; 0 if any
+	// connection will do. A connection can die without an error, and what is sent on it then never arrives.
 	LastResponseWithin Duration
-	DuringAttempt      bool // Release: though an attempt is out
+	DuringAttempt      bool // Release: an attempt is in flight
 	TimerID            uint64
 	NewConnection      bool
 	Reason             string
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -1,6 +1,6 @@
 package decide
 
-// The state of a router and its one event handler. The interface, and a map of the files, are in api.go.
+// The state of a router and its event handler. The interface and an overview of the files are in api.go.
 
 import "math"
 
@@ -11,34 +11,34 @@
 	zone, cell   int
 	role         Role
 	memoryTokens float64
-	ready        bool // rule 3: false from the moment that a list says draining or gone
-	startedAt    Time // last start told
+	ready        bool // rule 3: false as soon as a list says that it is draining or removed
+	startedAt    Time // last reported start
 	leftAt       Time // when it stopped being ready
 
-	unanswered    int  // own attempts that wait for a first sign
-	silentSince   Time // with pending > 0: when the wait without any sign began
-	queuedTokens  float64
+	unanswered    int     // own attempts without a first response
+	silentSince   Time    // if unanswered > 0: since when no response has come
+	queuedTokens  float64 // own tokens that wait there to be read
 	streams       int
-	bookedTokens  float64 // prompt tokens of own streams
-	sentTokens    float64 // prompt tokens sent since the last report, less those that ended since
-	memoryUse     float64 // reported share of memory, negative while untold
-	reportedQueue float64 // reported tokens that wait there, of all routers
-	reportedAt    Time    // when; 0 while untold
-	cachedTokens  map[uint64]float64
+	bookedTokens  float64            // prompt tokens of own streams
+	sentTokens    float64            // prompt tokens sent since the last report and not ended yet
+	memoryUse     float64            // reported fraction; negative if not reported
+	reportedQueue float64            // reported tokens that wait there, of all routers
+	reportedAt    Time               // time of that report; 0 if there was none
+	cachedTokens  map[uint64]float64 // by prefix key or session
 
-	responseTime float64 // usual time of its answers, over what was expected
+	responseTime float64 // moving average of response time over expected time
 	responses    int
-	respondedAt  Time // when the last came
-	failureRate  float64
-	ejection     Duration // 0: in good standing
-	ejectedUntil Time     // with bench > 0: no trial before
+	respondedAt  Time     // when the last response time was recorded
+	failureRate  float64  // moving average; 0 is none, 1 is all
+	ejection     Duration // length of the ejection; 0 if healthy
+	ejectedUntil Time     // if ejection > 0: no trial request before
 
-	coldSentAt    Time    // rule 4: when it was last sent anything, or named first
-	coldSentWork  float64 // the work of that
+	coldSentAt    Time    // rule 4: when it was last sent an attempt, or else first listed
+	coldSentWork  float64 // the work of that attempt
 	probeInFlight bool
 	probedAt      Time
-	reachProbe    bool // it is asked whether it can be reached
-	lastResponse  Time // when it last gave a sign of any kind
+	reachProbe    bool // a reachability probe is in flight
+	lastResponse  Time // when the last response of any kind came
 }
 
 type stage uint8
@@ -49,94 +49,95 @@
 	streaming
 )
 
-// request is one client's try, from its arrival to the end of all that is held for it.
+// request is a client's request, from its arrival until nothing is held for it any more.
 type request struct {
 	id           RequestID
 	job          Job
 	arrivedAt    Time
-	prefixKey    uint64
+	prefixKey    uint64 // the shared prefix, or else the session
 	stage        stage
-	attempts     int     // sends so far; the last has the number attempts-1
-	sentTo       *server // where the attempt that is out is
-	bookedTokens float64 // booked at out
-	expectedTime float64 // how long the attempt that is out should take, ns
-	stateAt      *server // the reader at which a state waits
-	mayHold      bool    // something may be held for it
-	holdStart    Time    // since when, with no attempt that has come up
-	mayHaveRun   bool    // an attempt may have run
-	firstRunAt   Time    // when the first that may have run was sent
+	attempts     int     // sends so far; the last one has the number attempts-1
+	sentTo       *server // server of the attempt in flight; nil if there is none
+	bookedTokens float64 // booked at sentTo
+	expectedTime float64 // how long the attempt in flight should take, in ns
+	stateAt      *server // the reader that holds the KV state
+	mayHold      bool    // servers may hold something for the request
+	holdStart    Time    // start of the hold timer, which pauses during an attempt that reaches its server
+	mayHaveRun   bool    // an attempt may have executed the request
+	firstRunAt   Time    // when the first such attempt was sent
 	firstRunOn   *server
 	tried        []*server
-	probed       []*server // were asked for their load for the next attempt
-	probedNear   *server   // near which writers were asked
-	probesSentAt Time      // only what was asked by then is waited for
-	needsMixed   bool      // no state is to be had: only a server that reads by itself will do
+	probed       []*server // servers probed for their load before the next attempt
+	probedNear   *server   // the reader near which writers were probed
+	probesSentAt Time      // only probes sent by then are waited for
+	needsMixed   bool      // there is no KV state to be had: only a server that also reads will do
 	closed       bool
-	sentAt       Time // when the attempt that is out was sent
+	sentAt       Time // when the attempt in flight was sent
 	streamStart  Time
 }
 
-// Router decides for one router process.
+// Router makes the decisions of one router process.
 type Router struct {
 	cfg              *Settings
 	rng              uint64
 	now              Time
 	servers          map[ServerID]*server
-	byID             []*server // by id, so that no decision hangs on map order
-	readers          []*server // of order, the ready ones that only read
-	writers          []*server // of order, the ready ones that write
+	byID             []*server // ordered by id, so that no decision depends on map order
+	readers          []*server // of byID, the ready ones that only read
+	writers          []*server // of byID, the ready ones that write
 	warm             warmCount
-	slowStartBudgets [Both + 1]float64 // budget of a cold server by role, of the event under way; 0: not worked out
+	slowStartBudgets [Both + 1]float64 // of a cold server by role, for the current event; 0 if not computed
 	requests         map[RequestID]*request
 	actions          []Action
-	nsPerToken       float64 // ns to read one token
-	cachedShare      float64 // usual share of a shared text found kept where this router had not sent it
+	nsPerToken       float64 // read time per token
+	cachedShare      float64 // typical cached fraction of a shared prefix that this router had not sent there
 	minTarget        Duration
 	maxValue         float64
-	manyRouters      bool       // more than 2*fewRouters: of fewer, own reads tell a queue sooner than late reports
-	completedWork    [3]rate    // by stage, weighed by their work (1 is the mean)
-	workPerWarm      [3]float64 // work a second of a warm server, for this router; kept while there is none
-	meanWork         [3]float64 // of one send at a stage
-	transferTime     [3]float64 // usual time to a first token by the distance of the move, ns
+	manyRouters      bool       // more than 2*fewRouters; with fewer, own reads show a queue sooner than reports
+	completedWork    [3]rate    // by stage, in units of the mean work
+	workPerWarm      [3]float64 // work per second of a warm server for this router; kept while none is warm
+	meanWork         [3]float64 // of one send, by stage
+	transferTime     [3]float64 // typical time to a first token by distance of the transfer, in ns
 	transferAt       [3]Time
-	cellRoom         map[int]float64 // by cell, see countCells
-	probeBudget      float64         // that may still be sent
-	timeoutBudget    float64         // time-outs that may still lead to another attempt
+	cellRoom         map[int]float64 // by cell, see updateCellRoom
+	probeBudget      float64         // probes that may still be sent
+	timeoutBudget    float64         // timeouts that may still lead to another attempt
 	classWork        []classWork
-	sortedTimes      [Both + 1][]float64 // answer times by role in order, see usual
+	sortedTimes      [Both + 1][]float64 // response times by role in ascending order, see typicalTime
 	timesSorted      [Both + 1]bool
 	tenants          []tenant
-	awaitingProbes   []*request           // wait for readers' answers, in the order of their arrival
-	watchFailed      bool                 // an asking for the list has failed
-	unconfirmed      []unconfirmedAttempt // attempts that have shown no sign, in the order in which they were sent
-	shutdown         *Shutdown            // nil: the router was not told to end
+	awaitingProbes   []*request           // wait for probes of readers, in order of arrival
+	watchFailed      bool                 // a watch of the server list has failed
+	unconfirmed      []unconfirmedAttempt // in flight without a response, in order of sending
+	shutdown         *Shutdown            // nil until the router is told to shut down
 }
 
-// tenant is what is left of this router's part of a tenant's share.
+// tenant is a token bucket with this router's part of a tenant's quota.
 type tenant struct {
 	remaining float64 // requests
 	updatedAt Time
 }
 
-// classWork is the mean work of a class, as far as seen.
+// classWork is the mean work of a class's requests: prompt tokens, and the duration of the answer in ns.
 type classWork struct{ prompt, answerTime float64 }
 
-// New returns a router that knows nothing but its settings.
-func New(set *Settings, seed uint64, now Time) *Router {
-	r := &Router{cfg: set, rng: seed, now: now, nsPerToken: initialNsPerToken,
+// New returns a router that knows no servers yet.
+func New(cfg *Settings, seed uint64, now Time) *Router {
+	r := &Router{cfg: cfg, rng: seed, now: now, nsPerToken: initialNsPerToken,
 		servers: map[ServerID]*server{}, requests: map[RequestID]*request{}, cellRoom: map[int]float64{}}
 	r.minTarget = math.MaxInt64
-	for _, c := range set.Classes {
+	for _, c := range cfg.Classes {
 		r.minTarget = min(r.minTarget, c.FirstTokenTarget)
 		r.maxValue = max(r.maxValue, c.Value)
-		r.classWork = append(r.classWork, classWork{prompt: thousand, answerTime: float64(c.FirstTokenTarget)})
+		r.classWork = append(r.classWork,
+			classWork{prompt: thousand, answerTime: float64(c.FirstTokenTarget)})
 	}
-	r.timeoutBudget, r.manyRouters = maxTimeoutBudget, set.Routers > 2*fewRouters
-	r.tenants = make([]tenant, len(set.Tenants))
+	r.timeoutBudget, r.manyRouters = maxTimeoutBudget, cfg.Routers > 2*fewRouters
+	r.tenants = make([]tenant, len(cfg.Tenants))
 	return r
 }
 
-// Handle takes one event and appends the actions that answer it.
+// Handle processes one event and appends the resulting actions to out.
 func (r *Router) Handle(now Time, ev *Event, out []Action) []Action {
 	r.now, r.actions = now, out
 	r.slowStartBudgets = [Both + 1]float64{}
@@ -164,4 +165,5 @@
 	return out
 }
 
+// emit adds an action to the answer of the current event.
 func (r *Router) emit(a Action) { r.actions = append(r.actions, a) }
--- a/decide/tuning.go
+++ b/decide/tuning.go
@@ -1,81 +1,165 @@
 package decide
 
-// The tuned values, each with its reason.
+// The tuned constants, with the reason for each.
 
-// Tuned values.
+// Choice of readers and writers.
 const (
-	// fitFraction of its memory may a writer hold: answers grow later and other routers book unseen.
-	fitFraction  = 0.9
-	streamWeight = 0.0 // W of D + W*N; own streams are compared first, so N never differs here
-	// spilloverShare of the least aim may the tokens waiting at a reader take, if all routers have as many there.
-	spilloverShare    = 0.4
-	initialNsPerToken = 100e3 // ns to read a token, assumed before any read has been seen
-	fasterReadGain    = 0.2   // weighs a faster read, which met no queue; a mean would shrink the spill bound under
-	slowerReadStep    = 0.002 // load, when to scatter the texts is dearest: this is the step after a slower one
-	minReadTokens     = 256.0 // the least that a read is taken for; under it its fixed time prevails
-	crossCellPenalty  = 1.0   // own streams more may a writer of the reader's cell have,
-	crossZonePenalty  = 2.0   // or its zone: a move crosses a shared link and has a price
-	// fewRouters is up to how many routers that holds: of more, each has fewer streams, and the same handicap
-	// would send all states of a cell rich in readers to its few writers.
-	fewRouters         = 4.0
-	crowdedCellPenalty = 0.5         // handicap of a writer whose cell can take no more; own streams go first
-	maxRetention       = 16 * Second // what is learnt of a server lasts at the most, however rarely it is used
-	congestionSpan     = 5 * Second  // memory of a jam of the links when no state is moved there
-	readTimeoutShare   = 0.5         // of the aim may a read take: that leaves one more try within the aim,
-	writeTimeoutShare  = 0.6         // and so much a first token
-	timeoutBudgetPart  = 0.03        // of the requests may be cut off for another attempt, and
-	maxTimeoutBudget   = 2.0         // so many at once; more tell of a short pool, not of servers
-	calmFactor         = 4.0         // times the expected is the usual answer time, at most, of a calm pool
-	timeoutFactor      = 4.0         // times the usual are time-outs at the least, so load alone causes none
-	waitFactor         = 1.25        // times the usual: where that is over waitLimit, waits are not cut short
-	silenceFactor      = 4.0         // times the usual answer time without a sign, and at least
-	minSilenceShare    = 0.25        // this part of the least aim, make it suspect
-	slowFactor         = 3.0         // times the median answer time of its peers make a server suspect
-	firstTokenUnit     = 50e6        // the unit of first-token times; reads are measured by their tokens
-	minSamples         = 4           // answers are needed to judge a server by its times, unless routers are many
-	averageGain        = 0.2         // weighs a new answer time; some five answers tell
-	// failureGain and failLimit: two failures in a row, or a third of recent attempts, make a server suspect.
-	failureGain       = 0.2
-	failureLimit      = 0.3
-	failureAfterTrial = 0.25       // of a server that came back: one failure makes it suspect again
-	minEjection       = 1 * Second // how long a suspect server is left out before a trial, at first
-	holdMargin        = 75e6       // ns of the 300 ms that sockets add to rule 5, less HoldUp and letting go
-	maxEjection       = 8 * Second // ... and at most
-	slowStartMargin   = 0.9        // of this router's share of a cold budget is used: routers are unequal
-	slowStartDamping  = 1.0        // sends are held back in proportion to its smallness (b*b/(b+coldChance))
-	meanWorkGain      = 0.05       // weighs a send in the mean work: rare heavy classes must count
-	rateSpan          = 5 * Second // memory of the work rates that the cold budget is guessed from
-	// admitShare of the aim may the predicted wait, beyond a bare read, reach before requests are refused,
-	// the steeper the greater admitPower is. Some are always let in, so that the end of the trouble is seen.
+	// fitFraction is the highest projected memory use at which a writer still fits: answers grow later, and
+	// other routers book load that this one does not see.
+	fitFraction = 0.9
+	// streamWeight is the weight W of a stream in a writer's cost D + W*N, with D booked tokens and N own
+	// streams. Own streams are compared first, so N never differs here.
+	streamWeight = 0.0
+	// spilloverShare is the part of the shortest first-token target that reading a reader's queue may take
+	// before requests spill over to another reader, assuming that all routers have as much waiting there.
+	spilloverShare = 0.4
+	// initialNsPerToken is the read time per token, in ns, assumed before any read has been seen.
+	initialNsPerToken = 100e3
+	// fasterReadGain is the weight of a read that was faster than the average: it met no queue.
+	// slowerReadStep is the relative increase after a slower one. A plain mean would lower the spillover
+	// bound under load, when scattering shared prefixes over the readers costs most.
+	fasterReadGain = 0.2
+	slowerReadStep = 0.002
+	// minReadTokens is the least size of a read that is assumed: below it the fixed time of a read prevails.
+	minReadTokens = 256.0
+	// crossCellPenalty and crossZonePenalty are the own streams that a writer in another cell or another zone
+	// than the reader counts as having in addition: the transfer crosses a shared link and has a cost.
+	crossCellPenalty = 1.0
+	crossZonePenalty = 2.0
+	// fewRouters is the number of routers up to which these penalties apply in full. With more routers each
+	// has fewer streams, and the same penalty would send all KV states of a cell with many readers to the few
+	// writers of that cell.
+	fewRouters = 4.0
+	// crowdedCellPenalty is the penalty, in streams, of a writer whose cell can take no more. It is below 1
+	// so that own streams count first.
+	crowdedCellPenalty = 0.5
+	// maxRetention is the longest time for which anything learned of a server is kept, however rarely it is
+	// used.
+	maxRetention = 16 * Second
+	// congestionSpan is how long link congestion is remembered while no KV state is transferred there.
+	congestionSpan = 5 * Second
+)
+
+// Timeouts.
+const (
+	// readTimeoutShare is the part of the first-token target that a read may take, which leaves time for one
+	// more attempt within the target. writeTimeoutShare is the same for the first token of a writer.
+	readTimeoutShare  = 0.5
+	writeTimeoutShare = 0.6
+	// timeoutBudgetPart is the fraction of requests that may be cut off by a timeout for another attempt, and
+	// maxTimeoutBudget how many at once. More timeouts show a shortage of servers, not a fault of single
+	// ones.
+	timeoutBudgetPart = 0.03
+	maxTimeoutBudget  = 2.0
+	// calmFactor is the highest typical response time, in multiples of the expected time, of servers without
+	// long queues.
+	calmFactor = 4.0
+	// timeoutFactor is the shortest timeout in multiples of the typical time, so that load alone causes none.
+	timeoutFactor = 4.0
+	// waitFactor times the typical time has to fit into waitLimit, or else waits are not cut short to it.
+	waitFactor = 1.25
+)
+
+// Health.
+const (
+	// silenceFactor is how long a server may take, in multiples of the typical time, before a lack of any
+	// response makes it suspect, but at least minSilenceShare of the shortest first-token target.
+	silenceFactor   = 4.0
+	minSilenceShare = 0.25
+	// slowFactor is the response time, in multiples of the median of its peers, that makes a server suspect.
+	slowFactor = 3.0
+	// firstTokenUnit is the unit, in ns, of times to a first token. Reads are measured by their tokens.
+	firstTokenUnit = 50e6
+	// minSamples is how many responses it takes to judge a server by its times, unless there are many
+	// routers.
+	minSamples = 4
+	// averageGain is the weight of a new value in moving averages, which thus follow about five values.
+	averageGain = 0.2
+	// failureGain is the weight of an attempt in the failure rate, and failureLimit the rate above which a
+	// server is suspect: two failures in a row, or a third of the recent attempts, are enough.
+	failureGain  = 0.2
+	failureLimit = 0.3
+	// failureAfterTrial is the failure rate of a server that has just recovered: one failure makes it suspect
+	// again.
+	failureAfterTrial = 0.25
+	// minEjection is how long a server is ejected at first, until a trial request.
+	minEjection = 1 * Second
+	// holdMargin, in ns, is what remains of the 300 ms that sockets add to the time limit of rule 5 after
+	// MaxPause and the call that releases the hold.
+	holdMargin = 75e6
+	// maxEjection is how long a server is ejected at most, however often its trial requests fail.
+	maxEjection = 8 * Second
+)
+
+// Slow start.
+const (
+	// slowStartMargin is the part of its share of a slow-start budget that a router uses, since the traffic
+	// of routers is uneven.
+	slowStartMargin = 0.9
+	// slowStartDamping holds back sends from a small budget b in proportion, by b/(b+slowStartDamping).
+	slowStartDamping = 1.0
+	// meanWorkGain is the weight of a send in the mean work. It is small because rare heavy classes must
+	// count.
+	meanWorkGain = 0.05
+	// rateSpan is the time constant of the work rates from which slow-start budgets are estimated.
+	rateSpan = 5 * Second
+)
+
+// Admission control.
+const (
+	// admitShare is the part of the first-token target that the predicted wait, beyond the read itself, may
+	// reach before requests are refused. The greater admitPower is, the faster the refusals grow above that.
+	// Some requests are always admitted, so that the router notices when the overload ends.
 	admitShare = 0.45
 	admitPower = 4.0
-	fadeSpan   = 2 * Second // an answer time counts whole for so long, then fades as fast
-	// refuseFromUse and fullHigh: the smallest footprint of any writer from which none and all of the least worth
-	// are refused: full writers put streams back and read them anew. The dearest go fullSpare later.
+	// fadeSpan is how long a response time counts in full. After that it decays over the same span.
+	fadeSpan = 2 * Second
+	// refuseFromUse and refuseAllUse are the lowest projected memory use of any writer at which requests of
+	// the lowest value begin to be refused and are all refused: full writers evict streams and read them
+	// again. For requests of the highest value both are higher by highValueSpare.
 	refuseFromUse  = 0.9
 	refuseAllUse   = 0.98
 	highValueSpare = 0.04
-	// maxRouterDelay: a request that has waited so long for the router itself is refused, so that those taken are
-	// looked after in time. It is over what a process may be held up.
-	maxRouterDelay  = 2 * MaxPause
-	quotaSlack      = 1.5  // times an even part of a tenant's share may each router let in: parts differ
-	quotaBurst      = 2.0  // seconds' worth of that may come at once
-	overQuotaFactor = 2.0  // times the predicted wait, and excessRoom less of the writers' memory, is what
-	overQuotaRoom   = 0.15 // traffic beyond a tenant's share is judged by
-	answerGrowth    = 1.1  // a stream holds its answer so far beside its booked prompt
-	// maxProbeCost of the result may go into probes at the most (0.004 is 0.4 points in 100).
-	maxProbeCost     = 0.001
-	maxProbesEarned  = 20.0                // earned by a request, however cheap they are
-	minProbeInterval = 300 * Second / 1000 // the least time between probes of one server
-	// Of many routers each sees too little of a reader to know its queue. So it asks probePair before a read,
-	// and askMost in all while those are past the spill bound; askPoints of the result may go into it.
+	// maxRouterDelay is how long a request may have waited for the router itself. After that it is refused,
+	// so that those already accepted are handled in time. It is longer than a pause of the process may be.
+	maxRouterDelay = 2 * MaxPause
+	// quotaSlack is how many times an even part of a tenant's quota each router admits, as the parts of the
+	// routers differ. quotaBurst is how many seconds' worth of that may come at once.
+	quotaSlack = 1.5
+	quotaBurst = 2.0
+	// A request over its tenant's quota is judged as if the predicted wait were overQuotaFactor times as long
+	// and the writers had overQuotaRoom less of their memory.
+	overQuotaFactor = 2.0
+	overQuotaRoom   = 0.15
+	// answerGrowth is the memory of a stream, its answer so far included, per booked prompt token.
+	answerGrowth = 1.1
+)
+
+// Probes and memory of the router.
+const (
+	// maxProbeCost is the part of the result that probes may cost (0.004 would be 0.4 percent).
+	maxProbeCost = 0.001
+	// maxProbesEarned is how many probes a request earns at most, however cheap they are.
+	maxProbesEarned = 20.0
+	// minProbeInterval is the shortest time between two probes of one server.
+	minProbeInterval = 300 * Second / 1000
+	// One of many routers sees too little of a reader to know its queue. It therefore probes probePair
+	// readers before a read, and maxProbedReaders in all while those are above the spillover bound.
+	// maxRoutingProbeCost is the part of the result that these probes may cost.
 	probePair           = 2
 	maxProbedReaders    = 8
 	maxRoutingProbeCost = 0.03
-	reportFreshness     = 200 * Second / 1000 // a report is news for so long
-	watchChance         = 0.1                 // at each tick: spreads new askings for the list over about a second
-	maxCachedEntries    = 4096                // remembered of a reader's kept texts, at most
-	forgetAfter         = 600 * Second        // a server that left the list and has nothing out is forgotten
-	checkInterval       = 100 * Second / 1000 // time between looks at what no event brings up
-	thousand            = 1000.0              // prompt tokens, the unit of aims and of reported waits
+	// reportFreshness is how long a load report is taken as current.
+	reportFreshness = 200 * Second / 1000
+	// watchChance is the probability, at each periodic check, that a failed watch of the server list is
+	// repeated. It spreads the new watches of all routers over about a second.
+	watchChance = 0.1
+	// maxCachedEntries is how many prefixes are remembered of a reader's cache.
+	maxCachedEntries = 4096
+	// forgetAfter is how long a removed server without attempts in flight is remembered.
+	forgetAfter = 600 * Second
+	// checkInterval is the time between periodic checks, which find what no event reports.
+	checkInterval = 100 * Second / 1000
+	// thousand is the number of prompt tokens to which FirstTokenTargetPerK and reported queues refer.
+	thousand = 1000.0
 )
