--- a/decide/admission.go
+++ b/decide/admission.go
@@ -1,10 +1,11 @@
 package decide
 
-// What is refused at its arrival, and the waits that this is judged by.
+// Admission control: what is refused on arrival, and the predicted waits that this depends on.
 
 import "math"
 
-// isOverQuota: this router's part of a tenant's share is used up; traffic beyond is the first to go.
+// isOverQuota reports whether this router's part of the tenant's quota is used up. Requests over quota are
+// refused first.
 func (r *Router) isOverQuota(q *request) bool {
 	if q.job.Tenant >= len(r.tenants) || r.cfg.Tenants[q.job.Tenant].RequestsPerSecond <= 0 {
 		return false
@@ -16,11 +17,12 @@
 	return t.remaining < 1
 }
 
-// bookedUse is the share of the sound writers' memory that is held if every router holds as much as this one.
-// It shows at once what reports tell late; it may harm a router with more than its part of the traffic.
+// bookedUse estimates the memory use of the writers that are not suspect, assuming that every router has
+// booked as much as this one. Unlike reports it shows new load at once. A router with more than its part of
+// the traffic overestimates it.
 func (r *Router) bookedUse() float64 {
 	if r.manyRouters {
-		return 0 // this router's few streams tell nothing of the others'
+		return 0 // the few streams of this router say nothing of those of the others
 	}
 	booked, memory := 0.0, 0.0
 	for _, s := range r.writers {
@@ -30,60 +32,65 @@
 		}
 	}
 	if memory <= 0 {
-		return 0 // the settings do not tell it
+		return 0 // the settings do not say how much memory there is
 	}
 	return answerGrowth * booked * float64(r.cfg.Routers) / memory
 }
 
-// refusalProbability is how likely a request is to be refused at its arrival: what would come late takes the place of
-// what could come in time, and full writers work twice. It may harm when a few servers make the usual times.
+// refusalProbability returns the probability with which a request is refused on arrival. An answer that would
+// be late takes the capacity of one that could be in time, and full writers do work twice. The estimate can
+// be wrong when the typical times come from a few servers only.
 func (r *Router) refusalProbability(q *request) float64 {
 	reader, writer := r.pickReader(q), r.pickWriter(q, true)
 	if reader == nil || writer == nil {
-		return 0 // sending will find out
+		return 0 // the attempt to send will show it
 	}
 	wait := r.readWait(q, reader)
-	if r.manyRouters && !r.hasFreshReport(reader) { // it may not have been heard lately, others of its pool have
-		wait = max(wait, (r.medianTime(Reader, r.recentResponseTime)-1)*r.uncachedTokens(q, reader)*r.nsPerToken)
+	if r.manyRouters && !r.hasFreshReport(reader) { // other readers may have answered more recently
+		wait = max(wait,
+			(r.medianTime(Reader, r.recentResponseTime)-1)*r.uncachedTokens(q, reader)*r.nsPerToken)
 	}
 	wait += r.medianTime(Writer, r.recentResponseTime) * firstTokenUnit
-	excess := r.isOverQuota(q)
+	overQuota := r.isOverQuota(q)
 	late := wait / (admitShare * float64(r.firstTokenTarget(q)))
-	if excess {
+	if overQuota {
 		late *= overQuotaFactor
 	}
-	chance := 1 - math.Pow(max(late, 1), -admitPower)
+	probability := 1 - math.Pow(max(late, 1), -admitPower)
 	if writer.memoryUse < 0 {
-		return chance
+		return probability
 	}
 	spare := highValueSpare * r.cfg.Classes[q.job.Class].Value / max(r.maxValue, 1e-9)
-	if excess {
+	if overQuota {
 		spare = -overQuotaRoom
 	}
-	full := (max(r.projectedUse(writer, q.job.PromptTokens), r.bookedUse()) - refuseFromUse - spare) / (refuseAllUse - refuseFromUse)
-	return max(chance, min(full, 1))
+	full := (max(r.projectedUse(writer, q.job.PromptTokens), r.bookedUse()) - refuseFromUse - spare) /
+		(refuseAllUse - refuseFromUse)
+	return max(probability, min(full, 1))
 }
 
-// retention stretches a memory of single servers: the more routers, the rarer each uses one.
+// retention extends a time span for which something learned of a server is kept: the more routers there are,
+// the more rarely each of them uses a server.
 func (r *Router) retention(span Duration) Duration {
 	return max(span, min(span*Duration(r.cfg.Routers)/fewRouters, maxRetention))
 }
 
-// readWait is how long a request should wait in a reader's queue, beyond its own bare read.
+// readWait predicts how long a request waits in a reader's queue, in ns, without the read itself.
 func (r *Router) readWait(q *request, s *server) float64 {
-	fresh := r.uncachedTokens(q, s)
+	uncached := r.uncachedTokens(q, s)
 	if r.hasFreshReport(s) {
 		return (r.backlog(s) + minReadTokens) * r.nsPerToken
 	}
-	return (r.recentResponseTime(s)*(s.queuedTokens+fresh+minReadTokens) - fresh) * r.nsPerToken
+	return (r.recentResponseTime(s)*(s.queuedTokens+uncached+minReadTokens) - uncached) * r.nsPerToken
 }
 
-// hasFreshReport tells whether a reader's own word on its queue is news. Few routers know it from their own reads.
+// hasFreshReport reports whether the queue that a reader has reported is current and of use. With few routers
+// it is not used, as each knows the queues from its own reads.
 func (r *Router) hasFreshReport(s *server) bool {
 	return r.manyRouters && s.reportedAt > 0 && r.now-s.reportedAt < reportFreshness
 }
 
-// backlog is how many tokens wait at a reader, as far as this router can tell.
+// backlog estimates how many tokens wait at a reader.
 func (r *Router) backlog(s *server) float64 {
 	if !r.hasFreshReport(s) {
 		return s.queuedTokens
@@ -91,16 +98,18 @@
 	return max(s.queuedTokens, s.reportedQueue-float64(r.now-s.reportedAt)/r.nsPerToken)
 }
 
-// hasRoom tells whether a reader is under the spill bound and would not have a request refused.
+// hasRoom reports whether a reader is below the spillover bound and a request would not be refused for its
+// queue.
 func (r *Router) hasRoom(q *request, s *server) bool {
 	bound := spilloverShare * float64(r.minTarget) / r.nsPerToken
 	if !r.hasFreshReport(s) {
-		bound /= float64(r.cfg.Routers) // as many may wait there for each of the others
+		bound /= float64(r.cfg.Routers) // each of the other routers may have as many tokens there
 	}
 	return r.backlog(s) <= bound && r.readWait(q, s) <= admitShare*float64(r.firstTokenTarget(q))
 }
 
-// recentResponseTime is a server's answer time, faded once it is old: what is refused brings no news.
+// recentResponseTime returns a server's response time, which decays once it is old: refused requests bring no
+// new samples.
 func (r *Router) recentResponseTime(s *server) float64 {
 	span := r.retention(fadeSpan)
 	return s.responseTime * decay(max(0, r.now-s.respondedAt-span), span)
--- a/decide/arithmetic.go
+++ b/decide/arithmetic.go
@@ -1,15 +1,16 @@
 package decide
 
-// Rates, decay and random numbers.
+// Rates, exponential decay and random numbers.
 
 import "math"
 
-// rate counts what happens, older events less.
+// rate measures a rate of events. The weight of an event decays with its age.
 type rate struct {
 	sum      float64
 	from, at Time
 }
 
+// add counts n events, or work of that size.
 func (c *rate) add(now Time, n float64) {
 	if c.sum == 0 {
 		c.from = now
@@ -17,15 +18,17 @@
 	c.sum, c.at = c.sum*decay(now-c.at, rateSpan)+n, now
 }
 
+// perSecond returns the rate per second.
 func (c *rate) perSecond(now Time) float64 {
-	seen := max(1-decay(now-c.from, rateSpan), 1/float64(rateSpan/Second)) // the part that was lived through
+	// The weight of the time since the first event; of an older rate it approaches 1.
+	seen := max(1-decay(now-c.from, rateSpan), 1/float64(rateSpan/Second))
 	return c.sum * decay(now-c.at, rateSpan) / (seen * float64(rateSpan) / float64(Second))
 }
 
-// decay is what is left of a weight after a time.
+// decay returns what remains of a weight of 1 after a time, if it falls to 1/e in span.
 func decay(t, span Duration) float64 { return math.Exp(-float64(t) / float64(span)) }
 
-// mix scrambles a number (the finisher of splitmix64).
+// mix hashes a number with the finalizer of splitmix64.
 func mix(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
@@ -33,7 +36,7 @@
 	return x ^ x>>31
 }
 
-// random is the next number in [0, 1) of this router's own source.
+// random returns the next number in [0, 1) of the router's own generator (splitmix64).
 func (r *Router) random() float64 {
 	r.rng += 0x9e3779b97f4a7c15
 	return float64(mix(r.rng)>>11) / (1 << 53)
--- a/decide/books.go
+++ b/decide/books.go
@@ -1,17 +1,17 @@
 package decide
 
-// ServerView is what the module believes of a server. It is for looking at: nothing is decided by it.
+// ServerView is the module's view of a server, for tests and diagnostics. No decision depends on it.
 type ServerView struct {
 	Server       ServerID
-	Pending      int     // own attempts that wait for a first sign
-	Streams      int     // own attempts at a writer, begun or not
-	BookedTokens float64 // prompt tokens of those
+	Pending      int     // own attempts without a first response
+	Streams      int     // own attempts at a writer, whether or not the first token has come
+	BookedTokens float64 // prompt tokens of these attempts
 	QueuedTokens float64 // own tokens that wait to be read
-	MemoryUse    float64 // reported share of memory; negative while untold
-	Ejected      bool    // it is suspect and gets no ordinary request
+	MemoryUse    float64 // reported fraction; negative if not reported
+	Ejected      bool    // suspect: gets at most trial requests
 }
 
-// ServerViews returns what the module believes of each server, by their ids.
+// ServerViews returns the module's view of every server, ordered by id.
 func (r *Router) ServerViews() []ServerView {
 	out := make([]ServerView, 0, len(r.byID))
 	for _, s := range r.byID {
--- a/decide/guards.go
+++ b/decide/guards.go
@@ -1,17 +1,18 @@
 package decide
 
-// The only ways to an attempt (send) and to an answer of this router's own (giveUp); they keep the rules 1 to
-// 4, and close keeps rule 5.
+// Every attempt starts in send, and every answer of the router itself is made by giveUp; these two keep rules
+// 1 to 4. Every request ends in close, which keeps rule 5.
 
 import "slices"
 
-// isCandidate tells whether a server may be picked; strict leaves out suspects and those tried already.
+// isCandidate reports whether a server may be picked. If strict, suspect servers and those that the request
+// has already tried are excluded.
 func (r *Router) isCandidate(q *request, s *server, st stage, strict bool) bool {
 	if !s.ready || r.heldBack(s) {
 		return false
 	}
 	if st == writing && q.needsMixed && s.role != Both && !r.cfg.WritersRead {
-		return false // nothing to fetch, and it can't read
+		return false // there is no KV state to fetch, and it can't read
 	}
 	if !strict {
 		return true
@@ -23,8 +24,10 @@
 	return !r.isSuspect(s, once)
 }
 
-// send is the only way to an attempt. It keeps the rules 1 (nothing after the end, one attempt out at
-// a time), 2 (no repeat of what may have run), 3 (no draining server) and 4 (the cold budget).
+// send starts an attempt. It returns false if the request has used up its attempts or a rule forbids the
+// attempt: rule 1 (the request is closed), rule 2 (an attempt is in flight, or the request may have executed
+// and can't be retried there), rule 3 (the server is not ready) or rule 4 (the slow-start budget is used up).
+// No attempt starts anywhere else.
 func (r *Router) send(q *request, s *server, st stage) bool {
 	if q.closed || q.sentTo != nil || !s.ready || q.attempts >= r.cfg.MaxAttempts || !r.mayRetry(q, s) ||
 		r.heldBack(s) {
@@ -60,13 +63,14 @@
 	return true
 }
 
-// mayRetry is rule 2, for reads too: a repeat goes to the group that drops it, and arrives in its window.
+// mayRetry reports whether rule 2 allows an attempt at a server, reads included: a retry of a request that
+// may have executed goes only to the servers that drop duplicates, and arrives within their window.
 func (r *Router) mayRetry(q *request, s *server) bool {
 	c := &r.cfg.Classes[q.job.Class]
 	if !q.mayHaveRun || c.RetryPolicy == Safe {
 		return true
 	}
-	// The last byte leaves after a dial.
+	// The last byte may leave as late as a dial takes.
 	if c.RetryPolicy == Unsafe || r.now+r.cfg.DialTimeout >= r.retryDeadline(q) {
 		return false
 	}
@@ -74,8 +78,10 @@
 		c.DedupScope == ScopeCell && q.firstRunOn.cell == s.cell
 }
 
-// giveUp is the only way to a final answer of this router's own: refused where rule 2 lets it promise
-// that a retry is harmless, else failed. Rule 1: at once, and once. The reason is for the log.
+// giveUp answers a request without a server: it refuses the request if rule 2 lets it promise that a retry is
+// harmless, and fails it otherwise. As rule 1 demands, it answers immediately and only once. The reason is
+// for the log. The router makes final answers of its own nowhere else, except for requests of an unknown
+// class.
 func (r *Router) giveUp(q *request, reason string) {
 	if q.closed {
 		return
@@ -89,7 +95,7 @@
 	r.close(q)
 }
 
-// close forgets a request. Rule 5: what may still be held for it is let go here, whatever ended it.
+// close ends a request. Whatever ended it, anything that may still be held for it is released here (rule 5).
 func (r *Router) close(q *request) {
 	q.closed = true
 	if q.mayHold {
--- a/decide/health.go
+++ b/decide/health.go
@@ -1,32 +1,39 @@
 package decide
 
-// Outlier ejection: symptoms, leaving out, the way back in.
+// Outlier ejection: its symptoms, the ejection of servers, and their recovery.
 
 import "slices"
 
-// isSuspect: a server keeps silent while attempts wait, or is benched; what is sent once is no trial.
-func (r *Router) isSuspect(s *server, once bool) bool {
+// isSuspect reports whether a server is unresponsive while attempts wait for it, or ejected. When its
+// ejection is over it stays suspect while a trial request is unanswered, and, with noTrial, for an attempt
+// that can't be retried and is thus not used as a trial.
+func (r *Router) isSuspect(s *server, noTrial bool) bool {
 	if s.unanswered > 0 && float64(r.now-s.silentSince) > r.silenceLimit(s) {
 		return true
 	}
-	return s.ejection > 0 && (once || r.now < s.ejectedUntil || s.unanswered > 0)
+	return s.ejection > 0 && (noTrial || r.now < s.ejectedUntil || s.unanswered > 0)
 }
 
+// silenceLimit returns how long attempts may wait for a server without any response, in ns, before it is
+// suspect.
 func (r *Router) silenceLimit(s *server) float64 {
-	expect := firstTokenUnit
+	expected := firstTokenUnit
 	if s.role == Reader {
-		expect = r.readTime(s)
+		expected = r.readTime(s)
 	}
-	return max(silenceFactor*r.typicalTime(s.role, s)*expect, minSilenceShare*float64(r.minTarget))
+	return max(silenceFactor*r.typicalTime(s.role, s)*expected, minSilenceShare*float64(r.minTarget))
 }
 
+// hasResponseTime reports whether a server counts for the response times of a role: it is ready and has
+// responded often enough.
 func (r *Router) hasResponseTime(s *server, role Role) bool {
 	return s.role&role != 0 && s.ready && (s.responses >= minSamples || r.manyRouters && s.responses > 0)
 }
 
-// typicalTime is the median answer time of the servers of a role, without one of them. The order of the times is
-// kept while none changes: it is asked for every server that an event looks at.
-func (r *Router) typicalTime(role Role, but *server) float64 {
+// typicalTime returns the median response time of the servers of a role, except one of them if that is not
+// nil; 0 if there is none. The sorted times are kept, because the median is needed for every server that an
+// event considers.
+func (r *Router) typicalTime(role Role, except *server) float64 {
 	if !r.timesSorted[role] {
 		r.timesSorted[role], r.sortedTimes[role] = true, r.sortedTimes[role][:0]
 		for _, s := range r.byID {
@@ -38,8 +45,8 @@
 	}
 	times := r.sortedTimes[role]
 	n, gap := len(times), len(times)
-	if but != nil && n > 0 && r.hasResponseTime(but, role) {
-		gap, _ = slices.BinarySearch(times, but.responseTime)
+	if except != nil && n > 0 && r.hasResponseTime(except, role) {
+		gap, _ = slices.BinarySearch(times, except.responseTime)
 		n--
 	}
 	switch {
@@ -51,11 +58,12 @@
 	return times[n/2]
 }
 
-func (r *Router) medianTime(role Role, of func(*server) float64) float64 {
+// medianTime returns the median of a time of the servers of a role; 0 if there is none.
+func (r *Router) medianTime(role Role, timeOf func(*server) float64) float64 {
 	var times []float64
 	for _, s := range r.byID {
 		if r.hasResponseTime(s, role) {
-			times = append(times, of(s))
+			times = append(times, timeOf(s))
 		}
 	}
 	if len(times) == 0 {
@@ -65,20 +73,21 @@
 	return times[len(times)/2]
 }
 
-// recordTime takes in an answer time. The ordered times are kept up to date, as sorting all of them anew after
-// each answer takes long where servers are many.
-func (r *Router) recordTime(s *server, spent float64) {
+// recordTime adds a response time, as a ratio to the expected time, to a server's average. It updates the
+// sorted times in place, as sorting them again after each response takes long with many servers.
+func (r *Router) recordTime(s *server, ratio float64) {
 	r.removeTime(s)
 	if s.responses == 0 {
-		s.responseTime = spent
+		s.responseTime = ratio
 	}
-	s.responseTime += averageGain * (spent - s.responseTime)
+	s.responseTime += averageGain * (ratio - s.responseTime)
 	s.responses++
 	s.respondedAt = r.now
 	r.insertTime(s)
 }
 
-// removeTime takes a server's answer time out of the ordered ones. It has to be called before the time changes.
+// removeTime removes a server's response time from the sorted times. It has to be called before the time
+// changes.
 func (r *Router) removeTime(s *server) {
 	for role := Reader; role <= Both; role++ {
 		if r.timesSorted[role] && r.hasResponseTime(s, role) {
@@ -88,7 +97,7 @@
 	}
 }
 
-// insertTime puts it back.
+// insertTime inserts a server's response time into the sorted times, after it has changed.
 func (r *Router) insertTime(s *server) {
 	for role := Reader; role <= Both; role++ {
 		if r.timesSorted[role] && r.hasResponseTime(s, role) {
@@ -98,8 +107,9 @@
 	}
 }
 
-// recordSuccess: a server has answered in so much time. A benched one is back if that is no longer slow.
-func (r *Router) recordSuccess(q *request, s *server, spent float64) {
+// recordSuccess records that a server has answered an attempt, in a time given as a ratio to the expected
+// time. An ejected server recovers unless the answer was slow.
+func (r *Router) recordSuccess(q *request, s *server, ratio float64) {
 	if mean, work := &r.meanWork[q.stage], r.workOf(q, q.stage); !r.isCold(s) {
 		if *mean == 0 {
 			*mean = work
@@ -107,17 +117,17 @@
 		*mean += meanWorkGain * (work - *mean)
 		r.completedWork[q.stage].add(r.now, work/max(*mean, 1))
 		r.slowStartBudgets = [Both + 1]float64{}
-		r.slowStartInterval(s.role, 1) // notes what a warm one does
+		r.slowStartInterval(s.role, 1) // updates workPerWarm
 	}
 	s.failureRate *= 1 - failureGain
-	usual := r.typicalTime(s.role, s)
+	typical := r.typicalTime(s.role, s)
 	if s.ejection > 0 {
 		r.removeTime(s)
-		s.responseTime = spent
+		s.responseTime = ratio
 		r.insertTime(s)
 	}
-	r.recordTime(s, spent)
-	slow := usual > 0 && s.responseTime > slowFactor*usual
+	r.recordTime(s, ratio)
+	slow := typical > 0 && s.responseTime > slowFactor*typical
 	switch {
 	case slow && s.responses >= minSamples:
 		r.eject(s, false)
@@ -126,31 +136,33 @@
 	}
 }
 
-// recordFailure: an attempt at a server has failed. With many routers the next one here would tell too late.
-func (r *Router) recordFailure(s *server, dead bool) {
+// recordFailure records that an attempt at a server has failed. With many routers the first failure ejects
+// the server, since the next attempt of this router would come too late to confirm it.
+func (r *Router) recordFailure(s *server, unreachable bool) {
 	s.failureRate += failureGain * (1 - s.failureRate)
-	if dead || s.failureRate > failureLimit || s.ejection > 0 || r.manyRouters {
-		r.eject(s, dead)
+	if unreachable || s.failureRate > failureLimit || s.ejection > 0 || r.manyRouters {
+		r.eject(s, unreachable)
 	}
 }
 
-// eject leaves a server out for a while, longer each time that its trial fails.
-func (r *Router) eject(s *server, dead bool) {
+// eject excludes a server for a while, which doubles each time that its trial request fails.
+func (r *Router) eject(s *server, unreachable bool) {
 	if s.ejection > 0 && r.now < s.ejectedUntil {
 		return
 	}
-	sound := r.countServers(s.role, func(t *server) bool { return t.ejection == 0 })
-	if !dead && s.ejection == 0 && 2*(sound-1) < r.countServers(s.role, func(*server) bool { return true }) {
-		return // when half of a pool looks bad it is load, and leaving servers out makes it worse
+	healthy := r.countServers(s.role, func(t *server) bool { return t.ejection == 0 })
+	if !unreachable && s.ejection == 0 &&
+		2*(healthy-1) < r.countServers(s.role, func(*server) bool { return true }) {
+		return // if half of the servers seem to fail the cause is load, and ejecting more makes it worse
 	}
 	s.ejection = min(max(2*s.ejection, r.retention(minEjection)), r.retention(maxEjection))
 	s.ejectedUntil = r.now + s.ejection
 }
 
-// countServers tells how many ready servers of a role are as wanted.
-func (r *Router) countServers(role Role, wanted func(*server) bool) (n int) {
+// countServers returns how many ready servers of a role match.
+func (r *Router) countServers(role Role, match func(*server) bool) (n int) {
 	for _, s := range r.byID {
-		if s.ready && s.role&role != 0 && wanted(s) {
+		if s.ready && s.role&role != 0 && match(s) {
 			n++
 		}
 	}
--- a/decide/timeouts.go
+++ b/decide/timeouts.go
@@ -1,17 +1,19 @@
 package decide
 
-// Aims and time-outs.
+// Latency targets and attempt timeouts.
 
-// firstTokenTarget is the time within which a request's first token is wanted.
+// firstTokenTarget returns the target time to a request's first token.
 func (r *Router) firstTokenTarget(q *request) Duration {
 	c := &r.cfg.Classes[q.job.Class]
 	return c.FirstTokenTarget + Duration(float64(c.FirstTokenTargetPerK)*q.job.PromptTokens/thousand)
 }
 
-// readTime is how long the own tokens that wait at a reader should take to read.
+// readTime returns how long a reader should take, in ns, to read the tokens that wait there.
 func (r *Router) readTime(s *server) float64 { return (r.backlog(s) + minReadTokens) * r.nsPerToken }
 
-// attemptTimeout is a time-out: a share of the aim, well over the usual; what can't be repeated waits to the end.
+// attemptTimeout returns the timeout of the attempt that is about to be sent: a part of the first-token
+// target, but well above the typical time. An attempt at a writer that can't be retried may take until the
+// deadline, and so may every attempt once the timeout budget is used up.
 func (r *Router) attemptTimeout(q *request) Duration {
 	left := q.job.Deadline - r.now
 	share, role := readTimeoutShare, Reader
@@ -26,11 +28,11 @@
 	if r.timeoutBudget < 1 {
 		limit = left
 	}
-	// The send may be lost on its way. A writer that usually takes far less is not waited for so long that
-	// what is held is held for too long; for readers see lookAtWaits.
-	most := r.waitLimit()
-	if q.stage == writing && r.checksLiveness() && waitFactor*expected <= float64(most) {
-		limit = min(limit, most)
+	// The send may be lost on its way. The wait for a writer that typically takes far less is cut short, so
+	// that the holds are not kept beyond their time limit. For readers see checkUnconfirmed.
+	maxWait := r.waitLimit()
+	if q.stage == writing && r.checksLiveness() && waitFactor*expected <= float64(maxWait) {
+		limit = min(limit, maxWait)
 	}
 	return max(min(limit, left), 1)
 }
