--- a/decide/bench_test.go
+++ b/decide/bench_test.go
@@ -15,14 +15,14 @@
 	sent []ServerID // by attempt of the request under way
 }
 
-var benchUntold = Report{MemoryUse: -1, QueuedKTokens: -1, Latency: -1}
+var benchNoReport = Report{MemoryUse: -1, QueuedKTokens: -1, Latency: -1}
 
 // newBenchFleet makes a router of many; of the servers, one in coldOf started just now, 0: none.
-func newBenchFleet(b *testing.B, servers, routers, coldOf int) *benchFleet {
-	set := settings()
+func newBenchFleet(b *testing.B, servers, routers, coldEvery int) *benchFleet {
+	set := testSettings()
 	set.Routers, set.Probing, set.ProbeCost = routers, true, 0.0026
 	f := &benchFleet{b: b, r: New(set, 1, 1000*Second), now: 1000 * Second}
-	f.handle(&Event{Kind: ListCached, Servers: benchList(servers, coldOf, f.now), Report: benchUntold})
+	f.handle(&Event{Kind: ListCached, Servers: benchList(servers, coldEvery, f.now), Report: benchNoReport})
 	return f
 }
 
@@ -61,18 +61,18 @@
 	f.sent = f.sent[:0]
 	f.now += 30 * ms
 	id := f.id
-	f.handle(&Event{Kind: Arrived, Request: id, Report: benchUntold, Job: Job{SessionID: uint64(id % 100), PrefixID: uint64(id%20) + 1,
+	f.handle(&Event{Kind: Arrived, Request: id, Report: benchNoReport, Job: Job{SessionID: uint64(id % 100), PrefixID: uint64(id%20) + 1,
 		PromptTokens: 1000, PrefixTokens: 800, MaxOutputTokens: 100, Deadline: f.now + 4*Second}})
 	if len(f.sent) != 1 {
 		f.b.Fatalf("%d sends after the arrival", len(f.sent))
 	}
-	f.handle(&Event{Kind: AttemptEnded, Request: id, Server: f.sent[0], Outcome: ReadDone, Elapsed: ms, Report: benchUntold})
+	f.handle(&Event{Kind: AttemptEnded, Request: id, Server: f.sent[0], Outcome: ReadDone, Elapsed: ms, Report: benchNoReport})
 	if len(f.sent) != 2 {
 		f.b.Fatalf("%d sends after the read", len(f.sent))
 	}
-	f.handle(&Event{Kind: FirstToken, Request: id, Server: f.sent[1], Attempt: 1, Elapsed: ms, Report: benchUntold})
-	f.handle(&Event{Kind: AttemptEnded, Request: id, Server: f.sent[1], Attempt: 1, Outcome: Served, Closed: true, Elapsed: ms, Report: benchUntold})
-	f.handle(&Event{Kind: Timer, Report: benchUntold})
+	f.handle(&Event{Kind: FirstToken, Request: id, Server: f.sent[1], Attempt: 1, Elapsed: ms, Report: benchNoReport})
+	f.handle(&Event{Kind: AttemptEnded, Request: id, Server: f.sent[1], Attempt: 1, Outcome: Served, Closed: true, Elapsed: ms, Report: benchNoReport})
+	f.handle(&Event{Kind: Timer, Report: benchNoReport})
 }
 
 // BenchmarkRequest is a whole request's events through the module, with the probes that it leads to.
--- a/decide/cold_fleet_test.go
+++ b/decide/cold_fleet_test.go
@@ -12,31 +12,31 @@
 // coldFleet is many routers of one fleet in simulated time, to see what a cold server gets from all of them together.
 // Servers answer in fixed times and never fall; only sends are counted.
 type coldFleet struct {
-	now     Time
-	routers []*Router
-	weights []float64 // of the traffic, by router
-	events  eventHeap
-	random  *rand.Rand
-	jobs    RequestID
-	role    map[ServerID]Role
-	sends   map[ServerID][]coldSend
-	coldAt  map[ServerID]Time
-	set     *Settings
+	now         Time
+	routers     []*Router
+	weights     []float64 // of the traffic, by router
+	events      eventHeap
+	random      *rand.Rand
+	lastRequest RequestID
+	role        map[ServerID]Role
+	sends       map[ServerID][]coldSend
+	coldAt      map[ServerID]Time
+	set         *Settings
 }
 
 // coldSend is a send to a server that is cold then.
 type coldSend struct {
-	at   Time
-	told bool // its router had been told of the start
+	at       Time
+	notified bool // its router had been told of the start
 }
 
 // fleetEvent is an event that falls due at one router.
 type fleetEvent struct {
-	at     Time
-	router int
-	event  Event
-	arrive bool // a new request of this router's clients
-	reborn bool // the router is restarted
+	at             Time
+	router         int
+	event          Event
+	arrive         bool // a new request of this router's clients
+	restartsRouter bool // the router is restarted
 }
 
 type eventHeap []fleetEvent
@@ -54,26 +54,26 @@
 
 // coldCase is one scene: servers that start anew while a fleet is at work.
 type coldCase struct {
-	routers  int
-	readers  int
-	writers  int
-	restarts int      // writers that start anew at coldTime
-	lateness Duration // lists come up to so late
-	reborn   float64  // share of the routers that are restarted with them
+	routers          int
+	readers          int
+	writers          int
+	restarts         int      // writers that start anew at coldTime
+	maxListDelay     Duration // lists come up to so late
+	restartedRouters float64  // share of the routers that are restarted with them
 }
 
 const (
-	coldFleetWarm = 20 * Second // before the servers start anew
-	coldFleetEnds = 34 * Second
+	coldFleetWarmUp   = 20 * Second // before the servers start anew
+	coldFleetDuration = 34 * Second
 	// coldFleetLoad is requests a second for each writer, coldFleetUse what that is of its capacity.
-	coldFleetLoad = 6.0
-	coldFleetUse  = 0.6
+	coldFleetLoad        = 6.0
+	coldFleetUtilization = 0.6
 )
 
 func newColdFleet(c coldCase, seed uint64) *coldFleet {
 	f := &coldFleet{random: rand.New(rand.NewPCG(seed, 1)), role: map[ServerID]Role{}, sends: map[ServerID][]coldSend{},
 		coldAt: map[ServerID]Time{}, now: 1000 * Second}
-	f.set = settings()
+	f.set = testSettings()
 	f.set.Routers, f.set.InitialCapacity, f.set.OverloadMultiple, f.set.OverloadWindow = c.routers, 0.27, 2.5, Second
 	var list []Listing
 	for i := range c.readers {
@@ -90,13 +90,13 @@
 		f.weights = append(f.weights, w)
 		total += w
 		f.routers = append(f.routers, nil)
-		f.begin(i, list, seed)
+		f.startRouter(i, list, seed)
 	}
 	for i := range f.weights {
 		f.weights[i] *= coldFleetLoad * float64(c.writers) / total
 		f.nextArrival(i)
 	}
-	start := f.now + coldFleetWarm
+	start := f.now + coldFleetWarmUp
 	anew := slices.Clone(list)
 	for i := range c.restarts {
 		s := &anew[c.readers+i]
@@ -104,16 +104,16 @@
 		f.coldAt[s.Server] = start
 	}
 	for i := range c.routers {
-		at := start + ms + Duration(f.random.Float64()*float64(c.lateness))
-		if f.random.Float64() < c.reborn {
-			heap.Push(&f.events, fleetEvent{at: start, router: i, reborn: true, event: Event{Kind: ListCached, Servers: list}})
+		at := start + ms + Duration(f.random.Float64()*float64(c.maxListDelay))
+		if f.random.Float64() < c.restartedRouters {
+			heap.Push(&f.events, fleetEvent{at: start, router: i, restartsRouter: true, event: Event{Kind: ListCached, Servers: list}})
 		}
 		heap.Push(&f.events, fleetEvent{at: at, router: i, event: Event{Kind: ListChanged, Servers: anew[c.readers : c.readers+c.restarts]}})
 	}
 	return f
 }
 
-func (f *coldFleet) begin(router int, list []Listing, seed uint64) {
+func (f *coldFleet) startRouter(router int, list []Listing, seed uint64) {
 	f.routers[router] = New(f.set, seed*1000+uint64(router)+uint64(f.now), f.now)
 	f.handle(router, Event{Kind: ListCached, Servers: list})
 }
@@ -156,28 +156,28 @@
 }
 
 func (f *coldFleet) run() {
-	for end := f.now + coldFleetEnds; len(f.events) > 0 && f.now < end; {
+	for end := f.now + coldFleetDuration; len(f.events) > 0 && f.now < end; {
 		e := heap.Pop(&f.events).(fleetEvent)
 		f.now = e.at
 		switch {
-		case e.reborn:
-			f.begin(e.router, e.event.Servers, uint64(e.at))
+		case e.restartsRouter:
+			f.startRouter(e.router, e.event.Servers, uint64(e.at))
 		case e.arrive:
-			f.jobs++
+			f.lastRequest++
 			f.nextArrival(e.router)
-			f.handle(e.router, Event{Kind: Arrived, Request: f.jobs, Job: Job{Class: safe, SessionID: uint64(f.jobs),
-				PrefixID: uint64(f.jobs % 9), PromptTokens: 1000, PrefixTokens: 800, MaxOutputTokens: 100, Deadline: f.now + 4*Second}})
+			f.handle(e.router, Event{Kind: Arrived, Request: f.lastRequest, Job: Job{Class: safeClass, SessionID: uint64(f.lastRequest),
+				PrefixID: uint64(f.lastRequest % 9), PromptTokens: 1000, PrefixTokens: 800, MaxOutputTokens: 100, Deadline: f.now + 4*Second}})
 		default:
 			f.handle(e.router, e.event)
 		}
 	}
 }
 
-// most is the most sends within a window of OverloadFor, over the limit that a cold server stands at that time, of
+// maxOverLimit is the most sends within a window of OverloadFor, over the limit that a cold server stands at that time, of
 // those windows of which over two thirds came from routers that had been told of the start: only their fall breaks the
 // rule. used is the mean share of its budget that a cold server gets.
-func (f *coldFleet) most() (over float64, used float64) {
-	capacity := coldFleetLoad / coldFleetUse
+func (f *coldFleet) maxOverLimit() (over float64, used float64) {
+	capacity := coldFleetLoad / coldFleetUtilization
 	window := float64(f.set.OverloadWindow) / float64(Second)
 	budgets, count := 0.0, 0.0
 	for s, start := range f.coldAt {
@@ -187,7 +187,7 @@
 			for _, send := range sends[i:] {
 				if send.at-from.at < f.set.OverloadWindow {
 					n++
-					if send.told {
+					if send.notified {
 						told++
 					}
 				}
@@ -210,12 +210,12 @@
 func TestColdServersOfAFleet(t *testing.T) {
 	for _, c := range []coldCase{
 		{routers: 3, readers: 8, writers: 10, restarts: 1},
-		{routers: 3, readers: 8, writers: 10, restarts: 10, lateness: 3 * Second},
-		{routers: 25, readers: 8, writers: 10, restarts: 3, lateness: 3 * Second, reborn: 0.5},
-		{routers: 300, readers: 20, writers: 30, restarts: 1, lateness: 3 * Second},
-		{routers: 300, readers: 20, writers: 30, restarts: 15, lateness: 3 * Second, reborn: 0.7},
-		{routers: 300, readers: 20, writers: 30, restarts: 30, lateness: 3 * Second},
-		{routers: 300, readers: 20, writers: 30, restarts: 30, reborn: 1},
+		{routers: 3, readers: 8, writers: 10, restarts: 10, maxListDelay: 3 * Second},
+		{routers: 25, readers: 8, writers: 10, restarts: 3, maxListDelay: 3 * Second, restartedRouters: 0.5},
+		{routers: 300, readers: 20, writers: 30, restarts: 1, maxListDelay: 3 * Second},
+		{routers: 300, readers: 20, writers: 30, restarts: 15, maxListDelay: 3 * Second, restartedRouters: 0.7},
+		{routers: 300, readers: 20, writers: 30, restarts: 30, maxListDelay: 3 * Second},
+		{routers: 300, readers: 20, writers: 30, restarts: 30, restartedRouters: 1},
 	} {
 		t.Run(fmt.Sprintf("%+v", c), func(t *testing.T) {
 			worst, used := 0.0, 0.0
@@ -223,7 +223,7 @@
 			for seed := range seeds {
 				f := newColdFleet(c, uint64(seed)+1)
 				f.run()
-				over, share := f.most()
+				over, share := f.maxOverLimit()
 				worst, used = max(worst, over), used+share/float64(seeds)
 			}
 			t.Logf("most in a window: %.2f of the limit; %.2f of the budget is used", worst, used)
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -7,12 +7,12 @@
 	"testing"
 )
 
-// world drives one router by hand and records what it does.
-type world struct {
-	t   *testing.T
-	r   *Router
-	now Time
-	ids RequestID
+// harness drives one router by hand and records what it does.
+type harness struct {
+	t      *testing.T
+	r      *Router
+	now    Time
+	lastID RequestID
 }
 
 const ms = Second / 1000
@@ -24,8 +24,8 @@
 	otherZone
 )
 
-// settings has one class of each kind of repeat, a reader kind 0 and a writer kind 1.
-func settings() *Settings {
+// testSettings has one class of each kind of repeat, a reader kind 0 and a writer kind 1.
+func testSettings() *Settings {
 	class := func(rep RetryPolicy, scope DedupScope) Class {
 		return Class{FirstTokenTarget: Second, FirstTokenTargetPerK: 40 * ms, Deadline: 4 * Second, TokenIntervalTarget: 60 * ms, Value: 1,
 			RetryPolicy: rep, DedupScope: scope, DedupWindow: 2 * Second}
@@ -47,15 +47,15 @@
 }
 
 const (
-	safe = iota
+	safeClass = iota
 	unsafeClass
 	keyedAll
 	keyedZone
 	keyedCell
 )
 
-// fleet is two readers (1, 2) and three writers (11 and 12 in zone and cell 0, 13 in zone and cell 1).
-func fleet() []Listing {
+// testFleet is two readers (1, 2) and three writers (11 and 12 in zone and cell 0, 13 in zone and cell 1).
+func testFleet() []Listing {
 	return []Listing{
 		{Server: 1, Kind: 0, Condition: Ready}, {Server: 2, Kind: 0, Condition: Ready},
 		{Server: 11, Kind: 1, Condition: Ready}, {Server: 12, Kind: 1, Condition: Ready},
@@ -63,14 +63,14 @@
 	}
 }
 
-func newWorld(t *testing.T, set *Settings, list []Listing) *world {
-	w := &world{t: t, now: 1000 * Second}
+func newHarness(t *testing.T, set *Settings, list []Listing) *harness {
+	w := &harness{t: t, now: 1000 * Second}
 	w.r = New(set, 7, w.now)
-	w.do(Event{Kind: ListCached, Servers: list})
+	w.handle(Event{Kind: ListCached, Servers: list})
 	return w
 }
 
-func (w *world) do(ev Event) []Action {
+func (w *harness) handle(ev Event) []Action {
 	if ev.Report == (Report{}) {
 		ev.Report = Report{MemoryUse: -1, QueuedKTokens: -1, Latency: -1}
 	}
@@ -78,35 +78,35 @@
 	return w.r.Handle(w.now, &ev, nil)
 }
 
-func (w *world) arrive(class int) (RequestID, []Action) {
-	w.ids++
-	return w.ids, w.do(Event{Kind: Arrived, Request: w.ids, Job: Job{Class: class, SessionID: uint64(w.ids),
+func (w *harness) arrive(class int) (RequestID, []Action) {
+	w.lastID++
+	return w.lastID, w.handle(Event{Kind: Arrived, Request: w.lastID, Job: Job{Class: class, SessionID: uint64(w.lastID),
 		PrefixID: 99, PromptTokens: 1000, PrefixTokens: 800, MaxOutputTokens: 100, Deadline: w.now + 4*Second}})
 }
 
-func (w *world) end(id RequestID, attempt int, s ServerID, o Outcome) []Action {
+func (w *harness) endAttempt(id RequestID, attempt int, s ServerID, o Outcome) []Action {
 	w.now += 50 * ms
-	return w.do(Event{Kind: AttemptEnded, Request: id, Attempt: attempt, Server: s, Outcome: o, Elapsed: 50 * ms})
+	return w.handle(Event{Kind: AttemptEnded, Request: id, Attempt: attempt, Server: s, Outcome: o, Elapsed: 50 * ms})
 }
 
-// read brings a request to its first send to a writer, and returns that writer.
-func (w *world) read(class int) (RequestID, ServerID) {
+// arriveAndRead brings a request to its first send to a writer, and returns that writer.
+func (w *harness) arriveAndRead(class int) (RequestID, ServerID) {
 	w.t.Helper()
 	id, acts := w.arrive(class)
-	reader := w.sent(acts)
-	return id, w.sent(w.end(id, 0, reader, ReadDone))
+	reader := w.sentTo(acts)
+	return id, w.sentTo(w.endAttempt(id, 0, reader, ReadDone))
 }
 
-func (w *world) sent(acts []Action) ServerID {
+func (w *harness) sentTo(acts []Action) ServerID {
 	w.t.Helper()
-	a := find(acts, Send)
+	a := findAction(acts, Send)
 	if a == nil {
 		w.t.Fatalf("no send in %+v", acts)
 	}
 	return a.Server
 }
 
-func find(acts []Action, k ActionKind) *Action {
+func findAction(acts []Action, k ActionKind) *Action {
 	for i := range acts {
 		if acts[i].Kind == k {
 			return &acts[i]
@@ -115,7 +115,7 @@
 	return nil
 }
 
-func kinds(acts []Action) []ActionKind {
+func actionKinds(acts []Action) []ActionKind {
 	out := []ActionKind{}
 	for _, a := range acts {
 		out = append(out, a.Kind)
@@ -133,14 +133,14 @@
 		late    Duration // time passed before the outcome
 		want    ActionKind
 	}{
-		{"safe error", safe, Error, 0, Send},
-		{"safe reset", safe, Reset, 0, Send},
-		{"safe timeout", safe, TimedOut, 0, Send},
-		{"safe full", safe, Full, 0, Send},
-		{"safe cancelled", safe, Cancelled, 0, Send},
-		{"safe connect", safe, ConnectFailed, 0, Send},
-		{"safe moot", safe, NotStarted, 0, Refuse},
-		{"safe at the deadline", safe, TimedOut, 4 * Second, Refuse},
+		{"safe error", safeClass, Error, 0, Send},
+		{"safe reset", safeClass, Reset, 0, Send},
+		{"safe timeout", safeClass, TimedOut, 0, Send},
+		{"safe full", safeClass, Full, 0, Send},
+		{"safe cancelled", safeClass, Cancelled, 0, Send},
+		{"safe connect", safeClass, ConnectFailed, 0, Send},
+		{"safe moot", safeClass, NotStarted, 0, Refuse},
+		{"safe at the deadline", safeClass, TimedOut, 4 * Second, Refuse},
 		{"unsafe full", unsafeClass, Full, 0, Send},
 		{"unsafe connect", unsafeClass, ConnectFailed, 0, Send},
 		{"unsafe moot", unsafeClass, NotStarted, 0, Refuse},
@@ -155,13 +155,13 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			w := newWorld(t, settings(), fleet())
-			id, writer := w.read(tt.class)
+			w := newHarness(t, testSettings(), testFleet())
+			id, writer := w.arriveAndRead(tt.class)
 			w.now += tt.late
 			ev := Event{Kind: AttemptEnded, Request: id, Attempt: 1, Server: writer, Outcome: tt.outcome,
 				Elapsed: tt.late + ms}
-			acts := w.do(ev)
-			if find(acts, tt.want) == nil {
+			acts := w.handle(ev)
+			if findAction(acts, tt.want) == nil {
 				t.Fatalf("got %v, want a %v", acts, tt.want)
 			}
 			answers := 0
@@ -170,11 +170,11 @@
 					answers++
 				}
 			}
-			if sent := find(acts, Send) != nil; sent == (answers > 0) || answers > 1 {
-				t.Errorf("want either one send or one answer, got %v", kinds(acts))
+			if sent := findAction(acts, Send) != nil; sent == (answers > 0) || answers > 1 {
+				t.Errorf("want either one send or one answer, got %v", actionKinds(acts))
 			}
-			if answers == 1 && find(acts, Release) == nil {
-				t.Errorf("the state was not let go: %v", kinds(acts))
+			if answers == 1 && findAction(acts, Release) == nil {
+				t.Errorf("the state was not let go: %v", actionKinds(acts))
 			}
 		})
 	}
@@ -183,12 +183,12 @@
 // Rule 2: a keyed request that may have run stays in the group that drops its repeats.
 func TestKeyedStaysInItsGroup(t *testing.T) {
 	for _, class := range []int{keyedZone, keyedCell} {
-		w := newWorld(t, settings(), fleet())
-		id, writer := w.read(class)
+		w := newHarness(t, testSettings(), testFleet())
+		id, writer := w.arriveAndRead(class)
 		if writer == 13 {
 			t.Fatal("the nearer writers were to be preferred")
 		}
-		second := w.sent(w.end(id, 1, writer, Error))
+		second := w.sentTo(w.endAttempt(id, 1, writer, Error))
 		if second != 11 && second != 12 || second == writer {
 			t.Errorf("class %d: second attempt went from %d to %d", class, writer, second)
 		}
@@ -198,10 +198,10 @@
 // Rule 2: reading is no effect, so an unsafe request may be read again after any outcome.
 func TestUnsafeMayBeReadAgain(t *testing.T) {
 	for _, o := range []Outcome{Error, Reset, TimedOut, ConnectFailed, Full, Cancelled} {
-		w := newWorld(t, settings(), fleet())
+		w := newHarness(t, testSettings(), testFleet())
 		id, acts := w.arrive(unsafeClass)
-		first := w.sent(acts)
-		if second := w.sent(w.end(id, 0, first, o)); second == first {
+		first := w.sentTo(acts)
+		if second := w.sentTo(w.endAttempt(id, 0, first, o)); second == first {
 			t.Errorf("outcome %d: read again at the same server", o)
 		}
 	}
@@ -209,10 +209,10 @@
 
 // A state that is gone is read again.
 func TestLostStateIsReadAgain(t *testing.T) {
-	w := newWorld(t, settings(), fleet())
-	id, writer := w.read(unsafeClass)
-	acts := w.do(Event{Kind: AttemptEnded, Request: id, Attempt: 1, Server: writer, Outcome: Full, NoState: true})
-	if s := w.sent(acts); s != 1 && s != 2 {
+	w := newHarness(t, testSettings(), testFleet())
+	id, writer := w.arriveAndRead(unsafeClass)
+	acts := w.handle(Event{Kind: AttemptEnded, Request: id, Attempt: 1, Server: writer, Outcome: Full, NoState: true})
+	if s := w.sentTo(acts); s != 1 && s != 2 {
 		t.Errorf("sent to %d, want a reader", s)
 	}
 }
@@ -220,38 +220,38 @@
 // Rule 5: whatever ends a request, what it holds is let go.
 func TestNothingStaysHeld(t *testing.T) {
 	t.Run("client leaves while reading, the read ends after all", func(t *testing.T) {
-		w := newWorld(t, settings(), fleet())
-		id, acts := w.arrive(safe)
-		reader := w.sent(acts)
-		if acts := w.do(Event{Kind: ClientLeft, Request: id}); find(acts, Cancel) == nil {
-			t.Errorf("the read was not called off: %v", kinds(acts))
+		w := newHarness(t, testSettings(), testFleet())
+		id, acts := w.arrive(safeClass)
+		reader := w.sentTo(acts)
+		if acts := w.handle(Event{Kind: ClientLeft, Request: id}); findAction(acts, Cancel) == nil {
+			t.Errorf("the read was not called off: %v", actionKinds(acts))
 		}
-		acts = w.do(Event{Kind: AttemptEnded, Request: id, Server: reader, Outcome: ReadDone, Closed: true})
-		if find(acts, Release) == nil || find(acts, Send) != nil {
-			t.Errorf("want only a release, got %v", kinds(acts))
+		acts = w.handle(Event{Kind: AttemptEnded, Request: id, Server: reader, Outcome: ReadDone, Closed: true})
+		if findAction(acts, Release) == nil || findAction(acts, Send) != nil {
+			t.Errorf("want only a release, got %v", actionKinds(acts))
 		}
 	})
 	t.Run("client leaves while a writer has it", func(t *testing.T) {
-		w := newWorld(t, settings(), fleet())
-		id, writer := w.read(safe)
-		w.do(Event{Kind: ClientLeft, Request: id})
-		acts := w.do(Event{Kind: AttemptEnded, Request: id, Attempt: 1, Server: writer, Outcome: Cancelled, Closed: true})
-		if find(acts, Release) == nil {
-			t.Errorf("the state was not let go: %v", kinds(acts))
+		w := newHarness(t, testSettings(), testFleet())
+		id, writer := w.arriveAndRead(safeClass)
+		w.handle(Event{Kind: ClientLeft, Request: id})
+		acts := w.handle(Event{Kind: AttemptEnded, Request: id, Attempt: 1, Server: writer, Outcome: Cancelled, Closed: true})
+		if findAction(acts, Release) == nil {
+			t.Errorf("the state was not let go: %v", actionKinds(acts))
 		}
 		if len(w.r.requests) != 0 {
 			t.Errorf("%d requests remembered", len(w.r.requests))
 		}
 	})
 	t.Run("no writer is left", func(t *testing.T) {
-		w := newWorld(t, settings(), fleet())
-		id, acts := w.arrive(safe)
-		reader := w.sent(acts)
-		w.do(Event{Kind: ListChanged, Servers: []Listing{{Server: 11, Kind: 1}, {Server: 12, Kind: 1},
+		w := newHarness(t, testSettings(), testFleet())
+		id, acts := w.arrive(safeClass)
+		reader := w.sentTo(acts)
+		w.handle(Event{Kind: ListChanged, Servers: []Listing{{Server: 11, Kind: 1}, {Server: 12, Kind: 1},
 			{Server: 13, Kind: 1, Condition: Draining}}})
-		acts = w.end(id, 0, reader, ReadDone)
-		if find(acts, Refuse) == nil || find(acts, Release) == nil {
-			t.Errorf("want refusal and release, got %v", kinds(acts))
+		acts = w.endAttempt(id, 0, reader, ReadDone)
+		if findAction(acts, Refuse) == nil || findAction(acts, Release) == nil {
+			t.Errorf("want refusal and release, got %v", actionKinds(acts))
 		}
 	})
 }
@@ -259,17 +259,17 @@
 // Rule 3: nothing goes to a server from the moment that a list names it draining or gone.
 func TestDrainsAreKept(t *testing.T) {
 	for _, kind := range []EventKind{ListChanged, ListFull, ListCached} {
-		w := newWorld(t, settings(), fleet())
-		list := fleet()
+		w := newHarness(t, testSettings(), testFleet())
+		list := testFleet()
 		list[0].Condition, list[2].Condition = Draining, Draining
 		if kind == ListFull {
 			list = append(list[1:2], list[3:]...) // absent from a full list: removed
 		}
-		w.do(Event{Kind: kind, Servers: list})
+		w.handle(Event{Kind: kind, Servers: list})
 		for range 20 {
-			id, acts := w.arrive(safe)
-			reader := w.sent(acts)
-			writer := w.sent(w.end(id, 0, reader, ReadDone))
+			id, acts := w.arrive(safeClass)
+			reader := w.sentTo(acts)
+			writer := w.sentTo(w.endAttempt(id, 0, reader, ReadDone))
 			if reader == 1 || writer == 11 {
 				t.Fatalf("list kind %d: sent to reader %d, writer %d", kind, reader, writer)
 			}
@@ -279,11 +279,11 @@
 
 // Rule 4: a cold server gets no more than this router's share of its budget in any window.
 func TestColdServersAreSpared(t *testing.T) {
-	w := newWorld(t, settings(), fleet())
+	w := newHarness(t, testSettings(), testFleet())
 	for range 300 { // warm traffic to learn the rates from: 20 a second
 		w.serve()
 	}
-	w.do(Event{Kind: ListChanged, Servers: []Listing{{Server: 12, Kind: 1, Condition: Ready, StartedAt: w.now}}})
+	w.handle(Event{Kind: ListChanged, Servers: []Listing{{Server: 12, Kind: 1, Condition: Ready, StartedAt: w.now}}})
 	var cold []Time
 	warm := 0
 	for range 190 {
@@ -315,30 +315,30 @@
 // All writers of a fleet may be replaced at once. Those that come are all cold, and there is no warm one to guess
 // the budget from: what the last did holds. They get work, and no more than their budget in any window.
 func TestAllColdServersGetTheirBudget(t *testing.T) {
-	w := newWorld(t, settings(), fleet())
+	w := newHarness(t, testSettings(), testFleet())
 	for range 300 {
 		w.serve() // 20 a second on three writers
 	}
-	w.do(Event{Kind: ListChanged, Servers: []Listing{
+	w.handle(Event{Kind: ListChanged, Servers: []Listing{
 		{Server: 11, Kind: 1, Condition: Gone}, {Server: 12, Kind: 1, Condition: Gone}, {Server: 13, Kind: 1, Condition: Gone},
 		{Server: 21, Kind: 1, Condition: Ready, StartedAt: w.now}, {Server: 22, Kind: 1, Condition: Ready, StartedAt: w.now}}})
 	began := w.now
 	cold := map[ServerID][]Time{}
 	for w.now-began < 9*Second {
 		w.now += 10 * ms
-		id, acts := w.arrive(safe)
-		reader := find(acts, Send)
+		id, acts := w.arrive(safeClass)
+		reader := findAction(acts, Send)
 		if reader == nil {
 			continue
 		}
 		w.now += 25 * ms
-		acts = w.do(Event{Kind: AttemptEnded, Request: id, Server: reader.Server, Outcome: ReadDone, Elapsed: 25 * ms, CachedTokens: 800})
-		if a := find(acts, Send); a != nil {
+		acts = w.handle(Event{Kind: AttemptEnded, Request: id, Server: reader.Server, Outcome: ReadDone, Elapsed: 25 * ms, CachedTokens: 800})
+		if a := findAction(acts, Send); a != nil {
 			cold[a.Server] = append(cold[a.Server], w.now)
 			w.now += 10 * ms
-			w.do(Event{Kind: FirstToken, Request: id, Attempt: 1, Server: a.Server, Elapsed: 10 * ms})
+			w.handle(Event{Kind: FirstToken, Request: id, Attempt: 1, Server: a.Server, Elapsed: 10 * ms})
 			w.now += 15 * ms // as long as before: an answer's time is its work
-			w.do(Event{Kind: AttemptEnded, Request: id, Attempt: 1, Server: a.Server, Outcome: Served, Elapsed: 25 * ms, Closed: true})
+			w.handle(Event{Kind: AttemptEnded, Request: id, Attempt: 1, Server: a.Server, Outcome: Served, Elapsed: 25 * ms, Closed: true})
 		}
 	}
 	// A warm writer did a third of twenty a second for this router; of two routers and a budget of four times a
@@ -361,26 +361,26 @@
 }
 
 // serve takes one request to its end in 50 ms and returns its writer.
-func (w *world) serve() ServerID {
+func (w *harness) serve() ServerID {
 	w.t.Helper()
-	id, acts := w.arrive(safe)
-	reader := w.sent(acts)
+	id, acts := w.arrive(safeClass)
+	reader := w.sentTo(acts)
 	w.now += 25 * ms
-	acts = w.do(Event{Kind: AttemptEnded, Request: id, Server: reader, Outcome: ReadDone, Elapsed: 25 * ms, CachedTokens: 800})
-	writer := w.sent(acts)
+	acts = w.handle(Event{Kind: AttemptEnded, Request: id, Server: reader, Outcome: ReadDone, Elapsed: 25 * ms, CachedTokens: 800})
+	writer := w.sentTo(acts)
 	w.now += 10 * ms
-	w.do(Event{Kind: FirstToken, Request: id, Attempt: 1, Server: writer, Elapsed: 10 * ms})
+	w.handle(Event{Kind: FirstToken, Request: id, Attempt: 1, Server: writer, Elapsed: 10 * ms})
 	w.now += 15 * ms
-	w.do(Event{Kind: AttemptEnded, Request: id, Attempt: 1, Server: writer, Outcome: Served, Elapsed: 25 * ms, Closed: true})
+	w.handle(Event{Kind: AttemptEnded, Request: id, Attempt: 1, Server: writer, Outcome: Served, Elapsed: 25 * ms, Closed: true})
 	return writer
 }
 
 // After any ending the books are empty again.
 func TestBooksAreUndone(t *testing.T) {
 	for _, o := range []Outcome{Served, Error, Full, TimedOut, ConnectFailed, Reset, Cancelled, NotStarted} {
-		w := newWorld(t, settings(), fleet())
-		id, writer := w.read(unsafeClass)
-		w.do(Event{Kind: AttemptEnded, Request: id, Attempt: 1, Server: writer, Outcome: o, Closed: true})
+		w := newHarness(t, testSettings(), testFleet())
+		id, writer := w.arriveAndRead(unsafeClass)
+		w.handle(Event{Kind: AttemptEnded, Request: id, Attempt: 1, Server: writer, Outcome: o, Closed: true})
 		for _, s := range w.r.byID {
 			if s.streams != 0 || s.bookedTokens != 0 || s.unanswered != 0 || s.queuedTokens != 0 {
 				t.Errorf("outcome %d left %+v", o, s)
@@ -394,7 +394,7 @@
 
 // Events about what is already over, or was never known, change nothing.
 func TestOddEventsAreIgnored(t *testing.T) {
-	w := newWorld(t, settings(), fleet())
+	w := newHarness(t, testSettings(), testFleet())
 	w.serve()
 	for _, ev := range []Event{
 		{Kind: AttemptEnded, Request: 1, Attempt: 0, Server: 1, Outcome: ReadDone, Closed: true},
@@ -403,7 +403,7 @@
 		{Kind: ClientLeft, Request: 1}, {Kind: ClientLeft, Request: 77}, {Kind: Timer, TimerID: 12345},
 		{Kind: Probed, Server: 500}, {Kind: ReservationAnswer, Request: 77}, {Kind: PeerMessage},
 	} {
-		for _, a := range w.do(ev) {
+		for _, a := range w.handle(ev) {
 			if a.Kind != SetTimer {
 				t.Errorf("%+v led to %+v", ev, a)
 			}
@@ -413,10 +413,10 @@
 
 // Without servers, or with one role missing, requests are refused at once.
 func TestNoServers(t *testing.T) {
-	for name, list := range map[string][]Listing{"none": nil, "writers only": fleet()[2:]} {
-		w := newWorld(t, settings(), list)
-		if _, acts := w.arrive(safe); find(acts, Refuse) == nil {
-			t.Errorf("%s: got %v", name, kinds(acts))
+	for name, list := range map[string][]Listing{"none": nil, "writers only": testFleet()[2:]} {
+		w := newHarness(t, testSettings(), list)
+		if _, acts := w.arrive(safeClass); findAction(acts, Refuse) == nil {
+			t.Errorf("%s: got %v", name, actionKinds(acts))
 		}
 	}
 }
@@ -441,13 +441,13 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			w := newWorld(t, settings(), fleet())
-			id, acts := w.arrive(safe)
+			w := newHarness(t, testSettings(), testFleet())
+			id, acts := w.arrive(safeClass)
 			for i, st := range tt.at {
 				s := w.r.servers[ServerID(11+i)]
 				s.streams, s.bookedTokens, s.memoryUse = st.streams, st.booked, st.share
 			}
-			if got := w.sent(w.end(id, 0, w.sent(acts), ReadDone)); got != tt.want {
+			if got := w.sentTo(w.endAttempt(id, 0, w.sentTo(acts), ReadDone)); got != tt.want {
 				t.Errorf("picked %d, want %d", got, tt.want)
 			}
 		})
@@ -460,19 +460,19 @@
 	for i := range 8 {
 		list = append(list, Listing{Server: ServerID(i + 1), Condition: Ready})
 	}
-	home := func(seed uint64) (ServerID, *world) {
-		w := newWorld(t, settings(), list)
+	home := func(seed uint64) (ServerID, *harness) {
+		w := newHarness(t, testSettings(), list)
 		w.r.rng = seed
-		_, acts := w.arrive(safe)
-		return w.sent(acts), w
+		_, acts := w.arrive(safeClass)
+		return w.sentTo(acts), w
 	}
 	a, w := home(1)
 	if b, _ := home(2); a != b {
 		t.Errorf("two routers read one text at %d and %d", a, b)
 	}
 	w.r.servers[a].queuedTokens = 1e9
-	_, acts := w.arrive(safe)
-	next := w.sent(acts)
+	_, acts := w.arrive(safeClass)
+	next := w.sentTo(acts)
 	if next == a {
 		t.Error("no spill from a home past its bound")
 	}
@@ -480,7 +480,7 @@
 		s.queuedTokens = 2e9
 	}
 	w.r.servers[5].queuedTokens = 1e9
-	if _, acts := w.arrive(safe); w.sent(acts) != 5 {
+	if _, acts := w.arrive(safeClass); w.sentTo(acts) != 5 {
 		t.Error("with all past the bound the fewest waiting tokens decide")
 	}
 }
@@ -489,9 +489,9 @@
 // keeps a candidate.
 func TestHealth(t *testing.T) {
 	t.Run("a failed connect", func(t *testing.T) {
-		w := newWorld(t, settings(), fleet())
-		id, writer := w.read(safe)
-		w.end(id, 1, writer, ConnectFailed)
+		w := newHarness(t, testSettings(), testFleet())
+		id, writer := w.arriveAndRead(safeClass)
+		w.endAttempt(id, 1, writer, ConnectFailed)
 		s := w.r.servers[writer]
 		if !w.r.isSuspect(s, false) {
 			t.Error("not left out")
@@ -503,35 +503,35 @@
 		}
 	})
 	t.Run("silence", func(t *testing.T) {
-		w := newWorld(t, settings(), fleet())
-		_, writer := w.read(unsafeClass)
+		w := newHarness(t, testSettings(), testFleet())
+		_, writer := w.arriveAndRead(unsafeClass)
 		w.now += Second
 		for range 3 {
-			if _, other := w.read(safe); other == writer {
+			if _, other := w.arriveAndRead(safeClass); other == writer {
 				t.Fatal("sent to a silent writer while others are heard")
 			}
 		}
 	})
 	t.Run("all look dead", func(t *testing.T) {
-		w := newWorld(t, settings(), fleet())
+		w := newHarness(t, testSettings(), testFleet())
 		for _, s := range w.r.byID {
 			s.ejection, s.ejectedUntil = maxEjection, w.now+maxEjection
 		}
-		_, acts := w.arrive(safe)
-		w.sent(acts)
+		_, acts := w.arrive(safeClass)
+		w.sentTo(acts)
 	})
 }
 
 // A long prompt is given the time to be read: cutting it off would only read it again elsewhere.
 func TestLongPromptsAreNotCutOff(t *testing.T) {
-	w := newWorld(t, settings(), fleet())
+	w := newHarness(t, testSettings(), testFleet())
 	for range 20 {
 		w.serve()
 	}
-	w.ids++
-	acts := w.do(Event{Kind: Arrived, Request: w.ids, Job: Job{SessionID: 5, PromptTokens: 30000,
+	w.lastID++
+	acts := w.handle(Event{Kind: Arrived, Request: w.lastID, Job: Job{SessionID: 5, PromptTokens: 30000,
 		Deadline: w.now + 6*Second}})
-	if a := find(acts, Send); a == nil || float64(a.After) < 30000*w.r.nsPerToken {
+	if a := findAction(acts, Send); a == nil || float64(a.After) < 30000*w.r.nsPerToken {
 		t.Errorf("got %+v at a pace of %v ns a token", a, w.r.nsPerToken)
 	}
 }
@@ -539,22 +539,22 @@
 // Same events, same actions, whatever other instances do in between.
 func TestDeterminism(t *testing.T) {
 	play := func(other bool) (all []Action) {
-		w := newWorld(t, settings(), fleet())
-		o := newWorld(t, settings(), fleet())
+		w := newHarness(t, testSettings(), testFleet())
+		o := newHarness(t, testSettings(), testFleet())
 		for i := range 200 {
 			if other {
 				o.serve()
 			}
 			id, acts := w.arrive(i % 2)
 			all = append(all, acts...)
-			reader := find(acts, Send)
+			reader := findAction(acts, Send)
 			if reader == nil {
 				continue
 			}
-			acts = w.end(id, 0, reader.Server, []Outcome{ReadDone, ReadDone, Error, TimedOut}[i%4])
+			acts = w.endAttempt(id, 0, reader.Server, []Outcome{ReadDone, ReadDone, Error, TimedOut}[i%4])
 			all = append(all, acts...)
-			if a := find(acts, Send); a != nil && i%3 == 0 {
-				all = append(all, w.end(id, 1, a.Server, Error)...)
+			if a := findAction(acts, Send); a != nil && i%3 == 0 {
+				all = append(all, w.endAttempt(id, 1, a.Server, Error)...)
 			}
 		}
 		return all
@@ -569,16 +569,16 @@
 // less worth first.
 func TestOverloadIsRefusedAtArrival(t *testing.T) {
 	refused := func(class int, share float64) (n int) {
-		set := settings()
+		set := testSettings()
 		set.Classes[1] = set.Classes[0]
 		set.Classes[1].Value = 3
-		w := newWorld(t, set, fleet())
+		w := newHarness(t, set, testFleet())
 		for _, s := range w.r.byID {
 			s.memoryUse = share
 		}
 		for range 100 {
 			w.r.servers[11].sentTokens, w.r.servers[12].sentTokens, w.r.servers[13].sentTokens = 0, 0, 0
-			if _, acts := w.arrive(class); find(acts, Refuse) != nil {
+			if _, acts := w.arrive(class); findAction(acts, Refuse) != nil {
 				n++
 			}
 		}
@@ -596,7 +596,7 @@
 // A far writer must have fewer streams than a near one, by more while moves there are slow (incident
 // i49e514), and the memory of a jam fades.
 func TestJammedLinksAreAvoided(t *testing.T) {
-	w := newWorld(t, settings(), fleet())
+	w := newHarness(t, testSettings(), testFleet())
 	w.r.recordTransfer(sameCell, 50*ms)
 	calm := w.r.transferPenalty(otherZone)
 	if w.r.transferPenalty(sameCell) != 0 || w.r.transferPenalty(sameZone) <= 0 || calm <= w.r.transferPenalty(sameZone) {
@@ -616,17 +616,17 @@
 // ic62f1f: one tenant jumped to four times the traffic).
 func TestExcessOfATenantGoesFirst(t *testing.T) {
 	refused := func(tenant int, share float64) (n int) {
-		set := settings()
+		set := testSettings()
 		set.Tenants = []Tenant{{RequestsPerSecond: 1000}, {RequestsPerSecond: 2}}
-		w := newWorld(t, set, fleet())
+		w := newHarness(t, set, testFleet())
 		for _, s := range w.r.byID {
 			s.memoryUse = share
 		}
 		for range 100 {
 			w.now += 10 * ms
 			w.r.servers[11].sentTokens, w.r.servers[12].sentTokens, w.r.servers[13].sentTokens = 0, 0, 0
-			w.ids++
-			if find(w.do(Event{Kind: Arrived, Request: w.ids, Job: Job{Tenant: tenant, SessionID: uint64(w.ids),
+			w.lastID++
+			if findAction(w.handle(Event{Kind: Arrived, Request: w.lastID, Job: Job{Tenant: tenant, SessionID: uint64(w.lastID),
 				PromptTokens: 1000, Deadline: w.now + 4*Second}}), Refuse) != nil {
 				n++
 			}
@@ -644,32 +644,32 @@
 // What this router itself has booked counts before any report tells of it (incident i49e514: the writers
 // left by a slow hall filled up between two reports).
 func TestOwnBooksShowBeforeReports(t *testing.T) {
-	w := newWorld(t, settings(), fleet())
+	w := newHarness(t, testSettings(), testFleet())
 	for _, s := range w.r.byID {
 		s.memoryUse = 0.1
 		if s.role == Writer {
 			s.bookedTokens = 0.6 * s.memoryTokens
 		}
 	}
-	if _, acts := w.arrive(safe); find(acts, Refuse) == nil {
-		t.Errorf("two routers that hold 0.6 of the writers each: got %v", kinds(acts))
+	if _, acts := w.arrive(safeClass); findAction(acts, Refuse) == nil {
+		t.Errorf("two routers that hold 0.6 of the writers each: got %v", actionKinds(acts))
 	}
 }
 
 // When many attempts time out it is the pool that is short: they then wait their turn, instead of being read
 // twice (incident i88a816).
 func TestTimeOutsAreRationed(t *testing.T) {
-	w := newWorld(t, settings(), fleet())
+	w := newHarness(t, testSettings(), testFleet())
 	var caps []Duration
 	for range 4 {
-		id, acts := w.arrive(safe)
-		a := find(acts, Send)
+		id, acts := w.arrive(safeClass)
+		a := findAction(acts, Send)
 		if a == nil {
 			t.Fatalf("refused after %d time-outs", len(caps))
 		}
 		caps = append(caps, a.After)
-		w.do(Event{Kind: AttemptEnded, Request: id, Server: a.Server, Outcome: TimedOut, Elapsed: a.After})
-		w.do(Event{Kind: ClientLeft, Request: id})
+		w.handle(Event{Kind: AttemptEnded, Request: id, Server: a.Server, Outcome: TimedOut, Elapsed: a.After})
+		w.handle(Event{Kind: ClientLeft, Request: id})
 		for _, s := range w.r.byID {
 			s.responses, s.ejection = 0, 0 // the times that were learned would refuse before
 			s.responseTime = 0
@@ -683,20 +683,20 @@
 // A reader that fails fast keeps its texts: the errors cost a moment (standard day big-2 of lahore-hall).
 // A writer that fails is left out.
 func TestErrorsCountAtWritersOnly(t *testing.T) {
-	w := newWorld(t, settings(), fleet())
-	id, acts := w.arrive(safe)
-	reader := w.r.servers[w.sent(acts)]
+	w := newHarness(t, testSettings(), testFleet())
+	id, acts := w.arrive(safeClass)
+	reader := w.r.servers[w.sentTo(acts)]
 	for range 5 {
-		w.end(id, 0, reader.id, Error)
-		w.do(Event{Kind: ClientLeft, Request: id})
-		id, acts = w.arrive(safe)
-		if w.sent(acts) != reader.id {
+		w.endAttempt(id, 0, reader.id, Error)
+		w.handle(Event{Kind: ClientLeft, Request: id})
+		id, acts = w.arrive(safeClass)
+		if w.sentTo(acts) != reader.id {
 			t.Fatal("the home was left for errors")
 		}
 	}
 	for range 2 {
-		id, writer := w.read(unsafeClass)
-		w.end(id, 1, writer, Error)
+		id, writer := w.arriveAndRead(unsafeClass)
+		w.endAttempt(id, 1, writer, Error)
 	}
 	if n := w.r.countServers(Writer, func(s *server) bool { return s.failureRate > 0 }); n == 0 {
 		t.Error("errors of writers are not counted")
@@ -706,13 +706,13 @@
 // A reader with little own work waiting but long answers is passed over before anything is refused
 // (standard day rough-2 of lahore-hall: one slow home had its requests refused while others were idle).
 func TestLongQueuesArePassedOver(t *testing.T) {
-	w := newWorld(t, settings(), fleet())
-	_, acts := w.arrive(safe)
-	home := w.r.servers[w.sent(acts)]
+	w := newHarness(t, testSettings(), testFleet())
+	_, acts := w.arrive(safeClass)
+	home := w.r.servers[w.sentTo(acts)]
 	home.responseTime, home.responses, home.respondedAt = 100, minSamples, w.now
 	for range 20 {
-		_, acts := w.arrive(safe)
-		if a := find(acts, Send); a == nil || a.Server == home.id {
+		_, acts := w.arrive(safeClass)
+		if a := findAction(acts, Send); a == nil || a.Server == home.id {
 			t.Fatalf("got %+v with an idle reader beside a slow home", acts)
 		}
 		w.r.servers[1].queuedTokens, w.r.servers[2].queuedTokens = 0, 0
@@ -722,13 +722,13 @@
 // A router that starts while servers are cold sends to them as soon as it knows its traffic, not only when
 // they are warm (incident iac8fbb: it waited out a gap that was set when it knew of no traffic).
 func TestStartedRouterUsesColdServers(t *testing.T) {
-	list := fleet()
+	list := testFleet()
 	for i := range list {
 		if list[i].Server == 12 {
 			list[i].StartedAt = 999 * Second
 		}
 	}
-	w := newWorld(t, settings(), list)
+	w := newHarness(t, testSettings(), list)
 	first := Time(0)
 	for range 100 {
 		if w.serve() == 12 && first == 0 {
@@ -743,18 +743,18 @@
 // An attempt that later ones have overtaken is lost, which says nothing of the server and of its queue (incident
 // i9f567c: a fifth of all messages lost).
 func TestLossesAreNotSlowness(t *testing.T) {
-	w := newWorld(t, settings(), fleet())
+	w := newHarness(t, testSettings(), testFleet())
 	for range 10 {
 		w.serve()
 	}
-	id, acts := w.arrive(safe)
-	s := w.r.servers[w.sent(acts)]
+	id, acts := w.arrive(safeClass)
+	s := w.r.servers[w.sentTo(acts)]
 	w.now += 10 * ms
 	w.serve() // the home answers a later one
 	before, again := s.responseTime, w.r.timeoutBudget
 	w.now += Second
-	if acts := w.do(Event{Kind: AttemptEnded, Request: id, Server: s.id, Outcome: TimedOut, Elapsed: Second}); find(acts, Send) == nil {
-		t.Errorf("not tried again: %v", kinds(acts))
+	if acts := w.handle(Event{Kind: AttemptEnded, Request: id, Server: s.id, Outcome: TimedOut, Elapsed: Second}); findAction(acts, Send) == nil {
+		t.Errorf("not tried again: %v", actionKinds(acts))
 	}
 	if s.responseTime != before || w.r.timeoutBudget != again || s.failureRate > 0.01 {
 		t.Errorf("answer %v -> %v, time-outs left %v -> %v, failing %v", before, s.responseTime, again, w.r.timeoutBudget, s.failureRate)
@@ -768,22 +768,22 @@
 		answer float64
 		lost   bool
 	}{{1, true}, {2 * calmFactor, false}} {
-		w := newWorld(t, settings(), fleet())
-		first, acts := w.arrive(safe)
-		s := w.r.servers[w.sent(acts)]
+		w := newHarness(t, testSettings(), testFleet())
+		first, acts := w.arrive(safeClass)
+		s := w.r.servers[w.sentTo(acts)]
 		w.now += ms
-		second, acts := w.arrive(safe)
-		if w.sent(acts) != s.id {
+		second, acts := w.arrive(safeClass)
+		if w.sentTo(acts) != s.id {
 			t.Fatal("two homes for one text")
 		}
 		w.now += 10 * ms
-		w.do(Event{Kind: AttemptEnded, Request: first, Server: s.id, Outcome: ReadDone, Elapsed: 11 * ms, CachedTokens: 800})
+		w.handle(Event{Kind: AttemptEnded, Request: first, Server: s.id, Outcome: ReadDone, Elapsed: 11 * ms, CachedTokens: 800})
 		for _, o := range w.r.byID {
 			o.responseTime, o.responses = tt.answer, minSamples
 		}
 		again := w.r.timeoutBudget
 		w.now += Second
-		w.do(Event{Kind: AttemptEnded, Request: second, Server: s.id, Outcome: TimedOut, Elapsed: Second + 10*ms})
+		w.handle(Event{Kind: AttemptEnded, Request: second, Server: s.id, Outcome: TimedOut, Elapsed: Second + 10*ms})
 		if lost := w.r.timeoutBudget == again; lost != tt.lost {
 			t.Errorf("usual time %v: taken for lost: %v", tt.answer, lost)
 		}
@@ -793,54 +793,54 @@
 // Where no reader is left, a mixed server reads by itself, as an attempt that may run (rule 2), and a writer is
 // not sent what it can't read.
 func TestMixedServersReadAlone(t *testing.T) {
-	set := settings()
+	set := testSettings()
 	set.Kinds = append(set.Kinds, Kind{Role: Both, Memory: 150e3})
-	list := append(fleet()[2:], Listing{Server: 21, Kind: 2, Condition: Ready},
+	list := append(testFleet()[2:], Listing{Server: 21, Kind: 2, Condition: Ready},
 		Listing{Server: 22, Kind: 2, Condition: Ready})
 	for _, tt := range []struct {
 		class int
 		want  ActionKind
-	}{{safe, Send}, {unsafeClass, Fail}} {
-		w := newWorld(t, set, list)
+	}{{safeClass, Send}, {unsafeClass, Fail}} {
+		w := newHarness(t, set, list)
 		id, acts := w.arrive(tt.class)
-		s := w.sent(acts)
+		s := w.sentTo(acts)
 		if s != 21 && s != 22 {
 			t.Fatalf("sent to %d", s)
 		}
-		if acts := w.end(id, 0, s, Error); find(acts, tt.want) == nil {
-			t.Errorf("class %d: got %v", tt.class, kinds(acts))
+		if acts := w.endAttempt(id, 0, s, Error); findAction(acts, tt.want) == nil {
+			t.Errorf("class %d: got %v", tt.class, actionKinds(acts))
 		}
 	}
 }
 
 // Rule 2: after a keyed attempt that may have run, not even a reader outside the group is sent the request.
 func TestKeyedIsNotReadOutsideItsGroup(t *testing.T) {
-	list := fleet()
+	list := testFleet()
 	list[0].Zone, list[1].Zone = 1, 1 // both readers are in the other zone than the first writers
-	w := newWorld(t, settings(), list)
+	w := newHarness(t, testSettings(), list)
 	id, acts := w.arrive(keyedZone)
-	reader := w.sent(acts)
-	writer := w.sent(w.end(id, 0, reader, ReadDone))
+	reader := w.sentTo(acts)
+	writer := w.sentTo(w.endAttempt(id, 0, reader, ReadDone))
 	w.now += ms
-	w.do(Event{Kind: ListChanged, Servers: []Listing{{Server: reader, Zone: 1}}}) // its state is gone
-	acts = w.do(Event{Kind: AttemptEnded, Request: id, Attempt: 1, Server: writer, Outcome: Reset})
-	if a := find(acts, Send); a != nil && w.r.servers[a.Server].zone != w.r.servers[writer].zone {
+	w.handle(Event{Kind: ListChanged, Servers: []Listing{{Server: reader, Zone: 1}}}) // its state is gone
+	acts = w.handle(Event{Kind: AttemptEnded, Request: id, Attempt: 1, Server: writer, Outcome: Reset})
+	if a := findAction(acts, Send); a != nil && w.r.servers[a.Server].zone != w.r.servers[writer].zone {
 		t.Errorf("from writer %d sent on to %d", writer, a.Server)
 	}
 }
 
 // A failed asking for the list is asked again, but not in the same breath.
 func TestFailedListIsAskedAgain(t *testing.T) {
-	set := settings()
+	set := testSettings()
 	set.PullMembership = true
-	w := newWorld(t, set, fleet())
-	if acts := w.do(Event{Kind: ListFailed}); find(acts, WatchList) != nil {
+	w := newHarness(t, set, testFleet())
+	if acts := w.handle(Event{Kind: ListFailed}); findAction(acts, WatchList) != nil {
 		t.Error("asked again at once")
 	}
 	asked := 0
 	for range 200 {
 		w.now += checkInterval
-		if find(w.do(Event{Kind: Timer}), WatchList) != nil {
+		if findAction(w.handle(Event{Kind: Timer}), WatchList) != nil {
 			asked++
 		}
 	}
@@ -852,23 +852,23 @@
 // Rules 1, 2 and 5 over every class, place, outcome and time: either one send or one answer follows, as the class
 // allows, and an answer leaves nothing held.
 func TestEveryOutcomeOfEveryClass(t *testing.T) {
-	for class := safe; class <= keyedCell; class++ {
+	for class := safeClass; class <= keyedCell; class++ {
 		for o := ReadDone; o <= NotStarted; o++ { // Served always ends a request
-			for _, late := range []Duration{ms, settings().Classes[0].DedupWindow - settings().DialTimeout, settings().Classes[0].DedupWindow + ms, 4 * Second} {
+			for _, late := range []Duration{ms, testSettings().Classes[0].DedupWindow - testSettings().DialTimeout, testSettings().Classes[0].DedupWindow + ms, 4 * Second} {
 				for _, atWriter := range []bool{false, true} {
 					if atWriter && o == ReadDone {
 						continue
 					}
-					w := newWorld(t, settings(), fleet())
+					w := newHarness(t, testSettings(), testFleet())
 					id, acts := w.arrive(class)
-					s := w.sent(acts)
+					s := w.sentTo(acts)
 					attempt := 0
 					if atWriter {
-						s, attempt = w.sent(w.end(id, 0, s, ReadDone)), 1
+						s, attempt = w.sentTo(w.endAttempt(id, 0, s, ReadDone)), 1
 					}
 					w.now += late
-					acts = w.do(Event{Kind: AttemptEnded, Request: id, Attempt: attempt, Server: s, Outcome: o, Elapsed: late})
-					send, refuse, fail := find(acts, Send), find(acts, Refuse), find(acts, Fail)
+					acts = w.handle(Event{Kind: AttemptEnded, Request: id, Attempt: attempt, Server: s, Outcome: o, Elapsed: late})
+					send, refuse, fail := findAction(acts, Send), findAction(acts, Refuse), findAction(acts, Fail)
 					n := 0
 					for _, a := range []*Action{send, refuse, fail} {
 						if a != nil {
@@ -876,7 +876,7 @@
 						}
 					}
 					if n != 1 {
-						t.Fatalf("class %d, outcome %d, writer %v, after %v: %v", class, o, atWriter, late, kinds(acts))
+						t.Fatalf("class %d, outcome %d, writer %v, after %v: %v", class, o, atWriter, late, actionKinds(acts))
 					}
 					ran := atWriter && o != Full && o != ConnectFailed && o != NotStarted && o != ReadDone
 					rep, scope := w.r.cfg.Classes[class].RetryPolicy, w.r.cfg.Classes[class].DedupScope
@@ -884,11 +884,11 @@
 					case ran && rep == Unsafe && fail == nil,
 						ran && rep == Keyed && send != nil && late+w.r.cfg.DialTimeout >= w.r.cfg.Classes[class].DedupWindow,
 						ran && rep == Keyed && refuse != nil && scope != ScopeAll:
-						t.Errorf("class %d, outcome %d after %v: %v breaks rule 2", class, o, late, kinds(acts))
+						t.Errorf("class %d, outcome %d after %v: %v breaks rule 2", class, o, late, actionKinds(acts))
 					case ran && rep == Keyed && send != nil && scope == ScopeZone &&
 						w.r.servers[send.Server].zone != w.r.servers[s].zone:
 						t.Errorf("class %d: sent out of its zone", class)
-					case send == nil && (atWriter || o == ReadDone) && find(acts, Release) == nil:
+					case send == nil && (atWriter || o == ReadDone) && findAction(acts, Release) == nil:
 						t.Errorf("class %d, outcome %d: answered without a release", class, o)
 					}
 				}
@@ -899,21 +899,21 @@
 
 // Probes are earned by requests: with hundreds of routers over a large fleet their price must not grow.
 func TestProbesAreEarned(t *testing.T) {
-	set := settings()
+	set := testSettings()
 	set.Routers, set.Probing, set.ProbeCost = 200, true, 0.005
 	list := []Listing{}
 	for id := ServerID(1); id <= 60; id++ {
 		list = append(list, Listing{Server: id, Kind: int(id) % 2, Condition: Ready})
 	}
-	w := newWorld(t, set, list)
+	w := newHarness(t, set, list)
 	probes, checks, requests := 0, 0, 0
 	for i := 0; i < 600; i++ { // a minute
 		w.now += 100 * ms
 		if i%20 == 0 {
-			w.arrive(safe)
+			w.arrive(safeClass)
 			requests++
 		}
-		for _, a := range w.do(Event{Kind: Timer}) {
+		for _, a := range w.handle(Event{Kind: Timer}) {
 			if a.Kind != Probe {
 				continue
 			}
@@ -922,7 +922,7 @@
 			} else {
 				probes++
 			}
-			w.do(Event{Kind: Probed, Server: a.Server, NewConnection: a.NewConnection, Outcome: Served})
+			w.handle(Event{Kind: Probed, Server: a.Server, NewConnection: a.NewConnection, Outcome: Served})
 		}
 	}
 	// No request here is ever answered, and the reader of each is asked a few times whether it can be reached.
@@ -937,27 +937,27 @@
 // In a collapse most sends fail: they must not pass for capacity when a cold server's budget is guessed.
 func TestFailedSendsAreNoCapacity(t *testing.T) {
 	gap := func(o Outcome) Duration {
-		w := newWorld(t, settings(), fleet())
+		w := newHarness(t, testSettings(), testFleet())
 		for i := 0; i < 50; i++ {
-			id, acts := w.arrive(safe)
-			w.end(id, 0, w.sent(acts), o)
-			w.do(Event{Kind: ClientLeft, Request: id})
+			id, acts := w.arrive(safeClass)
+			w.endAttempt(id, 0, w.sentTo(acts), o)
+			w.handle(Event{Kind: ClientLeft, Request: id})
 		}
 		return w.r.slowStartInterval(Reader, 1)
 	}
-	if done, failed := gap(ReadDone), gap(Full); done >= failed || failed != settings().SlowStartTime {
+	if done, failed := gap(ReadDone), gap(Full); done >= failed || failed != testSettings().SlowStartTime {
 		t.Errorf("gap after reads %d, after failures %d: failures must not open the budget", done, failed)
 	}
 }
 
 // With many routers hardly any has two streams at one writer: a far one must not wait for that.
 func TestFarWritersAreUsedByManyRouters(t *testing.T) {
-	set := settings()
+	set := testSettings()
 	set.Routers = 100
-	w := newWorld(t, set, fleet())
+	w := newHarness(t, set, testFleet())
 	far := 0
 	for i := 0; i < 3; i++ {
-		if _, s := w.read(safe); s == 13 {
+		if _, s := w.arriveAndRead(safeClass); s == 13 {
 			far++
 		}
 	}
@@ -969,13 +969,13 @@
 // Three readers and one writer in a cell, one reader and three writers in the next: with many routers the first
 // cell's states must not all go to its one writer, nor the second cell's leave it.
 func TestCrowdedCellsLetStatesGo(t *testing.T) {
-	set := settings()
+	set := testSettings()
 	set.Routers = 200
 	list := []Listing{}
 	for i, kind := range []int{0, 0, 0, 1, 0, 1, 1, 1} {
 		list = append(list, Listing{Server: ServerID(i + 1), Kind: kind, Cell: i / 4, Condition: Ready})
 	}
-	w := newWorld(t, set, list)
+	w := newHarness(t, set, list)
 	sent := [2][2]int{}
 	for i := 0; i < 300; i++ {
 		q := &request{job: Job{PromptTokens: 1000}, stateAt: w.r.servers[ServerID(1+i%2*4)]}
@@ -997,19 +997,19 @@
 		slow    bool
 		fresh   float64
 	}{{2, false, 1000}, {200, true, 200}} {
-		set := settings()
+		set := testSettings()
 		set.Routers = c.routers
-		w := newWorld(t, set, fleet())
+		w := newHarness(t, set, testFleet())
 		s := w.r.servers[1]
 		s.responseTime, s.responses, s.respondedAt = 10, 1, w.now
 		w.now += 10 * Second
 		for i := 0; i < 60; i++ { // the other reader finds the text kept each time, though it is new here
-			id, acts := w.arrive(safe)
-			reader := w.sent(acts)
+			id, acts := w.arrive(safeClass)
+			reader := w.sentTo(acts)
 			w.r.servers[reader].cachedTokens = map[uint64]float64{}
 			w.now += 20 * ms
-			w.do(Event{Kind: AttemptEnded, Request: id, Server: reader, Outcome: ReadDone, CachedTokens: 800, Elapsed: 20 * ms})
-			w.do(Event{Kind: ClientLeft, Request: id})
+			w.handle(Event{Kind: AttemptEnded, Request: id, Server: reader, Outcome: ReadDone, CachedTokens: 800, Elapsed: 20 * ms})
+			w.handle(Event{Kind: ClientLeft, Request: id})
 		}
 		s.responseTime, s.respondedAt = 10, w.now-10*Second
 		if got := w.r.recentResponseTime(s) > 1; got != c.slow {
@@ -1025,11 +1025,11 @@
 // With many routers a server is met every half minute: its first failure must count.
 func TestFirstFailureCountsWithManyRouters(t *testing.T) {
 	for routers, left := range map[int]bool{2: false, 200: true} {
-		set := settings()
+		set := testSettings()
 		set.Routers = routers
-		w := newWorld(t, set, fleet())
-		id, writer := w.read(safe)
-		w.end(id, 1, writer, Error)
+		w := newHarness(t, set, testFleet())
+		id, writer := w.arriveAndRead(safeClass)
+		w.endAttempt(id, 1, writer, Error)
 		if got := w.r.isSuspect(w.r.servers[writer], false); got != left {
 			t.Errorf("%d routers: left out after one error: %v", routers, got)
 		}
@@ -1039,9 +1039,9 @@
 // With many routers no server is heard four times in a minute: one answer of each must do for the usual time.
 func TestUsualTimesOfManyRouters(t *testing.T) {
 	for routers, want := range map[int]float64{2: 0, 200: 6} {
-		set := settings()
+		set := testSettings()
 		set.Routers = routers
-		w := newWorld(t, set, fleet())
+		w := newHarness(t, set, testFleet())
 		for _, id := range []ServerID{11, 12, 13} {
 			w.r.recordTime(w.r.servers[id], 6)
 		}
@@ -1054,9 +1054,9 @@
 // The reader picked was never heard, the rest of its pool is ten times late: with many routers that counts.
 func TestUnheardReadersAreJudgedByTheirPool(t *testing.T) {
 	refusal := func(routers int) float64 {
-		set := settings()
+		set := testSettings()
 		set.Routers = routers
-		w := newWorld(t, set, fleet())
+		w := newHarness(t, set, testFleet())
 		w.r.recordTime(w.r.servers[2], 40)
 		w.r.recordTime(w.r.servers[2], 40)
 		q := &request{prefixKey: 1, job: Job{PrefixID: 1, PromptTokens: 1000}}
@@ -1073,30 +1073,30 @@
 // Unknown classes and kinds, hundreds of servers and routers, servers that leave and come back under their name:
 // nothing of it stops a router, and nothing is sent where it must not be.
 func TestOddFleets(t *testing.T) {
-	set := settings()
+	set := testSettings()
 	set.Routers = 400
 	list := []Listing{{Server: 9999, Kind: 7, Condition: Ready}}
 	for id := ServerID(1); id <= 500; id++ {
 		list = append(list, Listing{Server: id, Kind: int(id) % 2, Cell: int(id) / 6, Condition: Ready})
 	}
-	w := newWorld(t, set, list)
-	w.ids++
-	odd := w.do(Event{Kind: Arrived, Request: w.ids, Job: Job{Class: 99, PromptTokens: 10, Deadline: w.now + Second}})
+	w := newHarness(t, set, list)
+	w.lastID++
+	odd := w.handle(Event{Kind: Arrived, Request: w.lastID, Job: Job{Class: 99, PromptTokens: 10, Deadline: w.now + Second}})
 	if len(odd) != 1 || odd[0].Kind != Fail {
 		t.Errorf("a class that the settings don't name got %+v, one failure expected", odd)
 	}
 	for i := 0; i < 100; i++ {
-		if _, s := w.read(safe); s == 9999 {
+		if _, s := w.arriveAndRead(safeClass); s == 9999 {
 			t.Fatal("sent to a server of unknown kind")
 		}
 	}
-	w.do(Event{Kind: ListChanged, Servers: []Listing{{Server: 1, Kind: 1, Condition: Gone}}})
+	w.handle(Event{Kind: ListChanged, Servers: []Listing{{Server: 1, Kind: 1, Condition: Gone}}})
 	for i := 0; i < 300; i++ {
-		if _, s := w.read(safe); s == 1 {
+		if _, s := w.arriveAndRead(safeClass); s == 1 {
 			t.Fatal("sent to a server that has left")
 		}
 	}
-	w.do(Event{Kind: ListChanged, Servers: []Listing{{Server: 1, Kind: 1, Condition: Ready, StartedAt: w.now}}})
+	w.handle(Event{Kind: ListChanged, Servers: []Listing{{Server: 1, Kind: 1, Condition: Ready, StartedAt: w.now}}})
 	if s := w.r.servers[1]; !s.ready || !w.r.isCold(s) || s.ejection != 0 {
 		t.Errorf("back under its name: ready %v, cold %v, bench %d", s.ready, w.r.isCold(s), s.ejection)
 	}
@@ -1105,25 +1105,25 @@
 // A year of replaced servers must not fill the memory, nor may a server be forgotten that still owes an
 // outcome.
 func TestServersThatLeftAreForgotten(t *testing.T) {
-	w := newWorld(t, settings(), fleet())
-	_, writer := w.read(safe) // its attempt at the writer is out
+	w := newHarness(t, testSettings(), testFleet())
+	_, writer := w.arriveAndRead(safeClass) // its attempt at the writer is out
 	for i := range 50 {
 		id := ServerID(1000 + i)
 		w.now += forgetAfter / 4
-		w.do(Event{Kind: ListChanged, Servers: []Listing{{Server: id, Kind: 0, Condition: Ready}}})
-		w.do(Event{Kind: ListChanged, Servers: []Listing{{Server: id, Kind: 0, Condition: Gone}}})
+		w.handle(Event{Kind: ListChanged, Servers: []Listing{{Server: id, Kind: 0, Condition: Ready}}})
+		w.handle(Event{Kind: ListChanged, Servers: []Listing{{Server: id, Kind: 0, Condition: Gone}}})
 	}
-	if n, most := len(w.r.byID), len(fleet())+5; n > most || len(w.r.servers) != n {
+	if n, most := len(w.r.byID), len(testFleet())+5; n > most || len(w.r.servers) != n {
 		t.Errorf("%d servers (%d by id) are remembered, at most %d should be", n, len(w.r.servers), most)
 	}
 	var all []Listing
-	for _, l := range fleet() {
+	for _, l := range testFleet() {
 		l.Condition = Gone
 		all = append(all, l)
 	}
-	w.do(Event{Kind: ListChanged, Servers: all})
+	w.handle(Event{Kind: ListChanged, Servers: all})
 	w.now += 2 * forgetAfter
-	w.do(Event{Kind: ListChanged})
+	w.handle(Event{Kind: ListChanged})
 	if len(w.r.byID) != 1 || w.r.servers[writer] == nil {
 		t.Errorf("%d servers are left, want the one writer whose attempt is out", len(w.r.byID))
 	}
@@ -1131,14 +1131,14 @@
 
 // Where the settings do not tell the writers' memory, the own books say nothing of how full they are.
 func TestUntoldMemoryIsNotFull(t *testing.T) {
-	set := settings()
+	set := testSettings()
 	set.Kinds[1].Memory = 0
-	w := newWorld(t, set, fleet())
+	w := newHarness(t, set, testFleet())
 	for _, s := range []ServerID{11, 12, 13} {
-		w.do(Event{Kind: Probed, Server: s, Report: Report{MemoryUse: 0.1, QueuedKTokens: -1, Latency: -1}})
+		w.handle(Event{Kind: Probed, Server: s, Report: Report{MemoryUse: 0.1, QueuedKTokens: -1, Latency: -1}})
 	}
-	w.read(safe) // one stream is booked
-	if _, acts := w.arrive(safe); find(acts, Refuse) != nil {
+	w.arriveAndRead(safeClass) // one stream is booked
+	if _, acts := w.arrive(safeClass); findAction(acts, Refuse) != nil {
 		t.Error("a request was refused for writers of a memory that is not told")
 	}
 }
@@ -1180,52 +1180,52 @@
 // half of the engines answered 503 after 0.2 s and were each asked again and again). When all do it is load, and
 // more than half of them stay in use. A state that is gone says nothing of the server.
 func TestTurningAwayIsASymptom(t *testing.T) {
-	left := func(w *world) int {
+	left := func(w *harness) int {
 		return w.r.countServers(Writer, func(s *server) bool { return w.r.isSuspect(s, false) })
 	}
-	w := newWorld(t, settings(), fleet())
+	w := newHarness(t, testSettings(), testFleet())
 	bad := &Event{Kind: AttemptEnded, Outcome: Full}
 	for range 4 {
-		id, writer := w.read(safe)
+		id, writer := w.arriveAndRead(safeClass)
 		for n := 1; n < 4; n++ {
 			w.now += 10 * ms
 			ev := *bad
 			ev.Request, ev.Attempt, ev.Server = id, n, writer
-			a := find(w.do(ev), Send)
+			a := findAction(w.handle(ev), Send)
 			if a == nil {
 				break
 			}
 			writer = a.Server
 		}
-		w.do(Event{Kind: ClientLeft, Request: id})
+		w.handle(Event{Kind: ClientLeft, Request: id})
 	}
 	if n := left(w); n > 1 {
 		t.Errorf("%d of 3 writers are left out when all are full", n)
 	}
 
-	w = newWorld(t, settings(), fleet())
+	w = newHarness(t, testSettings(), testFleet())
 	turned := 0
 	for range 30 {
-		id, writer := w.read(safe)
+		id, writer := w.arriveAndRead(safeClass)
 		if writer == 12 {
 			turned++
-			writer = w.sent(w.end(id, 1, 12, Full))
-			w.do(Event{Kind: FirstToken, Request: id, Attempt: 2, Server: writer, Elapsed: 20 * ms})
-			w.end(id, 2, writer, Served)
+			writer = w.sentTo(w.endAttempt(id, 1, 12, Full))
+			w.handle(Event{Kind: FirstToken, Request: id, Attempt: 2, Server: writer, Elapsed: 20 * ms})
+			w.endAttempt(id, 2, writer, Served)
 			continue
 		}
-		w.do(Event{Kind: FirstToken, Request: id, Attempt: 1, Server: writer, Elapsed: 20 * ms})
-		w.end(id, 1, writer, Served)
+		w.handle(Event{Kind: FirstToken, Request: id, Attempt: 1, Server: writer, Elapsed: 20 * ms})
+		w.endAttempt(id, 1, writer, Served)
 	}
 	if turned < 2 || turned > 8 {
 		t.Errorf("asked %d times of 30, though it turns all away", turned)
 	}
 
-	w = newWorld(t, settings(), fleet())
+	w = newHarness(t, testSettings(), testFleet())
 	for range 3 {
-		id, writer := w.read(safe)
-		w.do(Event{Kind: AttemptEnded, Request: id, Attempt: 1, Server: writer, Outcome: Full, NoState: true})
-		w.do(Event{Kind: ClientLeft, Request: id})
+		id, writer := w.arriveAndRead(safeClass)
+		w.handle(Event{Kind: AttemptEnded, Request: id, Attempt: 1, Server: writer, Outcome: Full, NoState: true})
+		w.handle(Event{Kind: ClientLeft, Request: id})
 	}
 	if n := left(w); n != 0 {
 		t.Errorf("%d writers are left out for states that were gone", n)
@@ -1236,10 +1236,10 @@
 // first.
 func TestRequestsThatWaitedForTheRouter(t *testing.T) {
 	for waited, refused := range map[Duration]bool{0: false, MaxPause: false, maxRouterDelay: false, maxRouterDelay + ms: true} {
-		w := newWorld(t, settings(), fleet())
-		acts := w.do(Event{Kind: Arrived, Request: 1, RouterDelay: waited, Job: Job{PromptTokens: 1000, Deadline: w.now + 4*Second}})
-		if got := find(acts, Refuse) != nil; got != refused {
-			t.Errorf("after %d ms: %v", waited/ms, kinds(acts))
+		w := newHarness(t, testSettings(), testFleet())
+		acts := w.handle(Event{Kind: Arrived, Request: 1, RouterDelay: waited, Job: Job{PromptTokens: 1000, Deadline: w.now + 4*Second}})
+		if got := findAction(acts, Refuse) != nil; got != refused {
+			t.Errorf("after %d ms: %v", waited/ms, actionKinds(acts))
 		}
 	}
 }
--- a/decide/liveness_test.go
+++ b/decide/liveness_test.go
@@ -2,26 +2,26 @@
 
 import "testing"
 
-// waiting brings a request to an attempt that gets no answer, at a reader or at a writer, with room in the ration of
+// newUnconfirmed brings a request to an attempt that gets no answer, at a reader or at a writer, with room in the ration of
 // time-outs used up: it is waited for to the deadline.
-func waiting(t *testing.T, class int, writer bool) (w *world, id RequestID, s ServerID, attempt int) {
-	set := settings()
+func newUnconfirmed(t *testing.T, class int, writer bool) (w *harness, id RequestID, s ServerID, attempt int) {
+	set := testSettings()
 	set.Probing, set.PauseHoldOnArrival, set.HoldTimeout = true, true, Second
-	w = newWorld(t, set, fleet())
+	w = newHarness(t, set, testFleet())
 	w.r.timeoutBudget = 0
 	if writer {
-		id, s = w.read(class)
+		id, s = w.arriveAndRead(class)
 		return w, id, s, 1
 	}
 	id, acts := w.arrive(class)
-	return w, id, w.sent(acts), 0
+	return w, id, w.sentTo(acts), 0
 }
 
-// checked lets time pass until a server is asked whether it can be reached.
-func (w *world) checked(most Duration) *Action {
+// awaitReachProbe lets time pass until a server is asked whether it can be reached.
+func (w *harness) awaitReachProbe(most Duration) *Action {
 	for end := w.now + most; w.now < end; {
 		w.now += checkInterval
-		acts := w.do(Event{Kind: Timer})
+		acts := w.handle(Event{Kind: Timer})
 		for i := range acts {
 			if acts[i].Kind == Probe && acts[i].NewConnection {
 				return &acts[i]
@@ -36,20 +36,20 @@
 // the answer is lost: that is called off, too.
 func TestServersThatGiveNoSign(t *testing.T) {
 	for n := range 4 {
-		writer, class := n%2 == 1, []int{safe, unsafeClass}[n/2]
+		writer, class := n%2 == 1, []int{safeClass, unsafeClass}[n/2]
 		for _, o := range []Outcome{ConnectFailed, TimedOut, Served} {
-			w, id, s, attempt := waiting(t, class, writer)
+			w, id, s, attempt := newUnconfirmed(t, class, writer)
 			began := w.now
-			check := w.checked(2 * Second)
+			check := w.awaitReachProbe(2 * Second)
 			if check == nil || check.Server != s {
 				t.Errorf("writer %v: asked %+v", writer, check)
 				continue
 			}
 			w.now += w.r.cfg.DialTimeout
-			acts := w.do(Event{Kind: Probed, Server: s, NewConnection: true, Outcome: o})
-			cancel := find(acts, Cancel)
+			acts := w.handle(Event{Kind: Probed, Server: s, NewConnection: true, Outcome: o})
+			cancel := findAction(acts, Cancel)
 			if (cancel != nil) != (o == ConnectFailed || !writer) {
-				t.Errorf("writer %v, outcome %d: %v", writer, o, kinds(acts))
+				t.Errorf("writer %v, outcome %d: %v", writer, o, actionKinds(acts))
 			}
 			if cancel != nil && (cancel.Request != id || cancel.Attempt != attempt) {
 				t.Errorf("writer %v: called off %+v", writer, cancel)
@@ -58,8 +58,8 @@
 				t.Errorf("writer %v: called off after %d ms, at most %d are allowed", writer, (w.now-began)/ms, most/ms)
 			}
 			again := 0
-			for cancel == nil && w.checked(5*Second) != nil {
-				w.do(Event{Kind: Probed, Server: s, NewConnection: true, Outcome: o})
+			for cancel == nil && w.awaitReachProbe(5*Second) != nil {
+				w.handle(Event{Kind: Probed, Server: s, NewConnection: true, Outcome: o})
 				again++
 			}
 			if again >= maxReachProbes { // the answer may be dropped later
@@ -71,31 +71,31 @@
 
 // Nobody is asked for a while who has given a sign since, nor after the attempt's end.
 func TestNoCheckWithoutNeed(t *testing.T) {
-	for name, then := range map[string]func(w *world, id RequestID, s ServerID){
-		"probed meanwhile": func(w *world, _ RequestID, s ServerID) {
-			w.do(Event{Kind: Probed, Server: s, Outcome: Served})
+	for name, then := range map[string]func(w *harness, id RequestID, s ServerID){
+		"probed meanwhile": func(w *harness, _ RequestID, s ServerID) {
+			w.handle(Event{Kind: Probed, Server: s, Outcome: Served})
 		},
-		"another answer": func(w *world, _ RequestID, s ServerID) {
-			other, at := w.read(safe)
+		"another answer": func(w *harness, _ RequestID, s ServerID) {
+			other, at := w.arriveAndRead(safeClass)
 			for n := 0; at != s && n < 10; n++ { // each goes where the fewest streams are
-				other, at = w.read(safe)
+				other, at = w.arriveAndRead(safeClass)
 			}
-			w.end(other, 1, s, Full)
+			w.endAttempt(other, 1, s, Full)
 		},
-		"first token": func(w *world, id RequestID, s ServerID) {
-			w.do(Event{Kind: FirstToken, Request: id, Server: s, Attempt: 1, Elapsed: ms})
+		"first token": func(w *harness, id RequestID, s ServerID) {
+			w.handle(Event{Kind: FirstToken, Request: id, Server: s, Attempt: 1, Elapsed: ms})
 		},
-		"client gone": func(w *world, id RequestID, _ ServerID) { w.do(Event{Kind: ClientLeft, Request: id}) },
+		"client gone": func(w *harness, id RequestID, _ ServerID) { w.handle(Event{Kind: ClientLeft, Request: id}) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			w, id, s, _ := waiting(t, safe, true)
+			w, id, s, _ := newUnconfirmed(t, safeClass, true)
 			w.now += w.r.cfg.DialTimeout + ms // it may have been sent only now
 			then(w, id, s)
 			most := w.r.cfg.HoldTimeout - w.r.cfg.DialTimeout - 2*checkInterval
 			if name == "first token" || name == "client gone" {
 				most = 5 * Second
 			}
-			if check := w.checked(most); check != nil && check.Server == s {
+			if check := w.awaitReachProbe(most); check != nil && check.Server == s {
 				t.Errorf("asked %+v", check)
 			}
 		})
@@ -116,28 +116,28 @@
 		"hangs":         {TimedOut, -1, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w, _, s, _ := waiting(t, safe, false)
+			w, _, s, _ := newUnconfirmed(t, safeClass, false)
 			began := w.now
 			tell := func() []Action {
-				check := w.checked(2 * Second)
+				check := w.awaitReachProbe(2 * Second)
 				if check == nil || check.Server != s {
 					t.Fatalf("asked %+v", check)
 				}
-				return w.do(Event{Kind: Probed, Server: s, NewConnection: true, Outcome: tt.outcome,
+				return w.handle(Event{Kind: Probed, Server: s, NewConnection: true, Outcome: tt.outcome,
 					Report: Report{MemoryUse: 0.5, QueuedKTokens: tt.waitingK, Latency: -1}})
 			}
-			if got := find(tell(), Cancel) == nil; got != tt.waited {
+			if got := findAction(tell(), Cancel) == nil; got != tt.waited {
 				t.Errorf("waited for: %v", got)
 			}
 			if !tt.waited {
 				return
 			}
-			if find(tell(), Cancel) != nil {
+			if findAction(tell(), Cancel) != nil {
 				t.Error("called off at the second answer")
 			}
 			for most := began + 3*Second; ; {
 				w.now += checkInterval
-				if find(w.do(Event{Kind: Timer}), Cancel) != nil {
+				if findAction(w.handle(Event{Kind: Timer}), Cancel) != nil {
 					return
 				}
 				if w.now > most {
@@ -151,18 +151,18 @@
 // A read that should take long, as its reader had much to do, is waited for, until that tells of no queue any more.
 func TestLongReadsAtAReaderWithoutAQueue(t *testing.T) {
 	for waitingK, waited := range map[float64]bool{0: false, 10: true, -1: true} {
-		w, id, s, _ := waiting(t, safe, false)
+		w, id, s, _ := newUnconfirmed(t, safeClass, false)
 		w.r.requests[id].expectedTime = float64(Second)
 		last := []Action(nil)
 		for range maxReachProbes {
-			check := w.checked(3 * Second)
+			check := w.awaitReachProbe(3 * Second)
 			if check == nil || check.Server != s {
 				t.Fatalf("asked %+v", check)
 			}
-			last = w.do(Event{Kind: Probed, Server: s, NewConnection: true, Outcome: Served,
+			last = w.handle(Event{Kind: Probed, Server: s, NewConnection: true, Outcome: Served,
 				Report: Report{MemoryUse: 0.5, QueuedKTokens: waitingK, Latency: -1}})
 		}
-		if got := find(last, Cancel) == nil; got != waited {
+		if got := findAction(last, Cancel) == nil; got != waited {
 			t.Errorf("queue of %v thousand: waited for: %v", waitingK, got)
 		}
 	}
@@ -171,7 +171,7 @@
 // What a read should take goes by the usual, where that is quicker than the pace that is assumed.
 func TestReadsAreQuickerThanAssumed(t *testing.T) {
 	for usual, quick := range map[float64]bool{0.3: true, 1: false, 3: false} {
-		w, id, _, _ := waiting(t, safe, false)
+		w, id, _, _ := newUnconfirmed(t, safeClass, false)
 		q := w.r.requests[id]
 		q.expectedTime = float64(Second)
 		for _, s := range w.r.byID {
@@ -186,16 +186,16 @@
 
 // That a reader answers others does not put off the look at a read whose answer may be lost.
 func TestLostReadsAtAReaderThatOthersHear(t *testing.T) {
-	w, id, s, attempt := waiting(t, safe, false)
+	w, id, s, attempt := newUnconfirmed(t, safeClass, false)
 	began := w.now
 	for w.now < began+2*Second {
 		w.now += checkInterval
-		w.do(Event{Kind: Probed, Server: s, Outcome: Served}) // in answer to whatever
-		acts := w.do(Event{Kind: Timer})
-		if check := find(acts, Probe); check != nil && check.NewConnection {
-			acts = w.do(Event{Kind: Probed, Server: s, NewConnection: true, Outcome: Served})
-			if c := find(acts, Cancel); c == nil || c.Request != id || c.Attempt != attempt {
-				t.Errorf("after the check: %v", kinds(acts))
+		w.handle(Event{Kind: Probed, Server: s, Outcome: Served}) // in answer to whatever
+		acts := w.handle(Event{Kind: Timer})
+		if check := findAction(acts, Probe); check != nil && check.NewConnection {
+			acts = w.handle(Event{Kind: Probed, Server: s, NewConnection: true, Outcome: Served})
+			if c := findAction(acts, Cancel); c == nil || c.Request != id || c.Attempt != attempt {
+				t.Errorf("after the check: %v", actionKinds(acts))
 			}
 			if most := w.r.cfg.HoldTimeout + 300*ms - MaxPause; w.now-began > most {
 				t.Errorf("called off after %d ms, at most %d are allowed", (w.now-began)/ms, most/ms)
@@ -209,19 +209,19 @@
 // When the time of what is held is over it is let go, though a writer may have the request yet: whether the send has come there
 // nobody knows. A writer that finds no state has not run, and the request is read anew.
 func TestHeldIsLetGoWhileAWriterIsOut(t *testing.T) {
-	w, id, s, _ := waiting(t, unsafeClass, true)
+	w, id, s, _ := newUnconfirmed(t, unsafeClass, true)
 	began := w.now
 	var release *Action
 	for w.now < began+2*Second {
 		w.now += checkInterval
-		acts := w.do(Event{Kind: Timer})
-		if find(acts, Cancel) != nil {
+		acts := w.handle(Event{Kind: Timer})
+		if findAction(acts, Cancel) != nil {
 			t.Fatal("the writer was called off")
 		}
-		if check := find(acts, Probe); check != nil && check.NewConnection {
-			w.do(Event{Kind: Probed, Server: s, NewConnection: true, Outcome: TimedOut}) // it hangs
+		if check := findAction(acts, Probe); check != nil && check.NewConnection {
+			w.handle(Event{Kind: Probed, Server: s, NewConnection: true, Outcome: TimedOut}) // it hangs
 		}
-		if r := find(acts, Release); r != nil {
+		if r := findAction(acts, Release); r != nil {
 			if release != nil {
 				t.Error("let go twice")
 			}
@@ -235,16 +235,16 @@
 		t.Fatalf("released %+v", release)
 	}
 	w.now += ms
-	acts := w.do(Event{Kind: AttemptEnded, Request: id, Attempt: 1, Server: s, Outcome: Full, NoState: true, Elapsed: Second})
-	if again := find(acts, Send); again == nil || w.r.servers[again.Server].role != Reader {
-		t.Errorf("after a writer that found no state: %v", kinds(acts))
+	acts := w.handle(Event{Kind: AttemptEnded, Request: id, Attempt: 1, Server: s, Outcome: Full, NoState: true, Elapsed: Second})
+	if again := findAction(acts, Send); again == nil || w.r.servers[again.Server].role != Reader {
+		t.Errorf("after a writer that found no state: %v", actionKinds(acts))
 	}
 }
 
 // What may be held goes out on connections that have just been heard, and a writer is not waited for so long that a lost send
 // leaves it held; where answers usually take so long they are waited for.
 func TestLostSendsAreNotWaitedFor(t *testing.T) {
-	set := settings()
+	set := testSettings()
 	set.Probing, set.PauseHoldOnArrival, set.HoldTimeout = true, true, Second
 	for name, tt := range map[string]struct {
 		answer float64 // usual time of answers, over what is expected
@@ -257,18 +257,18 @@
 		"slow answers, no more timeouts":  {12, 0, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(t, set, fleet())
+			w := newHarness(t, set, testFleet())
 			w.r.timeoutBudget = tt.again
 			for _, s := range w.r.byID {
 				s.responses, s.responseTime = minSamples, tt.answer
 			}
-			id, acts := w.arrive(safe)
-			read := find(acts, Send)
+			id, acts := w.arrive(safeClass)
+			read := findAction(acts, Send)
 			most := set.HoldTimeout + 300*ms - MaxPause - set.DialTimeout
 			if long := read.After > most; long != (read.LastResponseWithin == set.DialTimeout) || !long && read.LastResponseWithin != 0 {
 				t.Errorf("a read that is waited for for %d ms asks for %d", read.After/ms, read.LastResponseWithin)
 			}
-			write := find(w.end(id, 0, read.Server, ReadDone), Send)
+			write := findAction(w.endAttempt(id, 0, read.Server, ReadDone), Send)
 			if write.LastResponseWithin != set.DialTimeout {
 				t.Errorf("a state went out on any connection: %+v", write)
 			}
@@ -281,11 +281,11 @@
 
 // A read whose end is not known may have ended as soon as it was sent.
 func TestLostReadsAreHeldFromTheirStart(t *testing.T) {
-	w, id, s, _ := waiting(t, safe, false)
+	w, id, s, _ := newUnconfirmed(t, safeClass, false)
 	began := w.now
 	w.now += 500 * ms
-	w.do(Event{Kind: Probed, Server: s, NewConnection: true, Outcome: Served}) // it can be reached; the answer is lost all the same
-	w.end(id, 0, s, TimedOut)
+	w.handle(Event{Kind: Probed, Server: s, NewConnection: true, Outcome: Served}) // it can be reached; the answer is lost all the same
+	w.endAttempt(id, 0, s, TimedOut)
 	if q := w.r.requests[id]; q == nil || q.holdStart != began {
 		t.Errorf("what the read may have left counts from %+v", q)
 	}
--- a/decide/names_test.go
+++ b/decide/names_test.go
@@ -7,19 +7,19 @@
 	"testing"
 )
 
-// naming puts other numbers in the place of those by which the settings and the list name things.
-type naming struct{ class, kind, zone, cell, tenant func(int) int }
+// numbering puts other numbers in the place of those by which the settings and the list name things.
+type numbering struct{ class, kind, zone, cell, tenant func(int) int }
 
-func same(n int) int { return n }
+func identity(n int) int { return n }
 
-// order returns a map that puts i in the place of perm's i-th number.
-func order(perm ...int) func(int) int { return func(n int) int { return perm[n] } }
+// permutation returns a map that puts i in the place of perm's i-th number.
+func permutation(perm ...int) func(int) int { return func(n int) int { return perm[n] } }
 
-// named is a deployment with two classes, three kinds, two zones, four cells and two tenants.
-func named(by naming, routers int) (*Settings, []Listing) {
-	set := settings()
+// numberedDeployment is a deployment with two classes, three kinds, two zones, four cells and two tenants.
+func numberedDeployment(by numbering, routers int) (*Settings, []Listing) {
+	set := testSettings()
 	set.Routers, set.Probing, set.ProbeCost = routers, true, 0.002
-	classes := []Class{set.Classes[safe], set.Classes[unsafeClass]}
+	classes := []Class{set.Classes[safeClass], set.Classes[unsafeClass]}
 	classes[1].Value, classes[1].FirstTokenTarget = 3, 2*Second
 	kinds := []Kind{{Role: Reader, Memory: 200e3}, {Role: Writer, Memory: 150e3}, {Role: Both, Memory: 100e3}}
 	tenants := []Tenant{{RequestsPerSecond: 40}, {RequestsPerSecond: 8}}
@@ -42,10 +42,10 @@
 	return set, list
 }
 
-// story plays a day of chance on a module and returns all that it did. What engines answer hangs on the actions'
+// runScenario plays a day of chance on a module and returns all that it did. What engines answer hangs on the actions'
 // order alone.
-func story(by naming, routers int) []Action {
-	set, list := named(by, routers)
+func runScenario(by numbering, routers int) []Action {
+	set, list := numberedDeployment(by, routers)
 	rng := rand.New(rand.NewPCG(3, uint64(routers)))
 	now := 1000 * Second
 	r := New(set, 11, now)
@@ -122,8 +122,8 @@
 // them: the same day under other names gets the same decisions.
 func TestNamesDecideNothing(t *testing.T) {
 	for _, routers := range []int{3, 60} {
-		plain := naming{same, same, same, same, same}
-		want := story(plain, routers)
+		plain := numbering{identity, identity, identity, identity, identity}
+		want := runScenario(plain, routers)
 		sends, refusals, asked := 0, 0, 0
 		for _, a := range want {
 			switch a.Kind {
@@ -138,17 +138,17 @@
 		if sends < 400 || refusals < 10 || asked < 10 {
 			t.Fatalf("%d routers: %d sends, %d refusals and %d probes say little", routers, sends, refusals, asked)
 		}
-		for name, change := range map[string]func(*naming){
-			"classes": func(n *naming) { n.class = order(1, 0) },
-			"kinds":   func(n *naming) { n.kind = order(2, 0, 1) },
-			"zones":   func(n *naming) { n.zone = order(77, 5) },
-			"cells":   func(n *naming) { n.cell = order(9, 1000, 3, 40) },
-			"tenants": func(n *naming) { n.tenant = order(1, 0) },
+		for name, change := range map[string]func(*numbering){
+			"classes": func(n *numbering) { n.class = permutation(1, 0) },
+			"kinds":   func(n *numbering) { n.kind = permutation(2, 0, 1) },
+			"zones":   func(n *numbering) { n.zone = permutation(77, 5) },
+			"cells":   func(n *numbering) { n.cell = permutation(9, 1000, 3, 40) },
+			"tenants": func(n *numbering) { n.tenant = permutation(1, 0) },
 		} {
 			t.Run(fmt.Sprintf("%d routers/%s", routers, name), func(t *testing.T) {
 				by := plain
 				change(&by)
-				got := story(by, routers)
+				got := runScenario(by, routers)
 				for i := range want {
 					if i >= len(got) || !reflect.DeepEqual(got[i], want[i]) {
 						t.Fatalf("action %d of %d is another", i, len(want))
--- a/decide/shutdown_test.go
+++ b/decide/shutdown_test.go
@@ -28,30 +28,30 @@
 }
 
 // shutDown tells a world's router to end.
-func (w *world) shutDown() *Shutdown {
+func (w *harness) shutDown() *Shutdown {
 	plan := PlanShutdown(w.now, w.r.cfg.Classes)
-	w.do(Event{Kind: ShuttingDown, Shutdown: &plan})
+	w.handle(Event{Kind: ShuttingDown, Shutdown: &plan})
 	return &plan
 }
 
 // What comes late, or should not be answered to its end before the kill, is refused at once, and its client may go
 // elsewhere at once.
 func TestRefusedInAShutdown(t *testing.T) {
-	for class := range settings().Classes {
-		w := newWorld(t, settings(), fleet())
+	for class := range testSettings().Classes {
+		w := newHarness(t, testSettings(), testFleet())
 		plan := w.shutDown()
-		if _, acts := w.arrive(class); find(acts, Send) == nil {
+		if _, acts := w.arrive(class); findAction(acts, Send) == nil {
 			t.Errorf("class %d: refused at the shutdown's begin", class)
 		}
 		w.now = plan.AcceptUntil + 1
 		_, acts := w.arrive(class)
-		if a := find(acts, Refuse); a == nil || a.After != 0 || find(acts, Send) != nil {
+		if a := findAction(acts, Refuse); a == nil || a.After != 0 || findAction(acts, Send) != nil {
 			t.Errorf("class %d: %+v", class, acts)
 		}
-		w = newWorld(t, settings(), fleet())
+		w = newHarness(t, testSettings(), testFleet())
 		w.r.classWork[class].answerTime = float64(10 * Second)
 		w.shutDown()
-		if _, acts := w.arrive(class); find(acts, Refuse) == nil || find(acts, Send) != nil {
+		if _, acts := w.arrive(class); findAction(acts, Refuse) == nil || findAction(acts, Send) != nil {
 			t.Errorf("class %d with long answers: %+v", class, acts)
 		}
 	}
@@ -61,15 +61,15 @@
 // is given up, and what is held for it is let go.
 func TestNoWriterInAShutdown(t *testing.T) {
 	for _, long := range []bool{false, true} {
-		w := newWorld(t, settings(), fleet())
+		w := newHarness(t, testSettings(), testFleet())
 		id, acts := w.arrive(unsafeClass)
-		reader := w.sent(acts)
+		reader := w.sentTo(acts)
 		w.shutDown()
 		if long {
 			w.r.classWork[unsafeClass].answerTime = float64(5 * Second)
 		}
-		acts = w.end(id, 0, reader, ReadDone)
-		if (find(acts, Send) != nil) == long || (find(acts, Refuse) != nil) != long || (find(acts, Release) != nil) != long {
+		acts = w.endAttempt(id, 0, reader, ReadDone)
+		if (findAction(acts, Send) != nil) == long || (findAction(acts, Refuse) != nil) != long || (findAction(acts, Release) != nil) != long {
 			t.Errorf("long answers %v: %+v", long, acts)
 		}
 	}
@@ -77,19 +77,19 @@
 
 // No attempt is given more time than is left until what has not begun is given up.
 func TestTimeOutsInAShutdown(t *testing.T) {
-	w := newWorld(t, settings(), fleet())
+	w := newHarness(t, testSettings(), testFleet())
 	w.r.timeoutBudget = 0 // time-outs reach to the deadline
-	id, acts := w.arrive(safe)
-	reader := w.sent(acts)
+	id, acts := w.arrive(safeClass)
+	reader := w.sentTo(acts)
 	w.now += Second
 	plan := w.shutDown()
-	a := find(w.end(id, 0, reader, ReadDone), Send)
+	a := findAction(w.endAttempt(id, 0, reader, ReadDone), Send)
 	if a == nil || w.now+a.After > plan.GiveUpBy {
 		t.Errorf("%+v, given up in %v", a, plan.GiveUpBy-w.now)
 	}
 	again := *plan
 	again.GiveUpBy += Second
-	w.do(Event{Kind: ShuttingDown, Shutdown: &again})
+	w.handle(Event{Kind: ShuttingDown, Shutdown: &again})
 	if w.r.shutdown.GiveUpBy != plan.GiveUpBy {
 		t.Error("a second signal changes the plan")
 	}
