--- a/decide/bench_test.go
+++ b/decide/bench_test.go
@@ -5,19 +5,19 @@
 	"testing"
 )
 
-// benchFleet is a router that knows many servers and answers its own probes.
+// benchFleet is a router that knows many servers and whose probes are answered immediately.
 type benchFleet struct {
 	b    *testing.B
 	r    *Router
 	now  Time
 	id   RequestID
 	out  []Action
-	sent []ServerID // by attempt of the request under way
+	sent []ServerID // by attempt of the current request
 }
 
 var benchNoReport = Report{MemoryUse: -1, QueuedKTokens: -1, Latency: -1}
 
-// newBenchFleet makes a router of many; of the servers, one in coldOf started just now, 0: none.
+// newBenchFleet returns one of many routers. One in coldEvery servers has just started; 0 means none.
 func newBenchFleet(b *testing.B, servers, routers, coldEvery int) *benchFleet {
 	set := testSettings()
 	set.Routers, set.Probing, set.ProbeCost = routers, true, 0.0026
@@ -37,7 +37,7 @@
 	return list
 }
 
-// handle tells an event, and answers the probes that it leads to.
+// handle passes an event to the router, and answers the probes that it sends.
 func (f *benchFleet) handle(ev *Event) {
 	f.now += ms / 10
 	f.out = f.r.Handle(f.now, ev, f.out[:0])
@@ -55,7 +55,7 @@
 	}
 }
 
-// request takes a whole request through: arrival, read, first token, end.
+// request runs a whole request: arrival, read, first token, end.
 func (f *benchFleet) request() {
 	f.id++
 	f.sent = f.sent[:0]
@@ -75,7 +75,7 @@
 	f.handle(&Event{Kind: Timer, Report: benchNoReport})
 }
 
-// BenchmarkRequest is a whole request's events through the module, with the probes that it leads to.
+// BenchmarkRequest measures all events of a request, with the probes that they lead to.
 func BenchmarkRequest(b *testing.B) {
 	for _, c := range []struct {
 		name                     string
@@ -95,7 +95,7 @@
 	}
 }
 
-// BenchmarkList is a first list of many servers, and then one that replaces half of them.
+// BenchmarkList measures the first list of many servers, half of which are cold.
 func BenchmarkList(b *testing.B) {
 	for _, n := range []int{200, 3200} {
 		b.Run(fmt.Sprint(n, " servers"), func(b *testing.B) {
--- a/decide/cold_fleet_test.go
+++ b/decide/cold_fleet_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// coldFleet is many routers of one fleet in simulated time, to see what a cold server gets from all of them together.
-// Servers answer in fixed times and never fall; only sends are counted.
+// coldFleet is a fleet with many routers in simulated time. It counts what a cold server gets from all of them
+// together. Servers respond after fixed times and never fail.
 type coldFleet struct {
 	now         Time
 	routers     []*Router
@@ -24,13 +24,13 @@
 	set         *Settings
 }
 
-// coldSend is a send to a server that is cold then.
+// coldSend is a send to a server that is cold at that time.
 type coldSend struct {
 	at       Time
-	notified bool // its router had been told of the start
+	notified bool // its router had been notified of the start
 }
 
-// fleetEvent is an event that falls due at one router.
+// fleetEvent is an event that is due at one router.
 type fleetEvent struct {
 	at             Time
 	router         int
@@ -52,20 +52,21 @@
 	return e
 }
 
-// coldCase is one scene: servers that start anew while a fleet is at work.
+// coldCase is one scenario: servers restart while a fleet is under load.
 type coldCase struct {
 	routers          int
 	readers          int
 	writers          int
-	restarts         int      // writers that start anew at coldTime
-	maxListDelay     Duration // lists come up to so late
-	restartedRouters float64  // share of the routers that are restarted with them
+	restarts         int      // writers that restart after coldFleetWarmUp
+	maxListDelay     Duration // longest delay of a list
+	restartedRouters float64  // fraction of the routers that restart with them
 }
 
 const (
-	coldFleetWarmUp   = 20 * Second // before the servers start anew
+	coldFleetWarmUp   = 20 * Second // before the servers restart
 	coldFleetDuration = 34 * Second
-	// coldFleetLoad is requests a second for each writer, coldFleetUse what that is of its capacity.
+	// coldFleetLoad is the number of requests per second for each writer, and coldFleetUtilization the fraction of
+	// its capacity that they take.
 	coldFleetLoad        = 6.0
 	coldFleetUtilization = 0.6
 )
@@ -97,9 +98,9 @@
 		f.nextArrival(i)
 	}
 	start := f.now + coldFleetWarmUp
-	anew := slices.Clone(list)
+	restarted := slices.Clone(list)
 	for i := range c.restarts {
-		s := &anew[c.readers+i]
+		s := &restarted[c.readers+i]
 		s.StartedAt = start
 		f.coldAt[s.Server] = start
 	}
@@ -108,7 +109,7 @@
 		if f.random.Float64() < c.restartedRouters {
 			heap.Push(&f.events, fleetEvent{at: start, router: i, restartsRouter: true, event: Event{Kind: ListCached, Servers: list}})
 		}
-		heap.Push(&f.events, fleetEvent{at: at, router: i, event: Event{Kind: ListChanged, Servers: anew[c.readers : c.readers+c.restarts]}})
+		heap.Push(&f.events, fleetEvent{at: at, router: i, event: Event{Kind: ListChanged, Servers: restarted[c.readers : c.readers+c.restarts]}})
 	}
 	return f
 }
@@ -135,12 +136,12 @@
 	}
 }
 
-// send lets an attempt end well after a fixed time.
+// send makes an attempt succeed after a fixed time.
 func (f *coldFleet) send(router int, a Action) {
 	const read, first, stream = 100 * ms, 50 * ms, 2 * Second
 	if start, ok := f.coldAt[a.Server]; ok && f.now >= start && f.now-start < f.set.SlowStartTime {
-		told := f.routers[router].servers[a.Server].startedAt == start
-		f.sends[a.Server] = append(f.sends[a.Server], coldSend{f.now, told})
+		notified := f.routers[router].servers[a.Server].startedAt == start
+		f.sends[a.Server] = append(f.sends[a.Server], coldSend{f.now, notified})
 	}
 	attempt := f.routers[router].requests[a.Request].attempts - 1
 	ended := Event{Kind: AttemptEnded, Request: a.Request, Server: a.Server, Attempt: attempt}
@@ -173,9 +174,10 @@
 	}
 }
 
-// maxOverLimit is the most sends within a window of OverloadFor, over the limit that a cold server stands at that time, of
-// those windows of which over two thirds came from routers that had been told of the start: only their fall breaks the
-// rule. used is the mean share of its budget that a cold server gets.
+// maxOverLimit returns the most sends to a cold server within a window of OverloadWindow, as a ratio to the limit of
+// the server at that time. Only windows count in which over two thirds of the sends came from routers that had been
+// notified of the start, as only a failure caused by these breaks the rule. used is the mean fraction of its budget
+// that a cold server gets.
 func (f *coldFleet) maxOverLimit() (over float64, used float64) {
 	capacity := coldFleetLoad / coldFleetUtilization
 	window := float64(f.set.OverloadWindow) / float64(Second)
@@ -183,18 +185,18 @@
 	for s, start := range f.coldAt {
 		sends := f.sends[s]
 		for i, from := range sends {
-			n, told := 0, 0
+			n, notified := 0, 0
 			for _, send := range sends[i:] {
 				if send.at-from.at < f.set.OverloadWindow {
 					n++
 					if send.notified {
-						told++
+						notified++
 					}
 				}
 			}
 			warmth := f.set.InitialCapacity + (1-f.set.InitialCapacity)*float64(from.at-start)/float64(f.set.SlowStartTime)
 			budget := f.set.OverloadMultiple * capacity * warmth * window
-			if 3*told > 2*n {
+			if 3*notified > 2*n {
 				over = max(over, float64(n)/(budget+2*math.Sqrt(budget)+2))
 			}
 		}
@@ -204,9 +206,9 @@
 	return over, count / budgets
 }
 
-// Rule 4 over the whole fleet: what all routers together send to a cold server stays within its limit, from three
-// routers to three hundred of uneven traffic, with one server cold or all of a role, with late lists and restarts.
-// docs/design.md has the figures of twenty seeds, and of an allotment by turns.
+// Rule 4 for the whole fleet: what all routers together send to a cold server stays within its limit, from three
+// routers to three hundred with uneven traffic, with one server cold or all of a role, with delayed lists and
+// restarts of routers. docs/design.md has the figures for twenty seeds, and for an allotment by turns.
 func TestColdServersOfAFleet(t *testing.T) {
 	for _, c := range []coldCase{
 		{routers: 3, readers: 8, writers: 10, restarts: 1},
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// harness drives one router by hand and records what it does.
+// harness drives one router by hand, with a clock that the tests set.
 type harness struct {
 	t      *testing.T
 	r      *Router
@@ -17,14 +17,15 @@
 
 const ms = Second / 1000
 
-// The distances of a move.
+// The distances of a transfer, as distance returns them.
 const (
 	sameCell = iota
 	sameZone
 	otherZone
 )
 
-// testSettings has one class of each kind of repeat, a reader kind 0 and a writer kind 1.
+// testSettings returns settings with one class for each retry policy and scope, and with kind 0 for readers and kind
+// 1 for writers.
 func testSettings() *Settings {
 	class := func(rep RetryPolicy, scope DedupScope) Class {
 		return Class{FirstTokenTarget: Second, FirstTokenTargetPerK: 40 * ms, Deadline: 4 * Second, TokenIntervalTarget: 60 * ms, Value: 1,
@@ -54,7 +55,7 @@
 	keyedCell
 )
 
-// testFleet is two readers (1, 2) and three writers (11 and 12 in zone and cell 0, 13 in zone and cell 1).
+// testFleet lists two readers (1, 2) and three writers (11 and 12 in zone and cell 0, 13 in zone and cell 1).
 func testFleet() []Listing {
 	return []Listing{
 		{Server: 1, Kind: 0, Condition: Ready}, {Server: 2, Kind: 0, Condition: Ready},
@@ -64,48 +65,53 @@
 }
 
 func newHarness(t *testing.T, set *Settings, list []Listing) *harness {
-	w := &harness{t: t, now: 1000 * Second}
-	w.r = New(set, 7, w.now)
-	w.handle(Event{Kind: ListCached, Servers: list})
-	return w
+	h := &harness{t: t, now: 1000 * Second}
+	h.r = New(set, 7, h.now)
+	h.handle(Event{Kind: ListCached, Servers: list})
+	return h
 }
 
-func (w *harness) handle(ev Event) []Action {
+// handle passes an event to the router. An empty report becomes one that reports nothing.
+func (h *harness) handle(ev Event) []Action {
 	if ev.Report == (Report{}) {
 		ev.Report = Report{MemoryUse: -1, QueuedKTokens: -1, Latency: -1}
 	}
-	w.r.timesSorted = [Both + 1]bool{} // tests put answer times in by hand
-	return w.r.Handle(w.now, &ev, nil)
+	h.r.timesSorted = [Both + 1]bool{} // tests set response times directly
+	return h.r.Handle(h.now, &ev, nil)
 }
 
-func (w *harness) arrive(class int) (RequestID, []Action) {
-	w.lastID++
-	return w.lastID, w.handle(Event{Kind: Arrived, Request: w.lastID, Job: Job{Class: class, SessionID: uint64(w.lastID),
-		PrefixID: 99, PromptTokens: 1000, PrefixTokens: 800, MaxOutputTokens: 100, Deadline: w.now + 4*Second}})
+// arrive starts a request and returns its id and the router's actions.
+func (h *harness) arrive(class int) (RequestID, []Action) {
+	h.lastID++
+	return h.lastID, h.handle(Event{Kind: Arrived, Request: h.lastID, Job: Job{Class: class, SessionID: uint64(h.lastID),
+		PrefixID: 99, PromptTokens: 1000, PrefixTokens: 800, MaxOutputTokens: 100, Deadline: h.now + 4*Second}})
 }
 
-func (w *harness) endAttempt(id RequestID, attempt int, s ServerID, o Outcome) []Action {
-	w.now += 50 * ms
-	return w.handle(Event{Kind: AttemptEnded, Request: id, Attempt: attempt, Server: s, Outcome: o, Elapsed: 50 * ms})
+// endAttempt ends an attempt after 50 ms.
+func (h *harness) endAttempt(id RequestID, attempt int, s ServerID, o Outcome) []Action {
+	h.now += 50 * ms
+	return h.handle(Event{Kind: AttemptEnded, Request: id, Attempt: attempt, Server: s, Outcome: o, Elapsed: 50 * ms})
 }
 
-// arriveAndRead brings a request to its first send to a writer, and returns that writer.
-func (w *harness) arriveAndRead(class int) (RequestID, ServerID) {
-	w.t.Helper()
-	id, acts := w.arrive(class)
-	reader := w.sentTo(acts)
-	return id, w.sentTo(w.endAttempt(id, 0, reader, ReadDone))
+// arriveAndRead starts a request, ends its read, and returns its id and the writer it is sent to.
+func (h *harness) arriveAndRead(class int) (RequestID, ServerID) {
+	h.t.Helper()
+	id, acts := h.arrive(class)
+	reader := h.sentTo(acts)
+	return id, h.sentTo(h.endAttempt(id, 0, reader, ReadDone))
 }
 
-func (w *harness) sentTo(acts []Action) ServerID {
-	w.t.Helper()
+// sentTo returns the server of the first Send, which has to exist.
+func (h *harness) sentTo(acts []Action) ServerID {
+	h.t.Helper()
 	a := findAction(acts, Send)
 	if a == nil {
-		w.t.Fatalf("no send in %+v", acts)
+		h.t.Fatalf("no send in %+v", acts)
 	}
 	return a.Server
 }
 
+// findAction returns the first action of a kind, or nil.
 func findAction(acts []Action, k ActionKind) *Action {
 	for i := range acts {
 		if acts[i].Kind == k {
@@ -123,14 +129,14 @@
 	return out
 }
 
-// Rules 1 and 2: after each outcome at a writer a request is sent on, refused or failed as its class
-// allows, and never dropped.
-func TestOutcomesAtAWriter(t *testing.T) {
+// Rules 1 and 2: after each outcome at a writer a request is sent on, refused or failed as its class allows. It never
+// stays without an answer.
+func TestOutcomesAtWriter(t *testing.T) {
 	tests := []struct {
 		name    string
 		class   int
 		outcome Outcome
-		late    Duration // time passed before the outcome
+		late    Duration // time until the outcome
 		want    ActionKind
 	}{
 		{"safe error", safeClass, Error, 0, Send},
@@ -155,12 +161,12 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			w := newHarness(t, testSettings(), testFleet())
-			id, writer := w.arriveAndRead(tt.class)
-			w.now += tt.late
+			h := newHarness(t, testSettings(), testFleet())
+			id, writer := h.arriveAndRead(tt.class)
+			h.now += tt.late
 			ev := Event{Kind: AttemptEnded, Request: id, Attempt: 1, Server: writer, Outcome: tt.outcome,
 				Elapsed: tt.late + ms}
-			acts := w.handle(ev)
+			acts := h.handle(ev)
 			if findAction(acts, tt.want) == nil {
 				t.Fatalf("got %v, want a %v", acts, tt.want)
 			}
@@ -174,102 +180,102 @@
 				t.Errorf("want either one send or one answer, got %v", actionKinds(acts))
 			}
 			if answers == 1 && findAction(acts, Release) == nil {
-				t.Errorf("the state was not let go: %v", actionKinds(acts))
+				t.Errorf("the KV state was not released: %v", actionKinds(acts))
 			}
 		})
 	}
 }
 
-// Rule 2: a keyed request that may have run stays in the group that drops its repeats.
-func TestKeyedStaysInItsGroup(t *testing.T) {
+// Rule 2: a keyed request that may have executed is retried only within the scope that drops its duplicates.
+func TestKeyedRetryStaysInScope(t *testing.T) {
 	for _, class := range []int{keyedZone, keyedCell} {
-		w := newHarness(t, testSettings(), testFleet())
-		id, writer := w.arriveAndRead(class)
+		h := newHarness(t, testSettings(), testFleet())
+		id, writer := h.arriveAndRead(class)
 		if writer == 13 {
-			t.Fatal("the nearer writers were to be preferred")
+			t.Fatal("the first attempt went to the far writer")
 		}
-		second := w.sentTo(w.endAttempt(id, 1, writer, Error))
+		second := h.sentTo(h.endAttempt(id, 1, writer, Error))
 		if second != 11 && second != 12 || second == writer {
 			t.Errorf("class %d: second attempt went from %d to %d", class, writer, second)
 		}
 	}
 }
 
-// Rule 2: reading is no effect, so an unsafe request may be read again after any outcome.
-func TestUnsafeMayBeReadAgain(t *testing.T) {
+// Rule 2: a read has no effect, so the read of an unsafe request may be retried after any outcome.
+func TestReadOfUnsafeIsRetried(t *testing.T) {
 	for _, o := range []Outcome{Error, Reset, TimedOut, ConnectFailed, Full, Cancelled} {
-		w := newHarness(t, testSettings(), testFleet())
-		id, acts := w.arrive(unsafeClass)
-		first := w.sentTo(acts)
-		if second := w.sentTo(w.endAttempt(id, 0, first, o)); second == first {
+		h := newHarness(t, testSettings(), testFleet())
+		id, acts := h.arrive(unsafeClass)
+		first := h.sentTo(acts)
+		if second := h.sentTo(h.endAttempt(id, 0, first, o)); second == first {
 			t.Errorf("outcome %d: read again at the same server", o)
 		}
 	}
 }
 
-// A state that is gone is read again.
-func TestLostStateIsReadAgain(t *testing.T) {
-	w := newHarness(t, testSettings(), testFleet())
-	id, writer := w.arriveAndRead(unsafeClass)
-	acts := w.handle(Event{Kind: AttemptEnded, Request: id, Attempt: 1, Server: writer, Outcome: Full, NoState: true})
-	if s := w.sentTo(acts); s != 1 && s != 2 {
+// If a writer reports that the KV state is missing, the request is read again.
+func TestMissingStateIsReadAgain(t *testing.T) {
+	h := newHarness(t, testSettings(), testFleet())
+	id, writer := h.arriveAndRead(unsafeClass)
+	acts := h.handle(Event{Kind: AttemptEnded, Request: id, Attempt: 1, Server: writer, Outcome: Full, NoState: true})
+	if s := h.sentTo(acts); s != 1 && s != 2 {
 		t.Errorf("sent to %d, want a reader", s)
 	}
 }
 
-// Rule 5: whatever ends a request, what it holds is let go.
-func TestNothingStaysHeld(t *testing.T) {
-	t.Run("client leaves while reading, the read ends after all", func(t *testing.T) {
-		w := newHarness(t, testSettings(), testFleet())
-		id, acts := w.arrive(safeClass)
-		reader := w.sentTo(acts)
-		if acts := w.handle(Event{Kind: ClientLeft, Request: id}); findAction(acts, Cancel) == nil {
-			t.Errorf("the read was not called off: %v", actionKinds(acts))
+// Rule 5: whatever ends a request, its holds are released.
+func TestHoldsAreReleasedAtEnd(t *testing.T) {
+	t.Run("client leaves during the read, which then ends", func(t *testing.T) {
+		h := newHarness(t, testSettings(), testFleet())
+		id, acts := h.arrive(safeClass)
+		reader := h.sentTo(acts)
+		if acts := h.handle(Event{Kind: ClientLeft, Request: id}); findAction(acts, Cancel) == nil {
+			t.Errorf("the read was not cancelled: %v", actionKinds(acts))
 		}
-		acts = w.handle(Event{Kind: AttemptEnded, Request: id, Server: reader, Outcome: ReadDone, Closed: true})
+		acts = h.handle(Event{Kind: AttemptEnded, Request: id, Server: reader, Outcome: ReadDone, Closed: true})
 		if findAction(acts, Release) == nil || findAction(acts, Send) != nil {
 			t.Errorf("want only a release, got %v", actionKinds(acts))
 		}
 	})
-	t.Run("client leaves while a writer has it", func(t *testing.T) {
-		w := newHarness(t, testSettings(), testFleet())
-		id, writer := w.arriveAndRead(safeClass)
-		w.handle(Event{Kind: ClientLeft, Request: id})
-		acts := w.handle(Event{Kind: AttemptEnded, Request: id, Attempt: 1, Server: writer, Outcome: Cancelled, Closed: true})
+	t.Run("client leaves during the write", func(t *testing.T) {
+		h := newHarness(t, testSettings(), testFleet())
+		id, writer := h.arriveAndRead(safeClass)
+		h.handle(Event{Kind: ClientLeft, Request: id})
+		acts := h.handle(Event{Kind: AttemptEnded, Request: id, Attempt: 1, Server: writer, Outcome: Cancelled, Closed: true})
 		if findAction(acts, Release) == nil {
-			t.Errorf("the state was not let go: %v", actionKinds(acts))
+			t.Errorf("the KV state was not released: %v", actionKinds(acts))
 		}
-		if len(w.r.requests) != 0 {
-			t.Errorf("%d requests remembered", len(w.r.requests))
+		if len(h.r.requests) != 0 {
+			t.Errorf("%d requests are still known", len(h.r.requests))
 		}
 	})
 	t.Run("no writer is left", func(t *testing.T) {
-		w := newHarness(t, testSettings(), testFleet())
-		id, acts := w.arrive(safeClass)
-		reader := w.sentTo(acts)
-		w.handle(Event{Kind: ListChanged, Servers: []Listing{{Server: 11, Kind: 1}, {Server: 12, Kind: 1},
+		h := newHarness(t, testSettings(), testFleet())
+		id, acts := h.arrive(safeClass)
+		reader := h.sentTo(acts)
+		h.handle(Event{Kind: ListChanged, Servers: []Listing{{Server: 11, Kind: 1}, {Server: 12, Kind: 1},
 			{Server: 13, Kind: 1, Condition: Draining}}})
-		acts = w.endAttempt(id, 0, reader, ReadDone)
+		acts = h.endAttempt(id, 0, reader, ReadDone)
 		if findAction(acts, Refuse) == nil || findAction(acts, Release) == nil {
 			t.Errorf("want refusal and release, got %v", actionKinds(acts))
 		}
 	})
 }
 
-// Rule 3: nothing goes to a server from the moment that a list names it draining or gone.
-func TestDrainsAreKept(t *testing.T) {
+// Rule 3: nothing is sent to a server once a list says that it is draining or removed.
+func TestDrainingServersGetNothing(t *testing.T) {
 	for _, kind := range []EventKind{ListChanged, ListFull, ListCached} {
-		w := newHarness(t, testSettings(), testFleet())
+		h := newHarness(t, testSettings(), testFleet())
 		list := testFleet()
 		list[0].Condition, list[2].Condition = Draining, Draining
 		if kind == ListFull {
 			list = append(list[1:2], list[3:]...) // absent from a full list: removed
 		}
-		w.handle(Event{Kind: kind, Servers: list})
+		h.handle(Event{Kind: kind, Servers: list})
 		for range 20 {
-			id, acts := w.arrive(safeClass)
-			reader := w.sentTo(acts)
-			writer := w.sentTo(w.endAttempt(id, 0, reader, ReadDone))
+			id, acts := h.arrive(safeClass)
+			reader := h.sentTo(acts)
+			writer := h.sentTo(h.endAttempt(id, 0, reader, ReadDone))
 			if reader == 1 || writer == 11 {
 				t.Fatalf("list kind %d: sent to reader %d, writer %d", kind, reader, writer)
 			}
@@ -277,27 +283,27 @@
 	}
 }
 
-// Rule 4: a cold server gets no more than this router's share of its budget in any window.
-func TestColdServersAreSpared(t *testing.T) {
-	w := newHarness(t, testSettings(), testFleet())
-	for range 300 { // warm traffic to learn the rates from: 20 a second
-		w.serve()
+// Rule 4: a cold server gets no more than this router's share of its slow-start budget in any window.
+func TestColdServerGetsLimitedSends(t *testing.T) {
+	h := newHarness(t, testSettings(), testFleet())
+	for range 300 { // warm traffic that sets the rates: 20 requests per second
+		h.serve()
 	}
-	w.handle(Event{Kind: ListChanged, Servers: []Listing{{Server: 12, Kind: 1, Condition: Ready, StartedAt: w.now}}})
+	h.handle(Event{Kind: ListChanged, Servers: []Listing{{Server: 12, Kind: 1, Condition: Ready, StartedAt: h.now}}})
 	var cold []Time
 	warm := 0
 	for range 190 {
-		if w.serve() == 12 {
-			cold = append(cold, w.now)
+		if h.serve() == 12 {
+			cold = append(cold, h.now)
 		} else {
 			warm++
 		}
 	}
 	if len(cold) == 0 {
-		t.Error("a cold server must get some work")
+		t.Error("the cold server got no work")
 	}
-	// Ten a second reach each of two warm writers from this router. The budget of a window is four
-	// times a quarter of a warm server's work; this router's share of it is what a warm one gets from it.
+	// This router sends 10 requests per second to each of two warm writers. The budget of a window is four times a
+	// quarter of a warm server's work; this router's share of it is as much as it sends to a warm one.
 	for i := range cold {
 		n := 0
 		for j := i; j < len(cold) && cold[j]-cold[i] < 2*Second; j++ {
@@ -308,41 +314,41 @@
 		}
 	}
 	if warm == 0 {
-		t.Error("no work for warm servers")
+		t.Error("the warm servers got no work")
 	}
 }
 
-// All writers of a fleet may be replaced at once. Those that come are all cold, and there is no warm one to guess
-// the budget from: what the last did holds. They get work, and no more than their budget in any window.
-func TestAllColdServersGetTheirBudget(t *testing.T) {
-	w := newHarness(t, testSettings(), testFleet())
+// If all writers of a fleet are replaced at once, all are cold, and there is no warm one to estimate the budget from.
+// The last estimate is then used: the new writers get work, and no more than their budget in any window.
+func TestAllColdServersGetBudget(t *testing.T) {
+	h := newHarness(t, testSettings(), testFleet())
 	for range 300 {
-		w.serve() // 20 a second on three writers
+		h.serve() // 20 per second on three writers
 	}
-	w.handle(Event{Kind: ListChanged, Servers: []Listing{
+	h.handle(Event{Kind: ListChanged, Servers: []Listing{
 		{Server: 11, Kind: 1, Condition: Gone}, {Server: 12, Kind: 1, Condition: Gone}, {Server: 13, Kind: 1, Condition: Gone},
-		{Server: 21, Kind: 1, Condition: Ready, StartedAt: w.now}, {Server: 22, Kind: 1, Condition: Ready, StartedAt: w.now}}})
-	began := w.now
+		{Server: 21, Kind: 1, Condition: Ready, StartedAt: h.now}, {Server: 22, Kind: 1, Condition: Ready, StartedAt: h.now}}})
+	began := h.now
 	cold := map[ServerID][]Time{}
-	for w.now-began < 9*Second {
-		w.now += 10 * ms
-		id, acts := w.arrive(safeClass)
+	for h.now-began < 9*Second {
+		h.now += 10 * ms
+		id, acts := h.arrive(safeClass)
 		reader := findAction(acts, Send)
 		if reader == nil {
 			continue
 		}
-		w.now += 25 * ms
-		acts = w.handle(Event{Kind: AttemptEnded, Request: id, Server: reader.Server, Outcome: ReadDone, Elapsed: 25 * ms, CachedTokens: 800})
+		h.now += 25 * ms
+		acts = h.handle(Event{Kind: AttemptEnded, Request: id, Server: reader.Server, Outcome: ReadDone, Elapsed: 25 * ms, CachedTokens: 800})
 		if a := findAction(acts, Send); a != nil {
-			cold[a.Server] = append(cold[a.Server], w.now)
-			w.now += 10 * ms
-			w.handle(Event{Kind: FirstToken, Request: id, Attempt: 1, Server: a.Server, Elapsed: 10 * ms})
-			w.now += 15 * ms // as long as before: an answer's time is its work
-			w.handle(Event{Kind: AttemptEnded, Request: id, Attempt: 1, Server: a.Server, Outcome: Served, Elapsed: 25 * ms, Closed: true})
+			cold[a.Server] = append(cold[a.Server], h.now)
+			h.now += 10 * ms
+			h.handle(Event{Kind: FirstToken, Request: id, Attempt: 1, Server: a.Server, Elapsed: 10 * ms})
+			h.now += 15 * ms // as long as before: the duration of an answer is its work
+			h.handle(Event{Kind: AttemptEnded, Request: id, Attempt: 1, Server: a.Server, Outcome: Served, Elapsed: 25 * ms, Closed: true})
 		}
 	}
-	// A warm writer did a third of twenty a second for this router; of two routers and a budget of four times a
-	// quarter of that in 2 s each may send some 13.
+	// A warm writer handled a third of 20 requests per second for this router. With two routers and a budget of four
+	// times a quarter of that, each router may send about 13 in 2 s.
 	for s, sends := range cold {
 		n, last := 0, 0
 		for i, at := range sends {
@@ -355,47 +361,47 @@
 			t.Errorf("%d sends to the cold writer %d within a window", last, s)
 		}
 	}
-	if late := w.now - 4*Second; len(cold) != 2 || cold[21][len(cold[21])-1] < late || cold[22][len(cold[22])-1] < late {
-		t.Errorf("the cold writers were starved: %d and %d sends", len(cold[21]), len(cold[22]))
+	if late := h.now - 4*Second; len(cold) != 2 || cold[21][len(cold[21])-1] < late || cold[22][len(cold[22])-1] < late {
+		t.Errorf("the cold writers got too little: %d and %d sends", len(cold[21]), len(cold[22]))
 	}
 }
 
-// serve takes one request to its end in 50 ms and returns its writer.
-func (w *harness) serve() ServerID {
-	w.t.Helper()
-	id, acts := w.arrive(safeClass)
-	reader := w.sentTo(acts)
-	w.now += 25 * ms
-	acts = w.handle(Event{Kind: AttemptEnded, Request: id, Server: reader, Outcome: ReadDone, Elapsed: 25 * ms, CachedTokens: 800})
-	writer := w.sentTo(acts)
-	w.now += 10 * ms
-	w.handle(Event{Kind: FirstToken, Request: id, Attempt: 1, Server: writer, Elapsed: 10 * ms})
-	w.now += 15 * ms
-	w.handle(Event{Kind: AttemptEnded, Request: id, Attempt: 1, Server: writer, Outcome: Served, Elapsed: 25 * ms, Closed: true})
+// serve runs one request to its end within 50 ms and returns its writer.
+func (h *harness) serve() ServerID {
+	h.t.Helper()
+	id, acts := h.arrive(safeClass)
+	reader := h.sentTo(acts)
+	h.now += 25 * ms
+	acts = h.handle(Event{Kind: AttemptEnded, Request: id, Server: reader, Outcome: ReadDone, Elapsed: 25 * ms, CachedTokens: 800})
+	writer := h.sentTo(acts)
+	h.now += 10 * ms
+	h.handle(Event{Kind: FirstToken, Request: id, Attempt: 1, Server: writer, Elapsed: 10 * ms})
+	h.now += 15 * ms
+	h.handle(Event{Kind: AttemptEnded, Request: id, Attempt: 1, Server: writer, Outcome: Served, Elapsed: 25 * ms, Closed: true})
 	return writer
 }
 
-// After any ending the books are empty again.
-func TestBooksAreUndone(t *testing.T) {
+// After any outcome of an attempt its bookings are removed.
+func TestBookingsAreRemoved(t *testing.T) {
 	for _, o := range []Outcome{Served, Error, Full, TimedOut, ConnectFailed, Reset, Cancelled, NotStarted} {
-		w := newHarness(t, testSettings(), testFleet())
-		id, writer := w.arriveAndRead(unsafeClass)
-		w.handle(Event{Kind: AttemptEnded, Request: id, Attempt: 1, Server: writer, Outcome: o, Closed: true})
-		for _, s := range w.r.byID {
+		h := newHarness(t, testSettings(), testFleet())
+		id, writer := h.arriveAndRead(unsafeClass)
+		h.handle(Event{Kind: AttemptEnded, Request: id, Attempt: 1, Server: writer, Outcome: o, Closed: true})
+		for _, s := range h.r.byID {
 			if s.streams != 0 || s.bookedTokens != 0 || s.unanswered != 0 || s.queuedTokens != 0 {
 				t.Errorf("outcome %d left %+v", o, s)
 			}
 		}
-		if len(w.r.requests) != 0 {
-			t.Errorf("outcome %d: %d requests remembered", o, len(w.r.requests))
+		if len(h.r.requests) != 0 {
+			t.Errorf("outcome %d: %d requests are still known", o, len(h.r.requests))
 		}
 	}
 }
 
-// Events about what is already over, or was never known, change nothing.
-func TestOddEventsAreIgnored(t *testing.T) {
-	w := newHarness(t, testSettings(), testFleet())
-	w.serve()
+// Events about unknown or closed requests and unknown servers change nothing.
+func TestUnknownEventsAreIgnored(t *testing.T) {
+	h := newHarness(t, testSettings(), testFleet())
+	h.serve()
 	for _, ev := range []Event{
 		{Kind: AttemptEnded, Request: 1, Attempt: 0, Server: 1, Outcome: ReadDone, Closed: true},
 		{Kind: AttemptEnded, Request: 77, Server: 1, Outcome: Served}, {Kind: AttemptEnded, Request: 77, Server: 500},
@@ -403,7 +409,7 @@
 		{Kind: ClientLeft, Request: 1}, {Kind: ClientLeft, Request: 77}, {Kind: Timer, TimerID: 12345},
 		{Kind: Probed, Server: 500}, {Kind: ReservationAnswer, Request: 77}, {Kind: PeerMessage},
 	} {
-		for _, a := range w.handle(ev) {
+		for _, a := range h.handle(ev) {
 			if a.Kind != SetTimer {
 				t.Errorf("%+v led to %+v", ev, a)
 			}
@@ -411,18 +417,18 @@
 	}
 }
 
-// Without servers, or with one role missing, requests are refused at once.
-func TestNoServers(t *testing.T) {
+// Without servers, or without readers, requests are refused immediately.
+func TestNoServersRefuses(t *testing.T) {
 	for name, list := range map[string][]Listing{"none": nil, "writers only": testFleet()[2:]} {
-		w := newHarness(t, testSettings(), list)
-		if _, acts := w.arrive(safeClass); findAction(acts, Refuse) == nil {
+		h := newHarness(t, testSettings(), list)
+		if _, acts := h.arrive(safeClass); findAction(acts, Refuse) == nil {
 			t.Errorf("%s: got %v", name, actionKinds(acts))
 		}
 	}
 }
 
-// The design's writer choice: fit, then fewest own streams, then lowest booked cost, else the smallest
-// resulting footprint.
+// The order of the choice of a writer: enough memory, then fewest own streams, then lowest booked cost, or else
+// lowest projected use.
 func TestWriterChoice(t *testing.T) {
 	type state struct {
 		streams       int
@@ -430,309 +436,307 @@
 	}
 	tests := []struct {
 		name string
-		at   [3]state // servers 11, 12 and 13; 13 lies in another zone
+		at   [3]state // servers 11, 12 and 13; 13 is in another zone
 		want ServerID
 	}{
 		{"fewest streams", [3]state{{5, 0, 0.1}, {3, 9000, 0.1}, {9, 0, 0.1}}, 12},
 		{"lowest cost among equals", [3]state{{3, 9000, 0.1}, {3, 1000, 0.1}, {9, 0, 0.1}}, 12},
-		{"full ones are passed over", [3]state{{9, 9000, 0.5}, {0, 0, 0.97}, {0, 0, 0.97}}, 11},
-		{"none fits: smallest footprint", [3]state{{0, 0, 0.99}, {50, 9000, 0.95}, {0, 0, 0.97}}, 12},
-		{"no reports: filter off", [3]state{{4, 0, -1}, {2, 0, -1}, {9, 0, -1}}, 12},
+		{"full ones are skipped", [3]state{{9, 9000, 0.5}, {0, 0, 0.97}, {0, 0, 0.97}}, 11},
+		{"none fits: lowest projected use", [3]state{{0, 0, 0.99}, {50, 9000, 0.95}, {0, 0, 0.97}}, 12},
+		{"no reports: memory is not compared", [3]state{{4, 0, -1}, {2, 0, -1}, {9, 0, -1}}, 12},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			w := newHarness(t, testSettings(), testFleet())
-			id, acts := w.arrive(safeClass)
+			h := newHarness(t, testSettings(), testFleet())
+			id, acts := h.arrive(safeClass)
 			for i, st := range tt.at {
-				s := w.r.servers[ServerID(11+i)]
+				s := h.r.servers[ServerID(11+i)]
 				s.streams, s.bookedTokens, s.memoryUse = st.streams, st.booked, st.share
 			}
-			if got := w.sentTo(w.endAttempt(id, 0, w.sentTo(acts), ReadDone)); got != tt.want {
+			if got := h.sentTo(h.endAttempt(id, 0, h.sentTo(acts), ReadDone)); got != tt.want {
 				t.Errorf("picked %d, want %d", got, tt.want)
 			}
 		})
 	}
 }
 
-// Requests of one shared text are read at one server by every router, until too much waits there.
+// Every router reads requests with the same prefix at the same server, until too much waits there.
 func TestReaderChoice(t *testing.T) {
 	list := []Listing{}
 	for i := range 8 {
 		list = append(list, Listing{Server: ServerID(i + 1), Condition: Ready})
 	}
 	home := func(seed uint64) (ServerID, *harness) {
-		w := newHarness(t, testSettings(), list)
-		w.r.rng = seed
-		_, acts := w.arrive(safeClass)
-		return w.sentTo(acts), w
+		h := newHarness(t, testSettings(), list)
+		h.r.rng = seed
+		_, acts := h.arrive(safeClass)
+		return h.sentTo(acts), h
 	}
-	a, w := home(1)
+	a, h := home(1)
 	if b, _ := home(2); a != b {
-		t.Errorf("two routers read one text at %d and %d", a, b)
+		t.Errorf("two routers read one prefix at %d and %d", a, b)
 	}
-	w.r.servers[a].queuedTokens = 1e9
-	_, acts := w.arrive(safeClass)
-	next := w.sentTo(acts)
+	h.r.servers[a].queuedTokens = 1e9
+	_, acts := h.arrive(safeClass)
+	next := h.sentTo(acts)
 	if next == a {
-		t.Error("no spill from a home past its bound")
+		t.Error("no spillover from a reader above the bound")
 	}
-	for _, s := range w.r.byID {
+	for _, s := range h.r.byID {
 		s.queuedTokens = 2e9
 	}
-	w.r.servers[5].queuedTokens = 1e9
-	if _, acts := w.arrive(safeClass); w.sentTo(acts) != 5 {
-		t.Error("with all past the bound the fewest waiting tokens decide")
+	h.r.servers[5].queuedTokens = 1e9
+	if _, acts := h.arrive(safeClass); h.sentTo(acts) != 5 {
+		t.Error("with all above the bound the reader with the fewest waiting tokens was not picked")
 	}
 }
 
-// A server that fails or falls silent is left out, comes back after a good trial, and a router always
-// keeps a candidate.
+// A server that fails or stops responding is ejected, recovers after a successful trial request, and a router always
+// has a candidate.
 func TestHealth(t *testing.T) {
-	t.Run("a failed connect", func(t *testing.T) {
-		w := newHarness(t, testSettings(), testFleet())
-		id, writer := w.arriveAndRead(safeClass)
-		w.endAttempt(id, 1, writer, ConnectFailed)
-		s := w.r.servers[writer]
-		if !w.r.isSuspect(s, false) {
-			t.Error("not left out")
+	t.Run("failed connect", func(t *testing.T) {
+		h := newHarness(t, testSettings(), testFleet())
+		id, writer := h.arriveAndRead(safeClass)
+		h.endAttempt(id, 1, writer, ConnectFailed)
+		s := h.r.servers[writer]
+		if !h.r.isSuspect(s, false) {
+			t.Error("not ejected")
 		}
-		w.now = s.ejectedUntil
-		w.r.now = w.now
-		if w.r.isSuspect(s, false) || !w.r.isSuspect(s, true) {
-			t.Error("a trial is due, but not with what can't be repeated")
+		h.now = s.ejectedUntil
+		h.r.now = h.now
+		if h.r.isSuspect(s, false) || !h.r.isSuspect(s, true) {
+			t.Error("want a trial request to be allowed, but not one that can't be retried")
 		}
 	})
 	t.Run("silence", func(t *testing.T) {
-		w := newHarness(t, testSettings(), testFleet())
-		_, writer := w.arriveAndRead(unsafeClass)
-		w.now += Second
+		h := newHarness(t, testSettings(), testFleet())
+		_, writer := h.arriveAndRead(unsafeClass)
+		h.now += Second
 		for range 3 {
-			if _, other := w.arriveAndRead(safeClass); other == writer {
-				t.Fatal("sent to a silent writer while others are heard")
+			if _, other := h.arriveAndRead(safeClass); other == writer {
+				t.Fatal("sent to an unresponsive writer while others respond")
 			}
 		}
 	})
-	t.Run("all look dead", func(t *testing.T) {
-		w := newHarness(t, testSettings(), testFleet())
-		for _, s := range w.r.byID {
-			s.ejection, s.ejectedUntil = maxEjection, w.now+maxEjection
+	t.Run("all ejected", func(t *testing.T) {
+		h := newHarness(t, testSettings(), testFleet())
+		for _, s := range h.r.byID {
+			s.ejection, s.ejectedUntil = maxEjection, h.now+maxEjection
 		}
-		_, acts := w.arrive(safeClass)
-		w.sentTo(acts)
+		_, acts := h.arrive(safeClass)
+		h.sentTo(acts)
 	})
 }
 
-// A long prompt is given the time to be read: cutting it off would only read it again elsewhere.
-func TestLongPromptsAreNotCutOff(t *testing.T) {
-	w := newHarness(t, testSettings(), testFleet())
+// A long prompt gets enough time to be read: a timeout would only have it read again elsewhere.
+func TestLongPromptTimeout(t *testing.T) {
+	h := newHarness(t, testSettings(), testFleet())
 	for range 20 {
-		w.serve()
+		h.serve()
 	}
-	w.lastID++
-	acts := w.handle(Event{Kind: Arrived, Request: w.lastID, Job: Job{SessionID: 5, PromptTokens: 30000,
-		Deadline: w.now + 6*Second}})
-	if a := findAction(acts, Send); a == nil || float64(a.After) < 30000*w.r.nsPerToken {
-		t.Errorf("got %+v at a pace of %v ns a token", a, w.r.nsPerToken)
+	h.lastID++
+	acts := h.handle(Event{Kind: Arrived, Request: h.lastID, Job: Job{SessionID: 5, PromptTokens: 30000,
+		Deadline: h.now + 6*Second}})
+	if a := findAction(acts, Send); a == nil || float64(a.After) < 30000*h.r.nsPerToken {
+		t.Errorf("got %+v at %v ns per token", a, h.r.nsPerToken)
 	}
 }
 
-// Same events, same actions, whatever other instances do in between.
+// The same events lead to the same actions, whatever other instances do in between.
 func TestDeterminism(t *testing.T) {
 	play := func(other bool) (all []Action) {
-		w := newHarness(t, testSettings(), testFleet())
+		h := newHarness(t, testSettings(), testFleet())
 		o := newHarness(t, testSettings(), testFleet())
 		for i := range 200 {
 			if other {
 				o.serve()
 			}
-			id, acts := w.arrive(i % 2)
+			id, acts := h.arrive(i % 2)
 			all = append(all, acts...)
 			reader := findAction(acts, Send)
 			if reader == nil {
 				continue
 			}
-			acts = w.endAttempt(id, 0, reader.Server, []Outcome{ReadDone, ReadDone, Error, TimedOut}[i%4])
+			acts = h.endAttempt(id, 0, reader.Server, []Outcome{ReadDone, ReadDone, Error, TimedOut}[i%4])
 			all = append(all, acts...)
 			if a := findAction(acts, Send); a != nil && i%3 == 0 {
-				all = append(all, w.endAttempt(id, 1, a.Server, Error)...)
+				all = append(all, h.endAttempt(id, 1, a.Server, Error)...)
 			}
 		}
 		return all
 	}
 	first, again, mixed := play(false), play(false), play(true)
 	if len(first) < 400 || !reflect.DeepEqual(first, again) || !reflect.DeepEqual(first, mixed) {
-		t.Error("the same events led to other actions")
+		t.Error("the same events led to different actions")
 	}
 }
 
-// In overload requests are refused when they come, not failed when it is too late, and the classes of
-// less worth first.
-func TestOverloadIsRefusedAtArrival(t *testing.T) {
+// Under overload requests are refused on arrival instead of failing late, and classes of lower value first.
+func TestOverloadIsRefusedOnArrival(t *testing.T) {
 	refused := func(class int, share float64) (n int) {
 		set := testSettings()
 		set.Classes[1] = set.Classes[0]
 		set.Classes[1].Value = 3
-		w := newHarness(t, set, testFleet())
-		for _, s := range w.r.byID {
+		h := newHarness(t, set, testFleet())
+		for _, s := range h.r.byID {
 			s.memoryUse = share
 		}
 		for range 100 {
-			w.r.servers[11].sentTokens, w.r.servers[12].sentTokens, w.r.servers[13].sentTokens = 0, 0, 0
-			if _, acts := w.arrive(class); findAction(acts, Refuse) != nil {
+			h.r.servers[11].sentTokens, h.r.servers[12].sentTokens, h.r.servers[13].sentTokens = 0, 0, 0
+			if _, acts := h.arrive(class); findAction(acts, Refuse) != nil {
 				n++
 			}
 		}
 		return n
 	}
 	if n := refused(0, 0.5); n != 0 {
-		t.Errorf("%d refused while writers have room", n)
+		t.Errorf("%d refused while writers have free memory", n)
 	}
 	low, high := refused(0, 0.93), refused(1, 0.93)
 	if low == 0 || high >= low {
-		t.Errorf("with writers nearly full %d of the lesser and %d of the worthier were refused", low, high)
+		t.Errorf("with writers nearly full, %d of lower and %d of higher value were refused", low, high)
 	}
 }
 
-// A far writer must have fewer streams than a near one, by more while moves there are slow (incident
-// i49e514), and the memory of a jam fades.
-func TestJammedLinksAreAvoided(t *testing.T) {
-	w := newHarness(t, testSettings(), testFleet())
-	w.r.recordTransfer(sameCell, 50*ms)
-	calm := w.r.transferPenalty(otherZone)
-	if w.r.transferPenalty(sameCell) != 0 || w.r.transferPenalty(sameZone) <= 0 || calm <= w.r.transferPenalty(sameZone) {
-		t.Errorf("handicaps %v, %v, %v", w.r.transferPenalty(sameCell), w.r.transferPenalty(sameZone), calm)
+// A writer in another zone needs fewer streams than a near one to be picked, and still fewer while transfers there
+// are slow. The memory of congestion decays.
+func TestCongestedLinksAreAvoided(t *testing.T) {
+	h := newHarness(t, testSettings(), testFleet())
+	h.r.recordTransfer(sameCell, 50*ms)
+	normal := h.r.transferPenalty(otherZone)
+	if h.r.transferPenalty(sameCell) != 0 || h.r.transferPenalty(sameZone) <= 0 || normal <= h.r.transferPenalty(sameZone) {
+		t.Errorf("penalties %v, %v, %v", h.r.transferPenalty(sameCell), h.r.transferPenalty(sameZone), normal)
 	}
 	for range 10 {
-		w.r.recordTransfer(otherZone, 2*Second)
+		h.r.recordTransfer(otherZone, 2*Second)
 	}
-	jam := w.r.transferPenalty(otherZone)
-	w.r.now += 10 * congestionSpan
-	if jam < 4*calm || w.r.transferPenalty(otherZone) > 1.1*calm {
-		t.Errorf("calm %v, jam %v, later %v", calm, jam, w.r.transferPenalty(otherZone))
+	congested := h.r.transferPenalty(otherZone)
+	h.r.now += 10 * congestionSpan
+	if congested < 4*normal || h.r.transferPenalty(otherZone) > 1.1*normal {
+		t.Errorf("normal %v, congested %v, later %v", normal, congested, h.r.transferPenalty(otherZone))
 	}
 }
 
-// Beyond a tenant's share traffic is refused first when anything runs short, and only then (incident
-// ic62f1f: one tenant jumped to four times the traffic).
-func TestExcessOfATenantGoesFirst(t *testing.T) {
+// Requests over their tenant's quota are refused first when capacity is short, and only then, as when the traffic of
+// one tenant suddenly grows to four times as much.
+func TestOverQuotaIsRefusedFirst(t *testing.T) {
 	refused := func(tenant int, share float64) (n int) {
 		set := testSettings()
 		set.Tenants = []Tenant{{RequestsPerSecond: 1000}, {RequestsPerSecond: 2}}
-		w := newHarness(t, set, testFleet())
-		for _, s := range w.r.byID {
+		h := newHarness(t, set, testFleet())
+		for _, s := range h.r.byID {
 			s.memoryUse = share
 		}
 		for range 100 {
-			w.now += 10 * ms
-			w.r.servers[11].sentTokens, w.r.servers[12].sentTokens, w.r.servers[13].sentTokens = 0, 0, 0
-			w.lastID++
-			if findAction(w.handle(Event{Kind: Arrived, Request: w.lastID, Job: Job{Tenant: tenant, SessionID: uint64(w.lastID),
-				PromptTokens: 1000, Deadline: w.now + 4*Second}}), Refuse) != nil {
+			h.now += 10 * ms
+			h.r.servers[11].sentTokens, h.r.servers[12].sentTokens, h.r.servers[13].sentTokens = 0, 0, 0
+			h.lastID++
+			if findAction(h.handle(Event{Kind: Arrived, Request: h.lastID, Job: Job{Tenant: tenant, SessionID: uint64(h.lastID),
+				PromptTokens: 1000, Deadline: h.now + 4*Second}}), Refuse) != nil {
 				n++
 			}
 		}
 		return n
 	}
 	if n := refused(1, 0.3); n != 0 {
-		t.Errorf("%d of the excess refused while there is room", n)
+		t.Errorf("%d over quota refused while there is capacity", n)
 	}
 	if in, over := refused(0, 0.85), refused(1, 0.85); in != 0 || over < 50 {
-		t.Errorf("with writers short %d within the share and %d beyond were refused", in, over)
+		t.Errorf("with little free memory, %d within and %d over quota were refused", in, over)
 	}
 }
 
-// What this router itself has booked counts before any report tells of it (incident i49e514: the writers
-// left by a slow hall filled up between two reports).
-func TestOwnBooksShowBeforeReports(t *testing.T) {
-	w := newHarness(t, testSettings(), testFleet())
-	for _, s := range w.r.byID {
+// What this router has booked counts before reports show it, or else the writers that remain beside a slow zone fill
+// up between two reports.
+func TestOwnBookingsCountBeforeReports(t *testing.T) {
+	h := newHarness(t, testSettings(), testFleet())
+	for _, s := range h.r.byID {
 		s.memoryUse = 0.1
 		if s.role == Writer {
 			s.bookedTokens = 0.6 * s.memoryTokens
 		}
 	}
-	if _, acts := w.arrive(safeClass); findAction(acts, Refuse) == nil {
-		t.Errorf("two routers that hold 0.6 of the writers each: got %v", actionKinds(acts))
+	if _, acts := h.arrive(safeClass); findAction(acts, Refuse) == nil {
+		t.Errorf("two routers with 0.6 of the writers' memory booked each: got %v", actionKinds(acts))
 	}
 }
 
-// When many attempts time out it is the pool that is short: they then wait their turn, instead of being read
-// twice (incident i88a816).
-func TestTimeOutsAreRationed(t *testing.T) {
-	w := newHarness(t, testSettings(), testFleet())
-	var caps []Duration
+// Many timeouts show a shortage of servers. Requests then wait in the queues instead of being read twice.
+func TestTimeoutBudget(t *testing.T) {
+	h := newHarness(t, testSettings(), testFleet())
+	var timeouts []Duration
 	for range 4 {
-		id, acts := w.arrive(safeClass)
+		id, acts := h.arrive(safeClass)
 		a := findAction(acts, Send)
 		if a == nil {
-			t.Fatalf("refused after %d time-outs", len(caps))
+			t.Fatalf("refused after %d timeouts", len(timeouts))
 		}
-		caps = append(caps, a.After)
-		w.handle(Event{Kind: AttemptEnded, Request: id, Server: a.Server, Outcome: TimedOut, Elapsed: a.After})
-		w.handle(Event{Kind: ClientLeft, Request: id})
-		for _, s := range w.r.byID {
-			s.responses, s.ejection = 0, 0 // the times that were learned would refuse before
+		timeouts = append(timeouts, a.After)
+		h.handle(Event{Kind: AttemptEnded, Request: id, Server: a.Server, Outcome: TimedOut, Elapsed: a.After})
+		h.handle(Event{Kind: ClientLeft, Request: id})
+		for _, s := range h.r.byID {
+			s.responses, s.ejection = 0, 0 // or else the recorded times would lead to refusals
 			s.responseTime = 0
 		}
 	}
-	if first, last := caps[0], caps[len(caps)-1]; first >= 3*Second || last < 4*Second-ms {
-		t.Errorf("time-outs went from %v to %v", first, last)
+	if first, last := timeouts[0], timeouts[len(timeouts)-1]; first >= 3*Second || last < 4*Second-ms {
+		t.Errorf("timeouts went from %v to %v", first, last)
 	}
 }
 
-// A reader that fails fast keeps its texts: the errors cost a moment (standard day big-2 of lahore-hall).
-// A writer that fails is left out.
-func TestErrorsCountAtWritersOnly(t *testing.T) {
-	w := newHarness(t, testSettings(), testFleet())
-	id, acts := w.arrive(safeClass)
-	reader := w.r.servers[w.sentTo(acts)]
+// A reader that returns errors quickly is not ejected and keeps its prefix cache, as the errors cost little time. A
+// writer that fails is ejected.
+func TestErrorsEjectWritersOnly(t *testing.T) {
+	h := newHarness(t, testSettings(), testFleet())
+	id, acts := h.arrive(safeClass)
+	reader := h.r.servers[h.sentTo(acts)]
 	for range 5 {
-		w.endAttempt(id, 0, reader.id, Error)
-		w.handle(Event{Kind: ClientLeft, Request: id})
-		id, acts = w.arrive(safeClass)
-		if w.sentTo(acts) != reader.id {
-			t.Fatal("the home was left for errors")
+		h.endAttempt(id, 0, reader.id, Error)
+		h.handle(Event{Kind: ClientLeft, Request: id})
+		id, acts = h.arrive(safeClass)
+		if h.sentTo(acts) != reader.id {
+			t.Fatal("the preferred reader was skipped because of errors")
 		}
 	}
 	for range 2 {
-		id, writer := w.arriveAndRead(unsafeClass)
-		w.endAttempt(id, 1, writer, Error)
+		id, writer := h.arriveAndRead(unsafeClass)
+		h.endAttempt(id, 1, writer, Error)
 	}
-	if n := w.r.countServers(Writer, func(s *server) bool { return s.failureRate > 0 }); n == 0 {
-		t.Error("errors of writers are not counted")
+	if n := h.r.countServers(Writer, func(s *server) bool { return s.failureRate > 0 }); n == 0 {
+		t.Error("errors of writers were not counted")
 	}
 }
 
-// A reader with little own work waiting but long answers is passed over before anything is refused
-// (standard day rough-2 of lahore-hall: one slow home had its requests refused while others were idle).
-func TestLongQueuesArePassedOver(t *testing.T) {
-	w := newHarness(t, testSettings(), testFleet())
-	_, acts := w.arrive(safeClass)
-	home := w.r.servers[w.sentTo(acts)]
-	home.responseTime, home.responses, home.respondedAt = 100, minSamples, w.now
+// A reader with few own tokens waiting but long response times is skipped before anything is refused, or else the
+// requests of one slow preferred reader are refused while other readers are idle.
+func TestSlowReaderIsSkipped(t *testing.T) {
+	h := newHarness(t, testSettings(), testFleet())
+	_, acts := h.arrive(safeClass)
+	slow := h.r.servers[h.sentTo(acts)]
+	slow.responseTime, slow.responses, slow.respondedAt = 100, minSamples, h.now
 	for range 20 {
-		_, acts := w.arrive(safeClass)
-		if a := findAction(acts, Send); a == nil || a.Server == home.id {
-			t.Fatalf("got %+v with an idle reader beside a slow home", acts)
+		_, acts := h.arrive(safeClass)
+		if a := findAction(acts, Send); a == nil || a.Server == slow.id {
+			t.Fatalf("got %+v with an idle reader next to a slow one", acts)
 		}
-		w.r.servers[1].queuedTokens, w.r.servers[2].queuedTokens = 0, 0
+		h.r.servers[1].queuedTokens, h.r.servers[2].queuedTokens = 0, 0
 	}
 }
 
-// A router that starts while servers are cold sends to them as soon as it knows its traffic, not only when
-// they are warm (incident iac8fbb: it waited out a gap that was set when it knew of no traffic).
-func TestStartedRouterUsesColdServers(t *testing.T) {
+// A router that starts while servers are cold sends to them as soon as it knows its traffic, not only when they are
+// warm. It must not keep to an interval that was set when it knew of no traffic.
+func TestNewRouterUsesColdServers(t *testing.T) {
 	list := testFleet()
 	for i := range list {
 		if list[i].Server == 12 {
 			list[i].StartedAt = 999 * Second
 		}
 	}
-	w := newHarness(t, testSettings(), list)
+	h := newHarness(t, testSettings(), list)
 	first := Time(0)
 	for range 100 {
-		if w.serve() == 12 && first == 0 {
-			first = w.now
+		if h.serve() == 12 && first == 0 {
+			first = h.now
 		}
 	}
 	if first == 0 || first-1000*Second > 3*Second {
@@ -740,59 +744,59 @@
 	}
 }
 
-// An attempt that later ones have overtaken is lost, which says nothing of the server and of its queue (incident
-// i9f567c: a fifth of all messages lost).
-func TestLossesAreNotSlowness(t *testing.T) {
-	w := newHarness(t, testSettings(), testFleet())
+// An attempt is lost if its server responds to later ones before it. That says nothing of the server and its queue,
+// and must not count against it when, say, a fifth of all messages is lost.
+func TestLostAttemptDoesNotCountAsSlow(t *testing.T) {
+	h := newHarness(t, testSettings(), testFleet())
 	for range 10 {
-		w.serve()
+		h.serve()
 	}
-	id, acts := w.arrive(safeClass)
-	s := w.r.servers[w.sentTo(acts)]
-	w.now += 10 * ms
-	w.serve() // the home answers a later one
-	before, again := s.responseTime, w.r.timeoutBudget
-	w.now += Second
-	if acts := w.handle(Event{Kind: AttemptEnded, Request: id, Server: s.id, Outcome: TimedOut, Elapsed: Second}); findAction(acts, Send) == nil {
-		t.Errorf("not tried again: %v", actionKinds(acts))
+	id, acts := h.arrive(safeClass)
+	s := h.r.servers[h.sentTo(acts)]
+	h.now += 10 * ms
+	h.serve() // the reader answers a later one
+	before, budget := s.responseTime, h.r.timeoutBudget
+	h.now += Second
+	if acts := h.handle(Event{Kind: AttemptEnded, Request: id, Server: s.id, Outcome: TimedOut, Elapsed: Second}); findAction(acts, Send) == nil {
+		t.Errorf("not retried: %v", actionKinds(acts))
 	}
-	if s.responseTime != before || w.r.timeoutBudget != again || s.failureRate > 0.01 {
-		t.Errorf("answer %v -> %v, time-outs left %v -> %v, failing %v", before, s.responseTime, again, w.r.timeoutBudget, s.failureRate)
+	if s.responseTime != before || h.r.timeoutBudget != budget || s.failureRate > 0.01 {
+		t.Errorf("response time %v -> %v, timeout budget %v -> %v, failure rate %v", before, s.responseTime, budget, h.r.timeoutBudget, s.failureRate)
 	}
 }
 
-// In a calm pool a server that was heard since the send has lost the attempt, too, in a pool whose answers are slow
-// it has not (incident i041308: a tenth of all messages lost).
-func TestLossInACalmPool(t *testing.T) {
+// If typical response times are short and a server has responded since the send, the attempt counts as lost, as when
+// a tenth of all messages is lost. If responses are slow everywhere it does not.
+func TestLossWithShortResponseTimes(t *testing.T) {
 	for _, tt := range []struct {
 		answer float64
 		lost   bool
 	}{{1, true}, {2 * calmFactor, false}} {
-		w := newHarness(t, testSettings(), testFleet())
-		first, acts := w.arrive(safeClass)
-		s := w.r.servers[w.sentTo(acts)]
-		w.now += ms
-		second, acts := w.arrive(safeClass)
-		if w.sentTo(acts) != s.id {
-			t.Fatal("two homes for one text")
+		h := newHarness(t, testSettings(), testFleet())
+		first, acts := h.arrive(safeClass)
+		s := h.r.servers[h.sentTo(acts)]
+		h.now += ms
+		second, acts := h.arrive(safeClass)
+		if h.sentTo(acts) != s.id {
+			t.Fatal("one prefix was read at two servers")
 		}
-		w.now += 10 * ms
-		w.handle(Event{Kind: AttemptEnded, Request: first, Server: s.id, Outcome: ReadDone, Elapsed: 11 * ms, CachedTokens: 800})
-		for _, o := range w.r.byID {
+		h.now += 10 * ms
+		h.handle(Event{Kind: AttemptEnded, Request: first, Server: s.id, Outcome: ReadDone, Elapsed: 11 * ms, CachedTokens: 800})
+		for _, o := range h.r.byID {
 			o.responseTime, o.responses = tt.answer, minSamples
 		}
-		again := w.r.timeoutBudget
-		w.now += Second
-		w.handle(Event{Kind: AttemptEnded, Request: second, Server: s.id, Outcome: TimedOut, Elapsed: Second + 10*ms})
-		if lost := w.r.timeoutBudget == again; lost != tt.lost {
-			t.Errorf("usual time %v: taken for lost: %v", tt.answer, lost)
+		budget := h.r.timeoutBudget
+		h.now += Second
+		h.handle(Event{Kind: AttemptEnded, Request: second, Server: s.id, Outcome: TimedOut, Elapsed: Second + 10*ms})
+		if lost := h.r.timeoutBudget == budget; lost != tt.lost {
+			t.Errorf("typical time %v: counted as lost: %v", tt.answer, lost)
 		}
 	}
 }
 
-// Where no reader is left, a mixed server reads by itself, as an attempt that may run (rule 2), and a writer is
-// not sent what it can't read.
-func TestMixedServersReadAlone(t *testing.T) {
+// Without readers a server of kind Both also reads, in an attempt that may execute the request (rule 2). A writer
+// that can't read gets nothing.
+func TestMixedServersReadWithoutReaders(t *testing.T) {
 	set := testSettings()
 	set.Kinds = append(set.Kinds, Kind{Role: Both, Memory: 150e3})
 	list := append(testFleet()[2:], Listing{Server: 21, Kind: 2, Condition: Ready},
@@ -801,55 +805,56 @@
 		class int
 		want  ActionKind
 	}{{safeClass, Send}, {unsafeClass, Fail}} {
-		w := newHarness(t, set, list)
-		id, acts := w.arrive(tt.class)
-		s := w.sentTo(acts)
+		h := newHarness(t, set, list)
+		id, acts := h.arrive(tt.class)
+		s := h.sentTo(acts)
 		if s != 21 && s != 22 {
 			t.Fatalf("sent to %d", s)
 		}
-		if acts := w.endAttempt(id, 0, s, Error); findAction(acts, tt.want) == nil {
+		if acts := h.endAttempt(id, 0, s, Error); findAction(acts, tt.want) == nil {
 			t.Errorf("class %d: got %v", tt.class, actionKinds(acts))
 		}
 	}
 }
 
-// Rule 2: after a keyed attempt that may have run, not even a reader outside the group is sent the request.
-func TestKeyedIsNotReadOutsideItsGroup(t *testing.T) {
+// Rule 2: after an attempt that may have executed a keyed request, not even a reader outside its scope gets the
+// request.
+func TestKeyedIsNotReadOutsideScope(t *testing.T) {
 	list := testFleet()
-	list[0].Zone, list[1].Zone = 1, 1 // both readers are in the other zone than the first writers
-	w := newHarness(t, testSettings(), list)
-	id, acts := w.arrive(keyedZone)
-	reader := w.sentTo(acts)
-	writer := w.sentTo(w.endAttempt(id, 0, reader, ReadDone))
-	w.now += ms
-	w.handle(Event{Kind: ListChanged, Servers: []Listing{{Server: reader, Zone: 1}}}) // its state is gone
-	acts = w.handle(Event{Kind: AttemptEnded, Request: id, Attempt: 1, Server: writer, Outcome: Reset})
-	if a := findAction(acts, Send); a != nil && w.r.servers[a.Server].zone != w.r.servers[writer].zone {
-		t.Errorf("from writer %d sent on to %d", writer, a.Server)
+	list[0].Zone, list[1].Zone = 1, 1 // both readers are in another zone than the first writers
+	h := newHarness(t, testSettings(), list)
+	id, acts := h.arrive(keyedZone)
+	reader := h.sentTo(acts)
+	writer := h.sentTo(h.endAttempt(id, 0, reader, ReadDone))
+	h.now += ms
+	h.handle(Event{Kind: ListChanged, Servers: []Listing{{Server: reader, Zone: 1}}}) // its KV state is lost
+	acts = h.handle(Event{Kind: AttemptEnded, Request: id, Attempt: 1, Server: writer, Outcome: Reset})
+	if a := findAction(acts, Send); a != nil && h.r.servers[a.Server].zone != h.r.servers[writer].zone {
+		t.Errorf("sent from writer %d to %d", writer, a.Server)
 	}
 }
 
-// A failed asking for the list is asked again, but not in the same breath.
-func TestFailedListIsAskedAgain(t *testing.T) {
+// A failed watch of the server list is repeated, but not immediately.
+func TestFailedWatchIsRepeated(t *testing.T) {
 	set := testSettings()
 	set.PullMembership = true
-	w := newHarness(t, set, testFleet())
-	if acts := w.handle(Event{Kind: ListFailed}); findAction(acts, WatchList) != nil {
-		t.Error("asked again at once")
+	h := newHarness(t, set, testFleet())
+	if acts := h.handle(Event{Kind: ListFailed}); findAction(acts, WatchList) != nil {
+		t.Error("the watch was repeated immediately")
 	}
-	asked := 0
+	watches := 0
 	for range 200 {
-		w.now += checkInterval
-		if findAction(w.handle(Event{Kind: Timer}), WatchList) != nil {
-			asked++
+		h.now += checkInterval
+		if findAction(h.handle(Event{Kind: Timer}), WatchList) != nil {
+			watches++
 		}
 	}
-	if asked != 1 {
-		t.Errorf("asked %d times", asked)
+	if watches != 1 {
+		t.Errorf("watched %d times", watches)
 	}
 }
 
-// Rules 1, 2 and 5 over every class, place, outcome and time: either one send or one answer follows, as the class
+// Rules 1, 2 and 5 for every class, stage, outcome and time: either one send or one answer follows, as the class
 // allows, and an answer leaves nothing held.
 func TestEveryOutcomeOfEveryClass(t *testing.T) {
 	for class := safeClass; class <= keyedCell; class++ {
@@ -859,15 +864,15 @@
 					if atWriter && o == ReadDone {
 						continue
 					}
-					w := newHarness(t, testSettings(), testFleet())
-					id, acts := w.arrive(class)
-					s := w.sentTo(acts)
+					h := newHarness(t, testSettings(), testFleet())
+					id, acts := h.arrive(class)
+					s := h.sentTo(acts)
 					attempt := 0
 					if atWriter {
-						s, attempt = w.sentTo(w.endAttempt(id, 0, s, ReadDone)), 1
+						s, attempt = h.sentTo(h.endAttempt(id, 0, s, ReadDone)), 1
 					}
-					w.now += late
-					acts = w.handle(Event{Kind: AttemptEnded, Request: id, Attempt: attempt, Server: s, Outcome: o, Elapsed: late})
+					h.now += late
+					acts = h.handle(Event{Kind: AttemptEnded, Request: id, Attempt: attempt, Server: s, Outcome: o, Elapsed: late})
 					send, refuse, fail := findAction(acts, Send), findAction(acts, Refuse), findAction(acts, Fail)
 					n := 0
 					for _, a := range []*Action{send, refuse, fail} {
@@ -879,15 +884,15 @@
 						t.Fatalf("class %d, outcome %d, writer %v, after %v: %v", class, o, atWriter, late, actionKinds(acts))
 					}
 					ran := atWriter && o != Full && o != ConnectFailed && o != NotStarted && o != ReadDone
-					rep, scope := w.r.cfg.Classes[class].RetryPolicy, w.r.cfg.Classes[class].DedupScope
+					rep, scope := h.r.cfg.Classes[class].RetryPolicy, h.r.cfg.Classes[class].DedupScope
 					switch {
 					case ran && rep == Unsafe && fail == nil,
-						ran && rep == Keyed && send != nil && late+w.r.cfg.DialTimeout >= w.r.cfg.Classes[class].DedupWindow,
+						ran && rep == Keyed && send != nil && late+h.r.cfg.DialTimeout >= h.r.cfg.Classes[class].DedupWindow,
 						ran && rep == Keyed && refuse != nil && scope != ScopeAll:
 						t.Errorf("class %d, outcome %d after %v: %v breaks rule 2", class, o, late, actionKinds(acts))
 					case ran && rep == Keyed && send != nil && scope == ScopeZone &&
-						w.r.servers[send.Server].zone != w.r.servers[s].zone:
-						t.Errorf("class %d: sent out of its zone", class)
+						h.r.servers[send.Server].zone != h.r.servers[s].zone:
+						t.Errorf("class %d: sent to another zone", class)
 					case send == nil && (atWriter || o == ReadDone) && findAction(acts, Release) == nil:
 						t.Errorf("class %d, outcome %d: answered without a release", class, o)
 					}
@@ -897,7 +902,7 @@
 	}
 }
 
-// Probes are earned by requests: with hundreds of routers over a large fleet their price must not grow.
+// Requests earn the probes: with hundreds of routers and a large fleet the cost of probes per request must not grow.
 func TestProbesAreEarned(t *testing.T) {
 	set := testSettings()
 	set.Routers, set.Probing, set.ProbeCost = 200, true, 0.005
@@ -905,246 +910,249 @@
 	for id := ServerID(1); id <= 60; id++ {
 		list = append(list, Listing{Server: id, Kind: int(id) % 2, Condition: Ready})
 	}
-	w := newHarness(t, set, list)
-	probes, checks, requests := 0, 0, 0
-	for i := 0; i < 600; i++ { // a minute
-		w.now += 100 * ms
+	h := newHarness(t, set, list)
+	probes, reachProbes, requests := 0, 0, 0
+	for i := 0; i < 600; i++ { // one minute
+		h.now += 100 * ms
 		if i%20 == 0 {
-			w.arrive(safeClass)
+			h.arrive(safeClass)
 			requests++
 		}
-		for _, a := range w.handle(Event{Kind: Timer}) {
+		for _, a := range h.handle(Event{Kind: Timer}) {
 			if a.Kind != Probe {
 				continue
 			}
 			if a.NewConnection {
-				checks++
+				reachProbes++
 			} else {
 				probes++
 			}
-			w.handle(Event{Kind: Probed, Server: a.Server, NewConnection: a.NewConnection, Outcome: Served})
+			h.handle(Event{Kind: Probed, Server: a.Server, NewConnection: a.NewConnection, Outcome: Served})
 		}
 	}
-	// No request here is ever answered, and the reader of each is asked a few times whether it can be reached.
-	if checks > maxReachProbes*requests {
-		t.Errorf("%d checks of servers for %d requests without an answer", checks, requests)
+	// No request is ever answered here, and the reader of each gets a few reachability probes.
+	if reachProbes > maxReachProbes*requests {
+		t.Errorf("%d reachability probes for %d requests without an answer", reachProbes, requests)
 	}
 	if cost := float64(probes) * set.ProbeCost / float64(requests); probes == 0 || cost > 1.2*maxProbeCost {
 		t.Errorf("%d probes for %d requests cost %.4f, allowed %.4f", probes, requests, cost, maxProbeCost)
 	}
 }
 
-// In a collapse most sends fail: they must not pass for capacity when a cold server's budget is guessed.
-func TestFailedSendsAreNoCapacity(t *testing.T) {
-	gap := func(o Outcome) Duration {
-		w := newHarness(t, testSettings(), testFleet())
+// Under a collapse most sends fail. They must not count as capacity when a slow-start budget is estimated.
+func TestFailedSendsAddNoSlowStartBudget(t *testing.T) {
+	interval := func(o Outcome) Duration {
+		h := newHarness(t, testSettings(), testFleet())
 		for i := 0; i < 50; i++ {
-			id, acts := w.arrive(safeClass)
-			w.endAttempt(id, 0, w.sentTo(acts), o)
-			w.handle(Event{Kind: ClientLeft, Request: id})
+			id, acts := h.arrive(safeClass)
+			h.endAttempt(id, 0, h.sentTo(acts), o)
+			h.handle(Event{Kind: ClientLeft, Request: id})
 		}
-		return w.r.slowStartInterval(Reader, 1)
+		return h.r.slowStartInterval(Reader, 1)
 	}
-	if done, failed := gap(ReadDone), gap(Full); done >= failed || failed != testSettings().SlowStartTime {
-		t.Errorf("gap after reads %d, after failures %d: failures must not open the budget", done, failed)
+	if done, failed := interval(ReadDone), interval(Full); done >= failed || failed != testSettings().SlowStartTime {
+		t.Errorf("interval after reads %d, after failures %d: failures must not add to the budget", done, failed)
 	}
 }
 
-// With many routers hardly any has two streams at one writer: a far one must not wait for that.
+// With many routers hardly any router has two streams at one writer. A writer in another zone must be used before
+// that.
 func TestFarWritersAreUsedByManyRouters(t *testing.T) {
 	set := testSettings()
 	set.Routers = 100
-	w := newHarness(t, set, testFleet())
+	h := newHarness(t, set, testFleet())
 	far := 0
 	for i := 0; i < 3; i++ {
-		if _, s := w.arriveAndRead(safeClass); s == 13 {
+		if _, s := h.arriveAndRead(safeClass); s == 13 {
 			far++
 		}
 	}
 	if far != 1 {
-		t.Errorf("%d of three streams went to the far writer, one expected", far)
+		t.Errorf("%d of three streams went to the far writer, want one", far)
 	}
 }
 
-// Three readers and one writer in a cell, one reader and three writers in the next: with many routers the first
-// cell's states must not all go to its one writer, nor the second cell's leave it.
-func TestCrowdedCellsLetStatesGo(t *testing.T) {
+// One cell has three readers and one writer, the next one reader and three writers. With many routers the KV states
+// of the first cell must not all go to its one writer, and those of the second must not leave it.
+func TestCrowdedCellSendsStatesAway(t *testing.T) {
 	set := testSettings()
 	set.Routers = 200
 	list := []Listing{}
 	for i, kind := range []int{0, 0, 0, 1, 0, 1, 1, 1} {
 		list = append(list, Listing{Server: ServerID(i + 1), Kind: kind, Cell: i / 4, Condition: Ready})
 	}
-	w := newHarness(t, set, list)
+	h := newHarness(t, set, list)
 	sent := [2][2]int{}
 	for i := 0; i < 300; i++ {
-		q := &request{job: Job{PromptTokens: 1000}, stateAt: w.r.servers[ServerID(1+i%2*4)]}
-		sent[q.stateAt.cell][w.r.pickWriter(q, true).cell]++
+		q := &request{job: Job{PromptTokens: 1000}, stateAt: h.r.servers[ServerID(1+i%2*4)]}
+		sent[q.stateAt.cell][h.r.pickWriter(q, true).cell]++
 	}
 	if kept := sent[0][0]; kept < 30 || kept > 75 {
-		t.Errorf("the crowded cell kept %d of 150 states, about a third expected", kept)
+		t.Errorf("the crowded cell kept %d of 150 KV states, want about a third", kept)
 	}
 	if sent[1][0] != 0 {
-		t.Errorf("%d states went into the crowded cell", sent[1][0])
+		t.Errorf("%d KV states went into the crowded cell", sent[1][0])
 	}
 }
 
-// With many routers each uses one server so rarely that what it learnt there must last longer, and the shared
-// text is usually kept there already, by the reads of others.
+// With many routers each uses a server so rarely that what it learns there must be kept longer. The shared prefix is
+// typically cached there already, by the reads of other routers.
 func TestRareUseIsRemembered(t *testing.T) {
 	for _, c := range []struct {
-		routers int
-		slow    bool
-		fresh   float64
+		routers  int
+		slow     bool
+		uncached float64
 	}{{2, false, 1000}, {200, true, 200}} {
 		set := testSettings()
 		set.Routers = c.routers
-		w := newHarness(t, set, testFleet())
-		s := w.r.servers[1]
-		s.responseTime, s.responses, s.respondedAt = 10, 1, w.now
-		w.now += 10 * Second
-		for i := 0; i < 60; i++ { // the other reader finds the text kept each time, though it is new here
-			id, acts := w.arrive(safeClass)
-			reader := w.sentTo(acts)
-			w.r.servers[reader].cachedTokens = map[uint64]float64{}
-			w.now += 20 * ms
-			w.handle(Event{Kind: AttemptEnded, Request: id, Server: reader, Outcome: ReadDone, CachedTokens: 800, Elapsed: 20 * ms})
-			w.handle(Event{Kind: ClientLeft, Request: id})
+		h := newHarness(t, set, testFleet())
+		s := h.r.servers[1]
+		s.responseTime, s.responses, s.respondedAt = 10, 1, h.now
+		h.now += 10 * Second
+		for i := 0; i < 60; i++ { // the other reader finds the prefix cached each time, though this router has not sent it
+			id, acts := h.arrive(safeClass)
+			reader := h.sentTo(acts)
+			h.r.servers[reader].cachedTokens = map[uint64]float64{}
+			h.now += 20 * ms
+			h.handle(Event{Kind: AttemptEnded, Request: id, Server: reader, Outcome: ReadDone, CachedTokens: 800, Elapsed: 20 * ms})
+			h.handle(Event{Kind: ClientLeft, Request: id})
 		}
-		s.responseTime, s.respondedAt = 10, w.now-10*Second
-		if got := w.r.recentResponseTime(s) > 1; got != c.slow {
-			t.Errorf("%d routers: slow answer remembered after 10 s: %v", c.routers, got)
+		s.responseTime, s.respondedAt = 10, h.now-10*Second
+		if got := h.r.recentResponseTime(s) > 1; got != c.slow {
+			t.Errorf("%d routers: slow response still counts after 10 s: %v", c.routers, got)
 		}
 		q := &request{prefixKey: 5, job: Job{PrefixID: 5, PromptTokens: 1000, PrefixTokens: 800}}
-		if got := w.r.uncachedTokens(q, s); got < c.fresh || got > c.fresh+10 {
-			t.Errorf("%d routers: %g tokens taken for new, %g expected", c.routers, got, c.fresh)
+		if got := h.r.uncachedTokens(q, s); got < c.uncached || got > c.uncached+10 {
+			t.Errorf("%d routers: %g tokens taken as uncached, want %g", c.routers, got, c.uncached)
 		}
 	}
 }
 
-// With many routers a server is met every half minute: its first failure must count.
+// With many routers a router sends to a server every half minute: the first failure must count.
 func TestFirstFailureCountsWithManyRouters(t *testing.T) {
-	for routers, left := range map[int]bool{2: false, 200: true} {
+	for routers, ejected := range map[int]bool{2: false, 200: true} {
 		set := testSettings()
 		set.Routers = routers
-		w := newHarness(t, set, testFleet())
-		id, writer := w.arriveAndRead(safeClass)
-		w.endAttempt(id, 1, writer, Error)
-		if got := w.r.isSuspect(w.r.servers[writer], false); got != left {
-			t.Errorf("%d routers: left out after one error: %v", routers, got)
+		h := newHarness(t, set, testFleet())
+		id, writer := h.arriveAndRead(safeClass)
+		h.endAttempt(id, 1, writer, Error)
+		if got := h.r.isSuspect(h.r.servers[writer], false); got != ejected {
+			t.Errorf("%d routers: ejected after one error: %v", routers, got)
 		}
 	}
 }
 
-// With many routers no server is heard four times in a minute: one answer of each must do for the usual time.
-func TestUsualTimesOfManyRouters(t *testing.T) {
+// With many routers no server responds to one router four times a minute: one response of each must do for the
+// typical time.
+func TestTypicalTimeWithManyRouters(t *testing.T) {
 	for routers, want := range map[int]float64{2: 0, 200: 6} {
 		set := testSettings()
 		set.Routers = routers
-		w := newHarness(t, set, testFleet())
+		h := newHarness(t, set, testFleet())
 		for _, id := range []ServerID{11, 12, 13} {
-			w.r.recordTime(w.r.servers[id], 6)
+			h.r.recordTime(h.r.servers[id], 6)
 		}
-		if got := w.r.typicalTime(Writer, nil); got != want {
-			t.Errorf("%d routers: usual time %g after one answer of each, %g expected", routers, got, want)
+		if got := h.r.typicalTime(Writer, nil); got != want {
+			t.Errorf("%d routers: typical time %g after one response of each, want %g", routers, got, want)
 		}
 	}
 }
 
-// The reader picked was never heard, the rest of its pool is ten times late: with many routers that counts.
-func TestUnheardReadersAreJudgedByTheirPool(t *testing.T) {
+// If the picked reader has never responded and the other readers respond ten times too late, that counts with many
+// routers.
+func TestUnknownReaderIsJudgedByOthers(t *testing.T) {
 	refusal := func(routers int) float64 {
 		set := testSettings()
 		set.Routers = routers
-		w := newHarness(t, set, testFleet())
-		w.r.recordTime(w.r.servers[2], 40)
-		w.r.recordTime(w.r.servers[2], 40)
+		h := newHarness(t, set, testFleet())
+		h.r.recordTime(h.r.servers[2], 40)
+		h.r.recordTime(h.r.servers[2], 40)
 		q := &request{prefixKey: 1, job: Job{PrefixID: 1, PromptTokens: 1000}}
-		for key := uint64(1); w.r.pickReader(q).id != 1; key++ {
+		for key := uint64(1); h.r.pickReader(q).id != 1; key++ {
 			q.prefixKey = key
 		}
-		return w.r.refusalProbability(q)
+		return h.r.refusalProbability(q)
 	}
 	if few, many := refusal(2), refusal(200); few != 0 || many < 0.5 {
-		t.Errorf("refused with chance %g by one of two routers, %g by one of 200", few, many)
+		t.Errorf("refused with probability %g by one of two routers, %g by one of 200", few, many)
 	}
 }
 
-// Unknown classes and kinds, hundreds of servers and routers, servers that leave and come back under their name:
-// nothing of it stops a router, and nothing is sent where it must not be.
-func TestOddFleets(t *testing.T) {
+// Unknown classes and kinds, hundreds of servers and routers, and servers that are removed and return under the same
+// id stop no router, and nothing is sent where it must not be.
+func TestUnusualFleets(t *testing.T) {
 	set := testSettings()
 	set.Routers = 400
 	list := []Listing{{Server: 9999, Kind: 7, Condition: Ready}}
 	for id := ServerID(1); id <= 500; id++ {
 		list = append(list, Listing{Server: id, Kind: int(id) % 2, Cell: int(id) / 6, Condition: Ready})
 	}
-	w := newHarness(t, set, list)
-	w.lastID++
-	odd := w.handle(Event{Kind: Arrived, Request: w.lastID, Job: Job{Class: 99, PromptTokens: 10, Deadline: w.now + Second}})
+	h := newHarness(t, set, list)
+	h.lastID++
+	odd := h.handle(Event{Kind: Arrived, Request: h.lastID, Job: Job{Class: 99, PromptTokens: 10, Deadline: h.now + Second}})
 	if len(odd) != 1 || odd[0].Kind != Fail {
-		t.Errorf("a class that the settings don't name got %+v, one failure expected", odd)
+		t.Errorf("an unknown class got %+v, want one failure", odd)
 	}
 	for i := 0; i < 100; i++ {
-		if _, s := w.arriveAndRead(safeClass); s == 9999 {
+		if _, s := h.arriveAndRead(safeClass); s == 9999 {
 			t.Fatal("sent to a server of unknown kind")
 		}
 	}
-	w.handle(Event{Kind: ListChanged, Servers: []Listing{{Server: 1, Kind: 1, Condition: Gone}}})
+	h.handle(Event{Kind: ListChanged, Servers: []Listing{{Server: 1, Kind: 1, Condition: Gone}}})
 	for i := 0; i < 300; i++ {
-		if _, s := w.arriveAndRead(safeClass); s == 1 {
-			t.Fatal("sent to a server that has left")
+		if _, s := h.arriveAndRead(safeClass); s == 1 {
+			t.Fatal("sent to a removed server")
 		}
 	}
-	w.handle(Event{Kind: ListChanged, Servers: []Listing{{Server: 1, Kind: 1, Condition: Ready, StartedAt: w.now}}})
-	if s := w.r.servers[1]; !s.ready || !w.r.isCold(s) || s.ejection != 0 {
-		t.Errorf("back under its name: ready %v, cold %v, bench %d", s.ready, w.r.isCold(s), s.ejection)
+	h.handle(Event{Kind: ListChanged, Servers: []Listing{{Server: 1, Kind: 1, Condition: Ready, StartedAt: h.now}}})
+	if s := h.r.servers[1]; !s.ready || !h.r.isCold(s) || s.ejection != 0 {
+		t.Errorf("returned under the same id: ready %v, cold %v, ejection %d", s.ready, h.r.isCold(s), s.ejection)
 	}
 }
 
-// A year of replaced servers must not fill the memory, nor may a server be forgotten that still owes an
-// outcome.
-func TestServersThatLeftAreForgotten(t *testing.T) {
-	w := newHarness(t, testSettings(), testFleet())
-	_, writer := w.arriveAndRead(safeClass) // its attempt at the writer is out
+// Removed servers are forgotten, or else the replaced servers of a year would fill the memory. A server whose attempt
+// has no outcome yet is not forgotten.
+func TestRemovedServersAreForgotten(t *testing.T) {
+	h := newHarness(t, testSettings(), testFleet())
+	_, writer := h.arriveAndRead(safeClass) // its attempt at the writer is in flight
 	for i := range 50 {
 		id := ServerID(1000 + i)
-		w.now += forgetAfter / 4
-		w.handle(Event{Kind: ListChanged, Servers: []Listing{{Server: id, Kind: 0, Condition: Ready}}})
-		w.handle(Event{Kind: ListChanged, Servers: []Listing{{Server: id, Kind: 0, Condition: Gone}}})
+		h.now += forgetAfter / 4
+		h.handle(Event{Kind: ListChanged, Servers: []Listing{{Server: id, Kind: 0, Condition: Ready}}})
+		h.handle(Event{Kind: ListChanged, Servers: []Listing{{Server: id, Kind: 0, Condition: Gone}}})
 	}
-	if n, most := len(w.r.byID), len(testFleet())+5; n > most || len(w.r.servers) != n {
-		t.Errorf("%d servers (%d by id) are remembered, at most %d should be", n, len(w.r.servers), most)
+	if n, limit := len(h.r.byID), len(testFleet())+5; n > limit || len(h.r.servers) != n {
+		t.Errorf("%d servers (%d by id) are known, want at most %d", n, len(h.r.servers), limit)
 	}
 	var all []Listing
 	for _, l := range testFleet() {
 		l.Condition = Gone
 		all = append(all, l)
 	}
-	w.handle(Event{Kind: ListChanged, Servers: all})
-	w.now += 2 * forgetAfter
-	w.handle(Event{Kind: ListChanged})
-	if len(w.r.byID) != 1 || w.r.servers[writer] == nil {
-		t.Errorf("%d servers are left, want the one writer whose attempt is out", len(w.r.byID))
+	h.handle(Event{Kind: ListChanged, Servers: all})
+	h.now += 2 * forgetAfter
+	h.handle(Event{Kind: ListChanged})
+	if len(h.r.byID) != 1 || h.r.servers[writer] == nil {
+		t.Errorf("%d servers are known, want the one writer with an attempt in flight", len(h.r.byID))
 	}
 }
 
-// Where the settings do not tell the writers' memory, the own books say nothing of how full they are.
-func TestUntoldMemoryIsNotFull(t *testing.T) {
+// If the settings do not give the writers' memory, own bookings say nothing of how full they are.
+func TestUnknownMemoryIsNotFull(t *testing.T) {
 	set := testSettings()
 	set.Kinds[1].Memory = 0
-	w := newHarness(t, set, testFleet())
+	h := newHarness(t, set, testFleet())
 	for _, s := range []ServerID{11, 12, 13} {
-		w.handle(Event{Kind: Probed, Server: s, Report: Report{MemoryUse: 0.1, QueuedKTokens: -1, Latency: -1}})
+		h.handle(Event{Kind: Probed, Server: s, Report: Report{MemoryUse: 0.1, QueuedKTokens: -1, Latency: -1}})
 	}
-	w.arriveAndRead(safeClass) // one stream is booked
-	if _, acts := w.arrive(safeClass); findAction(acts, Refuse) != nil {
-		t.Error("a request was refused for writers of a memory that is not told")
+	h.arriveAndRead(safeClass) // one stream is booked
+	if _, acts := h.arrive(safeClass); findAction(acts, Refuse) != nil {
+		t.Error("a request was refused although the writers' memory is unknown")
 	}
 }
 
-// The median without one server is that of the others' times, whatever was asked before.
-func TestUsualIsTheMedianOfTheOthers(t *testing.T) {
+// The median without one server is that of the other servers' times, whatever was computed before.
+func TestTypicalTimeIsMedianOfOthers(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 300 {
 		r := New(&Settings{Routers: 1}, 1, 0)
@@ -1176,68 +1184,68 @@
 	}
 }
 
-// A server that turns away what its peers take is left out for a while, like one that fails (incident rb3369c:
-// half of the engines answered 503 after 0.2 s and were each asked again and again). When all do it is load, and
-// more than half of them stay in use. A state that is gone says nothing of the server.
-func TestTurningAwayIsASymptom(t *testing.T) {
-	left := func(w *harness) int {
-		return w.r.countServers(Writer, func(s *server) bool { return w.r.isSuspect(s, false) })
-	}
-	w := newHarness(t, testSettings(), testFleet())
-	bad := &Event{Kind: AttemptEnded, Outcome: Full}
+// A server that refuses what its peers accept is ejected, like one that fails, or else engines that answer 503 after
+// 0.2 s are tried again and again. If all refuse, the cause is load, and more than half of them stay in use. A
+// missing KV state says nothing of the server.
+func TestRefusingServerIsEjected(t *testing.T) {
+	ejected := func(h *harness) int {
+		return h.r.countServers(Writer, func(s *server) bool { return h.r.isSuspect(s, false) })
+	}
+	h := newHarness(t, testSettings(), testFleet())
+	full := &Event{Kind: AttemptEnded, Outcome: Full}
 	for range 4 {
-		id, writer := w.arriveAndRead(safeClass)
+		id, writer := h.arriveAndRead(safeClass)
 		for n := 1; n < 4; n++ {
-			w.now += 10 * ms
-			ev := *bad
+			h.now += 10 * ms
+			ev := *full
 			ev.Request, ev.Attempt, ev.Server = id, n, writer
-			a := findAction(w.handle(ev), Send)
+			a := findAction(h.handle(ev), Send)
 			if a == nil {
 				break
 			}
 			writer = a.Server
 		}
-		w.handle(Event{Kind: ClientLeft, Request: id})
+		h.handle(Event{Kind: ClientLeft, Request: id})
 	}
-	if n := left(w); n > 1 {
-		t.Errorf("%d of 3 writers are left out when all are full", n)
+	if n := ejected(h); n > 1 {
+		t.Errorf("%d of 3 writers are ejected when all are full", n)
 	}
 
-	w = newHarness(t, testSettings(), testFleet())
-	turned := 0
+	h = newHarness(t, testSettings(), testFleet())
+	refused := 0
 	for range 30 {
-		id, writer := w.arriveAndRead(safeClass)
+		id, writer := h.arriveAndRead(safeClass)
 		if writer == 12 {
-			turned++
-			writer = w.sentTo(w.endAttempt(id, 1, 12, Full))
-			w.handle(Event{Kind: FirstToken, Request: id, Attempt: 2, Server: writer, Elapsed: 20 * ms})
-			w.endAttempt(id, 2, writer, Served)
+			refused++
+			writer = h.sentTo(h.endAttempt(id, 1, 12, Full))
+			h.handle(Event{Kind: FirstToken, Request: id, Attempt: 2, Server: writer, Elapsed: 20 * ms})
+			h.endAttempt(id, 2, writer, Served)
 			continue
 		}
-		w.handle(Event{Kind: FirstToken, Request: id, Attempt: 1, Server: writer, Elapsed: 20 * ms})
-		w.endAttempt(id, 1, writer, Served)
+		h.handle(Event{Kind: FirstToken, Request: id, Attempt: 1, Server: writer, Elapsed: 20 * ms})
+		h.endAttempt(id, 1, writer, Served)
 	}
-	if turned < 2 || turned > 8 {
-		t.Errorf("asked %d times of 30, though it turns all away", turned)
+	if refused < 2 || refused > 8 {
+		t.Errorf("tried %d times of 30, though it refuses everything", refused)
 	}
 
-	w = newHarness(t, testSettings(), testFleet())
+	h = newHarness(t, testSettings(), testFleet())
 	for range 3 {
-		id, writer := w.arriveAndRead(safeClass)
-		w.handle(Event{Kind: AttemptEnded, Request: id, Attempt: 1, Server: writer, Outcome: Full, NoState: true})
-		w.handle(Event{Kind: ClientLeft, Request: id})
+		id, writer := h.arriveAndRead(safeClass)
+		h.handle(Event{Kind: AttemptEnded, Request: id, Attempt: 1, Server: writer, Outcome: Full, NoState: true})
+		h.handle(Event{Kind: ClientLeft, Request: id})
 	}
-	if n := left(w); n != 0 {
-		t.Errorf("%d writers are left out for states that were gone", n)
+	if n := ejected(h); n != 0 {
+		t.Errorf("%d writers are ejected for missing KV states", n)
 	}
 }
 
-// A request that has waited for this router for longer than a process may be held up is refused: those that were taken come
-// first.
-func TestRequestsThatWaitedForTheRouter(t *testing.T) {
+// A request that has waited for the router itself for longer than a process pause is refused: those already accepted
+// come first.
+func TestRequestDelayedByRouterIsRefused(t *testing.T) {
 	for waited, refused := range map[Duration]bool{0: false, MaxPause: false, maxRouterDelay: false, maxRouterDelay + ms: true} {
-		w := newHarness(t, testSettings(), testFleet())
-		acts := w.handle(Event{Kind: Arrived, Request: 1, RouterDelay: waited, Job: Job{PromptTokens: 1000, Deadline: w.now + 4*Second}})
+		h := newHarness(t, testSettings(), testFleet())
+		acts := h.handle(Event{Kind: Arrived, Request: 1, RouterDelay: waited, Job: Job{PromptTokens: 1000, Deadline: h.now + 4*Second}})
 		if got := findAction(acts, Refuse) != nil; got != refused {
 			t.Errorf("after %d ms: %v", waited/ms, actionKinds(acts))
 		}
--- a/decide/liveness_test.go
+++ b/decide/liveness_test.go
@@ -2,26 +2,27 @@
 
 import "testing"
 
-// newUnconfirmed brings a request to an attempt that gets no answer, at a reader or at a writer, with room in the ration of
-// time-outs used up: it is waited for to the deadline.
-func newUnconfirmed(t *testing.T, class int, writer bool) (w *harness, id RequestID, s ServerID, attempt int) {
+// newUnconfirmed starts a request and returns its attempt, at a reader or at a writer, that gets no response. The
+// timeout budget is used up, so that the router waits for it until the deadline.
+func newUnconfirmed(t *testing.T, class int, writer bool) (h *harness, id RequestID, s ServerID, attempt int) {
 	set := testSettings()
 	set.Probing, set.PauseHoldOnArrival, set.HoldTimeout = true, true, Second
-	w = newHarness(t, set, testFleet())
-	w.r.timeoutBudget = 0
+	h = newHarness(t, set, testFleet())
+	h.r.timeoutBudget = 0
 	if writer {
-		id, s = w.arriveAndRead(class)
-		return w, id, s, 1
+		id, s = h.arriveAndRead(class)
+		return h, id, s, 1
 	}
-	id, acts := w.arrive(class)
-	return w, id, w.sentTo(acts), 0
+	id, acts := h.arrive(class)
+	return h, id, h.sentTo(acts), 0
 }
 
-// awaitReachProbe lets time pass until a server is asked whether it can be reached.
-func (w *harness) awaitReachProbe(most Duration) *Action {
-	for end := w.now + most; w.now < end; {
-		w.now += checkInterval
-		acts := w.handle(Event{Kind: Timer})
+// awaitReachProbe lets time pass until the router sends a reachability probe, and returns that probe; nil if none
+// comes within limit.
+func (h *harness) awaitReachProbe(limit Duration) *Action {
+	for end := h.now + limit; h.now < end; {
+		h.now += checkInterval
+		acts := h.handle(Event{Kind: Timer})
 		for i := range acts {
 			if acts[i].Kind == Probe && acts[i].NewConnection {
 				return &acts[i]
@@ -31,84 +32,84 @@
 	return nil
 }
 
-// A server that gives no sign is asked before the time of what is held is over. At one that can't be reached the attempt is
-// called off in time; at a writer that can it is waited for. A reader that hangs, or answers and has no queue, may have read, and
-// the answer is lost: that is called off, too.
-func TestServersThatGiveNoSign(t *testing.T) {
+// A server that does not respond gets a reachability probe before the hold times out. If it can't be reached the
+// attempt is cancelled in time. The router goes on waiting for a writer that can be reached. A reader that hangs, or
+// responds and has no queue, may have finished the read, with its response lost: that read is cancelled, too.
+func TestUnresponsiveServers(t *testing.T) {
 	for n := range 4 {
 		writer, class := n%2 == 1, []int{safeClass, unsafeClass}[n/2]
 		for _, o := range []Outcome{ConnectFailed, TimedOut, Served} {
-			w, id, s, attempt := newUnconfirmed(t, class, writer)
-			began := w.now
-			check := w.awaitReachProbe(2 * Second)
-			if check == nil || check.Server != s {
-				t.Errorf("writer %v: asked %+v", writer, check)
+			h, id, s, attempt := newUnconfirmed(t, class, writer)
+			start := h.now
+			probe := h.awaitReachProbe(2 * Second)
+			if probe == nil || probe.Server != s {
+				t.Errorf("writer %v: probed %+v", writer, probe)
 				continue
 			}
-			w.now += w.r.cfg.DialTimeout
-			acts := w.handle(Event{Kind: Probed, Server: s, NewConnection: true, Outcome: o})
+			h.now += h.r.cfg.DialTimeout
+			acts := h.handle(Event{Kind: Probed, Server: s, NewConnection: true, Outcome: o})
 			cancel := findAction(acts, Cancel)
 			if (cancel != nil) != (o == ConnectFailed || !writer) {
 				t.Errorf("writer %v, outcome %d: %v", writer, o, actionKinds(acts))
 			}
 			if cancel != nil && (cancel.Request != id || cancel.Attempt != attempt) {
-				t.Errorf("writer %v: called off %+v", writer, cancel)
+				t.Errorf("writer %v: cancelled %+v", writer, cancel)
 			}
-			if most := w.r.cfg.HoldTimeout + 300*ms - MaxPause; cancel != nil && w.now-began > most {
-				t.Errorf("writer %v: called off after %d ms, at most %d are allowed", writer, (w.now-began)/ms, most/ms)
+			if limit := h.r.cfg.HoldTimeout + 300*ms - MaxPause; cancel != nil && h.now-start > limit {
+				t.Errorf("writer %v: cancelled after %d ms, at most %d are allowed", writer, (h.now-start)/ms, limit/ms)
 			}
 			again := 0
-			for cancel == nil && w.awaitReachProbe(5*Second) != nil {
-				w.handle(Event{Kind: Probed, Server: s, NewConnection: true, Outcome: o})
+			for cancel == nil && h.awaitReachProbe(5*Second) != nil {
+				h.handle(Event{Kind: Probed, Server: s, NewConnection: true, Outcome: o})
 				again++
 			}
-			if again >= maxReachProbes { // the answer may be dropped later
-				t.Errorf("writer %v, outcome %d: asked %d times again", writer, o, again)
+			if again >= maxReachProbes { // the response may be lost later
+				t.Errorf("writer %v, outcome %d: probed %d more times", writer, o, again)
 			}
 		}
 	}
 }
 
-// Nobody is asked for a while who has given a sign since, nor after the attempt's end.
-func TestNoCheckWithoutNeed(t *testing.T) {
-	for name, then := range map[string]func(w *harness, id RequestID, s ServerID){
-		"probed meanwhile": func(w *harness, _ RequestID, s ServerID) {
-			w.handle(Event{Kind: Probed, Server: s, Outcome: Served})
+// A server that has responded since gets no reachability probe for a while, and none after the end of the attempt.
+func TestNoReachProbeAfterResponse(t *testing.T) {
+	for name, then := range map[string]func(h *harness, id RequestID, s ServerID){
+		"probed meanwhile": func(h *harness, _ RequestID, s ServerID) {
+			h.handle(Event{Kind: Probed, Server: s, Outcome: Served})
 		},
-		"another answer": func(w *harness, _ RequestID, s ServerID) {
-			other, at := w.arriveAndRead(safeClass)
-			for n := 0; at != s && n < 10; n++ { // each goes where the fewest streams are
-				other, at = w.arriveAndRead(safeClass)
+		"another response": func(h *harness, _ RequestID, s ServerID) {
+			other, at := h.arriveAndRead(safeClass)
+			for n := 0; at != s && n < 10; n++ { // each goes to the writer with the fewest streams
+				other, at = h.arriveAndRead(safeClass)
 			}
-			w.endAttempt(other, 1, s, Full)
+			h.endAttempt(other, 1, s, Full)
 		},
-		"first token": func(w *harness, id RequestID, s ServerID) {
-			w.handle(Event{Kind: FirstToken, Request: id, Server: s, Attempt: 1, Elapsed: ms})
+		"first token": func(h *harness, id RequestID, s ServerID) {
+			h.handle(Event{Kind: FirstToken, Request: id, Server: s, Attempt: 1, Elapsed: ms})
 		},
-		"client gone": func(w *harness, id RequestID, _ ServerID) { w.handle(Event{Kind: ClientLeft, Request: id}) },
+		"client gone": func(h *harness, id RequestID, _ ServerID) { h.handle(Event{Kind: ClientLeft, Request: id}) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			w, id, s, _ := newUnconfirmed(t, safeClass, true)
-			w.now += w.r.cfg.DialTimeout + ms // it may have been sent only now
-			then(w, id, s)
-			most := w.r.cfg.HoldTimeout - w.r.cfg.DialTimeout - 2*checkInterval
+			h, id, s, _ := newUnconfirmed(t, safeClass, true)
+			h.now += h.r.cfg.DialTimeout + ms // the send may have been delayed by a dial
+			then(h, id, s)
+			limit := h.r.cfg.HoldTimeout - h.r.cfg.DialTimeout - 2*checkInterval
 			if name == "first token" || name == "client gone" {
-				most = 5 * Second
+				limit = 5 * Second
 			}
-			if check := w.awaitReachProbe(most); check != nil && check.Server == s {
-				t.Errorf("asked %+v", check)
+			if probe := h.awaitReachProbe(limit); probe != nil && probe.Server == s {
+				t.Errorf("probed %+v", probe)
 			}
 		})
 	}
 }
 
-// A reader that answers and tells of a queue that explains the wait is waited for, and asked again, unless it was asked often
-// enough.
-func TestReadersThatExplainTheWait(t *testing.T) {
+// The router goes on waiting for a reader that reports a queue long enough to explain the wait, and probes it again,
+// until the probes of the attempt are used up.
+func TestReaderThatExplainsTheWait(t *testing.T) {
 	for name, tt := range map[string]struct {
-		outcome  Outcome
-		waitingK float64
-		waited   bool
+		outcome Outcome
+		queuedK float64
+		waits   bool
 	}{
 		"a long queue":  {Served, 10, true},
 		"a short queue": {Served, 1, false},
@@ -116,177 +117,178 @@
 		"hangs":         {TimedOut, -1, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w, _, s, _ := newUnconfirmed(t, safeClass, false)
-			began := w.now
-			tell := func() []Action {
-				check := w.awaitReachProbe(2 * Second)
-				if check == nil || check.Server != s {
-					t.Fatalf("asked %+v", check)
+			h, _, s, _ := newUnconfirmed(t, safeClass, false)
+			start := h.now
+			respond := func() []Action {
+				probe := h.awaitReachProbe(2 * Second)
+				if probe == nil || probe.Server != s {
+					t.Fatalf("probed %+v", probe)
 				}
-				return w.handle(Event{Kind: Probed, Server: s, NewConnection: true, Outcome: tt.outcome,
-					Report: Report{MemoryUse: 0.5, QueuedKTokens: tt.waitingK, Latency: -1}})
+				return h.handle(Event{Kind: Probed, Server: s, NewConnection: true, Outcome: tt.outcome,
+					Report: Report{MemoryUse: 0.5, QueuedKTokens: tt.queuedK, Latency: -1}})
 			}
-			if got := findAction(tell(), Cancel) == nil; got != tt.waited {
-				t.Errorf("waited for: %v", got)
+			if got := findAction(respond(), Cancel) == nil; got != tt.waits {
+				t.Errorf("router waits: %v", got)
 			}
-			if !tt.waited {
+			if !tt.waits {
 				return
 			}
-			if findAction(tell(), Cancel) != nil {
-				t.Error("called off at the second answer")
+			if findAction(respond(), Cancel) != nil {
+				t.Error("cancelled at the second response")
 			}
-			for most := began + 3*Second; ; {
-				w.now += checkInterval
-				if findAction(w.handle(Event{Kind: Timer}), Cancel) != nil {
+			for limit := start + 3*Second; ; {
+				h.now += checkInterval
+				if findAction(h.handle(Event{Kind: Timer}), Cancel) != nil {
 					return
 				}
-				if w.now > most {
-					t.Fatal("waited for longer than it was asked")
+				if h.now > limit {
+					t.Fatal("the router still waits after the last probe")
 				}
 			}
 		})
 	}
 }
 
-// A read that should take long, as its reader had much to do, is waited for, until that tells of no queue any more.
-func TestLongReadsAtAReaderWithoutAQueue(t *testing.T) {
-	for waitingK, waited := range map[float64]bool{0: false, 10: true, -1: true} {
-		w, id, s, _ := newUnconfirmed(t, safeClass, false)
-		w.r.requests[id].expectedTime = float64(Second)
+// The router waits for a read that should take long, because of its reader's queue, until the reader reports no queue
+// any more.
+func TestLongReadWithoutQueueIsCancelled(t *testing.T) {
+	for queuedK, waits := range map[float64]bool{0: false, 10: true, -1: true} {
+		h, id, s, _ := newUnconfirmed(t, safeClass, false)
+		h.r.requests[id].expectedTime = float64(Second)
 		last := []Action(nil)
 		for range maxReachProbes {
-			check := w.awaitReachProbe(3 * Second)
-			if check == nil || check.Server != s {
-				t.Fatalf("asked %+v", check)
+			probe := h.awaitReachProbe(3 * Second)
+			if probe == nil || probe.Server != s {
+				t.Fatalf("probed %+v", probe)
 			}
-			last = w.handle(Event{Kind: Probed, Server: s, NewConnection: true, Outcome: Served,
-				Report: Report{MemoryUse: 0.5, QueuedKTokens: waitingK, Latency: -1}})
+			last = h.handle(Event{Kind: Probed, Server: s, NewConnection: true, Outcome: Served,
+				Report: Report{MemoryUse: 0.5, QueuedKTokens: queuedK, Latency: -1}})
 		}
-		if got := findAction(last, Cancel) == nil; got != waited {
-			t.Errorf("queue of %v thousand: waited for: %v", waitingK, got)
+		if got := findAction(last, Cancel) == nil; got != waits {
+			t.Errorf("queue of %v thousand: router waits: %v", queuedK, got)
 		}
 	}
 }
 
-// What a read should take goes by the usual, where that is quicker than the pace that is assumed.
-func TestReadsAreQuickerThanAssumed(t *testing.T) {
-	for usual, quick := range map[float64]bool{0.3: true, 1: false, 3: false} {
-		w, id, _, _ := newUnconfirmed(t, safeClass, false)
-		q := w.r.requests[id]
+// The expected time of a read follows the typical time if reads are faster than assumed.
+func TestExpectedReadTimeFollowsTypicalTime(t *testing.T) {
+	for typical, short := range map[float64]bool{0.3: true, 1: false, 3: false} {
+		h, id, _, _ := newUnconfirmed(t, safeClass, false)
+		q := h.r.requests[id]
 		q.expectedTime = float64(Second)
-		for _, s := range w.r.byID {
-			s.responses, s.responseTime = minSamples, usual
+		for _, s := range h.r.byID {
+			s.responses, s.responseTime = minSamples, typical
 		}
-		w.r.timesSorted = [Both + 1]bool{}
-		if got := w.r.isShortRead(q); got != quick {
-			t.Errorf("usual %v: quick %v", usual, got)
+		h.r.timesSorted = [Both + 1]bool{}
+		if got := h.r.isShortRead(q); got != short {
+			t.Errorf("typical time %v: short read %v", typical, got)
 		}
 	}
 }
 
-// That a reader answers others does not put off the look at a read whose answer may be lost.
-func TestLostReadsAtAReaderThatOthersHear(t *testing.T) {
-	w, id, s, attempt := newUnconfirmed(t, safeClass, false)
-	began := w.now
-	for w.now < began+2*Second {
-		w.now += checkInterval
-		w.handle(Event{Kind: Probed, Server: s, Outcome: Served}) // in answer to whatever
-		acts := w.handle(Event{Kind: Timer})
-		if check := findAction(acts, Probe); check != nil && check.NewConnection {
-			acts = w.handle(Event{Kind: Probed, Server: s, NewConnection: true, Outcome: Served})
+// Responses of a reader to other requests do not delay the reachability probe for a read whose response may be lost.
+func TestLostReadAtRespondingReader(t *testing.T) {
+	h, id, s, attempt := newUnconfirmed(t, safeClass, false)
+	start := h.now
+	for h.now < start+2*Second {
+		h.now += checkInterval
+		h.handle(Event{Kind: Probed, Server: s, Outcome: Served}) // to other requests
+		acts := h.handle(Event{Kind: Timer})
+		if probe := findAction(acts, Probe); probe != nil && probe.NewConnection {
+			acts = h.handle(Event{Kind: Probed, Server: s, NewConnection: true, Outcome: Served})
 			if c := findAction(acts, Cancel); c == nil || c.Request != id || c.Attempt != attempt {
-				t.Errorf("after the check: %v", actionKinds(acts))
+				t.Errorf("after the probe: %v", actionKinds(acts))
 			}
-			if most := w.r.cfg.HoldTimeout + 300*ms - MaxPause; w.now-began > most {
-				t.Errorf("called off after %d ms, at most %d are allowed", (w.now-began)/ms, most/ms)
+			if limit := h.r.cfg.HoldTimeout + 300*ms - MaxPause; h.now-start > limit {
+				t.Errorf("cancelled after %d ms, at most %d are allowed", (h.now-start)/ms, limit/ms)
 			}
 			return
 		}
 	}
-	t.Error("nobody looked")
+	t.Error("no reachability probe was sent")
 }
 
-// When the time of what is held is over it is let go, though a writer may have the request yet: whether the send has come there
-// nobody knows. A writer that finds no state has not run, and the request is read anew.
-func TestHeldIsLetGoWhileAWriterIsOut(t *testing.T) {
-	w, id, s, _ := newUnconfirmed(t, unsafeClass, true)
-	began := w.now
+// When the hold times out it is released, even if a writer may still have the request: whether the send has reached
+// the writer is unknown. A writer that finds no KV state has not executed the request, which is then read again.
+func TestHoldIsReleasedDuringWrite(t *testing.T) {
+	h, id, s, _ := newUnconfirmed(t, unsafeClass, true)
+	start := h.now
 	var release *Action
-	for w.now < began+2*Second {
-		w.now += checkInterval
-		acts := w.handle(Event{Kind: Timer})
+	for h.now < start+2*Second {
+		h.now += checkInterval
+		acts := h.handle(Event{Kind: Timer})
 		if findAction(acts, Cancel) != nil {
-			t.Fatal("the writer was called off")
+			t.Fatal("the attempt at the writer was cancelled")
 		}
-		if check := findAction(acts, Probe); check != nil && check.NewConnection {
-			w.handle(Event{Kind: Probed, Server: s, NewConnection: true, Outcome: TimedOut}) // it hangs
+		if probe := findAction(acts, Probe); probe != nil && probe.NewConnection {
+			h.handle(Event{Kind: Probed, Server: s, NewConnection: true, Outcome: TimedOut}) // it hangs
 		}
 		if r := findAction(acts, Release); r != nil {
 			if release != nil {
-				t.Error("let go twice")
+				t.Error("released twice")
 			}
 			release = r
-			if most := w.r.cfg.HoldTimeout + 300*ms - MaxPause; w.now-began > most {
-				t.Errorf("let go after %d ms, at most %d are allowed", (w.now-began)/ms, most/ms)
+			if limit := h.r.cfg.HoldTimeout + 300*ms - MaxPause; h.now-start > limit {
+				t.Errorf("released after %d ms, at most %d are allowed", (h.now-start)/ms, limit/ms)
 			}
 		}
 	}
 	if release == nil || release.Request != id || !release.DuringAttempt {
 		t.Fatalf("released %+v", release)
 	}
-	w.now += ms
-	acts := w.handle(Event{Kind: AttemptEnded, Request: id, Attempt: 1, Server: s, Outcome: Full, NoState: true, Elapsed: Second})
-	if again := findAction(acts, Send); again == nil || w.r.servers[again.Server].role != Reader {
-		t.Errorf("after a writer that found no state: %v", actionKinds(acts))
+	h.now += ms
+	acts := h.handle(Event{Kind: AttemptEnded, Request: id, Attempt: 1, Server: s, Outcome: Full, NoState: true, Elapsed: Second})
+	if again := findAction(acts, Send); again == nil || h.r.servers[again.Server].role != Reader {
+		t.Errorf("after a writer that found no KV state: %v", actionKinds(acts))
 	}
 }
 
-// What may be held goes out on connections that have just been heard, and a writer is not waited for so long that a lost send
-// leaves it held; where answers usually take so long they are waited for.
-func TestLostSendsAreNotWaitedFor(t *testing.T) {
+// Requests with holds are sent on connections with a recent response, and the wait for a writer is limited so that a
+// lost send does not make a hold time out. If responses typically take that long the wait is not limited.
+func TestWaitForLostSendsIsLimited(t *testing.T) {
 	set := testSettings()
 	set.Probing, set.PauseHoldOnArrival, set.HoldTimeout = true, true, Second
 	for name, tt := range map[string]struct {
-		answer float64 // usual time of answers, over what is expected
-		again  float64
-		bound  bool // the wait for the writer
+		responseTime float64 // typical, as a ratio to the expected time
+		budget       float64 // of timeouts
+		limited      bool    // the wait for the writer
 	}{
-		"quick answers":                   {1, 2, true},
-		"quick answers, no more timeouts": {1, 0, true},
-		"slow answers":                    {12, 2, false},
-		"slow answers, no more timeouts":  {12, 0, false},
+		"quick responses":                   {1, 2, true},
+		"quick responses, no more timeouts": {1, 0, true},
+		"slow responses":                    {12, 2, false},
+		"slow responses, no more timeouts":  {12, 0, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newHarness(t, set, testFleet())
-			w.r.timeoutBudget = tt.again
-			for _, s := range w.r.byID {
-				s.responses, s.responseTime = minSamples, tt.answer
+			h := newHarness(t, set, testFleet())
+			h.r.timeoutBudget = tt.budget
+			for _, s := range h.r.byID {
+				s.responses, s.responseTime = minSamples, tt.responseTime
 			}
-			id, acts := w.arrive(safeClass)
+			id, acts := h.arrive(safeClass)
 			read := findAction(acts, Send)
-			most := set.HoldTimeout + 300*ms - MaxPause - set.DialTimeout
-			if long := read.After > most; long != (read.LastResponseWithin == set.DialTimeout) || !long && read.LastResponseWithin != 0 {
-				t.Errorf("a read that is waited for for %d ms asks for %d", read.After/ms, read.LastResponseWithin)
+			limit := set.HoldTimeout + 300*ms - MaxPause - set.DialTimeout
+			if long := read.After > limit; long != (read.LastResponseWithin == set.DialTimeout) || !long && read.LastResponseWithin != 0 {
+				t.Errorf("a read with a timeout of %d ms requires a response within %d", read.After/ms, read.LastResponseWithin)
 			}
-			write := findAction(w.endAttempt(id, 0, read.Server, ReadDone), Send)
+			write := findAction(h.endAttempt(id, 0, read.Server, ReadDone), Send)
 			if write.LastResponseWithin != set.DialTimeout {
-				t.Errorf("a state went out on any connection: %+v", write)
+				t.Errorf("a request with a hold was sent on any connection: %+v", write)
 			}
-			if got := write.After <= most; got != tt.bound {
-				t.Errorf("a writer is waited for for %d ms", write.After/ms)
+			if got := write.After <= limit; got != tt.limited {
+				t.Errorf("the timeout of the write is %d ms", write.After/ms)
 			}
 		})
 	}
 }
 
-// A read whose end is not known may have ended as soon as it was sent.
-func TestLostReadsAreHeldFromTheirStart(t *testing.T) {
-	w, id, s, _ := newUnconfirmed(t, safeClass, false)
-	began := w.now
-	w.now += 500 * ms
-	w.handle(Event{Kind: Probed, Server: s, NewConnection: true, Outcome: Served}) // it can be reached; the answer is lost all the same
-	w.endAttempt(id, 0, s, TimedOut)
-	if q := w.r.requests[id]; q == nil || q.holdStart != began {
-		t.Errorf("what the read may have left counts from %+v", q)
+// A read with an unknown end may have ended as soon as it was sent.
+func TestHoldOfLostReadStartsAtSend(t *testing.T) {
+	h, id, s, _ := newUnconfirmed(t, safeClass, false)
+	start := h.now
+	h.now += 500 * ms
+	h.handle(Event{Kind: Probed, Server: s, NewConnection: true, Outcome: Served}) // it can be reached; the response is lost all the same
+	h.endAttempt(id, 0, s, TimedOut)
+	if q := h.r.requests[id]; q == nil || q.holdStart != start {
+		t.Errorf("wrong start of the hold timer: %+v", q)
 	}
 }
--- a/decide/names_test.go
+++ b/decide/names_test.go
@@ -7,15 +7,16 @@
 	"testing"
 )
 
-// numbering puts other numbers in the place of those by which the settings and the list name things.
+// numbering maps the numbers by which the settings and the server list refer to things to other numbers.
 type numbering struct{ class, kind, zone, cell, tenant func(int) int }
 
 func identity(n int) int { return n }
 
-// permutation returns a map that puts i in the place of perm's i-th number.
+// permutation returns a function that maps n to perm[n].
 func permutation(perm ...int) func(int) int { return func(n int) int { return perm[n] } }
 
-// numberedDeployment is a deployment with two classes, three kinds, two zones, four cells and two tenants.
+// numberedDeployment returns a deployment with two classes, three kinds, two zones, four cells and two tenants, under
+// the given numbers.
 func numberedDeployment(by numbering, routers int) (*Settings, []Listing) {
 	set := testSettings()
 	set.Routers, set.Probing, set.ProbeCost = routers, true, 0.002
@@ -42,8 +43,8 @@
 	return set, list
 }
 
-// runScenario plays a day of chance on a module and returns all that it did. What engines answer hangs on the actions'
-// order alone.
+// runScenario runs random traffic through a router and returns all its actions. What the servers respond depends only
+// on the order of the actions.
 func runScenario(by numbering, routers int) []Action {
 	set, list := numberedDeployment(by, routers)
 	rng := rand.New(rand.NewPCG(3, uint64(routers)))
@@ -118,13 +119,13 @@
 	return all
 }
 
-// Nothing hangs on what classes, kinds, zones, cells or tenants are called, or in which order the settings name
-// them: the same day under other names gets the same decisions.
-func TestNamesDecideNothing(t *testing.T) {
+// Decisions do not depend on what classes, kinds, zones, cells or tenants are called, nor on their order in the
+// settings: the same traffic under other numbers leads to the same decisions.
+func TestNumberingDoesNotMatter(t *testing.T) {
 	for _, routers := range []int{3, 60} {
 		plain := numbering{identity, identity, identity, identity, identity}
 		want := runScenario(plain, routers)
-		sends, refusals, asked := 0, 0, 0
+		sends, refusals, probes := 0, 0, 0
 		for _, a := range want {
 			switch a.Kind {
 			case Send:
@@ -132,11 +133,11 @@
 			case Refuse:
 				refusals++
 			case Probe:
-				asked++
+				probes++
 			}
 		}
-		if sends < 400 || refusals < 10 || asked < 10 {
-			t.Fatalf("%d routers: %d sends, %d refusals and %d probes say little", routers, sends, refusals, asked)
+		if sends < 400 || refusals < 10 || probes < 10 {
+			t.Fatalf("%d routers: %d sends, %d refusals and %d probes are too few", routers, sends, refusals, probes)
 		}
 		for name, change := range map[string]func(*numbering){
 			"classes": func(n *numbering) { n.class = permutation(1, 0) },
@@ -151,7 +152,7 @@
 				got := runScenario(by, routers)
 				for i := range want {
 					if i >= len(got) || !reflect.DeepEqual(got[i], want[i]) {
-						t.Fatalf("action %d of %d is another", i, len(want))
+						t.Fatalf("action %d of %d differs", i, len(want))
 					}
 				}
 				if len(got) != len(want) {
--- a/decide/shutdown_test.go
+++ b/decide/shutdown_test.go
@@ -2,95 +2,96 @@
 
 import "testing"
 
-// The plan holds for every class mix, however late the signal was taken and however long the process is held up between
-// its clock and its act: nothing that has to be answered is taken, and what is given up is answered before the kill.
+// The schedule holds for every mix of classes, however late the signal is received and however long the process
+// pauses between reading the clock and acting: no request that has to be answered before the kill is accepted, and
+// what is given up is answered before it.
 func TestPlanShutdown(t *testing.T) {
-	const taken = 1000 * Second
+	const received = 1000 * Second
 	for _, longest := range []Duration{500 * ms, Second, 3 * Second, 12 * Second} {
-		plan := PlanShutdown(taken, []Class{{Deadline: longest / 2}, {Deadline: longest}})
+		plan := PlanShutdown(received, []Class{{Deadline: longest / 2}, {Deadline: longest}})
 		for _, late := range []Duration{0, MaxPause} {
-			signalled := taken - late
+			signalled := received - late
 			killed := signalled + min(longest, 3*Second) + 700*ms
-			if owed := signalled + 700*ms; plan.AcceptUntil >= owed {
-				t.Errorf("longest deadline %v: taken until %v after what has to be answered", longest, plan.AcceptUntil-owed)
+			if due := signalled + 700*ms; plan.AcceptUntil >= due {
+				t.Errorf("longest deadline %v: accepts until %v after requests have to be answered", longest, plan.AcceptUntil-due)
 			}
 			if plan.AnswerBy+MaxPause >= killed || plan.GiveUpBy >= plan.AnswerBy {
-				t.Errorf("longest deadline %v: %v are left after the last answer", longest, killed-plan.AnswerBy)
+				t.Errorf("longest deadline %v: only %v are left after the last answer", longest, killed-plan.AnswerBy)
 			}
 			if plan.ListenUntil+MaxPause >= killed || plan.ListenUntil <= signalled+400*ms+MaxPause {
-				t.Errorf("longest deadline %v: it listens until %v after the signal", longest, plan.ListenUntil-signalled)
+				t.Errorf("longest deadline %v: listens until %v after the signal", longest, plan.ListenUntil-signalled)
 			}
 		}
-		if plan.AcceptUntil < taken+400*ms {
-			t.Errorf("longest deadline %v: it takes nothing from %v on", longest, plan.AcceptUntil-taken)
+		if plan.AcceptUntil < received+400*ms {
+			t.Errorf("longest deadline %v: accepts nothing after %v", longest, plan.AcceptUntil-received)
 		}
 	}
 }
 
-// shutDown tells a world's router to end.
-func (w *harness) shutDown() *Shutdown {
-	plan := PlanShutdown(w.now, w.r.cfg.Classes)
-	w.handle(Event{Kind: ShuttingDown, Shutdown: &plan})
+// shutDown starts the shutdown of the router and returns its schedule.
+func (h *harness) shutDown() *Shutdown {
+	plan := PlanShutdown(h.now, h.r.cfg.Classes)
+	h.handle(Event{Kind: ShuttingDown, Shutdown: &plan})
 	return &plan
 }
 
-// What comes late, or should not be answered to its end before the kill, is refused at once, and its client may go
-// elsewhere at once.
-func TestRefusedInAShutdown(t *testing.T) {
+// What arrives late, or should not be answered to its end before the kill, is refused immediately, and its client may
+// go to another router immediately.
+func TestShutdownRefusesLateRequests(t *testing.T) {
 	for class := range testSettings().Classes {
-		w := newHarness(t, testSettings(), testFleet())
-		plan := w.shutDown()
-		if _, acts := w.arrive(class); findAction(acts, Send) == nil {
-			t.Errorf("class %d: refused at the shutdown's begin", class)
+		h := newHarness(t, testSettings(), testFleet())
+		plan := h.shutDown()
+		if _, acts := h.arrive(class); findAction(acts, Send) == nil {
+			t.Errorf("class %d: refused at the start of the shutdown", class)
 		}
-		w.now = plan.AcceptUntil + 1
-		_, acts := w.arrive(class)
+		h.now = plan.AcceptUntil + 1
+		_, acts := h.arrive(class)
 		if a := findAction(acts, Refuse); a == nil || a.After != 0 || findAction(acts, Send) != nil {
 			t.Errorf("class %d: %+v", class, acts)
 		}
-		w = newHarness(t, testSettings(), testFleet())
-		w.r.classWork[class].answerTime = float64(10 * Second)
-		w.shutDown()
-		if _, acts := w.arrive(class); findAction(acts, Refuse) == nil || findAction(acts, Send) != nil {
+		h = newHarness(t, testSettings(), testFleet())
+		h.r.classWork[class].answerTime = float64(10 * Second)
+		h.shutDown()
+		if _, acts := h.arrive(class); findAction(acts, Refuse) == nil || findAction(acts, Send) != nil {
 			t.Errorf("class %d with long answers: %+v", class, acts)
 		}
 	}
 }
 
-// A request that was being read at the signal goes to a writer only if its answer should end before the kill. If not it
-// is given up, and what is held for it is let go.
-func TestNoWriterInAShutdown(t *testing.T) {
+// A request whose read is under way at the signal goes to a writer only if its answer should end before the kill.
+// Otherwise it is given up, and its hold is released.
+func TestShutdownStartsNoLongWrite(t *testing.T) {
 	for _, long := range []bool{false, true} {
-		w := newHarness(t, testSettings(), testFleet())
-		id, acts := w.arrive(unsafeClass)
-		reader := w.sentTo(acts)
-		w.shutDown()
+		h := newHarness(t, testSettings(), testFleet())
+		id, acts := h.arrive(unsafeClass)
+		reader := h.sentTo(acts)
+		h.shutDown()
 		if long {
-			w.r.classWork[unsafeClass].answerTime = float64(5 * Second)
+			h.r.classWork[unsafeClass].answerTime = float64(5 * Second)
 		}
-		acts = w.endAttempt(id, 0, reader, ReadDone)
+		acts = h.endAttempt(id, 0, reader, ReadDone)
 		if (findAction(acts, Send) != nil) == long || (findAction(acts, Refuse) != nil) != long || (findAction(acts, Release) != nil) != long {
 			t.Errorf("long answers %v: %+v", long, acts)
 		}
 	}
 }
 
-// No attempt is given more time than is left until what has not begun is given up.
-func TestTimeOutsInAShutdown(t *testing.T) {
-	w := newHarness(t, testSettings(), testFleet())
-	w.r.timeoutBudget = 0 // time-outs reach to the deadline
-	id, acts := w.arrive(safeClass)
-	reader := w.sentTo(acts)
-	w.now += Second
-	plan := w.shutDown()
-	a := findAction(w.endAttempt(id, 0, reader, ReadDone), Send)
-	if a == nil || w.now+a.After > plan.GiveUpBy {
-		t.Errorf("%+v, given up in %v", a, plan.GiveUpBy-w.now)
+// The timeout of an attempt ends no later than the time at which requests without an answer are given up.
+func TestTimeoutsDuringShutdown(t *testing.T) {
+	h := newHarness(t, testSettings(), testFleet())
+	h.r.timeoutBudget = 0 // timeouts last until the deadline
+	id, acts := h.arrive(safeClass)
+	reader := h.sentTo(acts)
+	h.now += Second
+	plan := h.shutDown()
+	a := findAction(h.endAttempt(id, 0, reader, ReadDone), Send)
+	if a == nil || h.now+a.After > plan.GiveUpBy {
+		t.Errorf("%+v, requests are given up in %v", a, plan.GiveUpBy-h.now)
 	}
 	again := *plan
 	again.GiveUpBy += Second
-	w.handle(Event{Kind: ShuttingDown, Shutdown: &again})
-	if w.r.shutdown.GiveUpBy != plan.GiveUpBy {
-		t.Error("a second signal changes the plan")
+	h.handle(Event{Kind: ShuttingDown, Shutdown: &again})
+	if h.r.shutdown.GiveUpBy != plan.GiveUpBy {
+		t.Error("a second signal changed the schedule")
 	}
 }
--- a/decide/size_test.go
+++ b/decide/size_test.go
@@ -10,7 +10,7 @@
 	"unicode/utf8"
 )
 
-// policyFiles returns the files that deploy/balancer.toml names under policy, from this folder.
+// policyFiles returns the files that deploy/balancer.toml lists under policy, as paths from this folder.
 func policyFiles(t *testing.T) []string {
 	t.Helper()
 	text, err := os.ReadFile("../deploy/balancer.toml")
@@ -19,7 +19,7 @@
 	}
 	line := regexp.MustCompile(`(?m)^policy\s*=\s*\[([^\]]*)\]`).FindSubmatch(text)
 	if line == nil {
-		t.Fatal("deploy/balancer.toml names no policy files")
+		t.Fatal("deploy/balancer.toml lists no policy files")
 	}
 	var files []string
 	for _, quoted := range regexp.MustCompile(`"([^"]+)"`).FindAllSubmatch(line[1], -1) {
@@ -28,13 +28,14 @@
 	return files
 }
 
-// The module is to be read and ported by hand: no file is long or wide, and the deploy file names all that decide.
+// The module is meant to be read and ported by hand: its files are neither long nor wide, and the deploy file lists
+// every file that makes decisions.
 func TestModuleSize(t *testing.T) {
 	const maxLines, maxWidth = 200, 110
 	files := policyFiles(t)
-	named := map[string]bool{}
+	listed := map[string]bool{}
 	for _, name := range files {
-		named[filepath.Base(name)] = true
+		listed[filepath.Base(name)] = true
 		f, err := os.Open(name)
 		if err != nil {
 			t.Fatal(err)
@@ -59,10 +60,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	decidesNothing := map[string]bool{"api.go": true, "views.go": true}
+	noDecisions := map[string]bool{"api.go": true, "views.go": true}
 	for _, name := range all {
-		if !strings.HasSuffix(name, "_test.go") && !decidesNothing[name] && !named[name] {
-			t.Errorf("%s is not named under policy in the deploy file", name)
+		if !strings.HasSuffix(name, "_test.go") && !noDecisions[name] && !listed[name] {
+			t.Errorf("%s is not listed under policy in the deploy file", name)
 		}
 	}
 }
