--- a/cmd/mintdoor/shutdown_test.go
+++ b/cmd/mintdoor/shutdown_test.go
@@ -21,7 +21,7 @@
 }
 
 // longStreams is work whose streams take far longer than a router has after SIGTERM.
-var longStreams = standin.Work{Read: 20 * time.Millisecond, FirstToken: 20 * time.Millisecond, Event: 50 * time.Millisecond, Events: 1000}
+var longStreams = standin.Timing{ReadTime: 20 * time.Millisecond, FirstTokenTime: 20 * time.Millisecond, EventInterval: 50 * time.Millisecond, EventsPerStream: 1000}
 
 func chatRequest(id, class string, left time.Duration) string {
 	const body = `{"model":"chat"}`
@@ -59,8 +59,8 @@
 
 func lateInAShutdown(t *testing.T, heldUp time.Duration) {
 	const owedFrom, killedAt = 710 * time.Millisecond, 3700 * time.Millisecond
-	world, err := soak.NewWorld(soak.WorldOptions{Program: platformRouter(), Dir: t.TempDir(), Routers: 1, Readers: 1, Writers: 1,
-		Work: longStreams})
+	world, err := soak.NewTestbed(soak.TestbedOptions{Program: platformRouter(), ConfigDir: t.TempDir(), Routers: 1, Readers: 1, Writers: 1,
+		Timing: longStreams})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -115,7 +115,7 @@
 		}
 	}
 	for _, a := range world.Cluster.Record().Attempts {
-		if a.Writer && a.Outcome != standin.Streamed && a.Outcome != standin.TurnedAway {
+		if a.Writer && a.Outcome != standin.Streamed && a.Outcome != standin.Refused {
 			t.Errorf("request %s was at writer %s and ended as %s", a.Request, a.Engine, a.Outcome)
 		}
 	}
--- a/internal/e2e/e2e_test.go
+++ b/internal/e2e/e2e_test.go
@@ -77,10 +77,10 @@
 	s := standin.Prefill()
 	if role == decide.Writer {
 		s = standin.Decode()
-		s.Step, s.PerSeq = 2*time.Millisecond, 0
+		s.StepTime, s.StepTimePerWriter = 2*time.Millisecond, 0
 	}
-	s.ReadPerS, s.PortPerS, s.Step = 400e3, 4e6, time.Millisecond
-	s.ReportDelay, s.ReportEvery = 0, 10*time.Millisecond
+	s.ReadTokensPerSecond, s.PortTokensPerSecond, s.StepTime = 400e3, 4e6, time.Millisecond
+	s.ReportDelay, s.ReportInterval = 0, 10*time.Millisecond
 	return s
 }
 
@@ -109,8 +109,8 @@
 	fc := fleet.Config{
 		Groups: []fleet.Group{{Prefix: "p", Kind: "prefill", Count: 2, Spec: quick(decide.Reader)},
 			{Prefix: "d", Kind: "decode", Count: 3, Spec: quick(decide.Writer)}},
-		List: filepath.Join(dir, "engines.list"), Seed: 1, Record: w.record,
-		Notice: 50 * time.Millisecond, Silent: 200 * time.Millisecond, Add: 10 * time.Millisecond,
+		ListPath: filepath.Join(dir, "engines.list"), Seed: 1, AuditLog: w.record,
+		CrashListDelay: 50 * time.Millisecond, UnresponsiveListDelay: 200 * time.Millisecond, StartListDelay: 10 * time.Millisecond,
 	}
 	text := settings
 	for _, o := range opts {
@@ -167,10 +167,10 @@
 // play plays a fault on an engine.
 func (w *world) play(name string, f standin.Fault) {
 	w.t.Helper()
-	if f.For == 0 {
-		f.For = time.Hour
+	if f.Duration == 0 {
+		f.Duration = time.Hour
 	}
-	if err := w.fleet.Play(w.fleet.Member(name), f); err != nil {
+	if err := w.fleet.InjectFault(w.fleet.Member(name), f); err != nil {
 		w.t.Fatal(err)
 	}
 }
--- a/internal/e2e/shift_test.go
+++ b/internal/e2e/shift_test.go
@@ -62,11 +62,11 @@
 		*set = shifting
 		for i := range c.Groups {
 			c.Groups[i].Count = 3
-			c.Groups[i].Spec.ColdFor = 500 * time.Millisecond
+			c.Groups[i].Spec.SlowStartTime = 500 * time.Millisecond
 		}
 		read, write := c.Groups[0].Spec, c.Groups[1].Spec
-		c.Groups[0].Other, c.Groups[1].Other = &write, &read
-		c.Groups[0].Change, c.Groups[1].Change = change, change
+		c.Groups[0].OtherRole, c.Groups[1].OtherRole = &write, &read
+		c.Groups[0].RoleChangeTime, c.Groups[1].RoleChangeTime = change, change
 	}
 }
 
@@ -282,7 +282,7 @@
 	if wrong := stop(); len(wrong) > 0 {
 		t.Errorf("%d answers were no success: %q", len(wrong), wrong[:min(len(wrong), 5)])
 	}
-	if n := w.seen(audit.Turned, engine.RefusedDraining) + w.seen(audit.Turned, engine.RefusedRole); n != 0 {
+	if n := w.seen(audit.Rejected, engine.RefusedDraining) + w.seen(audit.Rejected, engine.RefusedRole); n != 0 {
 		t.Errorf("%d attempts went to the engine on its way", n)
 	}
 	w.settled()
@@ -306,7 +306,7 @@
 	heavy := w.traffic(12, 20000, 2)
 	for _, m := range w.fleet.Members() {
 		if strings.HasPrefix(m.Name, "p") && m.Name != moving {
-			w.play(m.Name, standin.Fault{Kind: "crash", For: time.Hour})
+			w.play(m.Name, standin.Fault{Kind: "crash", Duration: time.Hour})
 		}
 	}
 	w.eventually("it reads again, or it was too late to call it back and it is back", func() bool {
@@ -351,7 +351,7 @@
 		return false
 	}
 	w.eventually("it writes", func() bool { return word("decode", 2) })
-	m.Engine.Anew()
+	m.Engine.Reinstall()
 	w.eventually("it reads again", func() bool { return word("prefill", 1) })
 	if a := w.stream(t.Context(), generate("Rate? [answer=5]", nil)); a.tokens != 5 {
 		t.Errorf("%+v", a)
@@ -391,7 +391,7 @@
 		t.Fatalf("%v, %+v", err, got)
 	}
 	for i, e := range got.Entries {
-		if e.Prompt != 40+i || e.Answer != 9 || e.Cut {
+		if e.PromptTokens != 40+i || e.OutputTokens != 9 || e.Truncated {
 			t.Errorf("%+v", e)
 		}
 	}
--- a/internal/engine/chat/chat.go
+++ b/internal/engine/chat/chat.go
@@ -109,15 +109,15 @@
 // Close closes idle connections.
 func (c *Client) Close() { c.pool.forget("") }
 
-// Listed notes that an engine is there.
-func (c *Client) Listed(addr string) {
+// EngineListed notes that an engine is there.
+func (c *Client) EngineListed(addr string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.listed[addr] = struct{}{}
 }
 
-// Forget drops what is kept for an engine that is gone, or whose process is another now.
-func (c *Client) Forget(addr string) {
+// ForgetEngine drops what is kept for an engine that is gone, or whose process is another now.
+func (c *Client) ForgetEngine(addr string) {
 	c.mu.Lock()
 	delete(c.heard, addr)
 	delete(c.listed, addr)
--- a/internal/engine/chat/chat_test.go
+++ b/internal/engine/chat/chat_test.go
@@ -588,7 +588,7 @@
 		addr := fmt.Sprintf("10.0.0.%d:1", i)
 		c.heard[addr] = time.Now()
 		c.pool.distrust(addr)
-		c.Forget(addr)
+		c.ForgetEngine(addr)
 		c.heard[addr] = time.Now()
 	}
 	for addr := range c.pool.doubt {
@@ -629,12 +629,12 @@
 	gone.Close() // nobody answers there
 	p := play(t, true, always("HTTP/1.1 204 x\r\n\r\n"))
 	c := newClient(t, nil)
-	c.Listed(addr)
-	c.Listed(p.addr)
+	c.EngineListed(addr)
+	c.EngineListed(p.addr)
 	if err := c.Release(t.Context(), &engine.State{Addr: addr, Handle: "id1"}); err != nil {
 		t.Error(err)
 	}
-	c.Forget(p.addr)
+	c.ForgetEngine(p.addr)
 	if len(c.listed) != 1 {
 		t.Errorf("%d engines are listed", len(c.listed))
 	}
--- a/internal/engine/chat/crossings_test.go
+++ b/internal/engine/chat/crossings_test.go
@@ -128,7 +128,7 @@
 	ended := make(chan engine.Result)
 	go func() { ended <- c.Prefill(t.Context(), p.addr, request()) }()
 	<-reading
-	c.Forget(p.addr)
+	c.ForgetEngine(p.addr)
 	goOn <- true
 	if res := <-ended; res.Outcome != decide.ReadDone || res.CachedTokens != 3 {
 		t.Errorf("%+v", res)
@@ -263,7 +263,7 @@
 	for name, callOff := range map[string]func(c *Client, ctx context.Context, addr string) error{
 		"the request is over": func(c *Client, ctx context.Context, addr string) error { return c.CancelRead(ctx, addr, "id1") },
 		"the answer has begun": func(c *Client, ctx context.Context, addr string) error {
-			return c.CallOffLater(ctx, addr, "id1")
+			return c.CancelReadLater(ctx, addr, "id1")
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/engine/chat/release.go
+++ b/internal/engine/chat/release.go
@@ -24,8 +24,8 @@
 	return c.callOff(ctx, addr, request, c.readEnds)
 }
 
-// CallOffLater does the same for a read whose request has an answer that has begun: what is known is let go already.
-func (c *Client) CallOffLater(ctx context.Context, addr, request string) error {
+// CancelReadLater does the same for a read whose request has an answer that has begun: what is known is let go already.
+func (c *Client) CancelReadLater(ctx context.Context, addr, request string) error {
 	return c.callOff(ctx, addr, request, c.opts.CancelRetryDelay)
 }
 
@@ -51,8 +51,8 @@
 	return c.heard[addr].After(since)
 }
 
-// GiveUpPlace lets go of a place; the protocol has one call for all that is held.
-func (c *Client) GiveUpPlace(ctx context.Context, addr, request string) error {
+// CancelReservation lets go of a place; the protocol has one call for all that is held.
+func (c *Client) CancelReservation(ctx context.Context, addr, request string) error {
 	return c.letGo(ctx, addr, request, hedgeAfter)
 }
 
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -95,8 +95,8 @@
 	return &counted{Conn: conn, n: n}, nil
 }
 
-// Forget drops what is kept for engines that are not in use any more.
-func (c *Client) Forget(addr string) {
+// ForgetEngine drops what is kept for engines that are not in use any more.
+func (c *Client) ForgetEngine(addr string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if n := c.conns[addr]; n != nil && n.Load() == 0 {
@@ -389,14 +389,14 @@
 	return c.insist(ctx, http.MethodDelete, addr, ReadPath+url.PathEscape(request))
 }
 
-// Listed does nothing: what is held is let go where it is.
-func (c *Client) Listed(string) {}
+// EngineListed does nothing: what is held is let go where it is.
+func (c *Client) EngineListed(string) {}
 
-// CallOffLater does nothing: CancelRead names the read, and is made when it is given up.
-func (c *Client) CallOffLater(context.Context, string, string) error { return nil }
+// CancelReadLater does nothing: CancelRead names the read, and is made when it is given up.
+func (c *Client) CancelReadLater(context.Context, string, string) error { return nil }
 
-// GiveUpPlace lets go of a place held ahead.
-func (c *Client) GiveUpPlace(ctx context.Context, addr, request string) error {
+// CancelReservation lets go of a place held ahead.
+func (c *Client) CancelReservation(ctx context.Context, addr, request string) error {
 	return c.insist(ctx, http.MethodDelete, addr, ReservationPath+url.PathEscape(request))
 }
 
--- a/internal/front/chat/chat_test.go
+++ b/internal/front/chat/chat_test.go
@@ -46,13 +46,13 @@
 func (e *engines) Release(context.Context, *engine.State) error     { return nil }
 func (e *engines) Renew(context.Context, *engine.State) error       { return nil }
 func (e *engines) CancelRead(context.Context, string, string) error { return nil }
-func (e *engines) CallOffLater(context.Context, string, string) error {
+func (e *engines) CancelReadLater(context.Context, string, string) error {
 	return nil
 }
-func (e *engines) GiveUpPlace(context.Context, string, string) error { return nil }
-func (e *engines) Listed(string)                                     {}
+func (e *engines) CancelReservation(context.Context, string, string) error { return nil }
+func (e *engines) EngineListed(string)                                     {}
 
-func (e *engines) Forget(string) {}
+func (e *engines) ForgetEngine(string) {}
 func (e *engines) Probe(context.Context, string, bool) engine.Result {
 	return engine.Result{Report: engine.NoReport()}
 }
--- a/internal/router/holds.go
+++ b/internal/router/holds.go
@@ -184,7 +184,7 @@
 	}
 	f.lost = ""
 	k.r.aside(notCalledOff, f.name, addr, func() error {
-		return k.r.cfg.Engines.CallOffLater(k.r.workCtx, addr, f.name)
+		return k.r.cfg.Engines.CancelReadLater(k.r.workCtx, addr, f.name)
 	})
 }
 
@@ -231,5 +231,5 @@
 }
 
 func (r *Router) giveUpPlace(request string, p *place) {
-	r.aside(notGivenUp, request, p.addr, func() error { return r.cfg.Engines.GiveUpPlace(r.workCtx, p.addr, request) })
+	r.aside(notGivenUp, request, p.addr, func() error { return r.cfg.Engines.CancelReservation(r.workCtx, p.addr, request) })
 }
--- a/internal/router/loop.go
+++ b/internal/router/loop.go
@@ -240,7 +240,7 @@
 	f.guarded().Accepted(f.name, q.job.Deadline)
 	r.count.arrived.Add(1)
 	if r.cfg.Observer != nil {
-		r.cfg.Observer.Arrived(&q.job)
+		r.cfg.Observer.RequestArrived(&q.job)
 	}
 	f.deadline = r.at(q.job.Deadline)
 	f.guard = r.timers.add(&entry{at: f.deadline + decide.OverdueAfter, flight: f})
@@ -276,9 +276,9 @@
 	r.takeBack(a, res)
 	if o := r.cfg.Observer; o != nil {
 		if res.Outcome == decide.ReadDone {
-			o.Read(&f.q.job, res.CachedTokens)
+			o.PromptRead(&f.q.job, res.CachedTokens)
 		} else if a.streaming {
-			o.Written(&f.q.job, res.Tokens, res.Outcome == decide.Served)
+			o.AnswerWritten(&f.q.job, res.Tokens, res.Outcome == decide.Served)
 		}
 	}
 	if a.streaming {
@@ -330,14 +330,14 @@
 				old.withdraw(r.now)
 			}
 			delete(r.servers, e.ID())
-			r.cfg.Engines.Forget(e.Addr)
+			r.cfg.Engines.ForgetEngine(e.Addr)
 			continue
 		}
 		s := &server{name: e.Name, addr: e.Addr, since: e.StartedAt}
 		if old := r.servers[e.ID()]; old != nil {
 			anew := old.addr != e.Addr || !old.since.Equal(e.StartedAt)
 			if anew {
-				r.cfg.Engines.Forget(old.addr) // its connections belong to a process that is no more
+				r.cfg.Engines.ForgetEngine(old.addr) // its connections belong to a process that is no more
 			}
 			if anew || e.State != decide.Ready {
 				old.withdraw(r.now)
@@ -347,7 +347,7 @@
 			s.role = r.cfg.Settings.Kinds[k].Role
 		}
 		r.servers[e.ID()] = s
-		r.cfg.Engines.Listed(e.Addr)
+		r.cfg.Engines.EngineListed(e.Addr)
 	}
 	for i := range r.list {
 		if r.list[i].State == decide.Ready {
@@ -462,7 +462,7 @@
 	r.count.open.Add(-1)
 	f.q.closeGuarded("over")
 	if r.cfg.Observer != nil {
-		r.cfg.Observer.Over(&f.q.job)
+		r.cfg.Observer.RequestDone(&f.q.job)
 	}
 }
 
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -35,24 +35,24 @@
 	Release(ctx context.Context, s *engine.State) error
 	Renew(ctx context.Context, s *engine.State) error
 	CancelRead(ctx context.Context, addr, request string) error
-	// CallOffLater does the same for a read that may end yet though the request's answer has begun: its engine may not have
+	// CancelReadLater does the same for a read that may end yet though the request's answer has begun: its engine may not have
 	// seen the end of the read's connection.
-	CallOffLater(ctx context.Context, addr, request string) error
+	CancelReadLater(ctx context.Context, addr, request string) error
 	Reserve(ctx context.Context, addr string, p *engine.ReservationRequest) (bool, error)
-	GiveUpPlace(ctx context.Context, addr, request string) error
+	CancelReservation(ctx context.Context, addr, request string) error
 	// Probe asks an engine for its load; fresh: on a connection that is made for it.
 	Probe(ctx context.Context, addr string, fresh bool) engine.Result
-	// Listed tells that an engine is there, Forget that it has left or is another process.
-	Listed(addr string)
-	Forget(addr string)
+	// EngineListed tells that an engine is there, Forget that it has left or is another process.
+	EngineListed(addr string)
+	ForgetEngine(addr string)
 }
 
 // Observer is told what is asked and what it takes. It is called from the loop and must not block.
 type Observer interface {
-	Arrived(j *Job)
-	Read(j *Job, kept float64)              // a prompt was read; kept tokens of it were found
-	Written(j *Job, tokens int, whole bool) // an answer has ended; not whole: it was cut off
-	Over(j *Job)                            // the request is over, however it ended; j is not used again
+	RequestArrived(j *Job)
+	PromptRead(j *Job, kept float64)              // a prompt was read; kept tokens of it were found
+	AnswerWritten(j *Job, tokens int, whole bool) // an answer has ended; not whole: it was cut off
+	RequestDone(j *Job)                           // the request is over, however it ended; j is not used again
 }
 
 // Config is what a Router is made of.
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -109,7 +109,7 @@
 	return true, nil
 }
 
-func (f *fakeEngines) GiveUpPlace(_ context.Context, addr, request string) error {
+func (f *fakeEngines) CancelReservation(_ context.Context, addr, request string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.places = append(f.places, "give up "+addr)
@@ -127,7 +127,7 @@
 	return nil
 }
 
-func (f *fakeEngines) CallOffLater(context.Context, string, string) error {
+func (f *fakeEngines) CancelReadLater(context.Context, string, string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.later++
@@ -141,9 +141,9 @@
 	return nil
 }
 
-func (f *fakeEngines) Listed(string) {}
+func (f *fakeEngines) EngineListed(string) {}
 
-func (f *fakeEngines) Forget(addr string) {
+func (f *fakeEngines) ForgetEngine(addr string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.forgotten = append(f.forgotten, addr)
--- a/internal/shift/shift.go
+++ b/internal/shift/shift.go
@@ -22,8 +22,8 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Engines is what the driver asks of engines; *engine.Client does it.
-type Engines interface {
+// EngineClient is what the driver asks of engines; *engine.Client does it.
+type EngineClient interface {
 	Role(ctx context.Context, addr string) (engine.Role, error)
 	ChangeRole(ctx context.Context, addr string, q *engine.RoleChange) (engine.Role, bool, error)
 	CancelRoleChange(ctx context.Context, addr string, q *engine.RoleChangeCancel) (engine.Role, bool, error)
@@ -33,7 +33,7 @@
 type Driver struct {
 	set     *config.Settings
 	source  discovery.Source
-	engines Engines
+	engines EngineClient
 	name    string
 	log     *slog.Logger
 	metrics *metrics.RoleMetrics // nil: none
@@ -82,30 +82,30 @@
 )
 
 // New returns a driver for the settings, which have shifting on or dry.
-func New(set *config.Settings, source discovery.Source, engines Engines, name string, log *slog.Logger, m *metrics.RoleMetrics) *Driver {
+func New(set *config.Settings, source discovery.Source, engines EngineClient, name string, log *slog.Logger, m *metrics.RoleMetrics) *Driver {
 	return &Driver{set: set, source: source, engines: engines, name: name, log: log, metrics: m,
 		seen: make(chan observation, maxObservations), results: make(chan result, 64),
 		byID: map[uint64]*discovery.Engine{}, views: map[uint64]roles.Listing{}, asking: map[uint64]bool{},
 		manager: roles.NewManager(set.Roles(), time.Now())}
 }
 
-// Arrived, Read and Written are the router.Observer. They never block: what does not fit is counted.
-func (d *Driver) Arrived(j *router.Job) {
+// RequestArrived, Read and Written are the router.Observer. They never block: what does not fit is counted.
+func (d *Driver) RequestArrived(j *router.Job) {
 	d.observe(observation{kind: sawArrival, arrival: roles.RequestInfo{Class: j.Class, PromptTokens: j.PromptTokens, Retry: j.ClientRetry}})
 }
 
-// Read implements router.Observer.
-func (d *Driver) Read(j *router.Job, kept float64) {
+// PromptRead implements router.Observer.
+func (d *Driver) PromptRead(j *router.Job, kept float64) {
 	d.observe(observation{kind: sawRead, arrival: roles.RequestInfo{Class: j.Class, PromptTokens: j.PromptTokens, CachedTokens: kept}})
 }
 
-// Written implements router.Observer.
-func (d *Driver) Written(j *router.Job, tokens int, whole bool) {
+// AnswerWritten implements router.Observer.
+func (d *Driver) AnswerWritten(j *router.Job, tokens int, whole bool) {
 	d.observe(observation{kind: sawWritten, arrival: roles.RequestInfo{Class: j.Class, OutputTokens: float64(tokens), Truncated: !whole}})
 }
 
-// Over implements router.Observer.
-func (d *Driver) Over(*router.Job) {}
+// RequestDone implements router.Observer.
+func (d *Driver) RequestDone(*router.Job) {}
 
 func (d *Driver) observe(o observation) {
 	o.at = time.Now()
@@ -119,11 +119,11 @@
 
 // Status is the state of shifting, for people.
 type Status struct {
-	At      time.Time
-	Mode    string
-	Plan    roles.PlanReport
-	Engines []EngineStatus
-	Unseen  int64 // observations of the traffic that did not fit
+	At                  time.Time
+	Mode                string
+	Plan                roles.PlanReport
+	Engines             []EngineStatus
+	DroppedObservations int64 // observations of the traffic that did not fit
 }
 
 // EngineStatus is one engine that can change.
@@ -136,7 +136,7 @@
 func (d *Driver) Status() *Status { return d.status.Load() }
 
 func (d *Driver) keepStatus(now time.Time) {
-	st := &Status{At: now, Mode: d.set.RoleChanges.Mode, Plan: d.manager.LastReport(), Unseen: d.missed.Load()}
+	st := &Status{At: now, Mode: d.set.RoleChanges.Mode, Plan: d.manager.LastReport(), DroppedObservations: d.missed.Load()}
 	list := d.manager.Status(now)
 	d.metrics.SetEngines(list)
 	for _, e := range list {
@@ -201,7 +201,7 @@
 			changed = d.carry(ctx, &acts[i]) || changed
 		}
 		for _, e := range d.manager.TakeResults() {
-			d.metrics.ChangeEnded(&e, roles.ColdLost(d.set.InitialCapacity, d.set.SlowStartTime).Seconds())
+			d.metrics.ChangeEnded(&e, roles.SlowStartLoss(d.set.InitialCapacity, d.set.SlowStartTime).Seconds())
 			level := slog.LevelInfo
 			if !e.Succeeded {
 				level = slog.LevelWarn
@@ -217,11 +217,11 @@
 func (d *Driver) take(o *observation) {
 	switch o.kind {
 	case sawArrival:
-		d.manager.Arrived(o.at, o.arrival)
+		d.manager.ObserveArrival(o.at, o.arrival)
 	case sawRead:
-		d.manager.Read(o.arrival)
+		d.manager.ObserveRead(o.arrival)
 	case sawWritten:
-		d.manager.Written(o.arrival)
+		d.manager.ObserveOutput(o.arrival)
 	}
 }
 
@@ -243,7 +243,7 @@
 		info.Capacity[stageOf(kind)], info.Capacity[stageOf(other)] = kind.Capacity, other.Capacity
 		infos = append(infos, info)
 	}
-	acts := d.manager.Listed(time.Now(), infos, nil)
+	acts := d.manager.UpdateEngines(time.Now(), infos, nil)
 	for id := range d.views {
 		if d.byID[id] == nil {
 			delete(d.views, id)
@@ -305,9 +305,9 @@
 		return nil
 	}
 	if r.asked {
-		return d.manager.Answered(now, r.id, r.granted, s, nil)
+		return d.manager.HandleAnswer(now, r.id, r.granted, s, nil)
 	}
-	return d.manager.Standing(now, r.id, s, nil)
+	return d.manager.ObserveState(now, r.id, s, nil)
 }
 
 // standing turns an engine's word into the decisions' terms.
@@ -387,7 +387,7 @@
 		return
 	}
 	d.log.Info("plan of roles", "read/s", int(r.Demand[roles.Prefill].Mean), "write/s", int(r.Demand[roles.Decode].Mean), "moves", len(r.Plan.Moves),
-		"served", r.Plan.Now, "then", r.Plan.Then, "confidence", r.Verdict.Confidence, "why", r.Verdict.Why, "begun", r.ChangesBegun,
+		"served", r.Plan.ServedNow, "then", r.Plan.ServedAfter, "confidence", r.Verdict.Confidence, "why", r.Verdict.Reason, "begun", r.ChangesBegun,
 		"dry", d.set.RoleChanges.Mode == "dry", "unseen", d.missed.Load())
 }
 
--- a/internal/soak/faults_processes.go
+++ b/internal/soak/faults_processes.go
@@ -181,9 +181,9 @@
 		return
 	}
 	old := r.CurrentAgent()
-	if r.Move(a) != nil {
+	if r.UseAgent(a) != nil {
 		return
 	}
-	old.Retire()
+	old.StopAccepting()
 	time.AfterFunc(oldAgent, old.Close)
 }
--- a/internal/soak/judge_attempts.go
+++ b/internal/soak/judge_attempts.go
@@ -14,8 +14,8 @@
 
 // attemptsOfRequests checks the attempts of every request against each other and against their client.
 func (e *evidence) attemptsOfRequests() (out []Finding) {
-	if e.record.Unknown > 0 {
-		out = append(out, Finding{Rule: ruleUnknown, Text: fmt.Sprintf("%d calls", e.record.Unknown)})
+	if e.record.UnexpectedCalls > 0 {
+		out = append(out, Finding{Rule: ruleUnknown, Text: fmt.Sprintf("%d calls", e.record.UnexpectedCalls)})
 	}
 	for id, list := range e.attempts {
 		a := e.byID[id]
@@ -58,7 +58,7 @@
 		if before.Ended.IsZero() || before.Ended.After(t.LastByte.Add(closeIsSeen+e.notRun(t.LastByte, before.Ended))) {
 			add(t, ruleSecondCopy, "sent to %s while an attempt at %s was out", t.Engine, before.Engine)
 		}
-		if !before.Writer || !t.Writer || before.Outcome.NeverRan() || t.Outcome.NeverRan() {
+		if !before.Writer || !t.Writer || before.Outcome.NeverExecuted() || t.Outcome.NeverExecuted() {
 			continue
 		}
 		switch {
@@ -94,12 +94,12 @@
 func toldOfDrains(agents []*standin.Agent) map[string]time.Time {
 	out := map[string]time.Time{}
 	for _, a := range agents {
-		for _, t := range a.Told() {
+		for _, t := range a.Notifications() {
 			if t.Member.Phase == watch.Up {
 				continue
 			}
 			at := t.At
-			if latest := t.Put.Add(told); latest.Before(at) {
+			if latest := t.ListedAt.Add(told); latest.Before(at) {
 				at = latest
 			}
 			if before, known := out[t.Member.ID]; !known || at.Before(before) {
@@ -152,7 +152,7 @@
 // capacity is how many requests a second a warm engine of a role can do.
 func (e *evidence) capacity(writer bool) float64 {
 	if writer {
-		return float64(e.writerSlots) / (e.work.FirstToken + time.Duration(e.work.Events-1)*e.work.Event).Seconds()
+		return float64(e.writerSlots) / (e.work.FirstTokenTime + time.Duration(e.work.EventsPerStream-1)*e.work.EventInterval).Seconds()
 	}
-	return float64(e.readerSlots) / e.work.Read.Seconds()
+	return float64(e.readerSlots) / e.work.ReadTime.Seconds()
 }
--- a/internal/soak/judge_test.go
+++ b/internal/soak/judge_test.go
@@ -25,7 +25,7 @@
 		readerSlots: readerSlots, writerSlots: writerSlots, asks: []*ask{a},
 		record: &standin.Record{Attempts: []standin.Attempt{read, write},
 			Holds: []standin.Hold{{Request: "q", Engine: "p", From: after(100), Until: after(198)}}},
-		lives: [][]Life{{{Started: after(-1000), Ready: after(-500), Terminated: after(5000), Exited: after(6000)}}},
+		lives: [][]ProcessRun{{{Started: after(-1000), Ready: after(-500), Terminated: after(5000), Exited: after(6000)}}},
 		told:  []map[string]time.Time{{}}, starts: map[string]time.Time{},
 		paths: []map[string]*path{{"p": {since: after(-1000)}, "d": {since: after(-1000)}}}}
 }
@@ -65,54 +65,54 @@
 		}},
 		"a late answer of a process that was stopped": {change: func(e *evidence, a *ask, _, _ *standin.Attempt) {
 			a.answered, a.ended = after(2600), after(2700)
-			e.lives[0][0].Stops = []Stop{{after(500), after(1000)}}
+			e.lives[0][0].Pauses = []Pause{{after(500), after(1000)}}
 		}},
 		"killed with an open request": {change: func(e *evidence, a *ask, _, _ *standin.Attempt) {
 			a.status, a.whole, a.ending, a.ended = 0, false, endClosed, after(151)
-			e.lives[0][0] = Life{Started: after(-1000), Killed: after(150), Exited: after(150), Signaled: true}
+			e.lives[0][0] = ProcessRun{Started: after(-1000), Killed: after(150), Exited: after(150), Signaled: true}
 		}},
 		"killed with one that came late after SIGTERM": {change: func(e *evidence, a *ask, _, _ *standin.Attempt) {
 			a.status, a.whole, a.ending, a.ended = 0, false, endClosed, after(2951)
-			e.lives[0][0] = Life{Started: after(-1000), Terminated: after(-750), Killed: after(2950), Exited: after(2950), Signaled: true}
+			e.lives[0][0] = ProcessRun{Started: after(-1000), Terminated: after(-750), Killed: after(2950), Exited: after(2950), Signaled: true}
 		}, want: ruleLost},
 		"killed with one that came soon after SIGTERM": {change: func(e *evidence, a *ask, _, _ *standin.Attempt) {
 			a.status, a.whole, a.ending, a.ended = 0, false, endClosed, after(3051)
-			e.lives[0][0] = Life{Started: after(-1000), Terminated: after(-650), Killed: after(3050), Exited: after(3050), Signaled: true}
+			e.lives[0][0] = ProcessRun{Started: after(-1000), Terminated: after(-650), Killed: after(3050), Exited: after(3050), Signaled: true}
 		}},
 		"cut while its engine wrote": {change: func(_ *evidence, a *ask, _, write *standin.Attempt) {
-			a.whole, a.ending, write.Outcome = false, endBroken, standin.GivenUp
+			a.whole, a.ending, write.Outcome = false, endBroken, standin.Cancelled
 		}, want: ruleLost},
 		"cut after its engine had ended": {change: func(_ *evidence, a *ask, _, _ *standin.Attempt) {
 			a.whole, a.ending = false, endBroken
 		}, want: ruleLost},
 		"cut by its engine": {change: func(_ *evidence, a *ask, _, write *standin.Attempt) {
-			a.whole, a.ending, write.Outcome = false, endBroken, standin.Broken
+			a.whole, a.ending, write.Outcome = false, endBroken, standin.ConnReset
 		}},
 		"left to wait after a stream broke": {change: func(_ *evidence, a *ask, _, write *standin.Attempt) {
-			a.whole, a.ending, a.ended, write.Outcome = false, endBroken, after(5500), standin.Broken
+			a.whole, a.ending, a.ended, write.Outcome = false, endBroken, after(5500), standin.ConnReset
 		}, want: ruleLost},
-		"served by no engine": {change: func(_ *evidence, _ *ask, _, write *standin.Attempt) { write.Outcome = standin.Errored }, want: ruleContent},
+		"served by no engine": {change: func(_ *evidence, _ *ask, _, write *standin.Attempt) { write.Outcome = standin.Failed }, want: ruleContent},
 		"wrong events":        {change: func(_ *evidence, a *ask, _, _ *standin.Attempt) { a.wrong = "events of two engines" }, want: ruleContent},
 		"refused after a run": {class: classUnsafe, change: func(_ *evidence, a *ask, _, write *standin.Attempt) {
-			a.status, write.Outcome = 429, standin.Broken
+			a.status, write.Outcome = 429, standin.ConnReset
 		}, want: ruleRefused},
 		"refused, never run": {class: classUnsafe, change: func(_ *evidence, a *ask, _, write *standin.Attempt) {
-			a.status, write.Outcome = 429, standin.TurnedAway
+			a.status, write.Outcome = 429, standin.Refused
 		}},
 		"two runs": {class: classUnsafe, change: func(e *evidence, _ *ask, _, write *standin.Attempt) {
-			write.Outcome, write.Ended = standin.Broken, after(110)
+			write.Outcome, write.Ended = standin.ConnReset, after(110)
 			e.record.Attempts = append(e.record.Attempts, second(120, standin.Streamed))
 		}, want: ruleDuplicate},
 		"a repeat in its window": {class: classKeyed, change: func(e *evidence, _ *ask, _, write *standin.Attempt) {
-			write.Outcome, write.Ended = standin.Broken, after(110)
+			write.Outcome, write.Ended = standin.ConnReset, after(110)
 			e.record.Attempts = append(e.record.Attempts, second(120, standin.Streamed))
 		}},
 		"a repeat after its window": {class: classKeyed, change: func(e *evidence, a *ask, _, write *standin.Attempt) {
-			write.Outcome, write.Ended = standin.Broken, after(110)
+			write.Outcome, write.Ended = standin.ConnReset, after(110)
 			e.record.Attempts = append(e.record.Attempts, second(1700, standin.Streamed))
 		}, want: ruleDuplicate},
 		"a second copy": {change: func(e *evidence, _ *ask, _, _ *standin.Attempt) {
-			e.record.Attempts = append(e.record.Attempts, second(300, standin.TurnedAway))
+			e.record.Attempts = append(e.record.Attempts, second(300, standin.Refused))
 		}, want: ruleSecondCopy},
 		"sent after the client left": {change: func(_ *evidence, a *ask, _, write *standin.Attempt) {
 			a.quit, write.LastByte = after(100), after(260)
@@ -130,14 +130,14 @@
 			e.starts["d2"] = after(1000)
 			for i := range 60 {
 				e.record.Attempts = append(e.record.Attempts, standin.Attempt{Request: "q", Engine: "d2", Writer: true, FirstByte: after(2000 + i),
-					LastByte: after(2000 + i), Arrived: after(2000 + i), Outcome: standin.TurnedAway, Ended: after(2000 + i)})
+					LastByte: after(2000 + i), Arrived: after(2000 + i), Outcome: standin.Refused, Ended: after(2000 + i)})
 			}
 		}, want: ruleSlowStart},
 		"held too long": {change: func(e *evidence, _ *ask, _, _ *standin.Attempt) { e.record.Holds[0].Until = after(2500) }, want: rulePinned},
 		"held with nobody to be reached": {change: func(e *evidence, _ *ask, _, _ *standin.Attempt) {
 			e.record.Holds[0].Until = after(2500)
 			for _, p := range e.paths[0] {
-				p.gaps = []standin.Span{{From: after(300), Until: after(2400)}}
+				p.gaps = []standin.Interval{{From: after(300), Until: after(2400)}}
 			}
 		}},
 		"a bad client without a word": {change: func(e *evidence, _ *ask, _, _ *standin.Attempt) {
--- a/internal/standin/engine/server.go
+++ b/internal/standin/engine/server.go
@@ -103,7 +103,7 @@
 
 	mu      sync.Mutex
 	life    *life // nil while down
-	role    Turns
+	role    RoleState
 	faults  faults
 	since   time.Time
 	drained bool
@@ -216,10 +216,10 @@
 // recordStart tells the audit of a start, in whichever role.
 func (s *Server) recordStart(now time.Time, cold bool) {
 	spec := s.spec.Load()
-	rec := audit.Record{At: now.UnixNano(), Who: s.cfg.Name, What: audit.Started, N: spec.capacity(), Work: spec.ColdFrom,
-		Deadline: int64(spec.ColdFor), Note: stageOf(spec)}
+	rec := audit.Record{At: now.UnixNano(), Who: s.cfg.Name, Kind: audit.Started, N: spec.capacity(), Work: spec.InitialCapacity,
+		Deadline: int64(spec.SlowStartTime), Note: stageOf(spec)}
 	if !cold {
-		rec.At -= int64(spec.ColdFor)
+		rec.At -= int64(spec.SlowStartTime)
 	}
 	s.cfg.AuditLog.Add(rec)
 }
@@ -319,14 +319,14 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.log.Info("fault", "kind", f.Kind, "for", f.For, "size", f.Size, "class", f.Class)
+	s.log.Info("fault", "kind", f.Kind, "for", f.Duration, "size", f.Size, "class", f.Class)
 	switch f.Kind {
 	case "crash":
-		s.crashLocked(f.For)
+		s.crashLocked(f.Duration)
 	case "vanish":
 		if l := s.life; l != nil {
 			l.silent = true
-			s.after(f.For, func() {
+			s.after(f.Duration, func() {
 				if s.life == l {
 					s.crashLocked(time.Millisecond)
 				}
@@ -337,20 +337,20 @@
 		s.drained = true
 		s.after(time.Duration(f.Size*float64(time.Second)), func() {
 			if s.life == l {
-				s.crashLocked(f.For)
+				s.crashLocked(f.Duration)
 			}
 		})
 	case "ageing":
 		l := s.life
 		s.faults.add(f, time.Now())
-		s.after(f.For, func() {
+		s.after(f.Duration, func() {
 			if s.life == l {
 				s.crashLocked(time.Second)
 			}
 		})
 	case "origin_slow":
 		if s.cfg.Link != nil {
-			s.cfg.Link.SlowDown(f.Size, f.For)
+			s.cfg.Link.SlowDown(f.Size, f.Duration)
 		}
 		s.faults.add(f, time.Now())
 	default:
@@ -380,8 +380,8 @@
 	}()
 }
 
-func (s *Server) record(what audit.What, st *state, note string) {
-	s.cfg.AuditLog.Add(audit.Record{Who: s.cfg.Name, What: what, ID: st.attempt, Client: st.client,
+func (s *Server) record(what audit.EventKind, st *state, note string) {
+	s.cfg.AuditLog.Add(audit.Record{Who: s.cfg.Name, Kind: what, ID: st.attempt, Client: st.client,
 		Router: st.router, Note: note})
 }
 
@@ -413,7 +413,7 @@
 			}
 			l.s.mu.Unlock()
 		default:
-			t := time.NewTimer(l.s.spec.Load().ReportEvery)
+			t := time.NewTimer(l.s.spec.Load().ReportInterval)
 			select {
 			case <-l.wake:
 			case <-t.C:
@@ -433,7 +433,7 @@
 
 // sample takes a load report now and then; what is told is one of some time ago.
 func (l *life) sample(now time.Time) {
-	if n := len(l.reports); n > 0 && now.Sub(l.reports[n-1].at) < l.s.spec.Load().ReportEvery {
+	if n := len(l.reports); n > 0 && now.Sub(l.reports[n-1].at) < l.s.spec.Load().ReportInterval {
 		return
 	}
 	share, waiting, latency := l.model.load()
@@ -531,8 +531,8 @@
 	router string
 }
 
-func (a *attempt) record(what audit.What, note string) {
-	a.l.s.cfg.AuditLog.Add(audit.Record{Who: a.l.s.cfg.Name, What: what, ID: a.id, Client: a.p.Client,
+func (a *attempt) record(what audit.EventKind, note string) {
+	a.l.s.cfg.AuditLog.Add(audit.Record{Who: a.l.s.cfg.Name, Kind: what, ID: a.id, Client: a.p.Client,
 		Router: a.router, Class: a.p.Class, Stage: a.p.Stage, Work: a.l.s.spec.Load().meanWork(), Note: note})
 }
 
@@ -553,38 +553,38 @@
 	fallen, drained := l.model.fallen, l.s.drained || l.s.role.Phase != engine.PhaseSteady
 	if fallen && !l.silent {
 		l.silent = true
-		l.s.cfg.AuditLog.Add(audit.Record{Who: l.s.cfg.Name, What: audit.Fell})
+		l.s.cfg.AuditLog.Add(audit.Record{Who: l.s.cfg.Name, Kind: audit.OverloadFailed})
 	}
 	l.s.mu.Unlock()
 	role := a.p.Stage == engine.StagePrefill && l.s.spec.Load().Role&decide.Reader == 0 ||
 		a.p.Stage == engine.StageDecode && l.s.spec.Load().Role&decide.Writer == 0
 	switch {
-	case fallen || ill != nil && ill.How == "silence":
-		a.record(audit.Turned, "silence")
+	case fallen || ill != nil && ill.Mode == "silence":
+		a.record(audit.Rejected, "silence")
 		l.hush(r.Context())
 		panic(http.ErrAbortHandler)
 	case endless != nil:
-		a.record(audit.Turned, "long headers")
+		a.record(audit.Rejected, "long headers")
 		l.longHeaders(w)
 		return false
 	case failing != nil || ill != nil:
-		a.record(audit.Turned, "error")
+		a.record(audit.Rejected, "error")
 		writeJSON(w, http.StatusInternalServerError, kserve.ErrorResponse{Error: "the engine failed"})
 		return false
 	case drained:
-		a.record(audit.Turned, engine.RefusedDraining)
+		a.record(audit.Rejected, engine.RefusedDraining)
 		l.turn(w, engine.RefusedDraining, "the engine is draining")
 		return false
 	case role:
-		a.record(audit.Turned, engine.RefusedRole)
+		a.record(audit.Rejected, engine.RefusedRole)
 		l.turn(w, engine.RefusedRole, "the engine does not do this stage")
 		return false
 	case throttled != nil:
-		a.record(audit.Turned, engine.RefusedFull)
+		a.record(audit.Rejected, engine.RefusedFull)
 		l.turn(w, engine.RefusedFull, "no more of this class")
 		return false
-	case int(a.p.PromptTokens)+1 > l.s.spec.Load().Context:
-		a.record(audit.Turned, "context")
+	case int(a.p.PromptTokens)+1 > l.s.spec.Load().MaxContextTokens:
+		a.record(audit.Rejected, "context")
 		writeJSON(w, http.StatusBadRequest, kserve.ErrorResponse{Error: "the prompt is longer than the context"})
 		return false
 	}
@@ -618,7 +618,7 @@
 		n, _ = strconv.Atoi(m[1])
 	} else {
 		const sigma = 0.6
-		mean := max(l.s.spec.Load().MeanAnswer, 1)
+		mean := max(l.s.spec.Load().MeanAnswerTokens, 1)
 		d := distuv.LogNormal{Mu: math.Log(mean) - sigma*sigma/2, Sigma: sigma,
 			Src: rand.NewPCG(xxhash.Sum64String(prompt), l.s.cfg.Seed)}
 		n = int(d.Rand())
@@ -659,7 +659,7 @@
 	}
 	l.s.mu.Unlock()
 	if err != nil {
-		a.record(audit.Turned, engine.RefusedFull)
+		a.record(audit.Rejected, engine.RefusedFull)
 		l.turn(w, engine.RefusedFull, err.Error())
 		return
 	}
@@ -757,12 +757,12 @@
 		l.s.mu.Lock()
 		defer l.s.mu.Unlock()
 		if l.states[st.id] == st && st.claims == 0 {
-			l.dropLocked(st, audit.Lapsed)
+			l.dropLocked(st, audit.Expired)
 		}
 	})
 }
 
-func (l *life) dropLocked(st *state, what audit.What) {
+func (l *life) dropLocked(st *state, what audit.EventKind) {
 	if l.states[st.id] != st {
 		return
 	}
@@ -827,7 +827,7 @@
 	}
 	if st.claims--; st.claims == 0 {
 		st.lease.Reset(st.hold)
-		l.s.record(audit.Unclaimed, st, "")
+		l.s.record(audit.ClaimEnded, st, "")
 	}
 }
 
@@ -855,10 +855,10 @@
 func (l *life) fetch(w http.ResponseWriter, r *http.Request, st *state) {
 	l.claimed(st, true)
 	defer l.claimed(st, false)
-	w.Header().Set("Content-Length", strconv.Itoa(st.prompt*l.s.spec.Load().TokenBytes))
+	w.Header().Set("Content-Length", strconv.Itoa(st.prompt*l.s.spec.Load().StateBytesPerToken))
 	w.Header().Set(engine.TokensHeader, strconv.Itoa(st.prompt))
 	w.Header().Set(engine.InfoHeader, strconv.Itoa(st.answer))
-	w.Header().Set(engine.ChecksumHeader, strconv.FormatUint(stateSum(st.id, st.prompt*l.s.spec.Load().TokenBytes), 16))
+	w.Header().Set(engine.ChecksumHeader, strconv.FormatUint(stateSum(st.id, st.prompt*l.s.spec.Load().StateBytesPerToken), 16))
 	if l.sendState(r.Context(), w, st, r.Header.Get("Kv-Cell")) != nil {
 		return
 	}
@@ -872,21 +872,21 @@
 func (l *life) sendState(ctx context.Context, w io.Writer, st *state, toCell string) error {
 	const chunk = 256 // tokens
 	gen := newPattern(st.id)
-	buf := make([]byte, chunk*l.s.spec.Load().TokenBytes)
+	buf := make([]byte, chunk*l.s.spec.Load().StateBytesPerToken)
 	for left := st.prompt; left > 0; left -= chunk {
 		n := min(left, chunk)
 		l.s.mu.Lock()
 		slow := l.s.faults.largest("origin_slow", 1, time.Now())
 		l.s.mu.Unlock()
 		if toCell == l.s.cfg.Cell || l.s.cfg.Link == nil {
-			pause(ctx, time.Duration(float64(n)/l.s.spec.Load().PortPerS*slow*1e9))
+			pause(ctx, time.Duration(float64(n)/l.s.spec.Load().PortTokensPerSecond*slow*1e9))
 		} else {
 			l.s.cfg.Link.take(ctx, float64(n))
 		}
 		if err := cmp.Or(ctx.Err(), l.ctx.Err()); err != nil {
 			return err
 		}
-		part := buf[:n*l.s.spec.Load().TokenBytes]
+		part := buf[:n*l.s.spec.Load().StateBytesPerToken]
 		gen.fill(part)
 		if _, err := w.Write(part); err != nil {
 			return err
@@ -928,7 +928,7 @@
 		return
 	}
 	if a.p.Handle == "" && l.s.spec.Load().Role != decide.Both {
-		a.record(audit.Turned, engine.RefusedNoState)
+		a.record(audit.Rejected, engine.RefusedNoState)
 		l.turn(w, engine.RefusedNoState, "no state is named, and the engine does not read")
 		return
 	}
@@ -943,7 +943,7 @@
 		err := l.model.admit(q)
 		l.s.mu.Unlock()
 		if err != nil {
-			a.record(audit.Turned, engine.RefusedFull)
+			a.record(audit.Rejected, engine.RefusedFull)
 			l.turn(w, engine.RefusedFull, err.Error())
 			return
 		}
@@ -951,7 +951,7 @@
 			return
 		}
 	}
-	a.record(audit.Ran, "")
+	a.record(audit.Executed, "")
 	l.signal()
 	l.stream(w, r, a, q, began)
 }
@@ -964,7 +964,7 @@
 		l.model.leave(q)
 		l.s.mu.Unlock()
 		l.signal()
-		a.record(audit.Turned, note)
+		a.record(audit.Rejected, note)
 	}
 	select {
 	case <-q.granted:
@@ -1066,7 +1066,7 @@
 		l.model.leave(q)
 		l.s.mu.Unlock()
 		l.signal()
-		l.s.cfg.AuditLog.Add(audit.Record{Who: l.s.cfg.Name, What: audit.Ended, ID: a.id, Client: a.p.Client,
+		l.s.cfg.AuditLog.Add(audit.Record{Who: l.s.cfg.Name, Kind: audit.Ended, ID: a.id, Client: a.p.Client,
 			Router: a.router, Class: a.p.Class, Stage: a.p.Stage, N: float64(q.written), Note: note})
 	}
 	for {
--- a/internal/trace/recorder.go
+++ b/internal/trace/recorder.go
@@ -53,19 +53,19 @@
 	return &Recorder{path: path, classes: classes, log: log, notes: make(chan note, maxNotes), start: time.Now()}
 }
 
-// Arrived implements router.Observer.
-func (r *Recorder) Arrived(j *router.Job) { r.put(note{kind: came, job: j}) }
+// RequestArrived implements router.Observer.
+func (r *Recorder) RequestArrived(j *router.Job) { r.put(note{kind: came, job: j}) }
 
-// Read implements router.Observer.
-func (r *Recorder) Read(*router.Job, float64) {}
+// PromptRead implements router.Observer.
+func (r *Recorder) PromptRead(*router.Job, float64) {}
 
-// Written implements router.Observer.
-func (r *Recorder) Written(j *router.Job, tokens int, whole bool) {
+// AnswerWritten implements router.Observer.
+func (r *Recorder) AnswerWritten(j *router.Job, tokens int, whole bool) {
 	r.put(note{kind: wrote, job: j, tokens: tokens, whole: whole})
 }
 
-// Over implements router.Observer.
-func (r *Recorder) Over(j *router.Job) { r.put(note{kind: over, job: j}) }
+// RequestDone implements router.Observer.
+func (r *Recorder) RequestDone(j *router.Job) { r.put(note{kind: over, job: j}) }
 
 func (r *Recorder) put(n note) {
 	n.at = time.Now()
@@ -100,16 +100,16 @@
 		if n.job.ClientRetry {
 			return
 		}
-		w := &waiting{job: n.job, at: n.at, entry: Entry{At: n.at.Sub(start), Class: n.job.Class, Prompt: int(n.job.PromptTokens),
-			Shared: min(int(n.job.PrefixTokens), int(n.job.PromptTokens)), Text: n.job.SharedPrefix}}
-		if w.entry.Text == "" {
-			w.entry.Shared = 0
+		w := &waiting{job: n.job, at: n.at, entry: Entry{At: n.at.Sub(start), Class: n.job.Class, PromptTokens: int(n.job.PromptTokens),
+			PrefixTokens: min(int(n.job.PrefixTokens), int(n.job.PromptTokens)), PrefixID: n.job.SharedPrefix}}
+		if w.entry.PrefixID == "" {
+			w.entry.PrefixTokens = 0
 		}
 		q.open[n.job] = w
 		q.list = append(q.list, w)
 	case wrote:
 		if w := q.open[n.job]; w != nil {
-			w.entry.Answer, w.entry.Cut = n.tokens, !n.whole
+			w.entry.OutputTokens, w.entry.Truncated = n.tokens, !n.whole
 		}
 	case over:
 		if w := q.open[n.job]; w != nil {
--- a/roles/manager.go
+++ b/roles/manager.go
@@ -17,8 +17,8 @@
 	SlotLength time.Duration
 }
 
-// May tells whether it is this router's turn at a point of wall time.
-func (t TurnOrder) May(now time.Time) bool {
+// Allows tells whether it is this router's turn at a point of wall time.
+func (t TurnOrder) Allows(now time.Time) bool {
 	if t.Routers <= 1 || t.SlotLength <= 0 {
 		return true
 	}
@@ -83,17 +83,17 @@
 		judge: Judge{Confidence: cfg.Confidence, Looks: cfg.ConsecutivePlans}, infos: map[uint64]*EngineInfo{}, next: now.Add(cfg.PlanInterval)}
 }
 
-// Arrived, Read and Written take in what this router sees of the traffic.
-func (m *Manager) Arrived(now time.Time, a RequestInfo) { m.demand.Arrived(now.Sub(m.start), a) }
+// ObserveArrival, Read and Written take in what this router sees of the traffic.
+func (m *Manager) ObserveArrival(now time.Time, a RequestInfo) { m.demand.Arrived(now.Sub(m.start), a) }
 
-// Read takes in a finished read.
-func (m *Manager) Read(a RequestInfo) { m.demand.Read(a) }
+// ObserveRead takes in a finished read.
+func (m *Manager) ObserveRead(a RequestInfo) { m.demand.Read(a) }
 
-// Written takes in an answer, as far as it is known.
-func (m *Manager) Written(a RequestInfo) { m.demand.Written(a) }
+// ObserveOutput takes in an answer, as far as it is known.
+func (m *Manager) ObserveOutput(a RequestInfo) { m.demand.Written(a) }
 
-// Listed takes in all engines that there are. Those that are not among them are gone.
-func (m *Manager) Listed(now time.Time, list []EngineInfo, out []Action) []Action {
+// UpdateEngines takes in all engines that there are. Those that are not among them are gone.
+func (m *Manager) UpdateEngines(now time.Time, list []EngineInfo, out []Action) []Action {
 	seen := make(map[uint64]*EngineInfo, len(list))
 	for i := range list {
 		info := list[i]
@@ -111,16 +111,16 @@
 	return out
 }
 
-// Standing takes in an engine's word on its role.
-func (m *Manager) Standing(now time.Time, id uint64, s RoleState, out []Action) []Action {
+// ObserveState takes in an engine's word on its role.
+func (m *Manager) ObserveState(now time.Time, id uint64, s RoleState, out []Action) []Action {
 	if m.infos[id] == nil {
 		return out
 	}
 	return m.follow.Seen(now, id, s, out)
 }
 
-// Answered takes in an engine's answer to Ask.
-func (m *Manager) Answered(now time.Time, id uint64, granted bool, s RoleState, out []Action) []Action {
+// HandleAnswer takes in an engine's answer to Ask.
+func (m *Manager) HandleAnswer(now time.Time, id uint64, granted bool, s RoleState, out []Action) []Action {
 	return m.follow.Answered(now, id, granted, s, out)
 }
 
@@ -134,7 +134,7 @@
 // to be called some times a second.
 func (m *Manager) Tick(now time.Time, out []Action) []Action {
 	out = m.follow.Tick(now, out)
-	if now.Before(m.next) && !(m.waits && m.cfg.TurnOrder.May(now)) {
+	if now.Before(m.next) && !(m.waits && m.cfg.TurnOrder.Allows(now)) {
 		return out
 	}
 	m.next = now.Add(m.cfg.PlanInterval)
@@ -178,7 +178,7 @@
 	}
 	m.last.Verdict = m.judge.Look(&p, demand)
 	out = m.callOff(engines, demand, out)
-	m.waits = m.last.Verdict.Change && !m.cfg.DryRun && !m.cfg.TurnOrder.May(now)
+	m.waits = m.last.Verdict.Change && !m.cfg.DryRun && !m.cfg.TurnOrder.Allows(now)
 	if !m.last.Verdict.Change || m.cfg.DryRun || m.waits {
 		return out
 	}
@@ -220,8 +220,8 @@
 		// As sure as a change has to be, and worth more than the change was expected to bring, else plans chase
 		// each other.
 		const least = 0.05
-		if served(back, m.cfg.Costs.Load, cases) > served(cap, m.cfg.Costs.Load, cases)+least &&
-			sure(cap, back, m.cfg.Costs.Load, cases) >= m.cfg.Confidence {
+		if served(back, m.cfg.Costs.MaxLoad, cases) > served(cap, m.cfg.Costs.MaxLoad, cases)+least &&
+			sure(cap, back, m.cfg.Costs.MaxLoad, cases) >= m.cfg.Confidence {
 			out = m.follow.CallOff(e.ID, "the work is where the engine was", out)
 		}
 	}
@@ -230,12 +230,12 @@
 
 // Status is one engine as a Manager sees it, for people.
 type Status struct {
-	Engine uint64
-	Known  bool // it has said what it does
-	State  RoleState
-	Step   string // of a change that is followed: idle, asking, emptying, changing, resting
-	Since  time.Time
-	WhyNot string // why it would not be changed now; "" it could be
+	Engine          uint64
+	Known           bool // it has said what it does
+	State           RoleState
+	Step            string // of a change that is followed: idle, asking, emptying, changing, resting
+	ChangeStartedAt time.Time
+	BlockedReason   string // why it would not be changed now; "" it could be
 }
 
 // Status returns all engines, by number.
@@ -245,21 +245,21 @@
 		st := Status{Engine: id, Step: idle.String()}
 		c := m.follow.list[id]
 		if c != nil && c.known {
-			st.Known, st.State, st.Step, st.Since = true, c.now, c.step.String(), c.began
+			st.Known, st.State, st.Step, st.ChangeStartedAt = true, c.now, c.step.String(), c.began
 		}
 		switch {
 		case !st.Known:
-			st.WhyNot = "it has not said what it does"
+			st.BlockedReason = "it has not said what it does"
 		case c.doubt:
-			st.WhyNot = "it does not tell its role any more"
+			st.BlockedReason = "it does not tell its role any more"
 		case c.step == resting:
-			st.WhyNot = "a change of it failed; it rests until " + c.by.UTC().Format(time.TimeOnly)
+			st.BlockedReason = "a change of it failed; it rests until " + c.by.UTC().Format(time.TimeOnly)
 		case c.step != idle || c.now.Phase != Steady:
-			st.WhyNot = "it is on its way"
+			st.BlockedReason = "it is on its way"
 		case m.infos[id].Draining:
-			st.WhyNot = "it is draining"
+			st.BlockedReason = "it is draining"
 		case !c.now.StartedAt.IsZero() && now.Sub(c.now.StartedAt) < m.cfg.SlowStartTime:
-			st.WhyNot = "it is cold"
+			st.BlockedReason = "it is cold"
 		}
 		out = append(out, st)
 	}
--- a/roles/manager_test.go
+++ b/roles/manager_test.go
@@ -33,13 +33,13 @@
 		infos = append(infos, EngineInfo{ID: id, Cell: i % 2, Capacity: [stages]float64{10000, 1000}})
 	}
 	for i := range routers {
-		cfg := Config{Classes: 1, Timeouts: limits, Costs: Costs{Horizon: 45 * time.Second, Away: 11 * time.Second, Load: [stages]float64{0.8, 0.8}, Changes: 2},
+		cfg := Config{Classes: 1, Timeouts: limits, Costs: Costs{Horizon: 45 * time.Second, AwayTime: 11 * time.Second, MaxLoad: [stages]float64{0.8, 0.8}, MaxChanging: 2},
 			Confidence: 0.85, PlanInterval: 5 * time.Second, SlowStartTime: 13 * time.Second, TurnOrder: TurnOrder{routers, i, 10 * time.Second}}
 		if change != nil {
 			change(&cfg)
 		}
 		m := NewManager(cfg, s.now)
-		m.Listed(s.now, infos, nil)
+		m.UpdateEngines(s.now, infos, nil)
 		s.managers = append(s.managers, m)
 	}
 	return s
@@ -54,9 +54,9 @@
 			if m == nil {
 				continue
 			}
-			m.Arrived(s.now, RequestInfo{})
-			m.Read(RequestInfo{PromptTokens: prompt * math.Exp(0.6*s.rng.NormFloat64()-0.18)})
-			m.Written(RequestInfo{OutputTokens: answer * math.Exp(0.6*s.rng.NormFloat64()-0.18)})
+			m.ObserveArrival(s.now, RequestInfo{})
+			m.ObserveRead(RequestInfo{PromptTokens: prompt * math.Exp(0.6*s.rng.NormFloat64()-0.18)})
+			m.ObserveOutput(RequestInfo{OutputTokens: answer * math.Exp(0.6*s.rng.NormFloat64()-0.18)})
 		}
 		away := 0
 		for id, e := range s.engines {
@@ -84,7 +84,7 @@
 			if s.now.UnixMilli()%1000 == 0 {
 				for id := range uint64(len(s.engines)) {
 					if e := s.engines[id+1]; e.alive {
-						out = m.Standing(s.now, id+1, e.s, out)
+						out = m.ObserveState(s.now, id+1, e.s, out)
 					}
 				}
 			}
@@ -103,7 +103,7 @@
 				s.begun++
 				s.ready[a.Engine] = s.now.Add(2 * time.Second)
 			}
-			s.do(m, m.Answered(s.now, a.Engine, granted, e.s, nil))
+			s.do(m, m.HandleAnswer(s.now, a.Engine, granted, e.s, nil))
 		case CancelChange:
 			if e.alive && e.s.Phase == Emptying && e.s.Epoch == a.Epoch {
 				e.s.Phase = Steady
@@ -208,7 +208,7 @@
 
 // Half of the readers die while a reader is on its way to write: it is called back.
 func TestChangeIsCalledBack(t *testing.T) {
-	s := newSite(t, 1, 6, 6, func(c *Config) { c.Timeouts.EmptyTimeout = time.Hour; c.Costs.Changes = 1 })
+	s := newSite(t, 1, 6, 6, func(c *Config) { c.Timeouts.EmptyTimeout = time.Hour; c.Costs.MaxChanging = 1 })
 	s.run(2*time.Minute, 40, 500, 100)
 	for i := 0; s.begun == 0 && i < 900; i++ {
 		s.run(time.Second, 40, 900, 165) // 36,000 and 6,600: a writer more would help
@@ -234,7 +234,7 @@
 		}
 		left = append(left, info)
 	}
-	s.managers[0].Listed(s.now, left, nil)
+	s.managers[0].UpdateEngines(s.now, left, nil)
 	s.run(30*time.Second, 40, 900, 165)
 	if e := s.engines[moving]; e.s.Phase != Steady || e.s.Role != Prefill {
 		t.Errorf("it is %+v", e.s)
@@ -256,7 +256,7 @@
 		n := 0
 		for i, turn := range turns {
 			// Clocks that are off by up to a fifth of a slot.
-			if turn.May(now.Add(time.Duration(i-1) * 2 * time.Second)) {
+			if turn.Allows(now.Add(time.Duration(i-1) * 2 * time.Second)) {
 				had[i]++
 				n++
 			}
@@ -268,7 +268,7 @@
 	if had[0] == 0 || had[1] == 0 || had[2] == 0 {
 		t.Errorf("turns %v", had)
 	}
-	if !(TurnOrder{}).May(t0) {
+	if !(TurnOrder{}).Allows(t0) {
 		t.Error("a router alone waits for its turn")
 	}
 }
--- a/roles/plan.go
+++ b/roles/plan.go
@@ -21,36 +21,36 @@
 
 // Costs are what a change costs, and bounds of a plan.
 type Costs struct {
-	Horizon time.Duration // over which a plan has to pay
-	Away    time.Duration // of a change: drained, changed, and what coldness takes, as full time lost
-	Reread  float64       // work a token held that is lost, in tokens to read; 0 to 1
-	// Load is the part of its capacity to which a stage may be used and still answer in time. A queue of readers
+	Horizon  time.Duration // over which a plan has to pay
+	AwayTime time.Duration // of a change: drained, changed, and what coldness takes, as full time lost
+	Reread   float64       // work a token held that is lost, in tokens to read; 0 to 1
+	// MaxLoad is the part of its capacity to which a stage may be used and still answer in time. A queue of readers
 	// shows in the first token, one of writers at a free place hardly.
-	Load [stages]float64
-	// Changes is how many engines may be away at once; those that are away already count.
-	Changes int
-	Least   [stages]int // engines of each role, at least
-	Most    [stages]int // and at most; 0: no bound
+	MaxLoad [stages]float64
+	// MaxChanging is how many engines may be away at once; those that are away already count.
+	MaxChanging int
+	MinEngines  [stages]int // engines of each role, at least
+	MaxEngines  [stages]int // and at most; 0: no bound
 }
 
 // left is the part of the horizon that a change leaves of an engine.
-func (c *Costs) left() float64 { return 1 - c.Away.Seconds()/c.Horizon.Seconds() }
+func (c *Costs) left() float64 { return 1 - c.AwayTime.Seconds()/c.Horizon.Seconds() }
 
-// ColdLost is the work that an engine lacks while it is cold, as full time: it starts with a part of its capacity
+// SlowStartLoss is the work that an engine lacks while it is cold, as full time: it starts with a part of its capacity
 // and has all of it after coldFor, growing evenly.
-func ColdLost(start float64, coldFor time.Duration) time.Duration {
+func SlowStartLoss(start float64, coldFor time.Duration) time.Duration {
 	return time.Duration((1 - start) / 2 * float64(coldFor))
 }
 
 // Plan is what the planner has found.
 type Plan struct {
 	Moves []Move
-	// Now and Then are the parts of the work that is expected to be served without and with the moves,
+	// ServedNow and Then are the parts of the work that is expected to be served without and with the moves,
 	// both over the horizon.
-	Now, Then float64
-	// Sure is how sure it is that the moves serve more, among the cases of the forecast in which they make a
+	ServedNow, ServedAfter float64
+	// Confidence is how sure it is that the moves serve more, among the cases of the forecast in which they make a
 	// difference.
-	Sure float64
+	Confidence float64
 }
 
 // Move is one engine that is to change.
@@ -139,7 +139,7 @@
 // it keeps the most that the writers could do. What is lost by moving is part of the capacity. The result
 // hangs on the arguments alone, not on the order of the engines.
 func Solve(engines []Engine, demand [stages]Work, costs Costs) (Plan, error) {
-	if costs.Away >= costs.Horizon || costs.Horizon <= 0 {
+	if costs.AwayTime >= costs.Horizon || costs.Horizon <= 0 {
 		return Plan{}, ErrHorizon
 	}
 	cases := scenarios(demand)
@@ -150,8 +150,8 @@
 			base[e.Role] += e.Cap[e.Role]
 		}
 	}
-	plan := Plan{Now: served(base, costs.Load, cases)}
-	plan.Then = plan.Now
+	plan := Plan{ServedNow: served(base, costs.MaxLoad, cases)}
+	plan.ServedAfter = plan.ServedNow
 	if moves <= 0 {
 		return plan, nil
 	}
@@ -159,15 +159,15 @@
 	last := layers[len(layers)-1]
 	best := -1
 	for i, o := range last {
-		got := served(o.cap, costs.Load, cases)
+		got := served(o.cap, costs.MaxLoad, cases)
 		// An equal plan with more moves, or one that is better by no more than rounding, is no better.
 		const least = 1e-9
-		if got > plan.Then+least {
-			best, plan.Then = i, got
+		if got > plan.ServedAfter+least {
+			best, plan.ServedAfter = i, got
 		}
 	}
 	if best >= 0 {
-		plan.Sure = sure(base, last[best].cap, costs.Load, cases)
+		plan.Confidence = sure(base, last[best].cap, costs.MaxLoad, cases)
 	}
 	for layer := len(layers) - 1; layer > 0 && best >= 0; layer-- {
 		o := layers[layer][best]
@@ -214,7 +214,7 @@
 		return 1
 	})
 	sound := map[[2]int]int{} // by cell and role
-	moves = costs.Changes
+	moves = costs.MaxChanging
 	for _, e := range sorted {
 		if e.Absent {
 			moves--
@@ -335,7 +335,7 @@
 func within(o *option, from Stage, count [stages]int, costs Costs) bool {
 	left := count[from] - o.moved[from] + o.moved[1-from] - 1
 	grown := count[1-from] - o.moved[1-from] + o.moved[from] + 1
-	if left < costs.Least[from] || costs.Most[1-from] > 0 && grown > costs.Most[1-from] {
+	if left < costs.MinEngines[from] || costs.MaxEngines[1-from] > 0 && grown > costs.MaxEngines[1-from] {
 		return false
 	}
 	return left > 0
