--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,5 +1,6 @@
-// Command simhost hosts instances of the decision module behind the simulator's wire: batches of
-// events on standard input, one reply each on standard output.
+// Command simhost runs instances of the decision module for the simulator. It reads batches of events from standard
+// input and writes one reply for each to standard output. It opens no sockets and reads no clock: the batches carry
+// the time.
 package main
 
 import (
@@ -19,7 +20,7 @@
 	}
 }
 
-// run answers batches until the input ends.
+// run answers batches until the input ends. The first error ends it.
 func run(in io.Reader, out io.Writer) error {
 	var (
 		dec     = simwire.NewDecoder(in)
@@ -80,7 +81,7 @@
 	}
 }
 
-// handle runs the module on one event and turns a panic into a text.
+// handle passes an event to a router. If the router panics, failure holds the reason and there are no actions.
 func handle(r *decide.Router, now decide.Time, ev *decide.Event, out []decide.Action) (
 	acts []decide.Action, failure string) {
 	defer func() {
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -40,7 +40,7 @@
 	return append(binary.BigEndian.AppendUint32(b, uint32(len(text))), text...)
 }
 
-// A request that arrives without any server known is refused in the same batch.
+// A request that arrives when no server is known is refused in the same batch.
 func TestRunAnswers(t *testing.T) {
 	job := make([]byte, 60)
 	job[0], job[4], job[8] = 40, 3, 9
@@ -56,8 +56,8 @@
 	}
 }
 
-// Broken input ends the run with one message that says what and where.
-func TestRunFaults(t *testing.T) {
+// Malformed input ends run with a one-line error that says what is wrong and where.
+func TestRunErrors(t *testing.T) {
 	tests := map[string]struct {
 		in   []byte
 		want string
@@ -74,10 +74,10 @@
 	}
 }
 
-// A panic of the module becomes a text for that instance alone.
+// A panic of the module becomes a failure text for that instance.
 func TestPanicIsCaught(t *testing.T) {
 	r := decide.New(&decide.Settings{}, 1, 0)
-	acts, failure := handle(r, 1, nil, nil) // no event: the module can only panic
+	acts, failure := handle(r, 1, nil, nil) // a nil event makes the module panic
 	if len(acts) != 0 || !strings.Contains(failure, "decision module") {
 		t.Errorf("got %v, %q", acts, failure)
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,7 +1,6 @@
-// Package settings reads what the platform tells a router of its deployment. The same names come as path=value
-// lines (the simulator) and as nested JSON (the configuration file of a running router): both are flattened
-// to one form, and one reader makes the module's settings of it, so that the two can't come to differ. It
-// decides nothing.
+// Package settings parses the platform's settings of a deployment. The simulator sends them as path=value lines, and
+// the configuration file of a running router has them as nested JSON. Both are flattened to the same form and
+// converted by the same code, so that they can't differ. The package makes no decisions and reads no files.
 package settings
 
 import (
@@ -15,19 +14,19 @@
 	"mintdoor/decide"
 )
 
-// Deployment is what the settings say: the module's part, and the names and figures that adapters need.
+// Deployment holds the parsed settings: those of the decision module, and the names and values that adapters need.
 type Deployment struct {
 	Decide          *decide.Settings
 	Classes         []string        // names of Decide.Classes
 	Kinds           []string        // names of Decide.Kinds
-	Zones           []string        // by their index
+	Zones           []string        // by index
 	Tenants         []string        // names of Decide.Tenants
-	ReportFields    []string        // of a load report, in order
-	RetryAfter      bool            // refusals may name a time
-	ConnIdleTimeout decide.Duration // engines close a connection that stood idle for so long
+	ReportFields    []string        // names of the values in a load report, in order
+	RetryAfter      bool            // refusals may carry a Retry-After
+	ConnIdleTimeout decide.Duration // engines close a connection that has been idle for this long
 }
 
-// ParseLines reads path=value lines.
+// ParseLines parses path=value lines.
 func ParseLines(text string) (*Deployment, error) {
 	p := &pairs{values: map[string]string{}}
 	for i, line := range strings.Split(text, "\n") {
@@ -43,7 +42,7 @@
 	return p.deployment()
 }
 
-// ParseJSON reads a nested object.
+// ParseJSON parses a nested JSON object.
 func ParseJSON(data []byte) (*Deployment, error) {
 	d := json.NewDecoder(bytes.NewReader(data))
 	d.UseNumber()
@@ -56,10 +55,10 @@
 	return p.deployment()
 }
 
-// flatten puts a value under its path: lists of scalars joined by commas, lists of objects by their count
-// and their indices, as the simulator writes them.
+// flatten stores a value under its path, in the simulator's form: the elements of a list of scalars are joined by
+// commas, and a list of objects becomes its count and the objects under their indices.
 func (p *pairs) flatten(path string, v any) {
-	under := func(key string) string {
+	child := func(key string) string {
 		if path == "" {
 			return key
 		}
@@ -67,22 +66,22 @@
 	}
 	switch v := v.(type) {
 	case map[string]any:
-		for key, of := range v {
-			p.flatten(under(key), of)
+		for key, value := range v {
+			p.flatten(child(key), value)
 		}
 	case []any:
 		var scalars []string
 		objects := 0
-		for i, of := range v {
-			if o, ok := of.(map[string]any); ok {
+		for i, value := range v {
+			if o, ok := value.(map[string]any); ok {
 				objects++
-				p.flatten(under(strconv.Itoa(i)), o)
+				p.flatten(child(strconv.Itoa(i)), o)
 				continue
 			}
-			scalars = append(scalars, scalar(of))
+			scalars = append(scalars, scalar(value))
 		}
 		if objects > 0 {
-			p.values[under("count")] = strconv.Itoa(len(v))
+			p.values[child("count")] = strconv.Itoa(len(v))
 			return
 		}
 		p.values[path] = strings.Join(scalars, ",")
@@ -92,27 +91,27 @@
 	}
 }
 
-// NormalizeName returns a name in the form in which settings have it: the simulator puts '_' in place of spaces and commas. Names
-// that come otherwise, in headers or in discovery's list, are compared in this form.
+// NormalizeName returns a name in the form that settings use: the simulator replaces spaces and commas by '_'. Names
+// from other sources, such as headers or discovery's list, are compared in this form.
 func NormalizeName(s string) string { return strings.NewReplacer(" ", "_", ",", "_").Replace(s) }
 
 func scalar(v any) string {
 	switch v := v.(type) {
 	case string:
 		return NormalizeName(v)
-	default: // json.Number and bool print as they stood
+	default: // json.Number and bool are printed as they were written
 		return fmt.Sprint(v)
 	}
 }
 
-// pairs holds the settings by path and remembers the first thing wrong with one.
+// pairs holds the settings by path, and the first error found in them.
 type pairs struct {
 	values map[string]string
 	err    error
 }
 
-// deployment makes the settings. Unknown keys are passed over; a key that the module needs and that is
-// missing or malformed is an error that names it.
+// deployment converts the settings. Unknown keys are ignored. A required key that is missing, or a malformed value,
+// is an error that names the key.
 func (p *pairs) deployment() (*Deployment, error) {
 	s := &decide.Settings{
 		Routers: int(p.atLeast("instances", 1)), Index: int(p.atLeast("index", 0)),
@@ -152,6 +151,7 @@
 	return d, nil
 }
 
+// classes converts the classes of requests.
 func (p *pairs) classes(d *Deployment) {
 	s := d.Decide
 	n := int(p.atLeast("requestClasses.count", 1))
@@ -194,6 +194,7 @@
 	}
 }
 
+// kinds converts the kinds of servers.
 func (p *pairs) kinds(d *Deployment) {
 	s := d.Decide
 	memory := p.numbers("familyInfo.tokensByKind")
@@ -223,6 +224,7 @@
 	}
 }
 
+// fail notes that the value of a path is missing or malformed, unless an error was noted before.
 func (p *pairs) fail(path, value string) {
 	if p.err != nil {
 		return
@@ -234,7 +236,7 @@
 	p.err = fmt.Errorf("%s has the malformed value %q", path, value)
 }
 
-// optional returns a number, or def where the key is absent.
+// optional returns a number, or def if the key is missing.
 func (p *pairs) optional(path string, def float64) float64 {
 	v, ok := p.values[path]
 	if !ok {
@@ -243,7 +245,7 @@
 	return p.number(path, v)
 }
 
-// number reads one number of a path's value.
+// number parses v, which is a path's value or part of it.
 func (p *pairs) number(path, v string) float64 {
 	f, err := strconv.ParseFloat(v, 64)
 	if err != nil || math.IsNaN(f) || math.IsInf(f, 0) {
@@ -253,7 +255,7 @@
 	return f
 }
 
-// atLeast returns a number that must be there and be no less than low.
+// atLeast returns a required number, which must not be less than low.
 func (p *pairs) atLeast(path string, low float64) float64 {
 	f := p.optional(path, math.Inf(-1))
 	if f < low {
@@ -287,7 +289,8 @@
 	return out
 }
 
-// ParseReport makes a load report of named values; a value that is missing or out of range counts as not told.
+// ParseReport returns the load report with the given values. A value that is missing or out of range counts as not
+// reported.
 func ParseReport(value func(name string) (float64, bool)) decide.Report {
 	get := func(names ...string) float64 {
 		for _, name := range names {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -58,7 +58,7 @@
 requestClasses.0.repeat=safe
 `
 
-// Both forms of the same settings make the same deployment.
+// Both forms of the same settings are parsed to the same deployment.
 func TestBothForms(t *testing.T) {
 	a, err := ParseJSON([]byte(nested))
 	if err != nil {
@@ -82,7 +82,7 @@
 	}
 }
 
-// What is missing or malformed is named by its path.
+// An error names the path of the setting that is missing or malformed.
 func TestWrongSettings(t *testing.T) {
 	for _, c := range []struct{ path, value, want string }{
 		{"obligations.drainGraceNs", "", "obligations.drainGraceNs is missing"},
@@ -110,12 +110,12 @@
 	}
 	for _, text := range []string{"", "[]", `{"instances":`, "3"} {
 		if _, err := ParseJSON([]byte(text)); err == nil {
-			t.Errorf("%q was taken", text)
+			t.Errorf("%q was accepted", text)
 		}
 	}
 }
 
-func TestReport(t *testing.T) {
+func TestParseReport(t *testing.T) {
 	got := ParseReport(func(name string) (float64, bool) {
 		f, ok := map[string]float64{"x0": 0.5, "x1": -3, "latency_ms": math.NaN()}[name]
 		return f, ok
--- a/internal/simwire/encode.go
+++ b/internal/simwire/encode.go
@@ -8,39 +8,39 @@
 	"mintdoor/decide"
 )
 
-// The codes of the actions.
+// Codes of the records of a reply.
 const (
 	codeReserve   = 30
 	codeFail      = 40
-	codeWatch     = 50
+	codeWatchList = 50
 	codeException = 60
 	codeProbe     = 70
 	codeRefuse    = 80
 	codeCancel    = 90
 	codeRelease   = 100
-	codeLog       = 110
+	codeNote      = 110
 	codeMove      = 120
 	codeSend      = 130
-	codeWake      = 140
+	codeSetTimer  = 140
 )
 
 const replyHeader = 8
 
-// maxText is the longest text that a record's u16 count can carry.
+// maxText is the longest text of a record in bytes, as its length is 16 bits wide.
 const maxText = 1<<16 - 1
 
-// Encoder builds one reply at a time.
+// Encoder builds a reply. Call Reset before each reply and Flush after its last record.
 type Encoder struct {
 	buf   []byte
 	count uint32
 }
 
-// Reset begins a new reply.
+// Reset starts a new reply.
 func (e *Encoder) Reset() {
 	e.buf, e.count = append(e.buf[:0], make([]byte, replyHeader)...), 0
 }
 
-// Action adds one action of an instance.
+// Action adds an action of an instance to the reply.
 func (e *Encoder) Action(inst uint32, a *decide.Action) error {
 	switch a.Kind {
 	case decide.Send:
@@ -66,7 +66,7 @@
 		e.head(codeMove, inst)
 		e.request(a.Request)
 	case decide.SetTimer:
-		e.head(codeWake, inst)
+		e.head(codeSetTimer, inst)
 		e.buf = binary.BigEndian.AppendUint64(e.buf, uint64(a.After))
 		e.buf = binary.BigEndian.AppendUint64(e.buf, a.TimerID)
 	case decide.Probe:
@@ -77,20 +77,20 @@
 		e.request(a.Request)
 		e.server(a.Server)
 	case decide.WatchList:
-		e.head(codeWatch, inst)
+		e.head(codeWatchList, inst)
 		e.buf = append(e.buf, 1)
 	case decide.Note:
-		e.text(codeLog, inst, a.Reason)
+		e.text(codeNote, inst, a.Reason)
 	default:
 		return fmt.Errorf("action kind %d has no code on this wire", a.Kind)
 	}
 	return nil
 }
 
-// Exception reports that the decision code of an instance has failed.
-func (e *Encoder) Exception(inst uint32, why string) { e.text(codeException, inst, why) }
+// Exception adds the report that the decision module of an instance has panicked, with the reason.
+func (e *Encoder) Exception(inst uint32, reason string) { e.text(codeException, inst, reason) }
 
-// Flush writes the reply.
+// Flush completes the reply and writes it.
 func (e *Encoder) Flush(out io.Writer) error {
 	binary.BigEndian.PutUint32(e.buf[0:], uint32(len(e.buf)-replyHeader))
 	binary.BigEndian.PutUint32(e.buf[4:], e.count)
@@ -100,6 +100,7 @@
 	return nil
 }
 
+// head begins a record.
 func (e *Encoder) head(code byte, inst uint32) {
 	e.count++
 	e.buf = append(e.buf, code)
@@ -115,6 +116,7 @@
 	e.buf = binary.BigEndian.AppendUint16(e.buf, uint16(id))
 }
 
+// text adds a record that consists of a text, cut to maxText.
 func (e *Encoder) text(code byte, inst uint32, s string) {
 	if len(s) > maxText {
 		s = s[:maxText]
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -5,8 +5,8 @@
 	"mintdoor/internal/settings"
 )
 
-// ParseSettings reads the path=value lines of a BORN. The second result is the names of the load report's
-// values.
+// ParseSettings parses the path=value lines of a BORN record. The second result holds the names of the values in a
+// load report.
 func ParseSettings(text string) (*decide.Settings, []string, error) {
 	d, err := settings.ParseLines(text)
 	if err != nil {
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -12,7 +12,7 @@
 	"mintdoor/decide"
 )
 
-// frame puts records, given as hex, behind a batch header.
+// frame returns a batch of records given as hexadecimal text.
 func frame(t *testing.T, count uint32, records ...string) []byte {
 	t.Helper()
 	body, err := hex.DecodeString(strings.ReplaceAll(strings.Join(records, ""), " ", ""))
@@ -25,7 +25,7 @@
 	return append(head, body...)
 }
 
-// decodeAll reads one batch to its end.
+// decodeAll decodes all records of one batch.
 func decodeAll(d *Decoder) ([]Record, error) {
 	if _, err := d.Batch(); err != nil {
 		return nil, err
@@ -56,7 +56,7 @@
 	serverB = decide.ServerID(0x0a9011f21f6c)
 )
 
-var untold = decide.Report{MemoryUse: -1, QueuedKTokens: -1, Latency: -1}
+var noReport = decide.Report{MemoryUse: -1, QueuedKTokens: -1, Latency: -1}
 
 func TestDecodeEvents(t *testing.T) {
 	tests := []struct {
@@ -66,7 +66,7 @@
 		{"request", hexJob, Record{Instance: 3, Event: decide.Event{Kind: decide.Arrived, Request: 0x5d3a91c4,
 			Job: decide.Job{SessionID: 0x91f03b7c55d20a64, Deadline: 0x203b6db90, LengthHint: 0xb71b00,
 				PrefixID: 0x2b8e6401d9f37c10, PromptTokens: 1800, PrefixTokens: 1200, MaxOutputTokens: 256}}}},
-		{"request of a tenant, no hint, repeated, after a break",
+		{"request of a tenant, no hint, retried, after an interruption",
 			"28 00000003 00000001 0001 00000002 0000000000000000 0000000000000005 0000000000b71b00" +
 				"0000000000000000 3f800000 00000000 3f800000 12",
 			Record{Instance: 3, Event: decide.Event{Kind: decide.Arrived, Request: 1, Job: decide.Job{Class: 1,
@@ -76,17 +76,17 @@
 		{"outcome", hexVerdict, Record{Instance: 3, Event: decide.Event{Kind: decide.AttemptEnded, Request: 0x5d3a91c4,
 			Server: serverA, Outcome: decide.Served, Elapsed: 0x11a49a0, Closed: true, CachedTokens: 7,
 			Report: decide.Report{MemoryUse: 0.4000000059604645, QueuedKTokens: 1.25, Latency: -1}}}},
-		{"full without a state, no report",
+		{"full without a KV state, no report",
 			"78 00000003 00000001 01 0a124a07 1f43 0b 0000000000000001 00 00000001 00",
 			Record{Instance: 3, Event: decide.Event{Kind: decide.AttemptEnded, Request: 1, Attempt: 1, Server: serverA,
-				Outcome: decide.Full, Elapsed: 1, NoState: true, Report: untold}}},
+				Outcome: decide.Full, Elapsed: 1, NoState: true, Report: noReport}}},
 		{"gone", "0a 00000005 0e6f2b19", Record{Instance: 5,
 			Event: decide.Event{Kind: decide.ClientLeft, Request: 0x0e6f2b19}}},
 		{"timer", "14 00000003 000000000000004d", Record{Instance: 3,
 			Event: decide.Event{Kind: decide.Timer, TimerID: 77}}},
 		{"probed", "5a 00000003 0a124a07 1f43 6e 0000000000000010 00", Record{Instance: 3,
 			Event: decide.Event{Kind: decide.Probed, Server: serverA, Outcome: decide.TimedOut, Elapsed: 16,
-				Report: untold}}},
+				Report: noReport}}},
 		{"note", "64 00000003 00000001 00000000 00 0a124a07 1f43 01", Record{Instance: 3,
 			Event: decide.Event{Kind: decide.ReservationAnswer, Request: 1, Server: serverA, Granted: true}}},
 		{"peer", "50 00000003 00000001 0002 6869", Record{Instance: 3,
@@ -121,7 +121,7 @@
 	}
 }
 
-func TestListsAreResolvedInOrder(t *testing.T) {
+func TestViewsUseLatestList(t *testing.T) {
 	other := "1e 00 00000001 0a9011f2 1f6c 0000 0000 0000 00 3f800000 0000000000000000"
 	got, err := decodeAll(NewDecoder(bytes.NewReader(frame(t, 5, hexList, hexView, other,
 		"3c 00000004 01 000000000000002a 00", "3c 00000005 00 000000000000002a 00"))))
@@ -142,7 +142,7 @@
 	}
 }
 
-// An instance may stop and start within one batch, and batches may be empty or very large.
+// An instance can stop and start within one batch, and batches can be empty or very large.
 func TestBatches(t *testing.T) {
 	init := "46 00000003 000000000000002a 00000000"
 	var in bytes.Buffer
@@ -162,7 +162,7 @@
 	}
 }
 
-func TestDecodeFaults(t *testing.T) {
+func TestDecodeErrors(t *testing.T) {
 	whole := frame(t, 1, hexJob)
 	tests := map[string]struct {
 		in   []byte
@@ -238,7 +238,7 @@
 	}
 }
 
-const goodSettings = `instances=2
+const validSettings = `instances=2
 index=1
 familyInfo.kindRole=read,write
 familyInfo.tokensByKind=277530,138916
@@ -266,7 +266,7 @@
 `
 
 func TestParseSettings(t *testing.T) {
-	s, names, err := ParseSettings(goodSettings)
+	s, names, err := ParseSettings(validSettings)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -284,7 +284,7 @@
 	}
 }
 
-func TestParseSettingsFaults(t *testing.T) {
+func TestParseSettingsErrors(t *testing.T) {
 	tests := map[string]struct{ old, new, want string }{
 		"missing":       {"instances=2\n", "", "instances is missing"},
 		"malformed":     {"instances=2", "instances=two", `instances has the malformed value "two"`},
@@ -299,7 +299,7 @@
 		"number list":   {"277530,138916", "277530,x", "tokensByKind has the malformed"},
 	}
 	for name, tt := range tests {
-		_, _, err := ParseSettings(strings.Replace(goodSettings, tt.old, tt.new, 1))
+		_, _, err := ParseSettings(strings.Replace(validSettings, tt.old, tt.new, 1))
 		if err == nil || !strings.Contains(err.Error(), tt.want) {
 			t.Errorf("%s: got %v, want %q", name, err, tt.want)
 		}
