--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -1009,7 +1009,8 @@
 		s := h.r.servers[1]
 		s.responseTime, s.responses, s.respondedAt = 10, 1, h.now
 		h.now += 10 * Second
-		for i := 0; i < 60; i++ { // the other reader finds the prefix cached each time, though this router has not sent it
+		// The other reader finds the prefix cached each time, though this router has not sent it there.
+		for i := 0; i < 60; i++ {
 			id, acts := h.arrive(safeClass)
 			reader := h.sentTo(acts)
 			h.r.servers[reader].cachedTokens = map[uint64]float64{}
--- a/decide/liveness_test.go
+++ b/decide/liveness_test.go
@@ -286,7 +286,8 @@
 	h, id, s, _ := newUnconfirmed(t, safeClass, false)
 	start := h.now
 	h.now += 500 * ms
-	h.handle(Event{Kind: Probed, Server: s, NewConnection: true, Outcome: Served}) // it can be reached; the response is lost all the same
+	// The server can be reached, but the response is lost all the same.
+	h.handle(Event{Kind: Probed, Server: s, NewConnection: true, Outcome: Served})
 	h.endAttempt(id, 0, s, TimedOut)
 	if q := h.r.requests[id]; q == nil || q.holdStart != start {
 		t.Errorf("wrong start of the hold timer: %+v", q)
--- a/internal/e2e/cost_test.go
+++ b/internal/e2e/cost_test.go
@@ -33,9 +33,9 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// The router's own cost, as ratios in one run: the two-hop path through the router, against a client that
-// calls both stages itself, and against the same calls through the standard library's reverse proxy. The
-// engines answer at once, so that nothing but the way is measured.
+// Benchmarks of the router's overhead. Within one run they compare requests through the router with a client that
+// calls both stages itself, and with the same calls through the standard library's reverse proxy. The engines answer
+// immediately, so that only the path is measured.
 
 const tokensPerAnswer = 20
 
@@ -53,9 +53,9 @@
     role decode
 `
 
-// instant is an engine without a model: both stages answer at once. hold, when not nil, keeps streams open
-// after their first token until it is closed.
-func instant(tb testing.TB, hold chan struct{}) *httptest.Server {
+// instantEngine starts an engine without a model, whose stages answer immediately. If hold is not nil, streams stay
+// open after their first token until it is closed.
+func instantEngine(tb testing.TB, hold chan struct{}) *httptest.Server {
 	var s *httptest.Server
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v2/models/{model}/infer", func(w http.ResponseWriter, r *http.Request) {
@@ -98,8 +98,8 @@
 	return s
 }
 
-// path is one way from a client to the engines: it asks once and reads the answer to its end.
-type path func(ctx context.Context, c *http.Client) error
+// callPath sends one request to the engines in some way and reads the answer to its end.
+type callPath func(ctx context.Context, c *http.Client) error
 
 func post(ctx context.Context, c *http.Client, url, body string, read func(io.Reader) error) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader([]byte(body)))
@@ -130,8 +130,8 @@
 	}
 }
 
-// twoCalls is a client that calls both stages by itself at some address.
-func twoCalls(base string) path {
+// callBothStages returns the path of a client that calls both stages at an address.
+func callBothStages(base string) callPath {
 	return func(ctx context.Context, c *http.Client) error {
 		err := post(ctx, c, base+"/v2/models/helpline/infer",
 			`{"id":"a","parameters":{"stage":"prefill","prompt_tokens":100},"inputs":[{"name":"text_input","shape":[1],"datatype":"BYTES","data":["What is the rate of onions?"]}]}`,
@@ -144,15 +144,16 @@
 	}
 }
 
-func oneCall(base string) path {
+// callRouter returns the path of a client that calls the router at an address.
+func callRouter(base string) callPath {
 	return func(ctx context.Context, c *http.Client) error {
 		return post(ctx, c, base+"/v2/models/helpline/generate_stream",
 			`{"id":"a","text_input":"What is the rate of onions?","parameters":{"prompt_tokens":100,"session":"s"}}`, readStream)
 	}
 }
 
-// routerOver starts a router over instant engines and returns its address.
-func routerOver(tb testing.TB, readers, writers []*httptest.Server) string {
+// startRouter starts a router in this process, with instant engines, and returns its address.
+func startRouter(tb testing.TB, readers, writers []*httptest.Server) string {
 	dir := tb.TempDir()
 	var list []discovery.Engine
 	for i, s := range readers {
@@ -191,9 +192,9 @@
 	return "http://" + d.Addr()
 }
 
-// ways makes the three paths over one set of engines.
-func ways(tb testing.TB) (names []string, paths []path) {
-	reader, writer := instant(tb, nil), instant(tb, nil)
+// callPaths returns the three paths to one pair of engines, with their names.
+func callPaths(tb testing.TB) (names []string, paths []callPath) {
+	reader, writer := instantEngine(tb, nil), instantEngine(tb, nil)
 	target, err := url.Parse(reader.URL)
 	if err != nil {
 		tb.Fatal(err)
@@ -202,22 +203,22 @@
 	proxy := httptest.NewServer(&httputil.ReverseProxy{Rewrite: func(r *httputil.ProxyRequest) { r.SetURL(target) }, FlushInterval: -1, Transport: trans,
 		ErrorLog: slog.NewLogLogger(slog.DiscardHandler, slog.LevelDebug)})
 	tb.Cleanup(func() { proxy.Close(); trans.CloseIdleConnections() })
-	router := routerOver(tb, []*httptest.Server{reader}, []*httptest.Server{writer})
-	return []string{"direct", "proxy", "router"}, []path{twoCalls(reader.URL), twoCalls(proxy.URL), oneCall(router)}
+	router := startRouter(tb, []*httptest.Server{reader}, []*httptest.Server{writer})
+	return []string{"direct", "proxy", "router"}, []callPath{callBothStages(reader.URL), callBothStages(proxy.URL), callRouter(router)}
 }
 
-func client(tb testing.TB) *http.Client {
+func newClient(tb testing.TB) *http.Client {
 	t := &http.Transport{MaxIdleConnsPerHost: 1024}
 	tb.Cleanup(t.CloseIdleConnections)
 	return &http.Client{Transport: t}
 }
 
-// BenchmarkThroughput asks as fast as 64 clients can. Compare the ways' ns/op within one run.
+// BenchmarkThroughput sends requests as fast as 64 clients can. Compare ns/op of the paths within one run.
 func BenchmarkThroughput(b *testing.B) {
-	names, paths := ways(b)
+	names, paths := callPaths(b)
 	for i, p := range paths {
 		b.Run(names[i], func(b *testing.B) {
-			c := client(b)
+			c := newClient(b)
 			b.ReportAllocs()
 			b.SetParallelism(max(64/runtime.GOMAXPROCS(0), 1))
 			b.RunParallel(func(pb *testing.PB) {
@@ -232,25 +233,26 @@
 	}
 }
 
-// BenchmarkLatency asks at half of the router's throughput, at times drawn ahead, over the three ways in
-// turn, and reports p50 and p99 from the time at which each request was due.
+// BenchmarkLatency sends requests at half of the router's throughput, at fixed times, over the three paths in turn.
+// It reports p50 and p99 from the time at which each request was due.
 //
-// The router is a process of its own, as in service; the proxy runs in this one, beside clients and engines.
+// The router is a process of its own, as in production. The proxy runs in this process, together with clients and
+// engines.
 func BenchmarkLatency(b *testing.B) {
-	names, paths := ways(b)
-	c := client(b)
-	reader, writer := instant(b, nil), instant(b, nil)
-	base, _ := routerProcess(b, program(b), reader, writer)
-	paths[2] = oneCall(base)
+	names, paths := callPaths(b)
+	c := newClient(b)
+	reader, writer := instantEngine(b, nil), instantEngine(b, nil)
+	base, _ := routerProcess(b, buildProgram(b), reader, writer)
+	paths[2] = callRouter(base)
 	for i := range 200 {
-		for _, p := range paths { // warm
+		for _, p := range paths { // warm-up
 			if err := p(context.Background(), c); err != nil {
 				b.Fatal(i, err)
 			}
 		}
 	}
-	full := throughput(b, paths[2], c, 2*time.Second)
-	rate := full / 2
+	maxRate := throughput(b, paths[2], c, 2*time.Second)
+	rate := maxRate / 2
 	b.Run("half load", func(b *testing.B) {
 		var hist [3]*hdrhistogram.Histogram
 		for i := range hist {
@@ -268,11 +270,12 @@
 			b.ReportMetric(float64(hist[i].ValueAtPercentile(99))/1e6, name+"-p99-ms")
 		}
 		b.ReportMetric(rate, "requests/s")
-		b.ReportMetric(float64(broken.Swap(0)), "proxy-broken")
+		b.ReportMetric(float64(brokenByProxy.Swap(0)), "proxy-broken")
 	})
 }
 
-func throughput(b *testing.B, p path, c *http.Client, d time.Duration) float64 {
+// throughput returns how many requests per second 64 clients complete.
+func throughput(b *testing.B, p callPath, c *http.Client, d time.Duration) float64 {
 	var n atomic.Int64
 	var wg sync.WaitGroup
 	end := time.Now().Add(d)
@@ -293,30 +296,31 @@
 	return float64(n.Load()) / d.Seconds()
 }
 
-// broken counts the streams that the library's proxy broke.
-var broken atomic.Int64
+// brokenByProxy counts the streams that the library's proxy broke.
+var brokenByProxy atomic.Int64
 
-func openLoop(b *testing.B, name string, p path, c *http.Client, rate float64, d time.Duration, h *hdrhistogram.Histogram) {
+// openLoop sends requests at a fixed rate, whether or not earlier ones have ended, and records their latencies.
+func openLoop(b *testing.B, name string, p callPath, c *http.Client, rate float64, d time.Duration, h *hdrhistogram.Histogram) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	began := time.Now()
+	start := time.Now()
 	gap := time.Duration(1e9 / rate)
 	for due := time.Duration(0); due < d; due += gap {
-		if wait := time.Until(began.Add(due)); wait > 0 {
+		if wait := time.Until(start.Add(due)); wait > 0 {
 			time.Sleep(wait)
 		}
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
 			if err := p(context.Background(), c); err != nil {
-				if name == "proxy" { // the library's proxy breaks a stream now and then; it is the yardstick, not the work
-					broken.Add(1)
+				if name == "proxy" { // it breaks a stream now and then, but is only the baseline
+					brokenByProxy.Add(1)
 					return
 				}
 				b.Error(name, err)
 				return
 			}
-			took := time.Since(began.Add(due))
+			took := time.Since(start.Add(due))
 			mu.Lock()
 			h.RecordValue(int64(took))
 			mu.Unlock()
@@ -325,20 +329,20 @@
 	wg.Wait()
 }
 
-// BenchmarkHeldStream reports the memory of one more stream that is held open by a router of its own
-// process, as the growth of its resident memory. Each stream is two connections of the router.
+// BenchmarkHeldStream reports the memory per open stream of a router in a process of its own, as the growth of its
+// resident memory. Each stream takes two connections of the router.
 func BenchmarkHeldStream(b *testing.B) {
-	program := program(b)
+	program := buildProgram(b)
 	for _, n := range []int{1000, 9000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			hold := make(chan struct{})
-			reader, writer := instant(b, nil), instant(b, hold)
+			reader, writer := instantEngine(b, nil), instantEngine(b, hold)
 			base, pid := routerProcess(b, program, reader, writer)
-			c := client(b)
-			before := resident(b, pid)
+			c := newClient(b)
+			before := residentMemory(b, pid)
 			var wg sync.WaitGroup
 			held := make(chan error, n)
-			start := make(chan bool, 50) // few begin at once: the module refuses what it takes for a jam
+			start := make(chan bool, 50) // few start at the same time, or else the module refuses some as overload
 			for range n {
 				wg.Add(1)
 				go func() {
@@ -369,15 +373,15 @@
 					b.Error(err)
 				}
 			}
-			b.ReportMetric((resident(b, pid)-before)/float64(n), "bytes/stream")
+			b.ReportMetric((residentMemory(b, pid)-before)/float64(n), "bytes/stream")
 			close(hold)
 			wg.Wait()
 		})
 	}
 }
 
-// program builds mintdoor and returns its path.
-func program(b *testing.B) string {
+// buildProgram builds mintdoor and returns its path.
+func buildProgram(b *testing.B) string {
 	path := filepath.Join(b.TempDir(), "mintdoor")
 	if out, err := exec.Command("go", "build", "-o", path, "mintdoor/cmd/mintdoor").CombinedOutput(); err != nil {
 		b.Fatalf("%v\n%s", err, out)
@@ -424,8 +428,8 @@
 	}
 }
 
-// resident is the resident memory of a process in bytes.
-func resident(b *testing.B, pid int) float64 {
+// residentMemory returns the resident memory of a process in bytes.
+func residentMemory(b *testing.B, pid int) float64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
 		b.Skip(err)
@@ -436,13 +440,13 @@
 			return kb * 1024
 		}
 	}
-	b.Fatal("no resident memory is told")
+	b.Fatal("the process status has no resident memory")
 	return 0
 }
 
-// BenchmarkClient is one read and one stream by the engines' client alone.
+// BenchmarkClient measures one read and one stream by the engines' client, without a router.
 func BenchmarkClient(b *testing.B) {
-	s := instant(b, nil)
+	s := instantEngine(b, nil)
 	c := engine.New(engine.Options{DialTimeout: time.Second, MaxConns: 100, StreamIdleTimeout: time.Minute, ReleaseTimeout: time.Second, ProbeTimeout: time.Second})
 	defer c.Close()
 	addr := s.Listener.Addr().String()
@@ -458,14 +462,14 @@
 	}
 }
 
-// BenchmarkIdleConnections reports the memory of a client connection that sends nothing, and asks through
-// the same router while all of them are open.
+// BenchmarkIdleConnections reports the memory per client connection that sends nothing, and the time of requests
+// through the same router while all of these are open.
 func BenchmarkIdleConnections(b *testing.B) {
 	const n = 10000
-	program := program(b)
-	reader, writer := instant(b, nil), instant(b, nil)
+	program := buildProgram(b)
+	reader, writer := instantEngine(b, nil), instantEngine(b, nil)
 	base, pid := routerProcess(b, program, reader, writer)
-	before := resident(b, pid)
+	before := residentMemory(b, pid)
 	for range n {
 		c, err := net.Dial("tcp", strings.TrimPrefix(base, "http://"))
 		if err != nil {
@@ -473,14 +477,14 @@
 		}
 		defer c.Close()
 	}
-	c := client(b)
-	began := time.Now()
-	const asked = 1000
-	for range asked {
-		if err := oneCall(base)(context.Background(), c); err != nil {
+	c := newClient(b)
+	start := time.Now()
+	const requests = 1000
+	for range requests {
+		if err := callRouter(base)(context.Background(), c); err != nil {
 			b.Fatal(err)
 		}
 	}
-	b.ReportMetric(float64(time.Since(began).Microseconds())/asked, "us/request")
-	b.ReportMetric((resident(b, pid)-before)/n, "bytes/connection")
+	b.ReportMetric(float64(time.Since(start).Microseconds())/requests, "us/request")
+	b.ReportMetric((residentMemory(b, pid)-before)/n, "bytes/connection")
 }
--- a/internal/e2e/e2e_test.go
+++ b/internal/e2e/e2e_test.go
@@ -1,4 +1,5 @@
-// Package e2e holds the end-to-end tests: routers and stand-in engines on loopback sockets.
+// Package e2e holds the end-to-end tests, which run routers and stand-in engines on loopback sockets. It has no code
+// that other packages use.
 package e2e
 
 import (
@@ -32,18 +33,18 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// world is a fleet, a router and a client.
-type world struct {
-	t      *testing.T
-	fleet  *fleet.Fleet
-	daemon *daemon.Daemon
-	record *audit.Log
-	client *http.Client
-	url    string
-	set    *config.Settings
-	stop   func()
-	halt   func() // ends the router at once, but not the engines
-	done   chan error
+// harness is a fleet of stand-in engines, a router and a client.
+type harness struct {
+	t            *testing.T
+	fleet        *fleet.Fleet
+	daemon       *daemon.Daemon
+	record       *audit.Log
+	client       *http.Client
+	url          string
+	cfg          *config.Settings
+	stop         func()
+	cancelRouter func() // stops the router, but not the engines
+	done         chan error
 }
 
 const settings = `
@@ -72,8 +73,8 @@
     rate 20/s
 `
 
-// quick are specs under which a request takes some milliseconds.
-func quick(role decide.Role) standin.Spec {
+// fastSpec returns a spec with which a request takes a few milliseconds.
+func fastSpec(role decide.Role) standin.Spec {
 	s := standin.Prefill()
 	if role == decide.Writer {
 		s = standin.Decode()
@@ -84,10 +85,11 @@
 	return s
 }
 
+// option changes the fleet or the settings of a harness.
 type option func(*fleet.Config, *string)
 
-// more puts lines of settings in the place of those that say the same.
-func more(text string) option {
+// withSettings adds lines of settings, each of which replaces an existing line of the same name.
+func withSettings(text string) option {
 	return func(_ *fleet.Config, set *string) {
 		for _, line := range strings.Split(strings.TrimSpace(text), "\n") {
 			name, _, _ := strings.Cut(line, " ")
@@ -102,14 +104,15 @@
 	}
 }
 
-func newWorld(t *testing.T, opts ...option) *world {
+// newHarness starts engines and a router, and waits until the router knows all engines.
+func newHarness(t *testing.T, opts ...option) *harness {
 	t.Helper()
 	dir := t.TempDir()
-	w := &world{t: t, record: audit.NewLog(1 << 20), done: make(chan error, 1)}
+	h := &harness{t: t, record: audit.NewLog(1 << 20), done: make(chan error, 1)}
 	fc := fleet.Config{
-		Groups: []fleet.Group{{Prefix: "p", Kind: "prefill", Count: 2, Spec: quick(decide.Reader)},
-			{Prefix: "d", Kind: "decode", Count: 3, Spec: quick(decide.Writer)}},
-		ListPath: filepath.Join(dir, "engines.list"), Seed: 1, AuditLog: w.record,
+		Groups: []fleet.Group{{Prefix: "p", Kind: "prefill", Count: 2, Spec: fastSpec(decide.Reader)},
+			{Prefix: "d", Kind: "decode", Count: 3, Spec: fastSpec(decide.Writer)}},
+		ListPath: filepath.Join(dir, "engines.list"), Seed: 1, AuditLog: h.record,
 		CrashListDelay: 50 * time.Millisecond, UnresponsiveListDelay: 200 * time.Millisecond, StartListDelay: 10 * time.Millisecond,
 	}
 	text := settings
@@ -117,14 +120,14 @@
 		o(&fc, &text)
 	}
 	var err error
-	if w.fleet, err = fleet.Start(fc); err != nil {
+	if h.fleet, err = fleet.Start(fc); err != nil {
 		t.Fatal(err)
 	}
 	path := filepath.Join(dir, "router.conf")
 	if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	if w.set, err = config.Load(path); err != nil {
+	if h.cfg, err = config.Load(path); err != nil {
 		t.Fatal(err)
 	}
 	var log io.Writer = io.Discard
@@ -132,104 +135,106 @@
 		log = os.Stderr
 	}
 	logger := slog.New(slog.NewTextHandler(log, &slog.HandlerOptions{Level: slog.LevelDebug}))
-	if w.daemon, err = daemon.New(w.set, 1, logger, nil); err != nil {
+	if h.daemon, err = daemon.New(h.cfg, 1, logger, nil); err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	go func() { w.done <- w.daemon.Run(ctx) }()
+	go func() { h.done <- h.daemon.Run(ctx) }()
 	trans := &http.Transport{MaxIdleConnsPerHost: 100}
-	w.client = &http.Client{Transport: trans}
-	w.url = "http://" + w.daemon.Addr()
+	h.client = &http.Client{Transport: trans}
+	h.url = "http://" + h.daemon.Addr()
 	var once sync.Once
-	w.halt = cancel
-	w.stop = func() {
+	h.cancelRouter = cancel
+	h.stop = func() {
 		once.Do(func() {
 			cancel()
-			if err := <-w.done; err != nil {
+			if err := <-h.done; err != nil {
 				t.Errorf("router: %v", err)
 			}
-			w.fleet.Close()
+			h.fleet.Close()
 			trans.CloseIdleConnections()
 		})
 	}
-	t.Cleanup(w.stop)
-	w.eventually("the router is ready", func() bool {
-		return w.daemon.Router.Stats().Engines == int64(len(w.fleet.Members()))
+	t.Cleanup(h.stop)
+	h.eventually("the router is ready", func() bool {
+		return h.daemon.Router.Stats().Engines == int64(len(h.fleet.Members()))
 	})
-	return w
+	return h
 }
 
-func (w *world) eventually(what string, cond func() bool) {
-	w.t.Helper()
-	eventually.Is(w.t, what, cond, func() any { return w.daemon.Router.Stats() })
+func (h *harness) eventually(what string, cond func() bool) {
+	h.t.Helper()
+	eventually.Is(h.t, what, cond, func() any { return h.daemon.Router.Stats() })
 }
 
-// play plays a fault on an engine.
-func (w *world) play(name string, f standin.Fault) {
-	w.t.Helper()
+// injectFault injects a fault into an engine, for an hour unless the fault says otherwise.
+func (h *harness) injectFault(name string, f standin.Fault) {
+	h.t.Helper()
 	if f.Duration == 0 {
 		f.Duration = time.Hour
 	}
-	if err := w.fleet.InjectFault(w.fleet.Member(name), f); err != nil {
-		w.t.Fatal(err)
+	if err := h.fleet.InjectFault(h.fleet.Member(name), f); err != nil {
+		h.t.Fatal(err)
 	}
 }
 
-func (w *world) playAll(prefix string, f standin.Fault) {
-	w.t.Helper()
-	for _, m := range w.fleet.Members() {
+// injectFaults injects a fault into all engines whose names have a prefix.
+func (h *harness) injectFaults(prefix string, f standin.Fault) {
+	h.t.Helper()
+	for _, m := range h.fleet.Members() {
 		if strings.HasPrefix(m.Name, prefix) {
-			w.play(m.Name, f)
+			h.injectFault(m.Name, f)
 		}
 	}
 }
 
-// ask is one request in the form of the generate extension.
-type ask map[string]any
+// object is a JSON object of a request.
+type object map[string]any
 
-func (w *world) post(ctx context.Context, path string, body any) (*http.Response, error) {
+func (h *harness) post(ctx context.Context, path string, body any) (*http.Response, error) {
 	data, err := json.Marshal(body)
 	if err != nil {
-		w.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, w.url+path, bytes.NewReader(data))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, h.url+path, bytes.NewReader(data))
 	if err != nil {
-		w.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	return w.client.Do(req)
+	return h.client.Do(req)
 }
 
-func generate(prompt string, params ask) ask {
-	p := ask{"session": "s1", "prompt_tokens": 500}
+// generateBody returns a request in the form of the generate extension.
+func generateBody(prompt string, params object) object {
+	p := object{"session": "s1", "prompt_tokens": 500}
 	for k, v := range params {
 		p[k] = v
 	}
-	return ask{"id": "c1", "text_input": prompt, "parameters": p}
+	return object{"id": "c1", "text_input": prompt, "parameters": p}
 }
 
-// answer is what a client has seen of a stream.
+// answer is what a client has received of a stream.
 type answer struct {
-	status  int
-	header  http.Header
-	tokens  int
-	text    string
-	finish  string
-	failure string // of an error event, or of the body
-	broken  error  // the stream ended without an end
+	status    int
+	header    http.Header
+	tokens    int
+	text      string
+	finish    string
+	failure   string // the text of an error event, or of the body
+	streamErr error  // the stream broke off without a final event
 }
 
-// stream asks for a stream and reads it to its end.
-func (w *world) stream(ctx context.Context, body any) answer {
-	w.t.Helper()
-	resp, err := w.post(ctx, "/v2/models/helpline/generate_stream", body)
+// stream requests a stream and reads it to its end.
+func (h *harness) stream(ctx context.Context, body any) answer {
+	h.t.Helper()
+	resp, err := h.post(ctx, "/v2/models/helpline/generate_stream", body)
 	if err != nil {
-		return answer{broken: err}
+		return answer{streamErr: err}
 	}
 	defer resp.Body.Close()
 	a := answer{status: resp.StatusCode, header: resp.Header}
 	if resp.StatusCode != http.StatusOK {
 		var e kserve.ErrorResponse
-		a.broken = json.NewDecoder(resp.Body).Decode(&e)
+		a.streamErr = json.NewDecoder(resp.Body).Decode(&e)
 		a.failure = e.Error
 		return a
 	}
@@ -238,13 +243,13 @@
 		data, err := events.Next()
 		if err != nil {
 			if a.finish == "" && a.failure == "" {
-				a.broken = err
+				a.streamErr = err
 			}
 			return a
 		}
 		var ev kserve.GenerateResponse
 		if err := json.Unmarshal(data, &ev); err != nil {
-			w.t.Errorf("event %s: %v", data, err)
+			h.t.Errorf("event %s: %v", data, err)
 		}
 		switch {
 		case ev.Error != "":
@@ -256,17 +261,17 @@
 			a.text += ev.TextOutput
 		}
 		if ev.ID != "c1" {
-			w.t.Errorf("event %s has another id", data)
+			h.t.Errorf("event %s has a different id", data)
 		}
 	}
 }
 
-// settled waits until nothing of any request is left: no row, no attempt, no state, no place.
-func (w *world) settled() {
-	w.t.Helper()
-	w.eventually("the table is empty", func() bool { return w.daemon.Router.Stats().Open == 0 })
-	w.eventually("engines hold nothing", func() bool {
-		for _, m := range w.fleet.Members() {
+// waitUntilIdle waits until the router has no open request and the engines hold nothing.
+func (h *harness) waitUntilIdle() {
+	h.t.Helper()
+	h.eventually("the table is empty", func() bool { return h.daemon.Router.Stats().Open == 0 })
+	h.eventually("engines hold nothing", func() bool {
+		for _, m := range h.fleet.Members() {
 			if sequences, states := m.Engine.Occupancy(); sequences+states > 0 {
 				return false
 			}
@@ -276,21 +281,21 @@
 }
 
 func TestStreamedAnswer(t *testing.T) {
-	w := newWorld(t)
-	a := w.stream(t.Context(), generate("What is the rate of onions? [answer=20]", nil))
+	h := newHarness(t)
+	a := h.stream(t.Context(), generateBody("What is the rate of onions? [answer=20]", nil))
 	if a.status != 200 || a.tokens != 20 || a.finish != "stop" || !strings.HasPrefix(a.text, "onion rate at ") {
 		t.Errorf("%+v", a)
 	}
-	a = w.stream(t.Context(), generate("And of potatoes? [answer=20]", ask{"max_tokens": 5}))
+	a = h.stream(t.Context(), generateBody("And of potatoes? [answer=20]", object{"max_tokens": 5}))
 	if a.tokens != 5 || a.finish != "length" {
 		t.Errorf("%+v", a)
 	}
-	w.settled()
+	h.waitUntilIdle()
 }
 
 func TestUnaryAnswers(t *testing.T) {
-	w := newWorld(t)
-	resp, err := w.post(t.Context(), "/v2/models/helpline/versions/1/generate", generate("Rate? [answer=3]", nil))
+	h := newHarness(t)
+	resp, err := h.post(t.Context(), "/v2/models/helpline/versions/1/generate", generateBody("Rate? [answer=3]", nil))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -302,7 +307,7 @@
 	if g.TextOutput != "onion rate at " || g.ID != "c1" || g.Details.FinishReason != "stop" || g.ModelName != "helpline" {
 		t.Errorf("%+v", g)
 	}
-	resp, err = w.post(t.Context(), "/v2/models/helpline/infer", kserve.InferRequest{ID: "i1",
+	resp, err = h.post(t.Context(), "/v2/models/helpline/infer", kserve.InferRequest{ID: "i1",
 		Parameters: kserve.Parameters{"class": "price-ask"}, Outputs: []kserve.RequestedOutput{{Name: "text_output"}},
 		Inputs: []kserve.Tensor{kserve.TextTensor("text_input", "Rate? [answer=9]"),
 			{Name: "max_tokens", Shape: []int64{1}, Datatype: "INT32", Data: json.RawMessage("[2]")}}})
@@ -318,11 +323,11 @@
 	if err != nil || i.ID != "i1" || texts[0] != "onion rate " || i.Parameters["finish_reason"] != "length" {
 		t.Errorf("%+v %v", i, err)
 	}
-	w.settled()
+	h.waitUntilIdle()
 }
 
 func TestConcurrentAnswers(t *testing.T) {
-	w := newWorld(t)
+	h := newHarness(t)
 	const clients, each = 16, 10
 	var wg sync.WaitGroup
 	for c := range clients {
@@ -330,8 +335,8 @@
 		go func() {
 			defer wg.Done()
 			for i := range each {
-				a := w.stream(t.Context(), generate(fmt.Sprintf("Question %d %d? [answer=8]", c, i),
-					ask{"session": fmt.Sprint(c), "shared_text": "rules", "shared_tokens": 300}))
+				a := h.stream(t.Context(), generateBody(fmt.Sprintf("Question %d %d? [answer=8]", c, i),
+					object{"session": fmt.Sprint(c), "shared_text": "rules", "shared_tokens": 300}))
 				if a.tokens != 8 || a.finish != "stop" {
 					t.Errorf("%+v", a)
 				}
@@ -339,22 +344,22 @@
 		}()
 	}
 	wg.Wait()
-	if s := w.daemon.Router.Stats(); s.Served != clients*each {
+	if s := h.daemon.Router.Stats(); s.Served != clients*each {
 		t.Errorf("%+v", s)
 	}
-	w.settled()
+	h.waitUntilIdle()
 }
 
-// raw sends bytes on a connection of its own and returns it with a reader.
-func (w *world) raw(text string) (net.Conn, *bufio.Reader) {
-	w.t.Helper()
-	c, err := net.Dial("tcp", w.daemon.Addr())
+// dialAndSend sends bytes on a new connection and returns it with a reader.
+func (h *harness) dialAndSend(text string) (net.Conn, *bufio.Reader) {
+	h.t.Helper()
+	c, err := net.Dial("tcp", h.daemon.Addr())
 	if err != nil {
-		w.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	w.t.Cleanup(func() { c.Close() })
+	h.t.Cleanup(func() { c.Close() })
 	if _, err := io.WriteString(c, text); err != nil {
-		w.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 	return c, bufio.NewReader(c)
 }
--- a/internal/e2e/hard_test.go
+++ b/internal/e2e/hard_test.go
@@ -23,13 +23,13 @@
 	"mintdoor/internal/standin/fleet"
 )
 
-// engines sets how many engines there are of each kind.
-func engines(prefill, decode int) option {
+// engineCounts sets the number of engines of each kind.
+func engineCounts(prefill, decode int) option {
 	return func(c *fleet.Config, _ *string) { c.Groups[0].Count, c.Groups[1].Count = prefill, decode }
 }
 
-// spec changes the engines' specs.
-func spec(change func(*standin.Spec)) option {
+// changeSpecs changes the specs of the engines.
+func changeSpecs(change func(*standin.Spec)) option {
 	return func(c *fleet.Config, _ *string) {
 		for i := range c.Groups {
 			change(&c.Groups[i].Spec)
@@ -37,20 +37,20 @@
 	}
 }
 
-// kept checks what the engines have seen against the rules 2 to 5.
-func (w *world) kept() {
-	w.t.Helper()
-	records, dropped := w.record.Records()
-	rep := audit.Check(records, dropped, audit.Rules{DrainGrace: w.set.DrainGrace, ListInterval: w.set.ListInterval,
-		OverloadMultiple: w.set.OverloadMultiple, OverloadWindow: w.set.OverloadWindow, HoldTimeout: w.set.HoldTimeout, Slack: 2 * time.Second})
+// checkRules checks the engines' audit records against rules 2 to 5.
+func (h *harness) checkRules() {
+	h.t.Helper()
+	records, dropped := h.record.Records()
+	rep := audit.Check(records, dropped, audit.Rules{DrainGrace: h.cfg.DrainGrace, ListInterval: h.cfg.ListInterval,
+		OverloadMultiple: h.cfg.OverloadMultiple, OverloadWindow: h.cfg.OverloadWindow, HoldTimeout: h.cfg.HoldTimeout, Slack: 2 * time.Second})
 	for _, f := range rep.Findings {
-		w.t.Errorf("rule %d: %s", f.Rule, f.Text)
+		h.t.Errorf("rule %d: %s", f.Rule, f.Text)
 	}
 }
 
-// seen counts records.
-func (w *world) seen(what audit.EventKind, note string) int {
-	records, _ := w.record.Records()
+// countRecords counts the audit records of a kind, with the given note unless that is empty.
+func (h *harness) countRecords(what audit.EventKind, note string) int {
+	records, _ := h.record.Records()
 	n := 0
 	for _, r := range records {
 		if r.Kind == what && (note == "" || r.Note == note) {
@@ -60,120 +60,120 @@
 	return n
 }
 
-// slowly makes answers take long enough to be interrupted.
-func slowly(s *standin.Spec) {
+// slowWrites makes answers take long enough to be interrupted.
+func slowWrites(s *standin.Spec) {
 	if s.Role == decide.Writer {
 		s.StepTime = 20 * time.Millisecond
 	}
 }
 
-// A client that cancels: during the read, while its state waits at a writer, and in mid-answer. Nothing is
-// left at any engine and no rule is broken.
+// A client cancels during the read, while a writer has not responded yet, and in the middle of the answer. No engine
+// holds anything afterwards and no rule is broken.
 func TestClientCancels(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		opts []option
-		when func(w *world) bool
+		when func(h *harness) bool
 	}{
-		{"during the read", []option{spec(func(s *standin.Spec) { s.ReadTokensPerSecond = 500 })}, func(w *world) bool { return w.seen(audit.Arrived, "") == 1 }},
-		{"while its state waits", nil, func(w *world) bool { return w.seen(audit.Rejected, "silence") == 1 }},
-		{"in mid-answer", []option{spec(slowly)}, func(w *world) bool { return w.seen(audit.Executed, "") == 1 }},
+		{"during the read", []option{changeSpecs(func(s *standin.Spec) { s.ReadTokensPerSecond = 500 })}, func(h *harness) bool { return h.countRecords(audit.Arrived, "") == 1 }},
+		{"while the writer is silent", nil, func(h *harness) bool { return h.countRecords(audit.Rejected, "silence") == 1 }},
+		{"during the answer", []option{changeSpecs(slowWrites)}, func(h *harness) bool { return h.countRecords(audit.Executed, "") == 1 }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w := newWorld(t, c.opts...)
-			if c.name == "while its state waits" {
-				w.playAll("d", standin.Fault{Kind: "class_fail", Size: 1, Mode: "silence"})
+			h := newHarness(t, c.opts...)
+			if c.name == "while the writer is silent" {
+				h.injectFaults("d", standin.Fault{Kind: "class_fail", Size: 1, Mode: "silence"})
 			}
 			ctx, cancel := context.WithCancel(t.Context())
 			done := make(chan answer, 1)
 			go func() {
-				done <- w.stream(ctx, generate("Rate? [answer=400]", ask{"prompt_tokens": 1000, "deadline_ms": 60000}))
+				done <- h.stream(ctx, generateBody("Rate? [answer=400]", object{"prompt_tokens": 1000, "deadline_ms": 60000}))
 			}()
-			w.eventually(c.name, func() bool { return c.when(w) })
+			h.eventually(c.name, func() bool { return c.when(h) })
 			cancel()
 			if a := <-done; a.finish != "" {
 				t.Errorf("%+v", a)
 			}
-			w.settled()
-			w.eventually("the client is counted as gone", func() bool { return w.daemon.Router.Stats().Gone == 1 })
-			w.kept()
+			h.waitUntilIdle()
+			h.eventually("the client is counted as gone", func() bool { return h.daemon.Router.Stats().Gone == 1 })
+			h.checkRules()
 		})
 	}
 }
 
-// A client that closes only its sending half has left too, as far as HTTP goes; it is seen at once.
+// A client that closes only its sending half counts as gone in HTTP, and the router notices immediately.
 func TestHalfClose(t *testing.T) {
-	w := newWorld(t, spec(slowly))
+	h := newHarness(t, changeSpecs(slowWrites))
 	body := `{"id":"c1","text_input":"Rate? [answer=400]","parameters":{"prompt_tokens":100}}`
-	c, r := w.raw(fmt.Sprintf("POST /v2/models/helpline/generate_stream HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s", len(body), body))
+	c, r := h.dialAndSend(fmt.Sprintf("POST /v2/models/helpline/generate_stream HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s", len(body), body))
 	if line, err := r.ReadString('\n'); err != nil || !strings.Contains(line, "200") {
 		t.Fatal(line, err)
 	}
 	c.(*net.TCPConn).CloseWrite()
-	w.eventually("the client is gone", func() bool { return w.daemon.Router.Stats().Gone == 1 })
-	w.settled()
+	h.eventually("the client is gone", func() bool { return h.daemon.Router.Stats().Gone == 1 })
+	h.waitUntilIdle()
 }
 
-// A decode engine that dies after it fetched the state: before the first token another read is made, after
-// it the stream ends with an error event and nothing else.
+// A decode engine crashes after it has fetched the KV state. Before the first token the prompt is read again. After
+// it the stream ends with an error event, and nothing follows.
 func TestDecodeEngineDies(t *testing.T) {
 	t.Run("before its first token", func(t *testing.T) {
-		w := newWorld(t, engines(2, 2), spec(func(s *standin.Spec) {
+		h := newHarness(t, engineCounts(2, 2), changeSpecs(func(s *standin.Spec) {
 			if s.Role == decide.Writer {
 				s.StepTime = 400 * time.Millisecond // between the fetch and the first token
 			}
 		}))
 		done := make(chan answer, 1)
 		go func() {
-			done <- w.stream(t.Context(), generate("Rate? [answer=2]", ask{"deadline_ms": 60000}))
+			done <- h.stream(t.Context(), generateBody("Rate? [answer=2]", object{"deadline_ms": 60000}))
 		}()
-		w.eventually("a writer has the state", func() bool { return w.seen(audit.Executed, "") == 1 })
-		records, _ := w.record.Records()
+		h.eventually("a writer executes the request", func() bool { return h.countRecords(audit.Executed, "") == 1 })
+		records, _ := h.record.Records()
 		for _, r := range records {
 			if r.Kind == audit.Executed {
-				w.fleet.Member(r.Who).Engine.Crash(0)
+				h.fleet.Member(r.Who).Engine.Crash(0)
 			}
 		}
 		if a := <-done; a.tokens != 2 || a.finish == "" {
 			t.Errorf("%+v", a)
 		}
-		if n := w.seen(audit.Held, ""); n != 2 {
-			t.Errorf("the prompt was read %d times, want again after the state was lost", n)
+		if n := h.countRecords(audit.Held, ""); n != 2 {
+			t.Errorf("the prompt was read %d times, want 2, as the KV state was lost", n)
 		}
-		w.settled()
+		h.waitUntilIdle()
 	})
-	t.Run("in mid-answer", func(t *testing.T) {
-		w := newWorld(t, spec(slowly))
+	t.Run("during the answer", func(t *testing.T) {
+		h := newHarness(t, changeSpecs(slowWrites))
 		done := make(chan answer, 1)
-		go func() { done <- w.stream(t.Context(), generate("Rate? [answer=400]", nil)) }()
-		w.eventually("it streams", func() bool { return w.seen(audit.Executed, "") == 1 })
-		time.Sleep(100 * time.Millisecond) // some tokens; how many does not matter
-		for _, m := range w.fleet.Members() {
+		go func() { done <- h.stream(t.Context(), generateBody("Rate? [answer=400]", nil)) }()
+		h.eventually("a writer executes the request", func() bool { return h.countRecords(audit.Executed, "") == 1 })
+		time.Sleep(100 * time.Millisecond) // time for some tokens; it does not matter how many
+		for _, m := range h.fleet.Members() {
 			if m.Group.Kind == "decode" {
 				m.Engine.Crash(0)
 			}
 		}
 		a := <-done
-		if a.broken != nil || a.finish != "" || a.status != 200 && a.status != 503 || a.failure == "" {
-			t.Errorf("a stream that broke has to end with an error event: %+v", a)
+		if a.streamErr != nil || a.finish != "" || a.status != 200 && a.status != 503 || a.failure == "" {
+			t.Errorf("want an error event at the end of a broken stream: %+v", a)
 		}
-		w.settled()
+		h.waitUntilIdle()
 	})
 }
 
-// An unsafe class whose attempt at a writer was cut off is failed: not retried, not refused.
-func TestUnsafeIsNotRepeated(t *testing.T) {
-	w := newWorld(t, spec(func(s *standin.Spec) {
+// A request of an unsafe class whose attempt at a writer breaks off is failed. It is neither retried nor refused.
+func TestUnsafeIsNotRetried(t *testing.T) {
+	h := newHarness(t, changeSpecs(func(s *standin.Spec) {
 		if s.Role == decide.Writer {
 			s.StepTime = 400 * time.Millisecond
 		}
 	}))
 	done := make(chan answer, 1)
 	go func() {
-		done <- w.stream(t.Context(), generate("Book. [answer=2]", ask{"class": "pen-booking", "deadline_ms": 60000}))
+		done <- h.stream(t.Context(), generateBody("Book. [answer=2]", object{"class": "pen-booking", "deadline_ms": 60000}))
 	}()
-	w.eventually("a writer has the state", func() bool { return w.seen(audit.Executed, "") == 1 })
-	for _, m := range w.fleet.Members() {
+	h.eventually("a writer executes the request", func() bool { return h.countRecords(audit.Executed, "") == 1 })
+	for _, m := range h.fleet.Members() {
 		if m.Group.Kind == "decode" {
 			m.Engine.Crash(0)
 		}
@@ -182,41 +182,41 @@
 	if a.status != http.StatusBadGateway || a.header.Get("Retry-After") != "" {
 		t.Errorf("%+v", a)
 	}
-	if n := w.seen(audit.Executed, ""); n != 1 {
-		t.Errorf("it ran %d times", n)
+	if n := h.countRecords(audit.Executed, ""); n != 1 {
+		t.Errorf("it was executed %d times", n)
 	}
-	w.settled()
+	h.waitUntilIdle()
 }
 
-// A prefill engine that restarts under its address while it holds states: the state is gone, the writer
-// says so, and the prompt is read again.
+// A prefill engine restarts under the same address while it holds KV states. The writer reports that the KV state is
+// missing, and the prompt is read again.
 func TestPrefillEngineRestarts(t *testing.T) {
-	w := newWorld(t, engines(1, 1), more("attempts 64\n"))
-	w.play("d1", standin.Fault{Kind: "class_fail", Size: 1, Mode: "silence"})
+	h := newHarness(t, engineCounts(1, 1), withSettings("attempts 64\n"))
+	h.injectFault("d1", standin.Fault{Kind: "class_fail", Size: 1, Mode: "silence"})
 	done := make(chan answer, 1)
 	go func() {
-		done <- w.stream(t.Context(), generate("Rate? [answer=2]", ask{"deadline_ms": 60000}))
+		done <- h.stream(t.Context(), generateBody("Rate? [answer=2]", object{"deadline_ms": 60000}))
 	}()
-	w.eventually("the writer keeps silent", func() bool { return w.seen(audit.Rejected, "silence") == 1 })
-	w.fleet.Member("p1").Engine.Crash(time.Millisecond)
-	w.fleet.Member("d1").Engine.ClearFaults("")
+	h.eventually("the writer does not respond", func() bool { return h.countRecords(audit.Rejected, "silence") == 1 })
+	h.fleet.Member("p1").Engine.Crash(time.Millisecond)
+	h.fleet.Member("d1").Engine.ClearFaults("")
 	a := <-done
 	if a.status == 200 && a.tokens != 2 {
 		t.Errorf("%+v", a)
 	}
-	if w.seen(audit.Lost, "") != 1 {
-		t.Error("no state was lost")
+	if h.countRecords(audit.Lost, "") != 1 {
+		t.Error("no KV state was lost")
 	}
-	w.settled()
-	w.kept()
+	h.waitUntilIdle()
+	h.checkRules()
 }
 
-// Engines that misbehave on the wire: an answer with another id, half a frame, two answers, headers
-// without end, errors. Each time the request ends in one clear way, and what can be tried elsewhere is.
-func TestEnginesThatMisbehave(t *testing.T) {
+// Engines break the protocol: a wrong id, half a frame, two answers, endless headers, errors. The request then has
+// exactly one clear ending, and is retried elsewhere if that is possible.
+func TestProtocolErrors(t *testing.T) {
 	for _, c := range []struct {
 		name, fault, prefix string
-		whole               bool // the answer is whole all the same
+		whole               bool // the answer is complete all the same
 	}{
 		{"wrong id of a read", "wrong_id", "p1", true},
 		{"half an answer of a read", "half_frame", "p1", true},
@@ -230,10 +230,10 @@
 		{"half a frame of a stream", "half_frame", "d", false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w := newWorld(t, engines(2, 2))
-			w.playAll(c.prefix, standin.Fault{Kind: c.fault, Size: 1})
+			h := newHarness(t, engineCounts(2, 2))
+			h.injectFaults(c.prefix, standin.Fault{Kind: c.fault, Size: 1})
 			for i := range 6 {
-				a := w.stream(t.Context(), generate("Rate? [answer=4]", ask{"session": fmt.Sprint(i)}))
+				a := h.stream(t.Context(), generateBody("Rate? [answer=4]", object{"session": fmt.Sprint(i)}))
 				if c.whole && (a.tokens != 4 || a.finish == "") {
 					t.Errorf("%+v", a)
 				}
@@ -241,49 +241,49 @@
 					t.Errorf("%+v", a)
 				}
 			}
-			w.settled()
-			w.kept()
+			h.waitUntilIdle()
+			h.checkRules()
 		})
 	}
 }
 
-// An engine that accepts and never answers is left; one that answers after the router gave up changes
-// nothing.
-func TestSilentAndLateEngines(t *testing.T) {
-	w := newWorld(t, engines(2, 2))
-	w.fleet.InjectFault(w.fleet.Member("p1"), standin.Fault{Kind: "vanish", Duration: time.Hour})
-	w.fleet.InjectFault(w.fleet.Member("d1"), standin.Fault{Kind: "slow", Duration: time.Hour, Size: 1000})
+// An engine that accepts connections and never answers is no longer used, and an answer that comes after the router
+// has given up has no effect.
+func TestUnresponsiveAndLateEngines(t *testing.T) {
+	h := newHarness(t, engineCounts(2, 2))
+	h.fleet.InjectFault(h.fleet.Member("p1"), standin.Fault{Kind: "vanish", Duration: time.Hour})
+	h.fleet.InjectFault(h.fleet.Member("d1"), standin.Fault{Kind: "slow", Duration: time.Hour, Size: 1000})
 	for i := range 6 {
-		if a := w.stream(t.Context(), generate("Rate? [answer=3]", ask{"session": fmt.Sprint(i), "deadline_ms": 60000})); a.tokens != 3 || a.finish == "" {
+		if a := h.stream(t.Context(), generateBody("Rate? [answer=3]", object{"session": fmt.Sprint(i), "deadline_ms": 60000})); a.tokens != 3 || a.finish == "" {
 			t.Errorf("%+v", a)
 		}
 	}
-	w.eventually("the table is empty", func() bool { return w.daemon.Router.Stats().Open == 0 })
+	h.eventually("the table is empty", func() bool { return h.daemon.Router.Stats().Open == 0 })
 }
 
 // A class that some engines leave unanswered is served by the others.
-func TestClassThatFails(t *testing.T) {
-	w := newWorld(t, engines(2, 3))
-	w.play("d1", standin.Fault{Kind: "class_fail", Size: 1, Class: "price-ask", Mode: "silence"})
-	w.play("d2", standin.Fault{Kind: "class_fail", Size: 1, Class: "price-ask", Mode: "error"})
-	// The module rations its time-outs by the traffic: two are to be had at the start.
+func TestClassUnansweredBySomeEngines(t *testing.T) {
+	h := newHarness(t, engineCounts(2, 3))
+	h.injectFault("d1", standin.Fault{Kind: "class_fail", Size: 1, Class: "price-ask", Mode: "silence"})
+	h.injectFault("d2", standin.Fault{Kind: "class_fail", Size: 1, Class: "price-ask", Mode: "error"})
+	// The module limits timeouts by the traffic, and allows two at the start.
 	for i := range 2 {
-		if a := w.stream(t.Context(), generate("Rate? [answer=3]", ask{"session": fmt.Sprint(i), "deadline_ms": 60000})); a.tokens != 3 || a.finish == "" {
+		if a := h.stream(t.Context(), generateBody("Rate? [answer=3]", object{"session": fmt.Sprint(i), "deadline_ms": 60000})); a.tokens != 3 || a.finish == "" {
 			t.Errorf("%+v", a)
 		}
 	}
-	if a := w.stream(t.Context(), generate("Book. [answer=3]", ask{"class": "pen-booking"})); a.tokens != 3 {
+	if a := h.stream(t.Context(), generateBody("Book. [answer=3]", object{"class": "pen-booking"})); a.tokens != 3 {
 		t.Errorf("the other class: %+v", a)
 	}
-	w.settled()
-	w.kept()
+	h.waitUntilIdle()
+	h.checkRules()
 }
 
-// The list names an engine draining while requests are on the way: nothing new comes to it after the grace,
-// and what runs there ends well. Then the list goes empty, and requests are refused at once; then it
-// returns.
-func TestDrainsAndEmptyList(t *testing.T) {
-	w := newWorld(t, engines(2, 2), more("drain-grace 100ms\n"))
+// The list drains an engine while requests are in flight: after the grace it gets nothing new, and its running
+// requests end normally. Then the list becomes empty, and requests are refused immediately, until the engines are
+// listed again.
+func TestDrainAndEmptyList(t *testing.T) {
+	h := newHarness(t, engineCounts(2, 2), withSettings("drain-grace 100ms\n"))
 	ctx, cancel := context.WithCancel(t.Context())
 	var wg sync.WaitGroup
 	for c := range 4 {
@@ -291,30 +291,30 @@
 		go func() {
 			defer wg.Done()
 			for i := 0; ctx.Err() == nil; i++ {
-				if a := w.stream(t.Context(), generate("Rate? [answer=5]", ask{"session": fmt.Sprint(c, i)})); a.tokens != 5 {
+				if a := h.stream(t.Context(), generateBody("Rate? [answer=5]", object{"session": fmt.Sprint(c, i)})); a.tokens != 5 {
 					t.Errorf("%+v", a)
 				}
 			}
 		}()
 	}
-	w.fleet.Drain(w.fleet.Member("p1"))
-	w.fleet.Drain(w.fleet.Member("d1"))
-	w.eventually("the drain is known", func() bool { return w.daemon.Router.Stats().Engines == 2 })
-	before := w.daemon.Router.Stats().Served
-	w.eventually("answers go on", func() bool { return w.daemon.Router.Stats().Served > before+20 })
+	h.fleet.Drain(h.fleet.Member("p1"))
+	h.fleet.Drain(h.fleet.Member("d1"))
+	h.eventually("the router knows the drain", func() bool { return h.daemon.Router.Stats().Engines == 2 })
+	before := h.daemon.Router.Stats().Served
+	h.eventually("more requests are served", func() bool { return h.daemon.Router.Stats().Served > before+20 })
 	cancel()
 	wg.Wait()
-	w.kept()
+	h.checkRules()
 
-	for _, m := range w.fleet.Members() {
-		w.fleet.Unlist(m)
+	for _, m := range h.fleet.Members() {
+		h.fleet.Unlist(m)
 	}
-	w.eventually("the list is empty", func() bool { return w.daemon.Router.Stats().Engines == 0 })
-	a := w.stream(t.Context(), generate("Rate?", nil))
+	h.eventually("the list is empty", func() bool { return h.daemon.Router.Stats().Engines == 0 })
+	a := h.stream(t.Context(), generateBody("Rate?", nil))
 	if a.status != http.StatusServiceUnavailable || a.header.Get("Retry-After") != "1" || a.header.Get("Retry-After-Ms") != "500" {
 		t.Errorf("without engines: %+v", a)
 	}
-	resp, err := w.client.Get(w.url + "/v2/health/ready")
+	resp, err := h.client.Get(h.url + "/v2/health/ready")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -322,70 +322,70 @@
 	if resp.StatusCode != http.StatusServiceUnavailable {
 		t.Errorf("ready without engines: %s", resp.Status)
 	}
-	for _, m := range w.fleet.Members() {
-		w.fleet.Relist(m)
+	for _, m := range h.fleet.Members() {
+		h.fleet.Relist(m)
 	}
-	w.eventually("the list is back", func() bool { return w.daemon.Router.Stats().Engines == 4 })
-	if a := w.stream(t.Context(), generate("Rate? [answer=3]", nil)); a.tokens != 3 {
+	h.eventually("the engines are listed again", func() bool { return h.daemon.Router.Stats().Engines == 4 })
+	if a := h.stream(t.Context(), generateBody("Rate? [answer=3]", nil)); a.tokens != 3 {
 		t.Errorf("%+v", a)
 	}
 }
 
-// All engines are gone but still listed: requests are answered before their deadline.
-func TestAllEnginesGone(t *testing.T) {
-	w := newWorld(t, func(c *fleet.Config, _ *string) { c.CrashListDelay = time.Hour })
-	for _, m := range w.fleet.Members() {
+// If all engines have crashed but are still listed, requests are answered before their deadline.
+func TestAllEnginesCrashed(t *testing.T) {
+	h := newHarness(t, func(c *fleet.Config, _ *string) { c.CrashListDelay = time.Hour })
+	for _, m := range h.fleet.Members() {
 		m.Engine.Crash(0)
 	}
 	began := time.Now()
-	a := w.stream(t.Context(), generate("Rate?", nil))
+	a := h.stream(t.Context(), generateBody("Rate?", nil))
 	if a.status != http.StatusServiceUnavailable && a.status != http.StatusBadGateway || time.Since(began) > 4*time.Second {
 		t.Errorf("after %v: %+v", time.Since(began), a)
 	}
 }
 
-// A deadline shorter than any read is answered by its time, as a failure or a refusal.
+// A request with a deadline shorter than any read is answered by then, as failed or refused.
 func TestShortDeadline(t *testing.T) {
-	w := newWorld(t, spec(func(s *standin.Spec) { s.ReadTokensPerSecond = 1000 }))
-	a := w.stream(t.Context(), generate("Rate?", ask{"deadline_ms": 50, "prompt_tokens": 20000}))
+	h := newHarness(t, changeSpecs(func(s *standin.Spec) { s.ReadTokensPerSecond = 1000 }))
+	a := h.stream(t.Context(), generateBody("Rate?", object{"deadline_ms": 50, "prompt_tokens": 20000}))
 	if a.status != http.StatusGatewayTimeout && a.status != http.StatusServiceUnavailable {
 		t.Errorf("%+v", a)
 	}
-	w.settled()
-	w.kept()
+	h.waitUntilIdle()
+	h.checkRules()
 }
 
-// A client that does not read its stream holds up no other, and is given up after a while; what it can make
-// the router hold is bounded.
-func TestSlowReaderOfAStream(t *testing.T) {
-	w := newWorld(t, more("client-stall 300ms\nstream-parts 8\n"), spec(func(s *standin.Spec) {
+// A client that does not read its stream delays no other client, is dropped after a while, and makes the router
+// buffer only a limited amount.
+func TestClientThatDoesNotRead(t *testing.T) {
+	h := newHarness(t, withSettings("client-stall 300ms\nstream-parts 8\n"), changeSpecs(func(s *standin.Spec) {
 		if s.Role == decide.Writer {
 			s.StepTime = time.Microsecond
 		}
 		s.MaxContextTokens = 400000
-	}), more("max-context 400k"))
+	}), withSettings("max-context 400k"))
 	// The answer has to be larger than the buffers of the sockets.
 	body := `{"id":"c1","text_input":"Rate? [answer=99999]","parameters":{"prompt_tokens":100,"max_tokens":99999}}`
-	c, err := net.Dial("tcp", w.daemon.Addr())
+	c, err := net.Dial("tcp", h.daemon.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
 	c.(*net.TCPConn).SetReadBuffer(4096)
 	fmt.Fprintf(c, "POST /v2/models/helpline/generate_stream HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
-	w.eventually("it streams", func() bool { return w.seen(audit.Executed, "") == 1 })
+	h.eventually("a writer executes the request", func() bool { return h.countRecords(audit.Executed, "") == 1 })
 	for i := range 5 {
-		if a := w.stream(t.Context(), generate("Rate? [answer=20]", ask{"session": fmt.Sprint(i)})); a.tokens != 20 {
+		if a := h.stream(t.Context(), generateBody("Rate? [answer=20]", object{"session": fmt.Sprint(i)})); a.tokens != 20 {
 			t.Errorf("another client: %+v", a)
 		}
 	}
-	w.eventually("the one that does not read is given up", func() bool { return w.daemon.Router.Stats().Gone == 1 })
-	w.settled()
+	h.eventually("the client that does not read is dropped", func() bool { return h.daemon.Router.Stats().Gone == 1 })
+	h.waitUntilIdle()
 }
 
-// Bad input of all kinds gets the protocol's error, and the connection stays of use.
-func TestBadInput(t *testing.T) {
-	w := newWorld(t, more("max-body 4KiB\nmax-context 1000\n"))
+// Invalid input gets the protocol's error response, and the connection stays usable.
+func TestInvalidInput(t *testing.T) {
+	h := newHarness(t, withSettings("max-body 4KiB\nmax-context 1000\n"))
 	long := strings.Repeat("x", 5000)
 	tensor := func(t string) string { return `{"inputs":[` + t + `]}` }
 	for _, c := range []struct {
@@ -416,11 +416,11 @@
 		{"POST", "/v2/models/helpline/infer", tensor(`{"name":"mood","shape":[1],"datatype":"BYTES","data":["x"]}`), 400, `no input \"mood\"`},
 		{"POST", "/v2/models/helpline/infer", `{"inputs":[{"name":"text_input","shape":[1],"datatype":"BYTES","data":["x"]}],"outputs":[{"name":"logits"}]}`, 400, "no output"},
 	} {
-		req, err := http.NewRequest(c.method, w.url+c.path, strings.NewReader(c.body))
+		req, err := http.NewRequest(c.method, h.url+c.path, strings.NewReader(c.body))
 		if err != nil {
 			t.Fatal(err)
 		}
-		resp, err := w.client.Do(req)
+		resp, err := h.client.Do(req)
 		if err != nil {
 			t.Errorf("%s %.80s: %v", c.path, c.body, err)
 			continue
@@ -431,16 +431,16 @@
 			t.Errorf("%s %s %.80s: %d %s, want %d and %q", c.method, c.path, c.body, resp.StatusCode, body, c.status, c.says)
 		}
 	}
-	if a := w.stream(t.Context(), generate("Rate? [answer=2]", ask{"prompt_tokens": 100, "max_tokens": 10})); a.tokens != 2 {
-		t.Errorf("a sound request afterwards: %+v", a)
+	if a := h.stream(t.Context(), generateBody("Rate? [answer=2]", object{"prompt_tokens": 100, "max_tokens": 10})); a.tokens != 2 {
+		t.Errorf("a valid request afterwards: %+v", a)
 	}
-	if s := w.daemon.Router.Stats(); s.Arrived != 1 {
-		t.Errorf("bad input came to the core: %+v", s)
+	if s := h.daemon.Router.Stats(); s.Arrived != 1 {
+		t.Errorf("invalid input reached the router: %+v", s)
 	}
 }
 
 func TestMetadata(t *testing.T) {
-	w := newWorld(t)
+	h := newHarness(t)
 	for path, says := range map[string]string{
 		"/v2":                                  `"name":"mintdoor"`,
 		"/v2/health/live":                      `{"live":true}`,
@@ -450,7 +450,7 @@
 		"/v2/models/helpline/ready":            `"ready":true`,
 		"/v2/models/helpline/versions/1/ready": `"name":"helpline"`,
 	} {
-		resp, err := w.client.Get(w.url + path)
+		resp, err := h.client.Get(h.url + path)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -462,13 +462,13 @@
 	}
 }
 
-// A client that drips its headers, and one that drips its body, are left within the time for them, and
-// hold up nobody.
-func TestDripping(t *testing.T) {
-	w := newWorld(t, more("header-within 200ms\n"))
-	head, _ := w.raw("POST /v2/models/helpline/generate_stream HTTP/1.1\r\nHost: x\r\nX-Slow: ")
-	body, bodyReader := w.raw("POST /v2/models/helpline/generate_stream HTTP/1.1\r\nHost: x\r\nContent-Length: 1000\r\n\r\n{\"text_input\":")
-	if a := w.stream(t.Context(), generate("Rate? [answer=2]", nil)); a.tokens != 2 {
+// A client that sends its headers or its body very slowly is disconnected within the time limit, and delays no other
+// client.
+func TestSlowRequests(t *testing.T) {
+	h := newHarness(t, withSettings("header-within 200ms\n"))
+	head, _ := h.dialAndSend("POST /v2/models/helpline/generate_stream HTTP/1.1\r\nHost: x\r\nX-Slow: ")
+	body, bodyReader := h.dialAndSend("POST /v2/models/helpline/generate_stream HTTP/1.1\r\nHost: x\r\nContent-Length: 1000\r\n\r\n{\"text_input\":")
+	if a := h.stream(t.Context(), generateBody("Rate? [answer=2]", nil)); a.tokens != 2 {
 		t.Errorf("%+v", a)
 	}
 	for name, c := range map[string]net.Conn{"headers": head, "body": body} {
@@ -479,31 +479,31 @@
 			}
 			continue
 		}
-		if _, err := io.ReadAll(c); err != nil { // an answer or none, but an end
+		if _, err := io.ReadAll(c); err != nil { // an answer or none, but the connection has to be closed
 			t.Errorf("%s: %v", name, err)
 		}
 	}
 }
 
-// Thousands of idle connections cost little and keep nobody out. CI takes fewer than the 10,000 of the
-// measurement, since both ends are in this process and files are bounded.
+// Many idle connections do not keep other clients from being served. The test opens fewer than the 10,000 of the
+// benchmark, since both ends are in this process and file descriptors are limited.
 func TestIdleConnections(t *testing.T) {
 	const idle = 500
-	w := newWorld(t, more("header-within 60s\n"))
+	h := newHarness(t, withSettings("header-within 60s\n"))
 	for range idle {
-		w.raw("GET /v2/health/live HTTP/1.1\r\nHost: x\r\n")
+		h.dialAndSend("GET /v2/health/live HTTP/1.1\r\nHost: x\r\n")
 	}
 	for i := range 10 {
-		if a := w.stream(t.Context(), generate("Rate? [answer=2]", ask{"session": fmt.Sprint(i)})); a.tokens != 2 {
+		if a := h.stream(t.Context(), generateBody("Rate? [answer=2]", object{"session": fmt.Sprint(i)})); a.tokens != 2 {
 			t.Errorf("%+v", a)
 		}
 	}
 }
 
-// First token and time-out, end and hang-up, at about the same moment, many times: each request has one
-// ending, and nothing is left.
-func TestEventsAtOneMoment(t *testing.T) {
-	w := newWorld(t, spec(func(s *standin.Spec) {
+// First tokens, timeouts, ends of answers and disconnects come at about the same time, many times. Each request has
+// exactly one ending, and nothing is left behind.
+func TestSimultaneousEvents(t *testing.T) {
+	h := newHarness(t, changeSpecs(func(s *standin.Spec) {
 		if s.Role == decide.Writer {
 			s.StepTime = 3 * time.Millisecond
 		}
@@ -516,55 +516,55 @@
 			defer wg.Done()
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
-			if i%2 == 0 { // hangs up at about the time of the end
+			if i%2 == 0 { // disconnects at about the time of the end
 				time.AfterFunc(time.Duration(5+i/4)*time.Millisecond, cancel)
 			}
-			a := w.stream(ctx, generate("Rate? [answer=4]", ask{"session": fmt.Sprint(i), "deadline_ms": 4 + i/4}))
-			if a.finish == "" && a.failure == "" && ctx.Err() == nil && a.broken != nil {
+			a := h.stream(ctx, generateBody("Rate? [answer=4]", object{"session": fmt.Sprint(i), "deadline_ms": 4 + i/4}))
+			if a.finish == "" && a.failure == "" && ctx.Err() == nil && a.streamErr != nil {
 				t.Errorf("%+v", a)
 			}
 		}()
 	}
 	wg.Wait()
-	w.settled()
-	s := w.daemon.Router.Stats()
+	h.waitUntilIdle()
+	s := h.daemon.Router.Stats()
 	if total := s.Served + s.Refused + s.Failed + s.Gone; total != s.Arrived {
 		t.Errorf("%d endings of %d requests: %+v", total, s.Arrived, s)
 	}
-	w.kept()
+	h.checkRules()
 }
 
-// A router that stops under load answers what it has, and lets go of what it holds.
+// A router that stops under load ends every open request, and releases all holds.
 func TestStopUnderLoad(t *testing.T) {
-	w := newWorld(t, spec(slowly))
+	h := newHarness(t, changeSpecs(slowWrites))
 	const n = 30
 	answers := make(chan answer, n)
 	for i := range n {
 		go func() {
-			answers <- w.stream(t.Context(), generate("Rate? [answer=300]", ask{"session": fmt.Sprint(i)}))
+			answers <- h.stream(t.Context(), generateBody("Rate? [answer=300]", object{"session": fmt.Sprint(i)}))
 		}()
 	}
-	w.eventually("some stream", func() bool { return w.seen(audit.Executed, "") > n/2 })
-	members := w.fleet.Members()
+	h.eventually("over half of the requests are executed", func() bool { return h.countRecords(audit.Executed, "") > n/2 })
+	members := h.fleet.Members()
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 	defer cancel()
-	w.daemon.Drain()
-	w.daemon.Drain() // again does no harm
+	h.daemon.Drain()
+	h.daemon.Drain() // a second call has no effect
 	go func() {
 		time.Sleep(50 * time.Millisecond)
-		w.halt()
+		h.cancelRouter()
 	}()
 	for range n {
 		select {
 		case a := <-answers:
 			if a.finish == "" && a.failure == "" {
-				t.Errorf("no word: %+v", a)
+				t.Errorf("no ending: %+v", a)
 			}
 		case <-ctx.Done():
 			t.Fatal("an answer is missing")
 		}
 	}
-	w.eventually("engines hold nothing", func() bool {
+	h.eventually("engines hold nothing", func() bool {
 		for _, m := range members {
 			if sequences, held := m.Engine.Occupancy(); sequences+held > 0 {
 				return false
@@ -574,12 +574,12 @@
 	})
 }
 
-// Memory and file descriptors stay flat over some thousand requests of which many are abandoned.
-func TestNothingGrows(t *testing.T) {
+// Memory and file descriptors do not grow over some thousand requests, many of which are abandoned.
+func TestNoLeaks(t *testing.T) {
 	if testing.Short() {
-		t.Skip("a soak")
+		t.Skip("a long-running test")
 	}
-	w := newWorld(t)
+	h := newHarness(t)
 	rounds := func(n int) {
 		var wg sync.WaitGroup
 		for c := range 8 {
@@ -591,18 +591,18 @@
 					if i%4 == 0 {
 						time.AfterFunc(time.Duration(i%13)*time.Millisecond, cancel)
 					}
-					w.stream(ctx, generate("Rate? [answer=3]", ask{"session": fmt.Sprint(c, i%50), "prompt_tokens": 50}))
+					h.stream(ctx, generateBody("Rate? [answer=3]", object{"session": fmt.Sprint(c, i%50), "prompt_tokens": 50}))
 					cancel()
 				}
 			}()
 		}
 		wg.Wait()
-		w.settled()
+		h.waitUntilIdle()
 	}
 	descriptors := func() int {
 		list, err := os.ReadDir("/proc/self/fd")
 		if err != nil {
-			t.Skip("descriptors can't be counted here")
+			t.Skip("file descriptors can't be counted here")
 		}
 		return len(list)
 	}
@@ -615,11 +615,11 @@
 	rounds(60)
 	fds, goroutines, before := descriptors(), runtime.NumGoroutine(), heap()
 	rounds(120)
-	// Idle connections come and go; what leaks grows by hundreds here.
+	// The number of idle connections varies; a leak grows by hundreds here.
 	if now := descriptors(); now > fds+100 {
 		t.Errorf("descriptors grew from %d to %d", fds, now)
 	}
-	if now := heap(); now > before+16 { // the records of the audit grow by some 2 MB
+	if now := heap(); now > before+16 { // the audit records grow by about 2 MB
 		t.Errorf("the heap grew from %.1f to %.1f MB", before, now)
 	}
 	if now := runtime.NumGoroutine(); now > goroutines+200 {
@@ -627,10 +627,10 @@
 	}
 }
 
-// forgetful is a decision module with a fault: it never lets go of a state.
-type forgetful struct{ router.Decider }
+// withoutReleases is a decision module with a fault: it never releases a hold.
+type withoutReleases struct{ router.Decider }
 
-func (f forgetful) Handle(now decide.Time, ev *decide.Event, out []decide.Action) []decide.Action {
+func (f withoutReleases) Handle(now decide.Time, ev *decide.Event, out []decide.Action) []decide.Action {
 	all := f.Decider.Handle(now, ev, out)
 	kept := all[:0]
 	for _, a := range all {
@@ -641,15 +641,16 @@
 	return kept
 }
 
-// brokenWorld runs a router whose module is broken on purpose over real engines.
-func brokenWorld(t *testing.T, w *world, module func(router.Decider) router.Decider, letGo bool) *router.Router {
+// startBrokenRouter runs a router with a deliberately faulty module on the engines. Without release, the client of
+// the engines ignores releases, too.
+func startBrokenRouter(t *testing.T, h *harness, module func(router.Decider) router.Decider, release bool) *router.Router {
 	client := engine.New(engine.Options{DialTimeout: time.Second, MaxConns: 100, StreamIdleTimeout: time.Second,
 		ReleaseTimeout: 250 * time.Millisecond, ProbeTimeout: time.Second})
 	var engines router.Engines = client
-	if !letGo {
-		engines = noRelease{client}
+	if !release {
+		engines = ignoresRelease{client}
 	}
-	r := router.New(router.Config{Name: "broken", Model: "helpline", Settings: w.set.Decide(discovery.LocationNumber),
+	r := router.New(router.Config{Name: "broken", Model: "helpline", Settings: h.cfg.Decide(discovery.LocationNumber),
 		Kinds: []string{"prefill", "decode"}, Engines: engines, Seed: 1, MaxOpen: 100, StreamBuffer: 8, ClientStallTimeout: time.Second,
 		StopTimeout: time.Second, NewDecider: func(set *decide.Settings, seed uint64, now decide.Time) router.Decider {
 			return module(decide.New(set, seed, now))
@@ -658,7 +659,7 @@
 	go r.Run(ctx)
 	t.Cleanup(func() { cancel(); <-r.Stopped(); client.Close() })
 	var list []discovery.Engine
-	for _, m := range w.fleet.Members() {
+	for _, m := range h.fleet.Members() {
 		list = append(list, discovery.Engine{Name: m.Name, Addr: m.Engine.Addr(), Kind: m.Group.Kind, State: decide.Ready, Weight: 1})
 	}
 	if err := discovery.SortAndCheck(list); err != nil {
@@ -668,11 +669,12 @@
 	return r
 }
 
-// noRelease is a core that forgets releases too.
-type noRelease struct{ *engine.Client }
+// ignoresRelease is a client of the engines that ignores releases.
+type ignoresRelease struct{ *engine.Client }
 
-func (noRelease) Release(context.Context, *engine.State) error { return nil }
+func (ignoresRelease) Release(context.Context, *engine.State) error { return nil }
 
+// submit submits a request and returns its ending.
 func submit(t *testing.T, r *router.Router, class int, repeat string) router.Ending {
 	t.Helper()
 	q, err := r.Submit(&router.Job{ClientID: "q1/1", Class: class, ClassName: repeat, Prompt: "Rate? [answer=2]", PromptTokens: 100, Tenant: 99,
@@ -687,10 +689,10 @@
 	}
 }
 
-// A router that is broken on purpose is caught by the audit, from the sockets alone.
-func TestAuditCatchesBrokenRouters(t *testing.T) {
-	findings := func(w *world, rule int) int {
-		records, dropped := w.record.Records()
+// The audit detects a deliberately faulty router from what the engines have recorded.
+func TestAuditDetectsFaultyRouters(t *testing.T) {
+	findings := func(h *harness, rule int) int {
+		records, dropped := h.record.Records()
 		n := 0
 		for _, f := range audit.Check(records, dropped, audit.Rules{HoldTimeout: 300 * time.Millisecond, Slack: 50 * time.Millisecond}).Findings {
 			if f.Rule == rule {
@@ -699,46 +701,46 @@
 		}
 		return n
 	}
-	t.Run("it never lets go", func(t *testing.T) {
-		w := newWorld(t)
-		w.playAll("d", standin.Fault{Kind: "fast_errors", Size: 1})
-		r := brokenWorld(t, w, func(d router.Decider) router.Decider { return forgetful{d} }, false)
+	t.Run("it never releases", func(t *testing.T) {
+		h := newHarness(t)
+		h.injectFaults("d", standin.Fault{Kind: "fast_errors", Size: 1})
+		r := startBrokenRouter(t, h, func(d router.Decider) router.Decider { return withoutReleases{d} }, false)
 		submit(t, r, 0, "safe")
-		w.eventually("the state lapses", func() bool { return w.seen(audit.Expired, "") == 1 })
-		if findings(w, 5) == 0 {
-			t.Error("rule 5 was broken and nobody saw it")
+		h.eventually("the KV state expires", func() bool { return h.countRecords(audit.Expired, "") == 1 })
+		if findings(h, 5) == 0 {
+			t.Error("rule 5 was broken and the audit did not find it")
 		}
 	})
-	t.Run("it repeats what may not be repeated", func(t *testing.T) {
-		w := newWorld(t, spec(func(s *standin.Spec) {
+	t.Run("it retries an unsafe request", func(t *testing.T) {
+		h := newHarness(t, changeSpecs(func(s *standin.Spec) {
 			if s.Role == decide.Writer {
 				s.StepTime = 100 * time.Millisecond
 			}
 		}))
-		w.playAll("d", standin.Fault{Kind: "wrong_id", Size: 1})
-		// Its core forgets nothing, but the module sends an unsafe request again after it ran.
-		w.record.Add(audit.Record{Who: "client", Kind: audit.Asked, ID: "q1/1", Class: "pen-booking", Repeat: "unsafe",
+		h.injectFaults("d", standin.Fault{Kind: "wrong_id", Size: 1})
+		// The engines' client works, but the module sends an unsafe request again after it was executed.
+		h.record.Add(audit.Record{Who: "client", Kind: audit.Asked, ID: "q1/1", Class: "pen-booking", Repeat: "unsafe",
 			Deadline: time.Now().Add(time.Minute).UnixNano()})
 		to := discovery.Engine{Name: "p1"}
-		r := brokenWorld(t, w, func(d router.Decider) router.Decider {
-			return again{d, to.ID(), map[decide.RequestID]int{}}
+		r := startBrokenRouter(t, h, func(d router.Decider) router.Decider {
+			return retriesFailed{d, to.ID(), map[decide.RequestID]int{}}
 		}, true)
 		submit(t, r, 1, "pen-booking")
-		w.eventually("it ran twice", func() bool { return w.seen(audit.Executed, "") >= 2 })
-		if findings(w, 2) == 0 {
-			t.Error("rule 2 was broken and nobody saw it")
+		h.eventually("it is executed twice", func() bool { return h.countRecords(audit.Executed, "") >= 2 })
+		if findings(h, 2) == 0 {
+			t.Error("rule 2 was broken and the audit did not find it")
 		}
 	})
 }
 
-// again has a failed request read and written once more.
-type again struct {
+// retriesFailed is a decision module with a fault: it reads and writes a failed request once more.
+type retriesFailed struct {
 	router.Decider
 	reader decide.ServerID
 	sent   map[decide.RequestID]int
 }
 
-func (m again) Handle(now decide.Time, ev *decide.Event, out []decide.Action) []decide.Action {
+func (m retriesFailed) Handle(now decide.Time, ev *decide.Event, out []decide.Action) []decide.Action {
 	if ev.Kind == decide.AttemptEnded && m.sent[ev.Request] == 1 && ev.Outcome == decide.ReadDone {
 		m.sent[ev.Request]++
 		to := discovery.Engine{Name: "d1"}
--- a/internal/e2e/shift_test.go
+++ b/internal/e2e/shift_test.go
@@ -24,7 +24,7 @@
 	"mintdoor/roles"
 )
 
-const shifting = `
+const roleChangeSettings = `
 list engines.list
 list-every 5ms
 listen 127.0.0.1:0
@@ -56,10 +56,10 @@
     capacity 400
 `
 
-// flexible engines can do both stages, one at a time.
-func flexible(change time.Duration) option {
+// changeableEngines makes the engines able to do both stages, one at a time, with a change of role in the given time.
+func changeableEngines(change time.Duration) option {
 	return func(c *fleet.Config, set *string) {
-		*set = shifting
+		*set = roleChangeSettings
 		for i := range c.Groups {
 			c.Groups[i].Count = 3
 			c.Groups[i].Spec.SlowStartTime = 500 * time.Millisecond
@@ -70,55 +70,56 @@
 	}
 }
 
-// traffic asks with some clients until it is ended; it returns the answers that were no success.
-func (w *world) traffic(clients, prompt, answer int) (end func() []string) {
-	ctx, cancel := context.WithCancel(w.t.Context())
+// traffic sends requests from some clients until end is called, which returns the answers that were neither complete
+// nor refused.
+func (h *harness) traffic(clients, prompt, answer int) (end func() []string) {
+	ctx, cancel := context.WithCancel(h.t.Context())
 	var wg sync.WaitGroup
 	var mu sync.Mutex
-	var wrong []string
+	var failures []string
 	for c := range clients {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
 			for i := 0; ctx.Err() == nil; i++ {
-				a := w.stream(w.t.Context(), generate(fmt.Sprintf("Rate? [answer=%d]", answer), ask{"session": fmt.Sprint(c, i), "prompt_tokens": prompt}))
-				// A busy machine makes the module refuse; that is an answer, and nothing has run.
+				a := h.stream(h.t.Context(), generateBody(fmt.Sprintf("Rate? [answer=%d]", answer), object{"session": fmt.Sprint(c, i), "prompt_tokens": prompt}))
+				// On a busy machine the module may refuse; that is a valid answer, and nothing was executed.
 				if a.tokens != answer && a.status != http.StatusServiceUnavailable {
 					mu.Lock()
-					wrong = append(wrong, fmt.Sprintf("%d %s %v", a.status, a.failure, a.broken))
+					failures = append(failures, fmt.Sprintf("%d %s %v", a.status, a.failure, a.streamErr))
 					mu.Unlock()
 				}
 			}
 		}()
 	}
-	return func() []string { cancel(); wg.Wait(); return wrong }
+	return func() []string { cancel(); wg.Wait(); return failures }
 }
 
-// roles counts engines by what they say of themselves.
-func (w *world) roles() map[string]int {
+// engineRoles counts the engines by the role and phase that they report.
+func (h *harness) engineRoles() map[string]int {
 	c := engine.New(engine.Options{DialTimeout: time.Second, MaxConns: 10, ProbeTimeout: time.Second})
 	defer c.Close()
 	out := map[string]int{}
-	for _, m := range w.fleet.Members() {
-		if r, err := c.Role(w.t.Context(), m.Engine.Addr()); err == nil {
+	for _, m := range h.fleet.Members() {
+		if r, err := c.Role(h.t.Context(), m.Engine.Addr()); err == nil {
 			out[r.Role+" "+r.Phase]++
 		}
 	}
 	return out
 }
 
-// Long answers make readers into writers under load: nothing fails, engines come back cold, no rule is
-// broken, though the list goes on showing the old role.
-func TestRolesShiftUnderLoad(t *testing.T) {
-	w := newWorld(t, flexible(20*time.Millisecond))
-	end := w.traffic(12, 50, 60)
-	w.eventually("a reader has become a writer", func() bool { return w.roles()["decode steady"] >= 4 })
-	before := w.daemon.Router.Stats().Served
-	w.eventually("answers go on", func() bool { return w.daemon.Router.Stats().Served > before+50 })
-	if wrong := end(); len(wrong) > 0 {
-		t.Errorf("%d answers were no success: %q", len(wrong), wrong[:min(len(wrong), 5)])
+// Long answers make the router turn readers into writers under load. Nothing fails, engines are cold after the
+// change, and no rule is broken, although the list still shows the old role.
+func TestRoleChangeUnderLoad(t *testing.T) {
+	h := newHarness(t, changeableEngines(20*time.Millisecond))
+	end := h.traffic(12, 50, 60)
+	h.eventually("a reader has become a writer", func() bool { return h.engineRoles()["decode steady"] >= 4 })
+	before := h.daemon.Router.Stats().Served
+	h.eventually("more requests are served", func() bool { return h.daemon.Router.Stats().Served > before+50 })
+	if failures := end(); len(failures) > 0 {
+		t.Errorf("%d requests failed: %q", len(failures), failures[:min(len(failures), 5)])
 	}
-	resp, err := w.client.Get("http://" + w.daemon.ControlAddr() + "/roles")
+	resp, err := h.client.Get("http://" + h.daemon.ControlAddr() + "/roles")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -128,13 +129,13 @@
 	if err != nil || len(st.Engines) != 6 || !st.Engines[0].Known || st.Plan.At.IsZero() {
 		t.Errorf("%v, %+v", err, st)
 	}
-	w.settled()
-	w.kept()
+	h.waitUntilIdle()
+	h.checkRules()
 }
 
-// metric reads one metric of a router's control address; 0 if there is none of the name.
-func (w *world) metric(d *daemon.Daemon, name string) float64 {
-	resp, err := w.client.Get("http://" + d.ControlAddr() + "/metrics")
+// metric returns one metric from a router's control address, or 0 if there is none of that name.
+func (h *harness) metric(d *daemon.Daemon, name string) float64 {
+	resp, err := h.client.Get("http://" + d.ControlAddr() + "/metrics")
 	if err != nil {
 		return 0
 	}
@@ -144,7 +145,7 @@
 		if value, ok := strings.CutPrefix(lines.Text(), name+" "); ok {
 			n, err := strconv.ParseFloat(value, 64)
 			if err != nil {
-				w.t.Errorf("%s: %v", lines.Text(), err)
+				h.t.Errorf("%s: %v", lines.Text(), err)
 			}
 			return n
 		}
@@ -153,58 +154,58 @@
 }
 
 const (
-	changed = `mintdoor_role_changes_total{result="done",to="decode"}`
-	failed  = `mintdoor_role_changes_total{result="failed",to="decode"}`
+	changesDone   = `mintdoor_role_changes_total{result="done",to="decode"}`
+	changesFailed = `mintdoor_role_changes_total{result="failed",to="decode"}`
 )
 
-// Changes that fail leave the router serving, and the engine what it says it is.
-func TestRolesThatFailToShift(t *testing.T) {
+// After a role change that fails the router goes on serving, and each engine keeps the role that it reports.
+func TestFailedRoleChanges(t *testing.T) {
 	for _, c := range []struct {
 		fault string
 		more  string
 	}{{"role_refuse", "shift-change 5s"}, {"role_old", "shift-change 5s"}, {"role_die", "shift-change 5s"}, {"role_hang", "shift-change 300ms"}} {
 		t.Run(c.fault, func(t *testing.T) {
-			w := newWorld(t, flexible(5*time.Millisecond), more(c.more))
-			w.playAll("p", standin.Fault{Kind: c.fault, Size: 0.05})
-			end := w.traffic(12, 50, 60)
-			w.eventually("a change has failed", func() bool { return w.metric(w.daemon, failed) > 0 })
-			before := w.daemon.Router.Stats().Served
-			w.eventually("answers go on", func() bool { return w.daemon.Router.Stats().Served > before+200 })
-			wrong := end()
-			if c.fault != "role_die" && len(wrong) > 0 {
-				t.Errorf("%d answers were no success: %q", len(wrong), wrong[:min(len(wrong), 5)])
+			h := newHarness(t, changeableEngines(5*time.Millisecond), withSettings(c.more))
+			h.injectFaults("p", standin.Fault{Kind: c.fault, Size: 0.05})
+			end := h.traffic(12, 50, 60)
+			h.eventually("a role change has failed", func() bool { return h.metric(h.daemon, changesFailed) > 0 })
+			before := h.daemon.Router.Stats().Served
+			h.eventually("more requests are served", func() bool { return h.daemon.Router.Stats().Served > before+200 })
+			failures := end()
+			if c.fault != "role_die" && len(failures) > 0 {
+				t.Errorf("%d requests failed: %q", len(failures), failures[:min(len(failures), 5)])
 			}
-			if c.fault == "role_hang" { // it goes on once the fault is over, and others may follow
-				if n := w.metric(w.daemon, changed); n != 0 {
-					t.Errorf("%v changes are done while all hang", n)
+			if c.fault == "role_hang" { // it continues when the fault ends, and others may follow
+				if n := h.metric(h.daemon, changesDone); n != 0 {
+					t.Errorf("%v changes are done while all engines hang", n)
 				}
-				for _, m := range w.fleet.Members() {
+				for _, m := range h.fleet.Members() {
 					m.Engine.ClearFaults("role_hang")
 				}
-				w.eventually("the change that hung is done, and all are steady", func() bool {
-					r := w.roles()
-					return w.metric(w.daemon, changed) > 0 && r["prefill steady"]+r["decode steady"] == 6
+				h.eventually("the hanging change is done, and all are steady", func() bool {
+					r := h.engineRoles()
+					return h.metric(h.daemon, changesDone) > 0 && r["prefill steady"]+r["decode steady"] == 6
 				})
 			} else {
-				w.eventually("all are steady in their old roles", func() bool {
-					r := w.roles()
+				h.eventually("all are steady in their old roles", func() bool {
+					r := h.engineRoles()
 					return r["prefill steady"] == 3 && r["decode steady"] == 3
 				})
 			}
-			w.settled()
-			w.kept()
+			h.waitUntilIdle()
+			h.checkRules()
 		})
 	}
 }
 
-// join starts another router over the same engines, and returns it with what ends it.
-func (w *world) join(index, routers int) (*daemon.Daemon, func()) {
-	w.t.Helper()
-	set := *w.set
+// joinRouter starts another router on the same engines, and returns it with a function that stops it.
+func (h *harness) joinRouter(index, routers int) (*daemon.Daemon, func()) {
+	h.t.Helper()
+	set := *h.cfg
 	set.Index, set.Routers, set.Name = index, routers, fmt.Sprintf("r%d", index)
 	d, err := daemon.New(&set, uint64(index), slog.New(slog.DiscardHandler), nil)
 	if err != nil {
-		w.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
@@ -214,59 +215,59 @@
 		once.Do(func() {
 			cancel()
 			if err := <-done; err != nil {
-				w.t.Errorf("router %d: %v", index, err)
+				h.t.Errorf("router %d: %v", index, err)
 			}
 		})
 	}
-	w.t.Cleanup(end)
-	w.eventually("the router is ready", func() bool { return d.Router.Stats().Engines == int64(len(w.fleet.Members())) })
+	h.t.Cleanup(end)
+	h.eventually("the router is ready", func() bool { return d.Router.Stats().Engines == int64(len(h.fleet.Members())) })
 	return d, end
 }
 
-// Three routers, of which one sees most of the traffic; it is stopped while a change of its is under way. The
-// change ends, the others take over, and no engine is left half-way.
-func TestRouterStopsInMidChange(t *testing.T) {
-	w := newWorld(t, flexible(500*time.Millisecond), more("routers 3\nindex 0"))
-	big, end := w.join(1, 3)
-	w.join(2, 3)
-	small := w.url
-	w.url = "http://" + big.Addr()
-	stop := w.traffic(12, 50, 60)
-	w.eventually("a change is under way", func() bool {
-		r := w.roles()
+// The one of three routers with most of the traffic stops during a role change that it started. The change is
+// completed, the others take over, and no engine stays between two roles.
+func TestRouterStopsDuringRoleChange(t *testing.T) {
+	h := newHarness(t, changeableEngines(500*time.Millisecond), withSettings("routers 3\nindex 0"))
+	big, end := h.joinRouter(1, 3)
+	h.joinRouter(2, 3)
+	small := h.url
+	h.url = "http://" + big.Addr()
+	stop := h.traffic(12, 50, 60)
+	h.eventually("a role change is in progress", func() bool {
+		r := h.engineRoles()
 		return r["prefill emptying"]+r["prefill changing"] > 0
 	})
 	end()
 	stop()
-	w.url = small
-	stop = w.traffic(4, 50, 60)
-	w.eventually("the change has ended", func() bool {
-		r := w.roles()
+	h.url = small
+	stop = h.traffic(4, 50, 60)
+	h.eventually("the role change has ended", func() bool {
+		r := h.engineRoles()
 		return r["decode steady"] >= 4 && r["prefill steady"]+r["decode steady"] == 6
 	})
-	before := w.daemon.Router.Stats().Served
-	w.eventually("answers go on", func() bool { return w.daemon.Router.Stats().Served > before+50 })
-	if wrong := stop(); len(wrong) > 0 {
-		t.Errorf("%d answers were no success: %q", len(wrong), wrong[:min(len(wrong), 5)])
+	before := h.daemon.Router.Stats().Served
+	h.eventually("more requests are served", func() bool { return h.daemon.Router.Stats().Served > before+50 })
+	if failures := stop(); len(failures) > 0 {
+		t.Errorf("%d requests failed: %q", len(failures), failures[:min(len(failures), 5)])
 	}
-	if w.metric(w.daemon, changed) == 0 {
-		t.Error("the change went unseen by the routers that are left")
+	if h.metric(h.daemon, changesDone) == 0 {
+		t.Error("the remaining routers did not notice the change")
 	}
-	w.settled()
-	w.kept()
+	h.waitUntilIdle()
+	h.checkRules()
 }
 
-// A router that starts while a change is half made takes the engines' own word: it sends nothing to the one on
-// its way, and follows it to its end.
-func TestRouterFindsAChangeHalfMade(t *testing.T) {
-	w := newWorld(t, flexible(time.Second), more("shift dry"))
+// A router that starts during a role change uses what the engines report: it sends nothing to the one that is
+// changing, and follows the change to its end.
+func TestRouterStartsDuringRoleChange(t *testing.T) {
+	h := newHarness(t, changeableEngines(time.Second), withSettings("shift dry"))
 	c := engine.New(engine.Options{DialTimeout: time.Second, MaxConns: 10, ProbeTimeout: time.Second})
 	defer c.Close()
-	p1 := w.fleet.Member("p1").Engine.Addr()
+	p1 := h.fleet.Member("p1").Engine.Addr()
 	if _, granted, err := c.ChangeRole(t.Context(), p1, &engine.RoleChange{To: "decode", Epoch: 1, Router: "a dead one"}); err != nil || !granted {
 		t.Fatal(granted, err)
 	}
-	set := *w.set
+	set := *h.cfg
 	d, err := daemon.New(&set, 9, slog.New(slog.DiscardHandler), nil)
 	if err != nil {
 		t.Fatal(err)
@@ -275,53 +276,54 @@
 	done := make(chan error, 1)
 	go func() { done <- d.Run(ctx) }()
 	defer func() { cancel(); <-done }()
-	w.eventually("five engines are ready", func() bool { return d.Router.Stats().Engines == 5 })
-	w.url = "http://" + d.Addr()
-	stop := w.traffic(4, 50, 10)
-	w.eventually("the change is seen to its end", func() bool { return w.metric(d, changed) == 1 && d.Router.Stats().Engines == 6 })
-	if wrong := stop(); len(wrong) > 0 {
-		t.Errorf("%d answers were no success: %q", len(wrong), wrong[:min(len(wrong), 5)])
+	h.eventually("five engines are ready", func() bool { return d.Router.Stats().Engines == 5 })
+	h.url = "http://" + d.Addr()
+	stop := h.traffic(4, 50, 10)
+	h.eventually("the router notices the end of the change", func() bool { return h.metric(d, changesDone) == 1 && d.Router.Stats().Engines == 6 })
+	if failures := stop(); len(failures) > 0 {
+		t.Errorf("%d requests failed: %q", len(failures), failures[:min(len(failures), 5)])
 	}
-	if n := w.seen(audit.Rejected, engine.RefusedDraining) + w.seen(audit.Rejected, engine.RefusedRole); n != 0 {
-		t.Errorf("%d attempts went to the engine on its way", n)
+	if n := h.countRecords(audit.Rejected, engine.RefusedDraining) + h.countRecords(audit.Rejected, engine.RefusedRole); n != 0 {
+		t.Errorf("%d attempts went to the changing engine", n)
 	}
-	w.settled()
-	w.kept()
+	h.waitUntilIdle()
+	h.checkRules()
 }
 
-// Half of the readers die while one of them is on its way to write, and the mix turns: it reads again, and answers go on.
-func TestHalfTheReadersDieInAChange(t *testing.T) {
-	w := newWorld(t, flexible(50*time.Millisecond), more("shift-look 200ms\nshift-slot 800ms"))
-	stop := w.traffic(12, 50, 60)
-	var moving string
-	w.eventually("a reader is emptying", func() bool {
-		for _, e := range w.shifting() {
+// Half of the readers crash while another one is changing into a writer, and the traffic now needs readers: that
+// engine reads again, and requests are still served.
+func TestReadersCrashDuringRoleChange(t *testing.T) {
+	h := newHarness(t, changeableEngines(50*time.Millisecond), withSettings("shift-look 200ms\nshift-slot 800ms"))
+	stop := h.traffic(12, 50, 60)
+	var changing string
+	h.eventually("a reader is emptying", func() bool {
+		for _, e := range h.roleStatus() {
 			if e.Step == "emptying" {
-				moving = e.Name
+				changing = e.Name
 			}
 		}
-		return moving != ""
+		return changing != ""
 	})
 	stop()
-	heavy := w.traffic(12, 20000, 2)
-	for _, m := range w.fleet.Members() {
-		if strings.HasPrefix(m.Name, "p") && m.Name != moving {
-			w.play(m.Name, standin.Fault{Kind: "crash", Duration: time.Hour})
+	stopLong := h.traffic(12, 20000, 2)
+	for _, m := range h.fleet.Members() {
+		if strings.HasPrefix(m.Name, "p") && m.Name != changing {
+			h.injectFault(m.Name, standin.Fault{Kind: "crash", Duration: time.Hour})
 		}
 	}
-	w.eventually("it reads again, or it was too late to call it back and it is back", func() bool {
-		r := w.roles()
+	h.eventually("it reads again, either because the change was cancelled or after another one", func() bool {
+		r := h.engineRoles()
 		return r["prefill steady"] >= 1
 	})
-	before := w.daemon.Router.Stats().Served
-	w.eventually("answers go on", func() bool { return w.daemon.Router.Stats().Served > before+20 })
-	heavy()
-	w.settled()
+	before := h.daemon.Router.Stats().Served
+	h.eventually("more requests are served", func() bool { return h.daemon.Router.Stats().Served > before+20 })
+	stopLong()
+	h.waitUntilIdle()
 }
 
-// shifting is what the router's control address tells of its engines' roles.
-func (w *world) shifting() []shift.EngineStatus {
-	resp, err := w.client.Get("http://" + w.daemon.ControlAddr() + "/roles")
+// roleStatus returns the status of the engines' roles from the router's control address.
+func (h *harness) roleStatus() []shift.EngineStatus {
+	resp, err := h.client.Get("http://" + h.daemon.ControlAddr() + "/roles")
 	if err != nil {
 		return nil
 	}
@@ -333,37 +335,37 @@
 	return st.Engines
 }
 
-// An engine that is set up anew, back in its first role and at its first epoch, is believed by its later start.
-func TestEngineComesBackWithoutSayingSo(t *testing.T) {
-	w := newWorld(t, flexible(5*time.Millisecond), more("shift dry"))
+// An engine that is reinstalled, with its first role and epoch again, is recognized by its later start.
+func TestReinstalledEngineIsRecognized(t *testing.T) {
+	h := newHarness(t, changeableEngines(5*time.Millisecond), withSettings("shift dry"))
 	c := engine.New(engine.Options{DialTimeout: time.Second, MaxConns: 10, ProbeTimeout: time.Second})
 	defer c.Close()
-	m := w.fleet.Member("p1")
+	m := h.fleet.Member("p1")
 	if _, granted, err := c.ChangeRole(t.Context(), m.Engine.Addr(), &engine.RoleChange{To: "decode", Epoch: 1}); err != nil || !granted {
 		t.Fatal(granted, err)
 	}
-	word := func(role string, epoch roles.Epoch) bool {
-		for _, e := range w.shifting() {
+	reports := func(role string, epoch roles.Epoch) bool {
+		for _, e := range h.roleStatus() {
 			if e.Name == "p1" {
 				return e.State.Epoch == epoch && e.Step == "idle" && (e.State.Role == roles.Decode) == (role == "decode")
 			}
 		}
 		return false
 	}
-	w.eventually("it writes", func() bool { return word("decode", 2) })
+	h.eventually("it writes", func() bool { return reports("decode", 2) })
 	m.Engine.Reinstall()
-	w.eventually("it reads again", func() bool { return word("prefill", 1) })
-	if a := w.stream(t.Context(), generate("Rate? [answer=5]", nil)); a.tokens != 5 {
+	h.eventually("it reads again", func() bool { return reports("prefill", 1) })
+	if a := h.stream(t.Context(), generateBody("Rate? [answer=5]", nil)); a.tokens != 5 {
 		t.Errorf("%+v", a)
 	}
 }
 
-// A dry run plans and changes nothing.
+// A dry run plans role changes and makes none.
 func TestDryRun(t *testing.T) {
-	w := newWorld(t, flexible(time.Millisecond), func(_ *fleet.Config, set *string) { more("shift dry")(nil, set) })
-	end := w.traffic(12, 50, 60)
-	w.eventually("a plan would change something", func() bool {
-		resp, err := w.client.Get("http://" + w.daemon.ControlAddr() + "/roles")
+	h := newHarness(t, changeableEngines(time.Millisecond), func(_ *fleet.Config, set *string) { withSettings("shift dry")(nil, set) })
+	end := h.traffic(12, 50, 60)
+	h.eventually("a plan contains a change", func() bool {
+		resp, err := h.client.Get("http://" + h.daemon.ControlAddr() + "/roles")
 		if err != nil {
 			return false
 		}
@@ -372,20 +374,20 @@
 		return json.NewDecoder(resp.Body).Decode(&st) == nil && len(st.Plan.Plan.Moves) > 0 && st.Plan.Verdict.Change
 	})
 	end()
-	if r := w.roles(); r["prefill steady"] != 3 || r["decode steady"] != 3 {
+	if r := h.engineRoles(); r["prefill steady"] != 3 || r["decode steady"] != 3 {
 		t.Errorf("%v", r)
 	}
 }
 
-// What a router records of its traffic is there, whole, after its end.
+// The traffic that a router records is complete after its end.
 func TestTrafficIsRecorded(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "day.trace")
-	w := newWorld(t, more("record "+path))
+	h := newHarness(t, withSettings("record "+path))
 	for i := range 7 {
-		w.stream(t.Context(), generate("Rate? [answer=9]", ask{"session": fmt.Sprint(i), "prompt_tokens": 40 + i}))
+		h.stream(t.Context(), generateBody("Rate? [answer=9]", object{"session": fmt.Sprint(i), "prompt_tokens": 40 + i}))
 	}
-	w.settled()
-	w.stop()
+	h.waitUntilIdle()
+	h.stop()
 	got, err := trace.Load(path)
 	if err != nil || len(got.Entries) != 7 {
 		t.Fatalf("%v, %+v", err, got)
