--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -145,11 +145,11 @@
 		{"safe full", safeClass, Full, 0, Send},
 		{"safe cancelled", safeClass, Cancelled, 0, Send},
 		{"safe connect", safeClass, ConnectFailed, 0, Send},
-		{"safe moot", safeClass, NotStarted, 0, Refuse},
+		{"safe not started", safeClass, NotStarted, 0, Refuse},
 		{"safe at the deadline", safeClass, TimedOut, 4 * Second, Refuse},
 		{"unsafe full", unsafeClass, Full, 0, Send},
 		{"unsafe connect", unsafeClass, ConnectFailed, 0, Send},
-		{"unsafe moot", unsafeClass, NotStarted, 0, Refuse},
+		{"unsafe not started", unsafeClass, NotStarted, 0, Refuse},
 		{"unsafe error", unsafeClass, Error, 0, Fail},
 		{"unsafe reset", unsafeClass, Reset, 0, Fail},
 		{"unsafe timeout", unsafeClass, TimedOut, 0, Fail},
@@ -431,8 +431,8 @@
 // lowest projected use.
 func TestWriterChoice(t *testing.T) {
 	type state struct {
-		streams       int
-		booked, share float64
+		streams     int
+		booked, use float64
 	}
 	tests := []struct {
 		name string
@@ -451,7 +451,7 @@
 			id, acts := h.arrive(safeClass)
 			for i, st := range tt.at {
 				s := h.r.servers[ServerID(11+i)]
-				s.streams, s.bookedTokens, s.memoryUse = st.streams, st.booked, st.share
+				s.streams, s.bookedTokens, s.memoryUse = st.streams, st.booked, st.use
 			}
 			if got := h.sentTo(h.endAttempt(id, 0, h.sentTo(acts), ReadDone)); got != tt.want {
 				t.Errorf("picked %d, want %d", got, tt.want)
@@ -466,14 +466,14 @@
 	for i := range 8 {
 		list = append(list, Listing{Server: ServerID(i + 1), Condition: Ready})
 	}
-	home := func(seed uint64) (ServerID, *harness) {
+	preferred := func(seed uint64) (ServerID, *harness) {
 		h := newHarness(t, testSettings(), list)
 		h.r.rng = seed
 		_, acts := h.arrive(safeClass)
 		return h.sentTo(acts), h
 	}
-	a, h := home(1)
-	if b, _ := home(2); a != b {
+	a, h := preferred(1)
+	if b, _ := preferred(2); a != b {
 		t.Errorf("two routers read one prefix at %d and %d", a, b)
 	}
 	h.r.servers[a].queuedTokens = 1e9
@@ -544,7 +544,7 @@
 
 // The same events lead to the same actions, whatever other instances do in between.
 func TestDeterminism(t *testing.T) {
-	play := func(other bool) (all []Action) {
+	run := func(other bool) (all []Action) {
 		h := newHarness(t, testSettings(), testFleet())
 		o := newHarness(t, testSettings(), testFleet())
 		for i := range 200 {
@@ -565,7 +565,7 @@
 		}
 		return all
 	}
-	first, again, mixed := play(false), play(false), play(true)
+	first, again, mixed := run(false), run(false), run(true)
 	if len(first) < 400 || !reflect.DeepEqual(first, again) || !reflect.DeepEqual(first, mixed) {
 		t.Error("the same events led to different actions")
 	}
@@ -573,13 +573,13 @@
 
 // Under overload requests are refused on arrival instead of failing late, and classes of lower value first.
 func TestOverloadIsRefusedOnArrival(t *testing.T) {
-	refused := func(class int, share float64) (n int) {
+	refused := func(class int, memoryUse float64) (n int) {
 		set := testSettings()
 		set.Classes[1] = set.Classes[0]
 		set.Classes[1].Value = 3
 		h := newHarness(t, set, testFleet())
 		for _, s := range h.r.byID {
-			s.memoryUse = share
+			s.memoryUse = memoryUse
 		}
 		for range 100 {
 			h.r.servers[11].sentTokens, h.r.servers[12].sentTokens, h.r.servers[13].sentTokens = 0, 0, 0
@@ -620,12 +620,12 @@
 // Requests over their tenant's quota are refused first when capacity is short, and only then, as when the traffic of
 // one tenant suddenly grows to four times as much.
 func TestOverQuotaIsRefusedFirst(t *testing.T) {
-	refused := func(tenant int, share float64) (n int) {
+	refused := func(tenant int, memoryUse float64) (n int) {
 		set := testSettings()
 		set.Tenants = []Tenant{{RequestsPerSecond: 1000}, {RequestsPerSecond: 2}}
 		h := newHarness(t, set, testFleet())
 		for _, s := range h.r.byID {
-			s.memoryUse = share
+			s.memoryUse = memoryUse
 		}
 		for range 100 {
 			h.now += 10 * ms
--- a/decide/guards.go
+++ b/decide/guards.go
@@ -20,8 +20,8 @@
 	if slices.Contains(q.tried, s) && (st == writing || q.stateAt != s) {
 		return false
 	}
-	once := st == writing && r.cfg.Classes[q.job.Class].RetryPolicy == Unsafe
-	return !r.isSuspect(s, once)
+	noTrial := st == writing && r.cfg.Classes[q.job.Class].RetryPolicy == Unsafe
+	return !r.isSuspect(s, noTrial)
 }
 
 // send starts an attempt. It returns false if the request has used up its attempts or a rule forbids the
--- a/decide/probing_test.go
+++ b/decide/probing_test.go
@@ -30,10 +30,10 @@
 }
 
 // reportLoad answers a probe with a memory use and so many thousand queued tokens.
-func (h *harness) reportLoad(s ServerID, share, waitingK float64) []Action {
+func (h *harness) reportLoad(s ServerID, memoryUse, queuedK float64) []Action {
 	h.now += 2 * ms
 	return h.handle(Event{Kind: Probed, Server: s, Outcome: Served, Elapsed: 2 * ms,
-		Report: Report{MemoryUse: share, QueuedKTokens: waitingK, Latency: -1}})
+		Report: Report{MemoryUse: memoryUse, QueuedKTokens: queuedK, Latency: -1}})
 }
 
 // timeOutProbe ends a probe with a timeout.
--- a/decide/request.go
+++ b/decide/request.go
@@ -160,8 +160,8 @@
 				minReadTokens*r.nsPerToken)
 		}
 		r.recordSuccess(q, s, float64(ev.Elapsed)/q.expectedTime)
-		if ns := float64(ev.Elapsed) / max(q.job.PromptTokens-ev.CachedTokens,
-			minReadTokens); ns < r.nsPerToken {
+		if ns := float64(ev.Elapsed) /
+			max(q.job.PromptTokens-ev.CachedTokens, minReadTokens); ns < r.nsPerToken {
 			r.nsPerToken += fasterReadGain * (ns - r.nsPerToken)
 		} else {
 			r.nsPerToken *= 1 + slowerReadStep
