--- a/decide/api.go
+++ b/decide/api.go
@@ -124,7 +124,7 @@
 	DialTimeout    Duration
 
 	AnswerGrace        Duration // rule 1: a final answer may come this long after the deadline
-	AskWithin          Duration
+	AskWithin          Duration // not used by decisions
 	DrainGrace         Duration // rule 3: nothing is sent to a server this long after the list drains it
 	HoldTimeout        Duration // rule 5: what is held for a request is used or released within this time
 	ReleaseAtEnd       bool     // a release during a request takes effect only when the request ends
@@ -160,8 +160,8 @@
 	Server           ServerID
 	Zone, Cell, Kind int
 	Condition        Condition
-	Weight           float64
-	StartedAt        Time // last start of the server; 0 if long ago
+	Weight           float64 // not used by decisions
+	StartedAt        Time    // last start of the server; 0 if long ago
 }
 
 // Outcome is how an attempt or a probe ended.
--- a/internal/simwire/decode.go
+++ b/internal/simwire/decode.go
@@ -16,7 +16,7 @@
 
 // Codes of the records that the simulator sends.
 const (
-	codeClientGone  = 10
+	codeClientLeft  = 10
 	codeTimer       = 20
 	codeList        = 30
 	codeRequest     = 40
@@ -198,7 +198,7 @@
 			return false, err
 		}
 		return true, d.decodeAttemptEnded(b, ev)
-	case codeClientGone:
+	case codeClientLeft:
 		b, err := head(8, "TIMED_OUT_CLIENT")
 		if err != nil {
 			return false, err
