--- a/decide/admission.go
+++ b/decide/admission.go
@@ -84,8 +84,8 @@
 	return (r.recentResponseTime(s)*(s.queuedTokens+uncached+minReadTokens) - uncached) * r.nsPerToken
 }
 
-// hasFreshReport reports whether the queue that a reader has reported is current and of use. With few routers it
-// is not used, as own reads show a queue sooner than late reports do.
+// hasFreshReport reports whether the queue that a reader has reported is current and of use. With few routers
+// it is not used, as own reads show a queue sooner than late reports do.
 func (r *Router) hasFreshReport(s *server) bool {
 	return r.manyRouters && s.reportedAt > 0 && r.now-s.reportedAt < reportFreshness
 }
