--- a/decide/health.go
+++ b/decide/health.go
@@ -1,45 +1,52 @@
 package decide
 
-// Outlier ejection: symptoms, leaving out, the way back in.
+// Outlier ejection: its symptoms, the ejection of servers, and their recovery.
 
 import "slices"
 
-// suspect: a server keeps silent while attempts wait, or is benched; what is sent once is no trial.
-func (r *Router) suspect(s *server, once bool) bool {
-	if s.pending > 0 && float64(r.now-s.quietFrom) > r.quietLimit(s) {
+// isSuspect reports whether a server is unresponsive while attempts wait for it, or ejected. When its
+// ejection is over it stays suspect while a trial request is unanswered, and, with noTrial, for an attempt
+// that can't be retried and is thus not used as a trial.
+func (r *Router) isSuspect(s *server, noTrial bool) bool {
+	if s.unanswered > 0 && float64(r.now-s.silentSince) > r.silenceLimit(s) {
 		return true
 	}
-	return s.bench > 0 && (once || r.now < s.until || s.pending > 0)
+	return s.ejection > 0 && (noTrial || r.now < s.ejectedUntil || s.unanswered > 0)
 }
 
-func (r *Router) quietLimit(s *server) float64 {
-	expect := writeExpected
+// silenceLimit returns how long attempts may wait for a server without any response, in ns, before it is
+// suspect.
+func (r *Router) silenceLimit(s *server) float64 {
+	expected := firstTokenUnit
 	if s.role == Reader {
-		expect = r.readTime(s)
+		expected = r.readTime(s)
 	}
-	return max(quietTypical*r.usual(s.role, s)*expect, quietFloor*float64(r.leastAim))
+	return max(silenceFactor*r.typicalTime(s.role, s)*expected, minSilenceShare*float64(r.minTarget))
 }
 
-func (r *Router) timeOf(s *server, role Role) bool {
-	return s.role&role != 0 && s.ready && (s.answers >= slowSamples || r.many && s.answers > 0)
+// hasResponseTime reports whether a server counts for the response times of a role: it is ready and has
+// responded often enough.
+func (r *Router) hasResponseTime(s *server, role Role) bool {
+	return s.role&role != 0 && s.ready && (s.responses >= minSamples || r.manyRouters && s.responses > 0)
 }
 
-// usual is the median answer time of the servers of a role, without one of them. The order of the times is
-// kept while none changes: it is asked for every server that an event looks at.
-func (r *Router) usual(role Role, but *server) float64 {
-	if !r.timed[role] {
-		r.timed[role], r.times[role] = true, r.times[role][:0]
-		for _, s := range r.order {
-			if r.timeOf(s, role) {
-				r.times[role] = append(r.times[role], s.answer)
+// typicalTime returns the median response time of the servers of a role, except one of them if that is not
+// nil; 0 if there is none. The sorted times are kept, because the median is needed for every server that an
+// event considers.
+func (r *Router) typicalTime(role Role, except *server) float64 {
+	if !r.timesSorted[role] {
+		r.timesSorted[role], r.sortedTimes[role] = true, r.sortedTimes[role][:0]
+		for _, s := range r.byID {
+			if r.hasResponseTime(s, role) {
+				r.sortedTimes[role] = append(r.sortedTimes[role], s.responseTime)
 			}
 		}
-		slices.Sort(r.times[role])
+		slices.Sort(r.sortedTimes[role])
 	}
-	times := r.times[role]
+	times := r.sortedTimes[role]
 	n, gap := len(times), len(times)
-	if but != nil && n > 0 && r.timeOf(but, role) {
-		gap, _ = slices.BinarySearch(times, but.answer)
+	if except != nil && n > 0 && r.hasResponseTime(except, role) {
+		gap, _ = slices.BinarySearch(times, except.responseTime)
 		n--
 	}
 	switch {
@@ -51,11 +58,12 @@
 	return times[n/2]
 }
 
-func (r *Router) median(role Role, of func(*server) float64) float64 {
+// medianTime returns the median of a time of the servers of a role; 0 if there is none.
+func (r *Router) medianTime(role Role, timeOf func(*server) float64) float64 {
 	var times []float64
-	for _, s := range r.order {
-		if r.timeOf(s, role) {
-			times = append(times, of(s))
+	for _, s := range r.byID {
+		if r.hasResponseTime(s, role) {
+			times = append(times, timeOf(s))
 		}
 	}
 	if len(times) == 0 {
@@ -65,92 +73,96 @@
 	return times[len(times)/2]
 }
 
-// learn takes in an answer time. The ordered times are kept up to date, as sorting all of them anew after
-// each answer takes long where servers are many.
-func (r *Router) learn(s *server, spent float64) {
-	r.dropTime(s)
-	if s.answers == 0 {
-		s.answer = spent
-	}
-	s.answer += answerGain * (spent - s.answer)
-	s.answers++
-	s.answered = r.now
-	r.addTime(s)
+// recordTime adds a response time, as a ratio to the expected time, to a server's average. It updates the
+// sorted times in place, as sorting them again after each response takes long with many servers.
+func (r *Router) recordTime(s *server, ratio float64) {
+	r.removeTime(s)
+	if s.responses == 0 {
+		s.responseTime = ratio
+	}
+	s.responseTime += averageGain * (ratio - s.responseTime)
+	s.responses++
+	s.respondedAt = r.now
+	r.insertTime(s)
 }
 
-// dropTime takes a server's answer time out of the ordered ones. It has to be called before the time changes.
-func (r *Router) dropTime(s *server) {
+// removeTime removes a server's response time from the sorted times. It has to be called before the time
+// changes.
+func (r *Router) removeTime(s *server) {
 	for role := Reader; role <= Both; role++ {
-		if r.timed[role] && r.timeOf(s, role) {
-			at, _ := slices.BinarySearch(r.times[role], s.answer)
-			r.times[role] = slices.Delete(r.times[role], at, at+1)
+		if r.timesSorted[role] && r.hasResponseTime(s, role) {
+			at, _ := slices.BinarySearch(r.sortedTimes[role], s.responseTime)
+			r.sortedTimes[role] = slices.Delete(r.sortedTimes[role], at, at+1)
 		}
 	}
 }
 
-// addTime puts it back.
-func (r *Router) addTime(s *server) {
+// insertTime inserts a server's response time into the sorted times, after it has changed.
+func (r *Router) insertTime(s *server) {
 	for role := Reader; role <= Both; role++ {
-		if r.timed[role] && r.timeOf(s, role) {
-			at, _ := slices.BinarySearch(r.times[role], s.answer)
-			r.times[role] = slices.Insert(r.times[role], at, s.answer)
+		if r.timesSorted[role] && r.hasResponseTime(s, role) {
+			at, _ := slices.BinarySearch(r.sortedTimes[role], s.responseTime)
+			r.sortedTimes[role] = slices.Insert(r.sortedTimes[role], at, s.responseTime)
 		}
 	}
 }
 
-// good: a server has answered in so much time. A benched one is back if that is no longer slow.
-func (r *Router) good(q *request, s *server, spent float64) {
-	if mean, work := &r.meanWork[q.stage], r.workOf(q, q.stage); !r.cold(s) {
+// recordSuccess records that a server has answered an attempt, in a time given as a ratio to the expected
+// time. An ejected server recovers unless the answer was slow.
+func (r *Router) recordSuccess(q *request, s *server, ratio float64) {
+	if mean, work := &r.meanWork[q.stage], r.workOf(q, q.stage); !r.isCold(s) {
 		if *mean == 0 {
 			*mean = work
 		}
-		*mean += mixGain * (work - *mean)
-		r.dones[q.stage].add(r.now, work/max(*mean, 1))
-		r.coldRate = [Both + 1]float64{}
-		r.coldGap(s.role, 1) // notes what a warm one does
-	}
-	s.failing *= 1 - failGain
-	usual := r.usual(s.role, s)
-	if s.bench > 0 {
-		r.dropTime(s)
-		s.answer = spent
-		r.addTime(s)
-	}
-	r.learn(s, spent)
-	slow := usual > 0 && s.answer > slowTimes*usual
+		*mean += meanWorkGain * (work - *mean)
+		r.completedWork[q.stage].add(r.now, work/max(*mean, 1))
+		r.slowStartBudgets = [Both + 1]float64{}
+		r.slowStartInterval(s.role, 1) // updates workPerWarm
+	}
+	s.failureRate *= 1 - failureGain
+	typical := r.typicalTime(s.role, s)
+	if s.ejection > 0 {
+		r.removeTime(s)
+		s.responseTime = ratio
+		r.insertTime(s)
+	}
+	r.recordTime(s, ratio)
+	slow := typical > 0 && s.responseTime > slowFactor*typical
 	switch {
-	case slow && s.answers >= slowSamples:
-		r.benchIt(s, false)
-	case s.bench > 0:
-		s.bench, s.failing = 0, failAfterTrial
+	case slow && s.responses >= minSamples:
+		r.eject(s, false)
+	case s.ejection > 0:
+		s.ejection, s.failureRate = 0, failureAfterTrial
 	}
 }
 
-// bad: an attempt at a server has failed. With many routers the next one here would tell too late.
-func (r *Router) bad(s *server, dead bool) {
-	s.failing += failGain * (1 - s.failing)
-	if dead || s.failing > failLimit || s.bench > 0 || r.many {
-		r.benchIt(s, dead)
+// recordFailure records that an attempt at a server has failed. With many routers the first failure ejects
+// the server, since the next attempt of this router would come too late to confirm it.
+func (r *Router) recordFailure(s *server, unreachable bool) {
+	s.failureRate += failureGain * (1 - s.failureRate)
+	if unreachable || s.failureRate > failureLimit || s.ejection > 0 || r.manyRouters {
+		r.eject(s, unreachable)
 	}
 }
 
-// benchIt leaves a server out for a while, longer each time that its trial fails.
-func (r *Router) benchIt(s *server, dead bool) {
-	if s.bench > 0 && r.now < s.until {
+// eject excludes a server for a while, which doubles each time that its trial request fails.
+func (r *Router) eject(s *server, unreachable bool) {
+	if s.ejection > 0 && r.now < s.ejectedUntil {
 		return
 	}
-	sound := r.count(s.role, func(t *server) bool { return t.bench == 0 })
-	if !dead && s.bench == 0 && 2*(sound-1) < r.count(s.role, func(*server) bool { return true }) {
-		return // when half of a pool looks bad it is load, and leaving servers out makes it worse
+	healthy := r.countServers(s.role, func(t *server) bool { return t.ejection == 0 })
+	if !unreachable && s.ejection == 0 &&
+		2*(healthy-1) < r.countServers(s.role, func(*server) bool { return true }) {
+		return // if half of the servers seem to fail the cause is load, and ejecting more makes it worse
 	}
-	s.bench = min(max(2*s.bench, r.remembered(firstBench)), r.remembered(longestBench))
-	s.until = r.now + s.bench
+	s.ejection = min(max(2*s.ejection, r.retention(minEjection)), r.retention(maxEjection))
+	s.ejectedUntil = r.now + s.ejection
 }
 
-// count tells how many ready servers of a role are as wanted.
-func (r *Router) count(role Role, wanted func(*server) bool) (n int) {
-	for _, s := range r.order {
-		if s.ready && s.role&role != 0 && wanted(s) {
+// countServers returns how many ready servers of a role match.
+func (r *Router) countServers(role Role, match func(*server) bool) (n int) {
+	for _, s := range r.byID {
+		if s.ready && s.role&role != 0 && match(s) {
 			n++
 		}
 	}
