--- a/internal/guard/attempt.go
+++ b/internal/guard/attempt.go
@@ -7,20 +7,22 @@
 	"mintdoor/decide"
 )
 
-// Attempt is one send of a request to an engine. What writes it asks MaySend immediately before the last byte, and tells
-// Sent immediately after. Its fields are guarded by the request's lock.
+// Attempt is one send of a request to an engine. The code that writes the request to the engine asks MaySend
+// immediately before the last byte, and calls Sent immediately after it. The fields are guarded by the request's
+// lock.
 type Attempt struct {
 	request *Request
 	limits  Limits
 	Number  int
 
-	allowedAt time.Time // MaySend gave leave
-	sentAt    time.Time // the last byte has left
+	allowedAt time.Time // MaySend allowed the send; zero: not yet
+	sentAt    time.Time // the last byte was written; zero: not yet
 	ended     bool
 }
 
-// MaySend asks for leave to write the attempt's last byte; told is how much time its engine is told. Everything that forbids
-// it is looked at here, in the last moment: dials and writes take time. The error is a Denial.
+// MaySend asks for permission to write the attempt's last byte; advertised is the remaining time that the engine is
+// told. Everything that forbids the send is checked here, at the last moment, because dials and writes take time. The
+// error is a Denial.
 func (a *Attempt) MaySend(advertised time.Duration) error {
 	r := a.request
 	left := r.hasLeft()
@@ -52,7 +54,8 @@
 	return err
 }
 
-// Connected notes that the attempt has a connection to its engine, which has carried some exchanges before.
+// Connected records that the attempt has a connection to its engine; uses is the number of exchanges that the
+// connection has carried before.
 func (a *Attempt) Connected(uses int) {
 	detail := "new"
 	if uses > 0 {
@@ -61,11 +64,12 @@
 	a.request.record(stepConnected, strconv.Itoa(a.Number), detail)
 }
 
-// staleTolerance is how much more time than is left an engine may be told when the last byte leaves: what a write usually takes.
+// staleTolerance is by how much the time that an engine is told may exceed the time left when the last byte is
+// written. It covers the usual duration of a write.
 const staleTolerance = 10 * time.Millisecond
 
-// Sent tells that the attempt's last byte has left, and how much time the engine was told. What is wrong now has happened:
-// it counts as a violation.
+// Sent records that the attempt's last byte was written; advertised is the remaining time that the engine was told.
+// The send has happened, so whatever is wrong with it counts as a violation.
 func (a *Attempt) Sent(advertised time.Duration) {
 	now := time.Now()
 	r := a.request
@@ -75,27 +79,27 @@
 	}
 	r.mu.Lock()
 	a.sentAt = now
-	cleared, current, left, deadline := a.allowedAt, r.current, r.leftAt, r.clientDeadline
-	notAfter, decided := a.limits.SendBy, r.decidedAt
+	allowed, current, left, deadline := a.allowedAt, r.current, r.leftAt, r.clientDeadline
+	sendBy, decided := a.limits.SendBy, r.decidedAt
 	r.mu.Unlock()
 	r.record(stepSent, strconv.Itoa(a.Number), "")
-	if cleared.IsZero() {
+	if allowed.IsZero() {
 		r.guard.recordViolation(UnguardedSend, r, "")
 		return
 	}
-	if now.Sub(cleared) > time.Duration(decide.MaxPause) || r.guard.pausedBetween(cleared, now) {
-		return // between its clock and the write; nobody can help that
+	if now.Sub(allowed) > time.Duration(decide.MaxPause) || r.guard.pausedBetween(allowed, now) {
+		return // a pause between reading the clock and the write can't be prevented
 	}
 	late := time.Duration(decide.MaxPause)
 	switch {
 	case current != nil && current != a:
 		r.guard.recordViolation(SecondCopy, r, "")
-	case !decided.IsZero() && decided.Before(cleared):
+	case !decided.IsZero() && decided.Before(allowed):
 		r.guard.recordViolation(SentAfterAnswer, r, "")
 	case !left.IsZero() && now.Sub(left) > time.Duration(decide.ClientLeftGrace):
 		r.guard.recordViolation(SentAfterLeave, r, now.Sub(left).String())
-	case !notAfter.IsZero() && now.Sub(notAfter) > late:
-		r.guard.recordViolation(SentPastWindow, r, now.Sub(notAfter).String())
+	case !sendBy.IsZero() && now.Sub(sendBy) > late:
+		r.guard.recordViolation(SentPastWindow, r, now.Sub(sendBy).String())
 	case withdrawn && withdrawnFor > a.limits.DrainGrace:
 		r.guard.recordViolation(SentToWithdrawn, r, withdrawnFor.String())
 	case now.Add(advertised).Sub(deadline) > time.Duration(decide.DeadlineSlack):
@@ -105,14 +109,15 @@
 	}
 }
 
-// WasSent tells whether the attempt's last byte has left.
+// WasSent reports whether the attempt's last byte was written.
 func (a *Attempt) WasSent() bool {
 	a.request.mu.Lock()
 	defer a.request.mu.Unlock()
 	return !a.sentAt.IsZero()
 }
 
-// GrantFirstToken asks for leave to pass the attempt's first event on to the client. From then on the answer belongs to it.
+// GrantFirstToken asks for permission to pass the attempt's first event on to the client. From then on the answer
+// belongs to this attempt.
 func (a *Attempt) GrantFirstToken() bool {
 	r := a.request
 	r.mu.Lock()
@@ -127,7 +132,7 @@
 	return ok
 }
 
-// End notes how the attempt has ended: its engine has answered, or sees its connection closed.
+// End records how the attempt has ended: its engine has answered or sees the connection closed.
 func (a *Attempt) End(outcome string, err error) {
 	r := a.request
 	r.mu.Lock()
@@ -149,7 +154,7 @@
 	r.record(stepAttemptEnded, strconv.Itoa(a.Number), outcome)
 }
 
-// InFlight tells whether the attempt has begun and not ended.
+// InFlight reports whether the attempt has started and not ended.
 func (a *Attempt) InFlight() bool {
 	a.request.mu.Lock()
 	defer a.request.mu.Unlock()
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -1,7 +1,8 @@
-// Package guard owns the state of every request of a router process, from its first byte to its last. Fronts, the core
-// and the clients of engines ask it before each step that a rule is about: taking a request, beginning an attempt,
-// writing an attempt's last byte, answering, closing. It allows or denies the step, keeps a trail of what has happened,
-// and counts as violations what has happened all the same.
+// Package guard owns the state of every request of a router process, from its first byte to its last. Fronts, the
+// router and engine clients ask it before each step that one of the five rules covers: accepting a request, starting
+// an attempt, writing an attempt's last byte, answering, closing. It allows or denies the step, keeps an event trail
+// per request, and counts forbidden steps that happened all the same as violations. It doesn't choose engines and
+// does no I/O.
 package guard
 
 import (
@@ -12,25 +13,26 @@
 	"time"
 )
 
-// Guard knows the open requests of one process. Make it with New. It is safe for concurrent use.
+// Guard tracks the open requests of one process. Create it with New. It is safe for concurrent use.
 type Guard struct {
 	log        *slog.Logger
 	violations [violationKinds]atomic.Int64
 	denials    [denialKinds]atomic.Int64
-	// shuttingDown: every step is logged as it happens, since a kill may come before the line of the final answer.
+	// shuttingDown makes every step be logged as it happens, since the process may be killed before it logs the final
+	// answer.
 	shuttingDown atomic.Bool
 
 	mu          sync.Mutex
 	open        map[*Request]struct{}
-	acceptUntil time.Time // zero: requests are taken
-	pausedFrom  time.Time // the process did not run from then ...
-	pausedUntil time.Time // ... until then
+	acceptUntil time.Time // zero: requests are accepted
+	pausedFrom  time.Time // start of the last known pause of the process
+	pausedUntil time.Time // end of the pause, plus pauseAftermath
 }
 
-// pauseAftermath is how long after a hold-up its effects may show.
+// pauseAftermath is how long after a pause of the process its effects may still show.
 const pauseAftermath = time.Second
 
-// New returns a guard that logs to log; nil: nowhere.
+// New returns a guard that logs to log; with nil it logs nothing.
 func New(log *slog.Logger) *Guard {
 	if log == nil {
 		log = slog.New(slog.DiscardHandler)
@@ -38,7 +40,7 @@
 	return &Guard{log: log, open: map[*Request]struct{}{}}
 }
 
-// Receive begins the state of a request whose first byte has come.
+// Receive creates the state of a request whose first byte has arrived.
 func (g *Guard) Receive() *Request {
 	r := &Request{guard: g, received: time.Now()}
 	r.record(stepReceived, "", "")
@@ -48,8 +50,8 @@
 	return r
 }
 
-// ShutDown notes that the process was told to end: no request that is complete after takeUntil may reach an engine. The open
-// requests are logged, and from now on every step.
+// ShutDown records that the process was asked to shut down: no request that is complete only after acceptUntil may
+// reach an engine. The open requests are logged, and from now on every step is logged as well.
 func (g *Guard) ShutDown(acceptUntil time.Time) {
 	g.shuttingDown.Store(true)
 	g.mu.Lock()
@@ -57,26 +59,26 @@
 	g.mu.Unlock()
 	for _, r := range g.openRequests() {
 		name, trail := r.describe()
-		g.log.Info("open at the shutdown", "request", name, "trail", trail)
+		g.log.Info("request open at shutdown", "request", name, "trail", trail)
 	}
 }
 
-// Close notes that the process ends: every request has to be over.
+// Close records that the process ends. Every request that is still open counts as a violation.
 func (g *Guard) Close() {
 	for _, r := range g.openRequests() {
 		g.recordViolation(UnansweredAtEnd, r, "")
 	}
 }
 
-// Open tells how many requests are open.
+// Open returns the number of open requests.
 func (g *Guard) Open() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return len(g.open)
 }
 
-// ProcessPaused notes that the process did not run for some time, until now. What is late for that reason is logged, and not
-// counted as a violation.
+// ProcessPaused records that the process didn't run for the given time until now. The pause is logged, and steps that
+// are late because of it are not counted as violations.
 func (g *Guard) ProcessPaused(duration time.Duration) {
 	now := time.Now()
 	g.mu.Lock()
@@ -95,33 +97,34 @@
 	return open
 }
 
-// accepts tells whether a request that was complete at a time may reach an engine.
+// accepts reports whether a request that was complete at the given time may reach an engine.
 func (g *Guard) accepts(complete time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.acceptUntil.IsZero() || !complete.After(g.acceptUntil)
 }
 
-// pausedBetween tells whether the process is known not to have run at some time between two instants, or shows it right after.
+// pausedBetween reports whether the process is known to have been paused between two instants, or shortly before
+// them.
 func (g *Guard) pausedBetween(from, until time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return from.Before(g.pausedUntil) && until.After(g.pausedFrom)
 }
 
-// remove forgets a request that is over.
+// remove drops a request that is closed.
 func (g *Guard) remove(r *Request) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	delete(g.open, r)
 }
 
-// ConnectionClosed notes that a client's connection is closed by the router, the state in which it was, and why.
+// ConnectionClosed logs that the router closes a client's connection, with the connection's state and the reason.
 func (g *Guard) ConnectionClosed(client, state, reason string) {
 	g.log.Log(context.Background(), g.level(), "connection closed", "client", client, "state", state, "reason", reason)
 }
 
-// level is that of the lines about single steps.
+// level returns the log level for single steps.
 func (g *Guard) level() slog.Level {
 	if g.shuttingDown.Load() {
 		return slog.LevelInfo
@@ -129,6 +132,7 @@
 	return slog.LevelDebug
 }
 
+// logStep logs a step of the request with the given name.
 func (g *Guard) logStep(name string, e *event) {
 	level := g.level()
 	if !g.log.Enabled(context.Background(), level) {
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -13,14 +13,14 @@
 	"pgregory.net/rapid"
 )
 
-// request is a complete one whose client waits for an hour.
+// request returns a complete request whose client waits for an hour.
 func request(g *Guard) *Request {
 	r := g.Receive()
 	r.Complete("a", time.Now().Add(time.Hour))
 	return r
 }
 
-// expect checks the counts of one kind of violation, and that there is no other.
+// expect checks the number of violations of one kind, and that there are no violations of other kinds.
 func expect(t *testing.T, g *Guard, kind ViolationKind, n int64) {
 	t.Helper()
 	if got := g.Violations()[kind.String()]; got != n || g.ViolationCount() != n {
@@ -28,7 +28,7 @@
 	}
 }
 
-// begin begins an attempt that has to be allowed.
+// begin starts an attempt that the guard has to allow.
 func begin(t *testing.T, r *Request, l Limits) *Attempt {
 	t.Helper()
 	a, err := r.BeginAttempt(l)
@@ -38,21 +38,22 @@
 	return a
 }
 
-// What forbids an attempt is seen when it begins and again in the last moment, and neither is a violation.
+// Conditions that forbid an attempt are checked when it starts and again before its last byte, and neither denial
+// counts as a violation.
 func TestDenials(t *testing.T) {
 	for name, tt := range map[string]struct {
-		forbid func(g *Guard, r *Request)
-		limits Limits
-		want   Denial
-		begins bool // it is seen only at the last byte
+		forbid         func(g *Guard, r *Request)
+		limits         Limits
+		want           Denial
+		onlyAtLastByte bool // the condition is only checked at the last byte
 	}{
-		"answered":                      {forbid: func(_ *Guard, r *Request) { r.Decide("failed", "") }, want: Answered},
-		"client left":                   {forbid: func(_ *Guard, r *Request) { r.ClientLeft() }, want: ClientLeft},
-		"client's connection has ended": {forbid: func(_ *Guard, r *Request) { r.SetClientCheck(func() bool { return true }) }, want: ClientLeft},
-		"the shutdown takes nothing":    {forbid: func(g *Guard, _ *Request) { g.ShutDown(time.Now().Add(-time.Hour)) }, want: ShuttingDown},
-		"window":                        {limits: Limits{SendBy: time.Now().Add(-time.Hour)}, want: TooLate, begins: true},
-		"deadline":                      {forbid: func(_ *Guard, r *Request) { r.LimitDeadline(time.Now().Add(-time.Second)) }, want: TooLate, begins: true},
-		"engine withdrawn":              {limits: Limits{WithdrawnFor: func() (time.Duration, bool) { return 0, true }}, want: Withdrawn, begins: true},
+		"answered":                          {forbid: func(_ *Guard, r *Request) { r.Decide("failed", "") }, want: Answered},
+		"client left":                       {forbid: func(_ *Guard, r *Request) { r.ClientLeft() }, want: ClientLeft},
+		"client's connection has ended":     {forbid: func(_ *Guard, r *Request) { r.SetClientCheck(func() bool { return true }) }, want: ClientLeft},
+		"shutdown accepts no more requests": {forbid: func(g *Guard, _ *Request) { g.ShutDown(time.Now().Add(-time.Hour)) }, want: ShuttingDown},
+		"window":                            {limits: Limits{SendBy: time.Now().Add(-time.Hour)}, want: TooLate, onlyAtLastByte: true},
+		"deadline":                          {forbid: func(_ *Guard, r *Request) { r.LimitDeadline(time.Now().Add(-time.Second)) }, want: TooLate, onlyAtLastByte: true},
+		"engine withdrawn":                  {limits: Limits{WithdrawnFor: func() (time.Duration, bool) { return 0, true }}, want: Withdrawn, onlyAtLastByte: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if tt.forbid == nil {
@@ -62,13 +63,13 @@
 			r := request(g)
 			tt.forbid(g, r)
 			a, err := r.BeginAttempt(tt.limits)
-			if tt.begins && err == nil {
+			if tt.onlyAtLastByte && err == nil {
 				err = a.MaySend(0)
 			}
 			if !errors.Is(err, tt.want) {
-				t.Errorf("at the begin: %v, want %v", err, tt.want)
+				t.Errorf("when it starts: %v, want %v", err, tt.want)
 			}
-			if tt.want == ShuttingDown { // it came in time, as far as its attempt could know
+			if tt.want == ShuttingDown { // the request arrived in time, as far as its attempt could know
 				return
 			}
 			g = New(nil)
@@ -85,44 +86,45 @@
 	}
 }
 
-// An engine is never told more time than the client has left: what was written too long ago has to be written anew.
+// An engine is never told more time than the client has left: a request that was written too long ago has to be
+// written again.
 func TestAdvertisedTimeIsNotOutdated(t *testing.T) {
 	g := New(nil)
 	r := request(g)
 	a := begin(t, r, Limits{})
 	if err := a.MaySend(2 * time.Hour); !errors.Is(err, Stale) {
-		t.Errorf("more than there is: %v", err)
+		t.Errorf("more time than is left: %v", err)
 	}
 	if err := a.MaySend(time.Minute); err != nil {
-		t.Errorf("less than there is: %v", err)
+		t.Errorf("less time than is left: %v", err)
 	}
 }
 
-// One attempt at a time is out; numbers count all that were asked for.
+// Only one attempt is in flight at a time; attempt numbers count all attempts that were asked for.
 func TestOneAttemptAtATime(t *testing.T) {
 	g := New(nil)
 	r := request(g)
 	first := begin(t, r, Limits{})
 	if a, err := r.BeginAttempt(Limits{}); !errors.Is(err, AnotherInFlight) || a.Number != 1 {
-		t.Errorf("beside another: %v, number %d", err, a.Number)
+		t.Errorf("while another is in flight: %v, number %d", err, a.Number)
 	}
-	if a, err := r.SkipAttempt(Limits{}, errors.New("no use")); err == nil || a.Number != 2 {
+	if a, err := r.SkipAttempt(Limits{}, errors.New("not worth starting")); err == nil || a.Number != 2 {
 		t.Errorf("skipped: %v, number %d", err, a.Number)
 	}
 	first.End("reset", nil)
 	second := begin(t, r, Limits{})
 	if err := first.MaySend(0); !errors.Is(err, Answered) {
-		t.Errorf("the first after its end: %v", err)
+		t.Errorf("the first attempt after its end: %v", err)
 	}
 	if first.GrantFirstToken() || !second.GrantFirstToken() || second.GrantFirstToken() {
-		t.Error("the first token belongs to the attempt that is out, once")
+		t.Error("the first token was not granted exactly once, to the attempt in flight")
 	}
 	if a, err := r.BeginAttempt(Limits{}); err == nil {
-		t.Errorf("beside a stream attempt %d began", a.Number)
+		t.Errorf("attempt %d started during a stream", a.Number)
 	}
 	second.End("served", nil)
 	if !r.Decide("served", "") || r.Decide("failed", "") {
-		t.Error("the final answer is decided once")
+		t.Error("the final answer was not decided exactly once")
 	}
 	if a, err := r.BeginAttempt(Limits{}); !errors.Is(err, Answered) {
 		t.Errorf("attempt %d after the answer: %v", a.Number, err)
@@ -132,7 +134,7 @@
 	}
 }
 
-// What has happened although a rule forbids it is counted by its kind, with one log line that has the request's id.
+// A forbidden step that happened is counted under its kind, and logged in one line with the request's id.
 func TestViolations(t *testing.T) {
 	late := time.Duration(decide.LateAnswerGrace) + time.Second
 	for kind, do := range map[ViolationKind]func(*Guard, *Request){
@@ -200,17 +202,17 @@
 			expect(t, g, kind, 1)
 			line := `msg="rule violated" kind=` + kind.String() + ` request=a `
 			if strings.Count(log.String(), line) != 1 {
-				t.Errorf("not logged once with its id: %s", log.String())
+				t.Errorf("not logged exactly once with its id: %s", log.String())
 			}
 		})
 	}
 	if int(violationKinds) != len(kindNames) {
-		t.Error("a kind has no name")
+		t.Error("a violation kind has no name")
 	}
 }
 
-// A request whose client has gone, one that was answered, and one without a connection of its own are closed without a
-// violation.
+// A request whose client has left, one that was answered, and one without a connection of its own are closed without
+// a violation.
 func TestClosedWithoutViolation(t *testing.T) {
 	g := New(nil)
 	r := request(g)
@@ -218,7 +220,7 @@
 	r.Closed("")
 	r = request(g)
 	r.Decide("failed", "")
-	r.ClientLeft() // in the moment of the answer
+	r.ClientLeft() // while the answer is decided
 	r.Closed("")
 	r = request(g)
 	r.BeginAnswer("503")
@@ -233,7 +235,7 @@
 	}
 }
 
-// What is late since the process did not run is no violation of its own making.
+// Steps that are late because the process was paused are not counted as violations.
 func TestProcessPause(t *testing.T) {
 	g := New(nil)
 	r := g.Receive()
@@ -249,7 +251,7 @@
 	}
 }
 
-// What is held counts from the last attempt that was out, and not beyond its use.
+// The hold timer starts at the end of the last attempt in flight, and stops when the holds are used up.
 func TestHoldTimer(t *testing.T) {
 	g := New(nil)
 	for _, do := range []func(r *Request){
@@ -273,7 +275,7 @@
 	}
 }
 
-// A request whose time is over gets its final answer from whoever sees that first, unless its answer has begun.
+// A request whose time is over gets its final answer from whoever notices first, unless its answer has started.
 func TestExpire(t *testing.T) {
 	g := New(nil)
 	r := request(g)
@@ -282,15 +284,15 @@
 		t.Error("more than one answer was allowed")
 	}
 	if err := a.MaySend(0); !errors.Is(err, Answered) {
-		t.Errorf("sent after the answer: %v", err)
+		t.Errorf("after the answer: %v", err)
 	}
 	r = request(g)
 	if begin(t, r, Limits{}).GrantFirstToken(); r.Expire("late") {
-		t.Error("an answer that had begun has expired")
+		t.Error("a request expired after its answer had started")
 	}
 }
 
-// A trail keeps its first and its last events and says that some are left out.
+// A full event trail keeps its first and last events and says that some are left out.
 func TestTrailIsBounded(t *testing.T) {
 	g := New(nil)
 	r := request(g)
@@ -305,45 +307,45 @@
 	}
 }
 
-// Whatever the order of its steps, a request has one final answer, one attempt out at a time, nothing sent after the answer
-// or the leaving, and no violation as long as those who act ask first.
+// In any order of steps, a request has one final answer, one attempt in flight at a time, nothing sent after the
+// answer or after its client has left, and no violation as long as every step is asked for first.
 func TestStepsInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := New(nil)
 		r := g.Receive()
-		var out *Attempt
+		var inFlight *Attempt
 		answers, decisions, left, closed := 0, 0, false, false
 		t.Repeat(map[string]func(*rapid.T){
 			"complete": func(*rapid.T) { r.Complete("a", time.Now().Add(time.Hour)) },
 			"begin": func(t *rapid.T) {
 				a, err := r.BeginAttempt(Limits{})
-				if err == nil && (out != nil || decisions > 0 || left || closed) {
-					t.Fatalf("an attempt was allowed: out %v, decided %d, left %v, closed %v", out != nil, decisions, left, closed)
+				if err == nil && (inFlight != nil || decisions > 0 || left || closed) {
+					t.Fatalf("an attempt was allowed: in flight %v, decisions %d, left %v, closed %v", inFlight != nil, decisions, left, closed)
 				}
 				if err == nil {
-					out = a
+					inFlight = a
 				}
 			},
 			"send": func(t *rapid.T) {
-				if out == nil {
+				if inFlight == nil {
 					t.Skip()
 				}
-				if err := out.MaySend(0); err == nil {
+				if err := inFlight.MaySend(0); err == nil {
 					if decisions > 0 || left || closed {
 						t.Fatal("a last byte was allowed")
 					}
-					out.Sent(0)
+					inFlight.Sent(0)
 				}
 			},
 			"grant": func(t *rapid.T) {
-				if out != nil && out.GrantFirstToken() && (decisions > 0 || closed) {
+				if inFlight != nil && inFlight.GrantFirstToken() && (decisions > 0 || closed) {
 					t.Fatal("a first token was allowed")
 				}
 			},
 			"end": func(*rapid.T) {
-				if out != nil {
-					out.End("reset", nil)
-					out = nil
+				if inFlight != nil {
+					inFlight.End("reset", nil)
+					inFlight = nil
 				}
 			},
 			"decide": func(*rapid.T) {
--- a/internal/guard/request.go
+++ b/internal/guard/request.go
@@ -8,20 +8,20 @@
 	"mintdoor/decide"
 )
 
-// State is where a request stands.
+// State is the phase that a request is in.
 type State uint8
 
-// The states of a request, in the only order in which they follow each other; Waiting and Attempting take turns.
+// The states of a request, in the order in which they follow each other; only Waiting and Attempting alternate.
 const (
-	Receiving  State = iota // its bytes are coming
-	Waiting                 // it is complete, and no attempt is out
-	Attempting              // an attempt is out, whose answer has not begun
-	Streaming               // the answer has begun: it belongs to the client, and nothing more is sent
-	Decided                 // the final answer is known; an attempt that was called off may be out yet
-	Closed                  // its connection is done with it
+	Receiving  State = iota // its bytes are arriving
+	Waiting                 // it is complete, and no attempt is in flight
+	Attempting              // an attempt is in flight, and its answer has not started
+	Streaming               // the answer has started and goes to the client; nothing more is sent to engines
+	Decided                 // the final answer is known; a cancelled attempt may still be in flight
+	Closed                  // the connection has finished with it
 )
 
-// Request is the state of one request of a client. Each step is asked for here by whoever takes it. It is safe for
+// Request is the state of one client request. Whoever takes a step asks for permission here first. It is safe for
 // concurrent use.
 type Request struct {
 	guard    *Guard
@@ -32,19 +32,20 @@
 	trail          trail
 	state          State
 	completeAt     time.Time // its last byte was read
-	clientDeadline time.Time // until when its client waits; zero: not known
-	deadline       time.Time // waits, or earlier in a shutdown
+	clientDeadline time.Time // when its client stops waiting; zero: unknown
+	deadline       time.Time // the client's deadline, or earlier during a shutdown
 	decidedAt      time.Time // the final answer is known
-	answeredAt     time.Time // the final answer, or its first event, goes to the client
-	leftAt         time.Time // its client is known to have gone
+	answeredAt     time.Time // the final answer, or its first event, is written to the client
+	leftAt         time.Time // its client is known to have left
 	clientGone     func() bool
 	attempts       int
-	current        *Attempt // the one that is out
-	// holdStart is since when engines may hold something for the request with no attempt out; zero: they hold nothing.
+	current        *Attempt // the attempt in flight, or nil
+	// holdStart is the hold timer start: since then, engines may hold something for the request while no attempt is
+	// in flight. Zero means that nothing is held.
 	holdStart time.Time
 }
 
-// Complete notes that the request's last byte was read, and until when its client waits.
+// Complete records that the request's last byte was read, and when its client stops waiting.
 func (r *Request) Complete(name string, deadline time.Time) {
 	now := time.Now()
 	r.mu.Lock()
@@ -54,14 +55,15 @@
 	r.record(stepComplete, "", "waits "+deadline.Sub(now).Round(time.Millisecond).String())
 }
 
-// SetClientCheck gives the guard a way to ask the client's connection whether the client has gone. gone must not block.
+// SetClientCheck sets a function that asks the client's connection whether the client has left. The function must not
+// block.
 func (r *Request) SetClientCheck(check func() bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.clientGone = check
 }
 
-// Accepted notes that the core has taken the request, the name by which engines know it and its deadline.
+// Accepted records that the router has accepted the request, the name by which engines know it, and its deadline.
 func (r *Request) Accepted(name string, deadline time.Time) {
 	r.mu.Lock()
 	r.name, r.clientDeadline, r.deadline = name, deadline, deadline
@@ -73,7 +75,7 @@
 	r.record(stepAccepted, "", "")
 }
 
-// LimitDeadline moves the deadline to an earlier instant.
+// LimitDeadline moves the deadline to an earlier instant. Later instants are ignored.
 func (r *Request) LimitDeadline(deadline time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -82,7 +84,7 @@
 	}
 }
 
-// ClientLeft notes that the client has gone. Nothing is sent for it any more.
+// ClientLeft records that the client has left. Nothing is sent for the request any more.
 func (r *Request) ClientLeft() {
 	r.mu.Lock()
 	if !r.leftAt.IsZero() || r.state == Closed {
@@ -94,7 +96,7 @@
 	r.record(stepClientLeft, "", "")
 }
 
-// hasLeft tells whether the client has gone; it asks the connection itself, where that can be asked.
+// hasLeft reports whether the client has left. If there is a check for the connection itself, hasLeft uses it.
 func (r *Request) hasLeft() bool {
 	r.mu.Lock()
 	left, gone := !r.leftAt.IsZero(), r.clientGone
@@ -106,7 +108,7 @@
 	return true
 }
 
-// Decide asks for leave to give the final answer; only the first to ask gets it.
+// Decide asks for permission to give the final answer. Only the first caller gets it.
 func (r *Request) Decide(ending, reason string) bool {
 	r.mu.Lock()
 	if !r.decidedAt.IsZero() {
@@ -119,7 +121,8 @@
 	return true
 }
 
-// Expire asks for leave to give the final answer to a request whose answer has not begun, since its time is over.
+// Expire asks for permission to give the final answer to a request whose time is over and whose answer has not
+// started.
 func (r *Request) Expire(reason string) bool {
 	r.mu.Lock()
 	if !r.decidedAt.IsZero() || r.state >= Streaming {
@@ -132,15 +135,15 @@
 	return true
 }
 
-// IsDecided tells whether the final answer is known.
+// IsDecided reports whether the final answer is known.
 func (r *Request) IsDecided() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return !r.decidedAt.IsZero()
 }
 
-// BeginAnswer asks for leave to write the final answer, or its first event, to the client; what is its status. It is given
-// once.
+// BeginAnswer asks for permission to write the final answer, or its first event, to the client; status is the
+// answer's status. Permission is given once.
 func (r *Request) BeginAnswer(status string) bool {
 	now := time.Now()
 	r.mu.Lock()
@@ -161,7 +164,7 @@
 	return !second
 }
 
-// Finish notes that a request without a connection of its own is over: whoever asked for it has its final answer.
+// Finish records that a request without a connection of its own is over: its caller has the final answer.
 func (r *Request) Finish(reason string) {
 	r.mu.Lock()
 	if r.answeredAt.IsZero() && !r.decidedAt.IsZero() {
@@ -171,7 +174,7 @@
 	r.Closed(reason)
 }
 
-// Closed notes that the connection is done with the request.
+// Closed records that the connection has finished with the request.
 func (r *Request) Closed(reason string) {
 	r.mu.Lock()
 	if r.state == Closed {
@@ -188,33 +191,34 @@
 	r.guard.remove(r)
 }
 
-// State returns where the request stands.
+// State returns the request's current state.
 func (r *Request) State() State {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.state
 }
 
-// Attempts tells how many attempts have begun.
+// Attempts returns the number of attempts, including denied and skipped ones.
 func (r *Request) Attempts() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.attempts
 }
 
-// Trail tells what has happened to the request so far, on one line.
+// Trail returns the request's event trail as one line.
 func (r *Request) Trail() string {
 	_, text := r.describe()
 	return text
 }
 
+// describe returns the request's name and its event trail.
 func (r *Request) describe() (name, trail string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.name, r.trail.String()
 }
 
-// record adds a step to the trail.
+// record adds a step to the event trail and logs it.
 func (r *Request) record(s step, subject, detail string) {
 	e := event{step: s, at: time.Since(r.received), subject: subject, detail: detail}
 	r.mu.Lock()
@@ -224,17 +228,19 @@
 	r.guard.logStep(name, &e)
 }
 
-// Limits bound when an attempt's last byte may leave.
+// Limits holds the conditions for sending an attempt's last byte, and what the event trail says about the attempt.
 type Limits struct {
-	Engine, Stage string        // for the trail
-	Timeout       time.Duration // its time-out, for the trail
-	SendBy        time.Time     // end of the window for repeats; zero: none
-	DrainGrace    time.Duration
-	// WithdrawnFor tells for how long the engine has taken nothing new; false: it takes requests. nil: it always does.
+	Engine, Stage string        // for the event trail
+	Timeout       time.Duration // the attempt's time-out, for the event trail
+	SendBy        time.Time     // end of the window in which engines drop retries; zero: none
+	DrainGrace    time.Duration // how long after its withdrawal an engine may still get an attempt
+	// WithdrawnFor returns for how long the engine has been draining or removed, and whether it is. Nil means that
+	// the engine always accepts attempts.
 	WithdrawnFor func() (time.Duration, bool)
 }
 
-// SkipAttempt counts an attempt that has no use for some reason, and returns that.
+// SkipAttempt counts an attempt that is not worth starting for the given reason, and returns that reason as the
+// error.
 func (r *Request) SkipAttempt(l Limits, reason error) (*Attempt, error) {
 	r.mu.Lock()
 	a := &Attempt{request: r, limits: l, Number: r.attempts}
@@ -244,10 +250,11 @@
 	return a, reason
 }
 
-// BeginAttempt asks for leave to begin an attempt. It counts as an attempt, allowed or not, and has its number.
+// BeginAttempt asks for permission to start an attempt. The attempt is counted and numbered whether or not it is
+// allowed.
 func (r *Request) BeginAttempt(l Limits) (*Attempt, error) {
 	left := r.hasLeft()
-	taken := r.guard.accepts(r.completedAt())
+	accepted := r.guard.accepts(r.completedAt())
 	r.mu.Lock()
 	a := &Attempt{request: r, limits: l, Number: r.attempts}
 	r.attempts++
@@ -259,7 +266,7 @@
 		err = r.guard.deny(AnotherInFlight)
 	case left:
 		err = r.guard.deny(ClientLeft)
-	case !taken:
+	case !accepted:
 		err = r.guard.deny(ShuttingDown)
 	default:
 		r.state, r.current = Attempting, a
--- a/internal/guard/trail.go
+++ b/internal/guard/trail.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// step is one kind of thing that happens to a request.
+// step is a kind of event in the life of a request.
 type step uint8
 
 const (
@@ -22,7 +22,7 @@
 	stepDecided
 	stepAnswered
 	stepClosed
-	stepLetGo
+	stepReleased
 )
 
 var stepNames = [...]string{
@@ -31,23 +31,25 @@
 	stepDenied:       "denied",
 	stepAttemptEnded: "attempt-ended", stepFirstToken: "first-token", stepClientLeft: "client-left",
 	stepDecided: "decided", stepAnswered: "answered", stepClosed: "closed",
-	stepLetGo: "let-go",
+	stepReleased: "let-go",
 }
 
-// message is the step's log message. Each step has its own, so that sampling keeps the rare ones.
+// message returns the step's log message. Each step has its own message, so that log sampling doesn't drop the rare
+// ones.
 func (s step) message() string { return "request " + stepNames[s] }
 
-// event is a step of one request.
+// event is one step of one request.
 type event struct {
 	step            step
 	at              time.Duration // since the request's first byte
 	subject, detail string
 }
 
-// maxTrailEvents bounds the events that a trail keeps.
+// maxTrailEvents is the maximum number of events in a trail.
 const maxTrailEvents = 64
 
-// trail is what happened to a request. When it is full, the event before the last gives way to the newest one.
+// trail is the sequence of events of a request. When it is full, a new event replaces the last but one, so that the
+// first events and the latest two are kept.
 type trail struct {
 	events  []event
 	dropped int
@@ -61,7 +63,7 @@
 	t.events = append(t.events, e)
 }
 
-// String writes a trail on one line, as "step(subject detail)+time" each.
+// String returns the trail as one line, with "step(subject detail)+time" for each event.
 func (t *trail) String() string {
 	var b strings.Builder
 	for i := range t.events {
--- a/internal/guard/violation.go
+++ b/internal/guard/violation.go
@@ -1,23 +1,23 @@
 package guard
 
-// ViolationKind is a kind of violation: something that a rule forbids has happened.
+// ViolationKind is a kind of violation: a step that a rule forbids has happened.
 type ViolationKind uint8
 
 // The kinds of violations.
 const (
-	ClosedUnanswered   ViolationKind = iota // a request was read, and its connection closed without an answer
-	SecondAnswer                            // a second final answer
-	LateAnswer                              // the final answer came too long after the deadline
-	UnansweredAtEnd                         // the process ends with an open request
-	UnguardedSend                           // an attempt's last byte left without leave
-	SentAfterAnswer                         // an attempt began after the final answer
-	SentAfterLeave                          // an attempt began too long after its client had left
-	SecondCopy                              // an attempt began while another was out
-	SentPastWindow                          // a repeat left after the window in which its group drops it
-	SentToWithdrawn                         // an attempt began too long after its engine left the ready ones
-	SentInShutdown                          // a request that came too late in a shutdown reached an engine
+	ClosedUnanswered   ViolationKind = iota // a connection was closed without an answer to a request that was read
+	SecondAnswer                            // a second final answer was written
+	LateAnswer                              // the final answer was written too long after the deadline
+	UnansweredAtEnd                         // the process ended while the request was open
+	UnguardedSend                           // an attempt's last byte was sent without permission
+	SentAfterAnswer                         // an attempt was sent after the final answer
+	SentAfterLeave                          // an attempt was sent too long after its client had left
+	SecondCopy                              // an attempt was sent while another was in flight
+	SentPastWindow                          // a retry was sent after the window in which engines drop duplicates
+	SentToWithdrawn                         // an attempt was sent too long after its engine was drained or removed
+	SentInShutdown                          // a request that arrived too late in a shutdown was sent to an engine
 	DeadlineOverstated                      // an engine was told more time than the client has left
-	HeldTooLong                             // what engines hold for a request was neither used nor let go of in time
+	HeldTooLong                             // holds were neither used nor released in time
 	violationKinds
 )
 
@@ -27,14 +27,14 @@
 
 func (k ViolationKind) String() string { return kindNames[k] }
 
-// recordViolation counts a violation and logs it.
+// recordViolation counts and logs a violation.
 func (g *Guard) recordViolation(k ViolationKind, r *Request, detail string) {
 	g.violations[k].Add(1)
 	name, trail := r.describe()
 	g.log.Error("rule violated", "kind", k.String(), "request", name, "detail", detail, "trail", trail)
 }
 
-// Violations returns the violations so far by kind; kinds without one are there too.
+// Violations returns the number of violations so far by kind, including kinds without any.
 func (g *Guard) Violations() map[string]int64 {
 	out := make(map[string]int64, violationKinds)
 	for k := range violationKinds {
@@ -43,7 +43,7 @@
 	return out
 }
 
-// ViolationCount is the number of all violations so far.
+// ViolationCount returns the total number of violations so far.
 func (g *Guard) ViolationCount() (n int64) {
 	for k := range violationKinds {
 		n += g.violations[k].Load()
@@ -51,24 +51,25 @@
 	return n
 }
 
-// Denial is a step that the guard did not allow. It is an error of the step, and no violation: the rule was kept.
+// Denial is the error for a step that the guard did not allow. It is not a violation, since the step did not happen.
 type Denial uint8
 
 // The denials.
 const (
 	Answered        Denial = iota // the request has its final answer
-	AnotherInFlight               // another attempt of the request is out
-	ClientLeft                    // its client has left
-	TooLate                       // its time is over, or the window for repeats
-	Withdrawn                     // the engine takes nothing new
-	ShuttingDown                  // the request came too late in a shutdown
-	Stale                         // the engine would be told more time than the client has left; it may be written anew
+	AnotherInFlight               // another attempt of the request is in flight
+	ClientLeft                    // the client has left
+	TooLate                       // the request's time or the window for retries is over
+	Withdrawn                     // the engine is draining or removed
+	ShuttingDown                  // the request arrived too late in a shutdown
+	// Stale means that the engine would be told more time than the client has left. The request may be written again
+	// with the right time.
+	Stale
 	denialKinds
 )
 
 var denialNames = [denialKinds]string{"answered", "another_out", "client_left", "too_late", "withdrawn", "shutting_down", "stale"}
 
-// Error implements error.
 func (d Denial) Error() string { return "not allowed to send: " + denialNames[d] }
 
 // deny counts a denial and returns it.
@@ -77,7 +78,7 @@
 	return d
 }
 
-// Denials returns the denials so far by kind.
+// Denials returns the number of denials so far by kind.
 func (g *Guard) Denials() map[string]int64 {
 	out := make(map[string]int64, denialKinds)
 	for d := range denialKinds {
