--- a/internal/assembly/assembly.go
+++ b/internal/assembly/assembly.go
@@ -1,5 +1,5 @@
-// Package assembly runs the parts of a router as one group of goroutines with one end. What the parts are is the
-// business of those that put a router together: internal/daemon for serve, internal/node for the platform.
+// Package assembly runs the components of a router as one group of goroutines that ends as a whole. It doesn't choose
+// the components: internal/daemon does for 'mintdoor serve', and internal/node for the platform.
 package assembly
 
 import (
@@ -12,29 +12,29 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Parts is a router with all that surrounds it.
+// Parts is a router with the components that surround it.
 type Parts struct {
 	Router *router.Router
 	Source discovery.Source
-	// Serve takes clients until its context ends, and returns when their connections are closed.
+	// Serve accepts clients until its context ends, and returns when their connections are closed.
 	Serve func(ctx context.Context) error
-	// Background run beside, until their context ends.
+	// Background functions run alongside until their context ends.
 	Background []func(ctx context.Context) error
-	// Drain is called once the drain was asked for. It ends the taking of clients with unlisten when that has
-	// come, and tells the router to drain; the group ends with the router. With stop the group ends at once.
+	// Drain is called once a drain was requested. It calls unlisten when the front should accept no more clients, and
+	// tells the router to drain; the group ends with the router. Calling stop ends the group immediately.
 	Drain func(ctx context.Context, unlisten, stop func())
 	Log   *slog.Logger
 
 	drain chan struct{}
 }
 
-// New readies parts for Run and Ask.
+// New prepares parts for Run and RequestDrain.
 func New(p Parts) *Parts {
 	p.drain = make(chan struct{}, 1)
 	return &p
 }
 
-// RequestDrain asks for the drain; more than once is once.
+// RequestDrain requests the drain. Further calls have no effect.
 func (p *Parts) RequestDrain() {
 	select {
 	case p.drain <- struct{}{}:
@@ -42,7 +42,8 @@
 	}
 }
 
-// Run runs all until ctx ends, which answers what is open at once, or until the drain has done its work.
+// Run runs all components until ctx ends, in which case open requests are answered immediately, or until the drain is
+// complete.
 func (p *Parts) Run(ctx context.Context) error {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
@@ -51,7 +52,7 @@
 	defer unlisten()
 	g.Go(func() error { return p.Source.Run(ctx, p.Router.Update) })
 	g.Go(func() error {
-		defer stop() // nothing else has a use without it
+		defer stop() // the other components are useless without the router
 		return p.Router.Run(ctx)
 	})
 	g.Go(func() error { return p.Serve(serving) })
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,5 +1,6 @@
-// Package daemon puts a router together from its settings: discovery, engines' client, core and fronts,
-// each a goroutine of one group with one end.
+// Package daemon assembles a router from its settings: discovery, engine client, router and fronts, each a goroutine
+// of one group that ends as a whole. It makes no routing decisions and knows nothing of the platform; see package
+// node for that.
 package daemon
 
 import (
@@ -20,10 +21,10 @@
 	"mintdoor/internal/trace"
 )
 
-// Version is the program's.
+// Version is the version of the program.
 const Version = "0.1.0"
 
-// Daemon is a router with all that surrounds it.
+// Daemon is a router with the components that surround it.
 type Daemon struct {
 	Router *router.Router
 
@@ -32,15 +33,16 @@
 	source   discovery.Source
 	engines  *engine.Client
 	front    *rest.Front
-	shift    *shift.Driver // nil: roles stay as they are
+	shift    *shift.Driver // nil: roles don't change
 	metrics  *metrics.Set
-	recorder *trace.Recorder // nil: nothing is recorded
+	recorder *trace.Recorder // nil: no trace is recorded
 	listener net.Listener
-	control  net.Listener // nil: none
+	control  net.Listener // nil: no control server
 	parts    *assembly.Parts
 }
 
-// New listens and puts the parts together; Run starts them. source may be nil: the settings' list file.
+// New opens the listeners and assembles the components; Run starts them. If source is nil, the server list comes from
+// the file named in the settings.
 func New(set *config.Settings, seed uint64, log *slog.Logger, source discovery.Source) (*Daemon, error) {
 	listener, err := net.Listen("tcp", set.Listen)
 	if err != nil {
@@ -60,11 +62,11 @@
 	cfg := router.Config{Name: set.Name, Model: set.Model, Settings: set.Decide(discovery.LocationNumber),
 		Kinds: kinds, Engines: d.engines, Seed: seed, Log: log, MaxOpen: set.MaxOpen,
 		StreamBuffer: set.StreamBuffer, ClientStallTimeout: set.ClientStallTimeout, StopTimeout: stopTimeout}
-	var watch router.Observers
+	var observers router.Observers
 	d.metrics = metrics.New(func() router.Stats { return d.Router.Stats() })
 	if set.RoleChanges.Mode != "off" {
 		driver := shift.New(set, source, d.engines, set.Name, log, d.metrics.NewRoleMetrics())
-		d.shift, d.source, watch = driver, driver, append(watch, driver)
+		d.shift, d.source, observers = driver, driver, append(observers, driver)
 	}
 	if set.TraceFile != "" {
 		classes := make([]string, len(set.Classes))
@@ -72,10 +74,10 @@
 			classes[i] = c.Name
 		}
 		d.recorder = trace.NewRecorder(set.TraceFile, classes, log)
-		watch = append(watch, d.recorder)
+		observers = append(observers, d.recorder)
 	}
-	if len(watch) > 0 {
-		cfg.Observer = watch
+	if len(observers) > 0 {
+		cfg.Observer = observers
 	}
 	d.Router = router.New(cfg)
 	if set.Control != "" {
@@ -86,7 +88,7 @@
 	}
 	d.front = rest.New(set, d.Router, log, Version)
 	parts := assembly.Parts{Router: d.Router, Source: d.source, Log: log, Drain: d.finish,
-		// Answers that the router gives at its end still have to reach their clients.
+		// The answers that the router gives when it stops still have to reach their clients.
 		Serve: func(ctx context.Context) error { return d.front.Serve(ctx, d.listener, set.DrainTimeout+stopTimeout) }}
 	if d.recorder != nil {
 		parts.Background = append(parts.Background, d.recorder.Run)
@@ -98,23 +100,24 @@
 	return d, nil
 }
 
-// stopTimeout bounds the wait for attempts and releases at a stop.
+// stopTimeout bounds the wait for attempts and releases when the router stops.
 const stopTimeout = 2 * time.Second
 
-// Addr is where the front listens.
+// Addr returns the address that the front listens on.
 func (d *Daemon) Addr() string { return d.listener.Addr().String() }
 
-// Drain stops taking requests; Run returns when those that are open have ended, or their time is over.
+// Drain makes the router reject new requests; Run returns when the open ones have ended or the drain time-out has
+// passed.
 func (d *Daemon) Drain() { d.parts.RequestDrain() }
 
-// Run runs until ctx ends, which answers what is open at once, or until Drain has done its work.
+// Run runs until ctx ends, in which case open requests are answered immediately, or until the drain is complete.
 func (d *Daemon) Run(ctx context.Context) error {
 	defer d.engines.Close()
 	d.log.Info("router up", "name", d.Router.Name(), "listen", d.Addr(), "model", d.set.Model)
 	return d.parts.Run(ctx)
 }
 
-// finish takes no more requests and waits for those that are open, as long as the settings let it.
+// finish rejects new requests and waits for the open ones, up to the drain time-out of the settings.
 func (d *Daemon) finish(ctx context.Context, unlisten, stop func()) {
 	d.log.Info("draining", "open", d.Router.Stats().Open, "within", d.set.DrainTimeout)
 	d.Router.Drain()
@@ -124,7 +127,7 @@
 	select {
 	case <-d.Router.Stopped():
 	case <-t.C:
-		d.log.Warn("time to drain is over", "open", d.Router.Stats().Open)
+		d.log.Warn("drain time-out has passed; stopping", "open", d.Router.Stats().Open)
 		stop()
 	case <-ctx.Done():
 	}
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -9,7 +9,7 @@
 	"mintdoor/internal/settings"
 )
 
-// Environment variables by which the platform tells a router of itself.
+// Environment variables through which the platform configures a router.
 const (
 	EnvConfig    = "PROXY_CONFIG"
 	EnvName      = "PROXY_NAME"
@@ -17,7 +17,7 @@
 	EnvDiscovery = "PROXY_DISCOVERY"
 )
 
-// Config is what a router is told.
+// Config is the configuration of a router on the platform.
 type Config struct {
 	Name       string
 	Listen     string
@@ -25,11 +25,11 @@
 	Seed       uint64
 	MemoryMB   float64
 	Sockets    int
-	CachedList []byte // the list as this router last held it, in discovery's form; it may be torn or empty
+	CachedList []byte // the last server list that this router had, in discovery's format; it may be truncated or empty
 	Settings   *settings.Deployment
 }
 
-// file is the configuration file's form.
+// file is the format of the configuration file.
 type file struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
@@ -43,25 +43,26 @@
 	Settings json.RawMessage `json:"settings"`
 }
 
-// The limits hold when the file names none, and no less than the least is believed.
+// Defaults for limits that the file doesn't set, and the smallest values that are accepted. Memory is in MB.
 const (
 	defaultMemoryMB, minMemoryMB = 192, 24
 	defaultSockets, minSockets   = 1024, 256
 	maxConfigSize                = 16 << 20
 )
 
-// Load reads the configuration that the environment names. What the file does not say, the variables do.
+// Load reads the configuration from the file that the environment names. Name, listen address and discovery address
+// come from environment variables if the file doesn't set them.
 func Load(env func(string) string) (*Config, error) {
 	path := env(EnvConfig)
 	if path == "" {
-		return nil, fmt.Errorf("the variable %s is not set", EnvConfig)
+		return nil, fmt.Errorf("environment variable %s is not set", EnvConfig)
 	}
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", EnvConfig, err)
 	}
 	if info.Size() > maxConfigSize {
-		return nil, fmt.Errorf("%s: %s has %d bytes", EnvConfig, path, info.Size())
+		return nil, fmt.Errorf("%s: %s has %d bytes, which exceeds the limit", EnvConfig, path, info.Size())
 	}
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -74,6 +75,7 @@
 	return c, nil
 }
 
+// parse parses a configuration file and takes what it doesn't set from the environment.
 func parse(data []byte, env func(string) string) (*Config, error) {
 	var f file
 	if err := json.Unmarshal(data, &f); err != nil {
@@ -89,7 +91,7 @@
 			*v.into = env(v.env)
 		}
 		if *v.into == "" {
-			return nil, fmt.Errorf("%s is missing, and the variable %s is not set", v.key, v.env)
+			return nil, fmt.Errorf("%s is missing, and environment variable %s is not set", v.key, v.env)
 		}
 	}
 	if f.Seed != "" {
@@ -106,10 +108,10 @@
 		c.Sockets = defaultSockets
 	}
 	if !(c.MemoryMB >= minMemoryMB) {
-		return nil, fmt.Errorf("limits.memory_mb: %g is under %d", c.MemoryMB, minMemoryMB)
+		return nil, fmt.Errorf("limits.memory_mb: %g is less than %d", c.MemoryMB, minMemoryMB)
 	}
 	if c.Sockets < minSockets {
-		return nil, fmt.Errorf("limits.sockets: %d is under %d", c.Sockets, minSockets)
+		return nil, fmt.Errorf("limits.sockets: %d is less than %d", c.Sockets, minSockets)
 	}
 	if len(f.Settings) == 0 {
 		return nil, fmt.Errorf("settings is missing")
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,5 +1,5 @@
-// Package node puts a router together for the platform: its configuration, its limits, its signals, and the
-// core with the platform's front, engines' client and discovery.
+// Package node assembles a router for the platform: its configuration, its resource limits and its shutdown, and the
+// router with the platform's front, engine client and discovery. It makes no routing decisions.
 package node
 
 import (
@@ -37,47 +37,56 @@
 	guard    *guard.Guard
 
 	signalledAt  atomic.Pointer[time.Time] // when Drain was first called
-	planShutdown func(taken time.Time) router.Shutdown
+	planShutdown func(signalledAt time.Time) router.Shutdown
 }
 
-// Times of the transport; every time that decides something is the module's.
+// Time-outs and limits of the transport. All times that affect routing decisions are set by the decision module.
 const (
-	requestTimeout     = 2 * time.Second // a client's message; bad clients are owed a word within 3 s
+	// requestTimeout is the time that a client has for sending a message; a malformed one has to be answered within
+	// 3 s.
+	requestTimeout     = 2 * time.Second
 	clientIdleTimeout  = 6 * time.Second
 	clientStallTimeout = 5 * time.Second
-	// streamIdleTimeout: a client may be left to wait for 5 s on a stream that has stopped (PROTOCOL), and one whose events are
-	// still coming may not be cut off; the process may be held up.
+	// streamIdleTimeout is how long a stream may go without an event. The platform's protocol lets a client wait at most 5 s
+	// on a stream that has stopped, and forbids ending a stream whose events are still coming. The margin of twice
+	// decide.MaxPause allows for pauses of the process.
 	streamIdleTimeout = 5*time.Second - 2*time.Duration(decide.MaxPause)
-	idleMarginParts   = 3 // of this many parts of the engines' idle time one is left unused
+	idleMarginParts   = 3 // one part of this many of the engines' idle time-out is left unused
 	streamBuffer      = 64
-	// defaultConnIdle is taken for the engines' idle time where the settings do not tell it.
-	defaultConnIdle    = 3 * time.Second
-	stopTimeout        = 2 * time.Second
-	minReleaseTimeout  = 500 * time.Millisecond // for letting go of what is held, however short the settings' time
-	drainCheckInterval = 20 * time.Millisecond  // between two looks at what the drain has to do
-	drainLogInterval   = 500 * time.Millisecond // between two log lines that say that it goes on
-	// maxRefused is how many connections are kept for a moment so that a refusal for want of room arrives.
+	// defaultConnIdle is the engines' idle time-out if the settings don't tell it.
+	defaultConnIdle = 3 * time.Second
+	stopTimeout     = 2 * time.Second
+	// minReleaseTimeout is the least time for a call that releases a hold, however short the hold time-out in the
+	// settings is.
+	minReleaseTimeout  = 500 * time.Millisecond
+	drainCheckInterval = 20 * time.Millisecond  // between two checks of what the drain has to do
+	drainLogInterval   = 500 * time.Millisecond // between two log lines that show that the drain continues
+	// maxRefused is how many connections are kept open for a moment so that a refusal due to the connection limit
+	// arrives.
 	maxRefused = 8
 )
 
-// budget shares out descriptors: a third may hold requests of clients, each of which needs an engine's
-// connection too. Both sides get room beside that, and something is left for the list and for releases.
+// budget divides the file descriptors. A third may belong to client connections with open requests, each of which
+// also needs a connection to an engine. Both sides get some room beyond that, and the rest is for discovery and
+// releases.
 type budget struct{ clients, engines, spare, open int }
 
+// splitSockets divides the given number of file descriptors.
 func splitSockets(sockets int) budget {
-	const base = 20 // standard files, poller, listener, discovery, files read now and then
+	// base is for standard files, poller, listener, discovery, and files that are read occasionally.
+	const base = 20
 	free := sockets - base
 	b := budget{spare: max(free/32, 6)}
 	b.engines = free*45/100 - b.spare
 	b.clients = free - b.engines - b.spare - maxRefused
-	b.open = b.engines - max(b.engines/8, 8) // the rest for probes
+	b.open = b.engines - max(b.engines/8, 8) // the rest is for probes
 	return b
 }
 
-// New listens and puts the parts together; Run starts them.
+// New opens the listener and assembles the router; Run starts it.
 func New(cfg *Config, log *slog.Logger) (*Node, error) { return newNode(cfg, log, nil) }
 
-// newNode is New with another module; nil: the module.
+// newNode is New with a different decision module; with nil it uses the real one.
 func newNode(cfg *Config, log *slog.Logger,
 	decider func(*decide.Settings, uint64, decide.Time) router.Decider) (*Node, error) {
 	listener, err := net.Listen("tcp", cfg.Listen)
@@ -99,9 +108,9 @@
 	if z := set.Decide.Zone; z < len(set.Zones) {
 		zone = set.Zones[z]
 	}
-	set.Decide.Zone = discovery.LocationNumber(zone) // as the list's zones are numbered
-	set.Decide.ReleaseAtEnd = true                   // as router.ByRequest does
-	set.Decide.PauseHoldOnArrival = true             // PROTOCOL, 'The rules on sockets'
+	set.Decide.Zone = discovery.LocationNumber(zone) // numbered as in the server list
+	set.Decide.ReleaseAtEnd = true                   // as router.PerRequest does
+	set.Decide.PauseHoldOnArrival = true             // as the platform's protocol requires on sockets
 	n.guard = guard.New(log)
 	n.Router = router.New(router.Config{Name: cfg.Name, Settings: set.Decide, Kinds: set.Kinds, Engines: n.engines,
 		HoldMode: router.PerRequest, Seed: cfg.Seed, Log: log, Guard: n.guard, MaxOpen: b.open, StreamBuffer: streamBuffer,
@@ -118,35 +127,35 @@
 	return n, nil
 }
 
-// ApplyLimits sets the runtime's bounds from the configuration.
+// ApplyLimits sets the runtime's limits: one core, and a soft memory limit of 60 % of the configured memory.
 func (c *Config) ApplyLimits() {
 	runtime.GOMAXPROCS(1)
 	debug.SetMemoryLimit(int64(c.MemoryMB * (1 << 20) * 6 / 10))
 }
 
-// Addr is where the front listens.
+// Addr returns the address that the front listens on.
 func (n *Node) Addr() string { return n.listener.Addr().String() }
 
-// Drain lets clients go elsewhere: what comes is still answered, each on the last use of its connection, and
-// Run returns when nothing is open any more. The first call counts as the instant of the signal.
+// Drain starts the drain: new requests are still answered, but each answer closes its connection so that clients go
+// elsewhere. Run returns when nothing is open any more. The first call counts as the time of the signal.
 func (n *Node) Drain() {
 	now := time.Now()
 	n.signalledAt.CompareAndSwap(nil, &now)
 	n.parts.RequestDrain()
 }
 
-// Reload reads the configuration anew. Only discovery can move while a router runs; with an error all stays
-// as it is.
+// Reload reads the configuration again. Only the address of discovery can change while a router runs. If the
+// configuration has an error, nothing changes.
 func (n *Node) Reload() {
 	c, err := Load(os.Getenv)
 	if err != nil {
-		n.log.Error("the new configuration is not taken", "err", err)
+		n.log.Error("new configuration not taken", "err", err)
 		return
 	}
 	n.source.SetAddr(c.Discovery)
 }
 
-// Run runs until ctx ends, which answers what is open at once, or until Drain has done its work.
+// Run runs until ctx ends, in which case open requests are answered immediately, or until the drain is complete.
 func (n *Node) Run(ctx context.Context) error {
 	n.log.Info("router up", "name", n.Router.Name(), "listen", n.Addr(), "sockets", n.cfg.Sockets,
 		"memory_mb", n.cfg.MemoryMB)
@@ -156,19 +165,20 @@
 	return err
 }
 
-// finish answers what is open and what still comes, each on the last use of its connection, as the router's plan has it. It
-// returns when no connection is left, however long streams run: to end them earlier would lose them.
+// finish carries out the drain. It answers open and new requests according to the router's shutdown plan, and closes
+// each connection after its answer. It returns when no connection is left, however long streams run, because ending
+// them earlier would lose them.
 func (n *Node) finish(ctx context.Context, unlisten, _ func()) {
-	taken := n.signalledAt.Load()
-	plan := n.planShutdown(*taken)
-	n.log.Info("draining", "open", n.Router.Stats().Open, "connections", n.front.OpenConns(), "taken", time.Since(*taken))
+	signalledAt := n.signalledAt.Load()
+	plan := n.planShutdown(*signalledAt)
+	n.log.Info("draining", "open", n.Router.Stats().Open, "connections", n.front.OpenConns(), "taken", time.Since(*signalledAt))
 	n.guard.ShutDown(plan.AcceptUntil)
 	n.front.BeginShutdown()
-	look := time.NewTicker(drainCheckInterval)
-	defer look.Stop()
-	told := time.Now()
-	listening, asked := true, false
-	var stopped <-chan struct{} // nil but for the time between StopListening and its end
+	ticker := time.NewTicker(drainCheckInterval)
+	defer ticker.Stop()
+	loggedAt := time.Now()
+	listening, stopping := true, false
+	var stopped <-chan struct{} // nil except between StopListening and its end
 	for listening || n.front.OpenConns() > 0 {
 		now := time.Now()
 		n.front.CloseIdle(plan.LingerFor)
@@ -178,19 +188,19 @@
 		if now.After(plan.GiveUpBy) {
 			n.front.RefuseIncomplete()
 		}
-		if now.After(plan.ListenUntil) && !asked {
-			stopped, asked = n.front.StopListening(), true
+		if now.After(plan.ListenUntil) && !stopping {
+			stopped, stopping = n.front.StopListening(), true
 		}
-		if now.Sub(told) >= drainLogInterval { // shows that the process is alive
-			told = now
-			n.log.Info("still draining", "since", now.Sub(*taken), "open", n.guard.Open(), "connections", n.front.OpenConns())
+		if now.Sub(loggedAt) >= drainLogInterval { // shows that the process is alive
+			loggedAt = now
+			n.log.Info("still draining", "since", now.Sub(*signalledAt), "open", n.guard.Open(), "connections", n.front.OpenConns())
 		}
 		select {
 		case <-ctx.Done():
 			return
 		case <-stopped:
 			listening, stopped = false, nil
-		case <-look.C:
+		case <-ticker.C:
 		}
 	}
 	unlisten()
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -31,19 +31,19 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// platform is engines and discovery as the platform has them, on loopback.
+// platform runs the platform's engines and discovery on loopback.
 type platform struct {
-	*httptest.Server // engines; which one is meant shows in the address
+	*httptest.Server // engines; the address tells which one is meant
 	agent            *httptest.Server
-	gate             chan bool // a writer waits for it before its first event
-	readGate         chan bool // a reader waits for it; nil: it reads at once
-	endGate          chan bool // a writer waits for it before its last event; nil: it goes on at once
-
-	mu     sync.Mutex
-	out    map[string]int             // by engine: requests that are open there
-	holds  map[string]map[string]bool // by engine: states that wait
-	reads  int
-	listed []watch.Member
+	writeGate        chan bool // a writer waits for it before its first event
+	readGate         chan bool // a reader waits for it; nil: it reads immediately
+	streamGate       chan bool // a writer waits for it before its last event; nil: it continues immediately
+
+	mu       sync.Mutex
+	inFlight map[string]int             // open requests by engine
+	holds    map[string]map[string]bool // KV states that are held, by engine
+	reads    int
+	listed   []watch.Member
 }
 
 const (
@@ -52,7 +52,7 @@
 )
 
 func newPlatform(t *testing.T) *platform {
-	p := &platform{out: map[string]int{}, holds: map[string]map[string]bool{reader: {}, writer: {}}, gate: make(chan bool, 1000)}
+	p := &platform{inFlight: map[string]int{}, holds: map[string]map[string]bool{reader: {}, writer: {}}, writeGate: make(chan bool, 1000)}
 	l, err := net.Listen("tcp", "0.0.0.0:0")
 	if err != nil {
 		t.Fatal(err)
@@ -71,12 +71,12 @@
 	return p
 }
 
-// newAgent is discovery at an address of its own; asked counts the calls that it gets.
+// newAgent starts a discovery agent on its own address; asked counts its calls.
 func (p *platform) newAgent() (s *httptest.Server, asked *atomic.Int64) {
 	asked = new(atomic.Int64)
 	return httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		asked.Add(1)
-		if r.URL.RawQuery != "" { // nothing changes
+		if r.URL.RawQuery != "" { // the list doesn't change
 			<-r.Context().Done()
 			return
 		}
@@ -86,7 +86,7 @@
 	})), asked
 }
 
-// drainAll has the agents tell from now on that every engine drains.
+// drainAll makes the agents report all engines as draining from now on.
 func (p *platform) drainAll() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -130,7 +130,7 @@
 		return
 	}
 	select {
-	case <-p.gate:
+	case <-p.writeGate:
 	case <-r.Context().Done():
 		return
 	}
@@ -141,8 +141,8 @@
 	for _, e := range []string{`{"choices":[]}`, "[DONE]"} {
 		fmt.Fprintf(w, "data: %s\n\n", e)
 		w.(http.Flusher).Flush()
-		if e != "[DONE]" && p.endGate != nil {
-			<-p.endGate
+		if e != "[DONE]" && p.streamGate != nil {
+			<-p.streamGate
 		}
 	}
 }
@@ -150,13 +150,13 @@
 func (p *platform) count(host string, n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.out[host] += n
+	p.inFlight[host] += n
 }
 
 func (p *platform) open(host string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.out[host]
+	return p.inFlight[host]
 }
 
 func (p *platform) held() int {
@@ -173,9 +173,9 @@
 	return strings.Replace(string(b), "DISCOVERY", discovery, 1)
 }
 
-func none(string) string { return "" }
+func noEnv(string) string { return "" }
 
-// moduleSpy lets a test look into the module's books.
+// moduleSpy gives a test access to the module's view of its servers.
 type moduleSpy struct {
 	mu    sync.Mutex
 	inner *decide.Router
@@ -199,50 +199,50 @@
 	return decide.ServerView{}
 }
 
-type world struct {
+type testNode struct {
 	*platform
 	t    *testing.T
 	node *Node
 	spy  *moduleSpy
 	done chan error
 	stop context.CancelFunc
-	log  *logText
+	log  *logBuffer
 }
 
-// logText is a log that a test reads.
-type logText struct {
+// logBuffer is a log that a test can read while it is written.
+type logBuffer struct {
 	mu sync.Mutex
 	b  strings.Builder
 }
 
-func (l *logText) Write(p []byte) (int, error) {
+func (l *logBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.b.Write(p)
 }
 
-func (l *logText) String() string {
+func (l *logBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.b.String()
 }
 
-func start(t *testing.T, change func(*Node)) *world {
+func start(t *testing.T, change func(*Node)) *testNode {
 	p := newPlatform(t)
-	cfg, err := parse([]byte(configJSON(t, p.agent.Listener.Addr().String())), none)
+	cfg, err := parse([]byte(configJSON(t, p.agent.Listener.Addr().String())), noEnv)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &world{platform: p, t: t}
+	w := &testNode{platform: p, t: t}
 	w.run(cfg, change)
 	w.eventually("ready", w.node.Router.Ready)
 	return w
 }
 
-// run runs a node until the test's end.
-func (w *world) run(cfg *Config, change func(*Node)) {
+// run runs a node until the end of the test.
+func (w *testNode) run(cfg *Config, change func(*Node)) {
 	w.t.Helper()
-	w.spy, w.log, w.done = &moduleSpy{}, &logText{}, make(chan error, 1)
+	w.spy, w.log, w.done = &moduleSpy{}, &logBuffer{}, make(chan error, 1)
 	var err error
 	w.node, err = newNode(cfg, slog.New(slog.NewTextHandler(w.log, nil)), func(set *decide.Settings, seed uint64, now decide.Time) router.Decider {
 		w.spy.inner = decide.New(set, seed, now)
@@ -267,7 +267,7 @@
 	})
 }
 
-func (w *world) eventually(what string, cond func() bool) {
+func (w *testNode) eventually(what string, cond func() bool) {
 	w.t.Helper()
 	eventually.Is(w.t, what, cond, func() any { return w.node.Router.Stats() })
 }
@@ -277,7 +277,7 @@
 	br *bufio.Reader
 }
 
-func (w *world) dial() *client {
+func (w *testNode) dial() *client {
 	w.t.Helper()
 	c, err := net.Dial("tcp", w.node.Addr())
 	if err != nil {
@@ -304,8 +304,8 @@
 	return resp.StatusCode, resp.Close
 }
 
-// What the module's books say of each engine is what is open on its sockets: while requests wait at a writer,
-// after they were served, and after their clients left.
+// The module's counts for each engine match the requests that are open on its sockets: while requests wait at a
+// writer, after they were served, and after their clients left.
 func TestModuleCountsMatchSockets(t *testing.T) {
 	w := start(t, nil)
 	var clients []*client
@@ -314,7 +314,7 @@
 		c.ask(fmt.Sprint("id", i))
 		clients = append(clients, c)
 	}
-	w.eventually("five are at the writer", func() bool { return w.open(writer) == 5 })
+	w.eventually("five requests are at the writer", func() bool { return w.open(writer) == 5 })
 	agree := func(what string, streams int, booked float64) {
 		t.Helper()
 		w.eventually(what, func() bool {
@@ -323,44 +323,44 @@
 				r.Pending == 0 && r.Pending == w.open(reader) && r.QueuedTokens == 0
 		})
 	}
-	agree("five in the books", 5, 5000)
+	agree("five requests are counted", 5, 5000)
 	if n := w.held(); n != 5 {
-		t.Errorf("%d states wait", n)
+		t.Errorf("%d states are held", n)
 	}
 	for range 3 {
-		w.gate <- true
+		w.writeGate <- true
 	}
-	agree("two are left", 2, 2000)
+	agree("two requests are left", 2, 2000)
 	for _, c := range clients {
 		c.Close()
 	}
-	agree("none is left", 0, 0)
+	agree("no request is left", 0, 0)
 	w.eventually("nothing is held", func() bool { return w.held() == 0 && w.node.Router.Stats().Open == 0 })
 	w.eventually("probed", func() bool { return w.spy.serverView("s2").MemoryUse == 0.25 })
 }
 
-// SIGTERM: what is open and what still comes is answered, then the program ends by itself.
+// After SIGTERM, open requests and those that still arrive are answered, then the program ends by itself.
 func TestDrain(t *testing.T) {
 	w := start(t, nil)
 	open, idle, fresh := w.dial(), w.dial(), w.dial()
-	w.gate <- true
+	w.writeGate <- true
 	idle.ask("a")
 	if code, closes := idle.answer(t); code != 200 || closes {
 		t.Fatal(code, closes)
 	}
 	open.ask("b")
-	w.eventually("one is open", func() bool { return w.open(writer) == 1 })
-	w.eventually("all are there", func() bool { return w.node.front.OpenConns() == 3 })
+	w.eventually("one request is open", func() bool { return w.open(writer) == 1 })
+	w.eventually("all connections are accepted", func() bool { return w.node.front.OpenConns() == 3 })
 	w.node.Drain()
 	if _, err := idle.br.ReadByte(); err != io.EOF {
-		t.Errorf("a connection between requests: %v", err)
+		t.Errorf("an idle connection: %v", err)
 	}
 	fresh.ask("c")
 	late := w.dial()
 	late.ask("d")
-	w.eventually("three are open", func() bool { return w.open(writer) == 3 })
+	w.eventually("three requests are open", func() bool { return w.open(writer) == 3 })
 	for range 3 {
-		w.gate <- true
+		w.writeGate <- true
 	}
 	for _, c := range []*client{open, fresh, late} {
 		if code, _ := c.answer(t); code != 200 {
@@ -374,22 +374,23 @@
 		t.Error(err)
 	}
 	if w.held() != 0 {
-		t.Error("a state is left")
+		t.Error("a KV state is left")
 	}
 }
 
-// However long a stream runs, its end is waited for, and whoever comes meanwhile gets a word, or finds that nobody listens.
+// The drain waits for the end of streams, however long they run. Clients that connect in the meantime get an answer,
+// or a refused connection.
 func TestDrainWaitsForStreams(t *testing.T) {
 	w := start(t, nil)
-	w.endGate = make(chan bool, 1)
-	w.gate <- true
+	w.streamGate = make(chan bool, 1)
+	w.writeGate <- true
 	c := w.dial()
 	c.ask("a")
-	if _, err := c.br.Peek(1); err != nil { // the stream has begun
+	if _, err := c.br.Peek(1); err != nil { // the stream has started
 		t.Fatal(err)
 	}
 	w.node.Drain()
-	w.eventually("it drains", func() bool { return strings.Contains(w.log.String(), "msg=draining") })
+	w.eventually("the drain has started", func() bool { return strings.Contains(w.log.String(), "msg=draining") })
 	for range 20 {
 		other := w.dial()
 		io.WriteString(other, "GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
@@ -397,7 +398,7 @@
 			t.Fatalf("/up: %d", code)
 		}
 	}
-	w.eventually("nobody listens", func() bool {
+	w.eventually("the listener is closed", func() bool {
 		other, err := net.Dial("tcp", w.node.Addr())
 		if err == nil {
 			other.Close()
@@ -405,9 +406,9 @@
 		return errors.Is(err, syscall.ECONNREFUSED)
 	})
 	if w.open(writer) != 1 {
-		t.Error("the stream has ended before its time")
+		t.Error("the stream was ended early")
 	}
-	w.endGate <- true
+	w.streamGate <- true
 	if code, _ := c.answer(t); code != 200 {
 		t.Errorf("status %d", code)
 	}
@@ -416,7 +417,8 @@
 	}
 }
 
-// SIGHUP: discovery moves; a file that is missing or malformed changes nothing. No request is lost by either.
+// SIGHUP changes the discovery address; a configuration that is missing or malformed changes nothing. No request is
+// lost in either case.
 func TestReload(t *testing.T) {
 	w := start(t, nil)
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -430,7 +432,7 @@
 	}
 	w.node.Reload()
 	if text := w.log.String(); strings.Count(text, "not taken") != 2 || strings.Contains(text, "discovery moves") {
-		t.Errorf("bad files were taken:\n%s", text)
+		t.Errorf("bad files were accepted:\n%s", text)
 	}
 	other, asked := w.newAgent()
 	defer other.Close()
@@ -438,8 +440,8 @@
 		t.Fatal(err)
 	}
 	w.node.Reload()
-	w.eventually("the other is asked", func() bool { return asked.Load() > 0 })
-	w.gate <- true
+	w.eventually("the other agent is asked", func() bool { return asked.Load() > 0 })
+	w.writeGate <- true
 	if code, closes := c.answer(t); code != 200 || closes {
 		t.Errorf("%d %v", code, closes)
 	}
@@ -450,13 +452,13 @@
 
 func TestConfig(t *testing.T) {
 	good := configJSON(t, "d:1")
-	c, err := parse([]byte(good), none)
+	c, err := parse([]byte(good), noEnv)
 	if err != nil || c.Name != "n3" || c.Discovery != "d:1" || c.Seed != 0x8c1f30d27a5be964 || c.Sockets != 256 || c.MemoryMB != 2048 {
 		t.Fatalf("%+v %v", c, err)
 	}
 	for _, v := range []struct{ old, new, want string }{
-		{`"name":"n3"`, `"name":""`, "name is missing, and the variable PROXY_NAME is not set"},
-		{`"listen":"127.0.0.1:0",`, ``, "listen is missing, and the variable PROXY_LISTEN is not set"},
+		{`"name":"n3"`, `"name":""`, "name is missing, and environment variable PROXY_NAME is not set"},
+		{`"listen":"127.0.0.1:0",`, ``, "listen is missing, and environment variable PROXY_LISTEN is not set"},
 		{`"discovery":"d:1",`, ``, "PROXY_DISCOVERY"},
 		{`8c1f30d27a5be964`, `none`, "seed has the malformed value"},
 		{`"sockets":256`, `"sockets":3`, "limits.sockets"},
@@ -469,11 +471,11 @@
 		{`"repeat":"safe"`, `"repeat":"keyed"`, "requestClasses.0.keyScope is missing"},
 		{`"settings":{`, `"setting":{`, "settings is missing"},
 	} {
-		if _, err := parse([]byte(strings.Replace(good, v.old, v.new, 1)), none); err == nil || !strings.Contains(err.Error(), v.want) {
+		if _, err := parse([]byte(strings.Replace(good, v.old, v.new, 1)), noEnv); err == nil || !strings.Contains(err.Error(), v.want) {
 			t.Errorf("%s: %v", v.new, err)
 		}
 	}
-	if _, err := Load(none); err == nil || !strings.Contains(err.Error(), EnvConfig) {
+	if _, err := Load(noEnv); err == nil || !strings.Contains(err.Error(), EnvConfig) {
 		t.Errorf("%v", err)
 	}
 	env := map[string]string{EnvName: "n9"}
@@ -482,7 +484,8 @@
 	}
 }
 
-// A third of the descriptors may hold requests; each needs an engine's connection, and no part is ever empty.
+// A third of the descriptors may belong to client connections with open requests. Each of them needs a connection to
+// an engine, and no share is ever empty.
 func TestSplitSockets(t *testing.T) {
 	for _, sockets := range []int{minSockets, 256, 512, 768, 1024, 4096} {
 		b := splitSockets(sockets)
@@ -493,16 +496,16 @@
 	}
 }
 
-// A list held from before the start that is torn or of another form fails no start.
+// A cached server list that is truncated or in another format doesn't prevent the start.
 func TestConfigWithMalformedList(t *testing.T) {
 	good := configJSON(t, "d:1")
 	const known = `"known":{"revision":0,"complete":true,"members":[]}`
 	for _, broken := range []string{`"known":null`, `"known":"torn"`, `"known":{"revision":"x"}`, `"known":{"members":7}`, `"known":[]`} {
 		text := strings.Replace(good, known, broken, 1)
 		if text == good {
-			t.Fatal("the configuration has no such list")
+			t.Fatal("the configuration has no cached list")
 		}
-		if _, err := parse([]byte(text), none); err != nil {
+		if _, err := parse([]byte(text), noEnv); err != nil {
 			t.Errorf("%s: %v", broken, err)
 		}
 	}
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -1,7 +1,7 @@
-// Package platform has the names of the platform's protocol that its front and its engines' client share.
+// Package platform defines names of the platform's HTTP protocol that its front and its engine client share.
 package platform
 
-// The paths.
+// Paths of requests.
 const (
 	ReadyPath = "/up"
 	ChatPath  = "/v1/chat/completions"
@@ -9,18 +9,19 @@
 	LoadPath  = "/metrics/load"
 )
 
-// The headers.
+// Headers of requests and responses.
 const (
-	IDHeader          = "X-Correlation-Id"
-	ClassHeader       = "X-Service-Class"
-	TenantHeader      = "X-Account"
-	SessionHeader     = "X-Session-Key"
-	TimeLeftHeader    = "X-Time-Left-Ms"
-	FactsHeader       = "X-Facts"
-	RepeatHeader      = "X-Repeat"      // 1: a client's retry; again: it asks for the rest of a broken stream
-	UnprocessedHeader = "X-Unprocessed" // 1: nothing of the request has run
+	IDHeader       = "X-Correlation-Id"
+	ClassHeader    = "X-Service-Class"
+	TenantHeader   = "X-Account"
+	SessionHeader  = "X-Session-Key"
+	TimeLeftHeader = "X-Time-Left-Ms"
+	FactsHeader    = "X-Facts"
+	// RepeatHeader is "1" in a client's retry, and "again" if the client asks for the rest of an interrupted stream.
+	RepeatHeader      = "X-Repeat"
+	UnprocessedHeader = "X-Unprocessed" // "1": no part of the request has run
 	LoadHeader        = "X-Backend-Load"
 )
 
-// EventStreamType is the type of a stream of events.
+// EventStreamType is the content type of an event stream.
 const EventStreamType = "text/event-stream"
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -723,8 +723,8 @@
 }
 
 // blockingModule returns a change of the configuration that makes the module block on some events until the test
-// calls goOn.
-func blockingModule(stuck func(*decide.Event) bool, seen func(*decide.Event)) (change func(*Config), goOn func()) {
+// calls unblock.
+func blockingModule(stuck func(*decide.Event) bool, seen func(*decide.Event)) (change func(*Config), unblock func()) {
 	let := make(chan bool)
 	change = func(c *Config) {
 		c.NewDecider = func(set *decide.Settings, seed uint64, now decide.Time) Decider {
@@ -751,7 +751,7 @@
 // afterwards.
 func TestAnsweredWhileLoopIsBlocked(t *testing.T) {
 	first := true
-	change, goOn := blockingModule(func(ev *decide.Event) bool {
+	change, unblock := blockingModule(func(ev *decide.Event) bool {
 		stuck := first && ev.Kind == decide.Arrived
 		first = first && !stuck
 		return stuck
@@ -761,7 +761,7 @@
 		sent++
 		return readDone(addr, q)
 	}}, change)
-	defer goOn()
+	defer unblock()
 	late := job(0)
 	late.Deadline = time.Now().Add(50 * time.Millisecond)
 	a := g.submit(late)
@@ -771,7 +771,7 @@
 			t.Errorf("ended as %+v", end)
 		}
 	}
-	goOn()
+	unblock()
 	g.eventually("both rows are removed", func() bool { return g.Stats().Open == 0 })
 	if sent != 0 {
 		t.Errorf("%d attempts started after the answers", sent)
@@ -784,7 +784,7 @@
 	var mu sync.Mutex
 	var order []decide.EventKind
 	first := true
-	change, goOn := blockingModule(func(ev *decide.Event) bool {
+	change, unblock := blockingModule(func(ev *decide.Event) bool {
 		stuck := first && ev.Kind == decide.Arrived
 		first = first && !stuck
 		return stuck
@@ -796,7 +796,7 @@
 		}
 	})
 	g := start(t, &fakeEngines{}, change)
-	defer goOn()
+	defer unblock()
 	j := job(0)
 	j.Deadline = time.Now().Add(time.Minute)
 	a := g.submit(j)
@@ -808,7 +808,7 @@
 	late := g.submit(j)
 	g.Update(discovery.Update{Engines: fleet()[1:]})
 	time.Sleep(time.Duration(2*decide.MaxPause) + 50*time.Millisecond) // longer than the longest pause of a process
-	goOn()
+	unblock()
 	g.all(a)
 	if _, end := g.all(late); end.Kind != Refused {
 		t.Errorf("ended as %+v", end)
@@ -822,12 +822,12 @@
 
 // When too many requests wait for the loop, further ones are rejected.
 func TestArrivalsAreBounded(t *testing.T) {
-	change, goOn := blockingModule(func(ev *decide.Event) bool { return ev.Kind == decide.Arrived }, func(*decide.Event) {})
+	change, unblock := blockingModule(func(ev *decide.Event) bool { return ev.Kind == decide.Arrived }, func(*decide.Event) {})
 	g := start(t, &fakeEngines{}, func(c *Config) {
 		change(c)
 		c.MaxOpen = 2 * arrivalQueueSize
 	})
-	defer goOn()
+	defer unblock()
 	refused := false
 	for range arrivalQueueSize + 10 {
 		if _, err := g.Submit(job(0)); errors.Is(err, ErrTooManyRequests) {
--- a/internal/router/shutdown.go
+++ b/internal/router/shutdown.go
@@ -17,8 +17,8 @@
 
 // ShutDown tells the router that the process received the termination signal at the given time. Requests are accepted
 // for as long as the returned plan allows, and open requests continue. Drain ends the router afterwards.
-func (r *Router) ShutDown(taken time.Time) Shutdown {
-	plan := decide.PlanShutdown(r.moduleTime(taken), r.cfg.Settings.Classes)
+func (r *Router) ShutDown(signalledAt time.Time) Shutdown {
+	plan := decide.PlanShutdown(r.moduleTime(signalledAt), r.cfg.Settings.Classes)
 	r.post(message{kind: shuttingDown, plan: &plan})
 	return Shutdown{AcceptUntil: r.wallTime(plan.AcceptUntil), ListenUntil: r.wallTime(plan.ListenUntil), GiveUpBy: r.wallTime(plan.GiveUpBy),
 		LingerFor: time.Duration(plan.LingerFor)}
