--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -38,7 +38,7 @@
 		t.Fatal(err)
 	}
 	if s.HoldTimeout != 300*time.Millisecond || s.MaxBody != 64<<10 || s.MaxAttempts != 6 {
-		t.Errorf("values or defaults are off: %+v", s)
+		t.Errorf("wrong values or defaults: %+v", s)
 	}
 	if len(s.Classes) != 2 || s.Classes[0].FirstTokenTarget != 1200*1e6 || s.Classes[1].RetryPolicy != decide.Unsafe ||
 		s.Classes[1].FirstTokenTarget != decide.Second {
@@ -49,11 +49,11 @@
 	}
 	d := s.Decide(func(string) int { return 7 })
 	if d.Zone != 7 || len(d.Classes) != 2 || d.MaxRetryAfter != decide.Second/2 || d.Tenants[0].RequestsPerSecond != 20 {
-		t.Errorf("the module's part: %+v", d)
+		t.Errorf("settings of the decision module: %+v", d)
 	}
 }
 
-// Every error of a file comes at once, each with its line, what was found and what is right.
+// All errors of a file are reported at once, each with its line, what was found and what was expected.
 func TestEveryErrorAtOnce(t *testing.T) {
 	_, err := Parse("bad.conf", `listen nowhere
 lisst x
@@ -72,7 +72,7 @@
 name "never closed
 `)
 	if err == nil {
-		t.Fatal("the file was taken")
+		t.Fatal("the file was accepted")
 	}
 	for _, want := range []string{
 		`bad.conf:1: listen: found "nowhere", expected an address`,
@@ -81,11 +81,11 @@
 		`bad.conf:4: max-open: found "0", expected 1 to`,
 		`bad.conf:6: index: found 5, expected less than routers, 2`,
 		`bad.conf:7: attempts has 2 values, expected one`,
-		`bad.conf:8: listen stands twice in router, first at bad.conf:1`,
+		`bad.conf:8: listen is given twice in router, first at bad.conf:1`,
 		`bad.conf:9: default-class: found "nobody"`,
-		`class a: its deadline 10ms is under its aim 1s`,
+		`class a: its deadline 10ms is shorter than its aim 1s`,
 		`bad.conf:12: repeat: found "sometimes", expected one of safe, keyed, unsafe`,
-		`bad.conf:13: class a stands twice, first at bad.conf:10`,
+		`bad.conf:13: class a is given twice, first at bad.conf:10`,
 		`bad.conf:14: kind k has no role`,
 		`bad.conf:15: found ", expected a closing quote`,
 		`list is missing`,
@@ -109,7 +109,7 @@
 	for text, want := range map[string]string{
 		head + "kind b\nrole both\n":                                "x:2: shift: no kind becomes another",
 		head + strings.Replace(pair, "becomes p", "becomes q", 1):   `found "q", expected the name of a kind`,
-		head + strings.Replace(pair, "becomes p\n", "", 1):          "kind d does not become p again",
+		head + strings.Replace(pair, "becomes p\n", "", 1):          "kind d does not become p in turn",
 		head + strings.Replace(pair, "role decode", "role both", 1): "one of prefill and one of decode",
 		head + strings.Replace(pair, "capacity 1k", "", 1):          "kind d has no capacity",
 		"shift-away 4m\n" + head + pair:                             "x:1: shift-away: found 4m0s, expected less than shift-horizon",
@@ -142,14 +142,14 @@
 	write("a.conf", "include b.conf\n")
 	write("b.conf", "include a.conf\n")
 	if _, err := Load(filepath.Join(dir, "a.conf")); err == nil || !strings.Contains(err.Error(), "b.conf:1: include") {
-		t.Errorf("a circle: %v", err)
+		t.Errorf("an include cycle: %v", err)
 	}
 	if _, err := Load(write("c.conf", "include none.conf\n")); err == nil || !strings.Contains(err.Error(), "c.conf:1: include") {
 		t.Errorf("a missing file: %v", err)
 	}
 }
 
-// What is printed as defaults is read back as the defaults.
+// The defaults as printed can be read back and give the same defaults.
 func TestDefaultsAreReadable(t *testing.T) {
 	var b bytes.Buffer
 	if err := WriteDefaults(&b); err != nil {
@@ -207,7 +207,7 @@
 		lines, _ := ParseLines("f", text)
 		for _, l := range lines {
 			if len(l.Words) == 0 || l.Number < 1 {
-				t.Fatalf("an empty line came out of %q", text)
+				t.Fatalf("%q was parsed into an empty line", text)
 			}
 		}
 	})
--- a/internal/config/lines.go
+++ b/internal/config/lines.go
@@ -1,6 +1,7 @@
-// Package config reads mintdoor's settings: a line-based format in the manner of classic daemons. A line
-// is a directive and its values; '#' begins a comment; a value with spaces stands in double quotes.
-// Lists of engines and scripts of days are written in the same form and are split by the same parser.
+// Package config reads mintdoor's settings, which have a simple line format. A line is a directive followed by its
+// values; '#' begins a comment; a value with spaces is enclosed in double quotes. Lists of engines and scenario
+// scripts have the same format, and their packages use the parser of this package; it knows nothing of their
+// directives.
 package config
 
 import (
@@ -15,10 +16,10 @@
 	"github.com/alecthomas/participle/v2/lexer"
 )
 
-// MaxFileSize bounds a file that is read, in bytes.
+// MaxFileSize is the maximum size in bytes of a file that is read.
 const MaxFileSize = 8 << 20
 
-// Word is one value of a line. Quoted tells that it stood in quotes.
+// Word is one word of a line. Quoted is set if it was enclosed in quotes.
 type Word struct {
 	Text   string
 	Quoted bool
@@ -32,10 +33,10 @@
 	Words  []Word
 }
 
-// Name returns the line's directive, its first word.
+// Name returns the name of the line's directive, which is its first word.
 func (l *Line) Name() string { return l.Words[0].Text }
 
-// Error is one thing wrong in a file: where, and what was found and expected.
+// Error is one error in a file: its place, and a text that says what was found and what was expected.
 type Error struct {
 	File string
 	Line int
@@ -49,7 +50,7 @@
 	return fmt.Sprintf("%s:%d: %s", e.File, e.Line, e.Text)
 }
 
-// Errors are all things wrong, in the order of the file.
+// Errors is a list of errors in the order of the file.
 type Errors []*Error
 
 func (e Errors) Error() string {
@@ -60,7 +61,7 @@
 	return strings.Join(texts, "\n")
 }
 
-// Err returns nil when there are none.
+// Err returns the list as an error, or nil if it is empty.
 func (e Errors) Err() error {
 	if len(e) == 0 {
 		return nil
@@ -68,13 +69,13 @@
 	return e
 }
 
-// Add notes one more at a line.
+// Add appends an error at a line.
 func (e *Errors) Add(l *Line, format string, args ...any) {
 	*e = append(*e, &Error{File: l.File, Line: l.Number, Text: fmt.Sprintf(format, args...)})
 }
 
-// The grammar: a file is lines, a line is words up to its end. The rule Stray takes what no other does,
-// so that a slip in one line never hides the errors of the next.
+// These types are the grammar: a file consists of lines, and a line of words. The rule Stray matches anything that no
+// other rule matches, so that an error in one line never hides the errors of later lines.
 type fileNode struct {
 	Lines []*lineNode `parser:"@@*"`
 }
@@ -103,7 +104,7 @@
 	participle.Elide("Comment", "Space"),
 )
 
-// ParseLines splits a text into lines. All errors found come back at once, with the lines that are sound.
+// ParseLines splits a text into lines. It returns all errors at once, together with the lines that have none.
 func ParseLines(file, text string) ([]Line, Errors) {
 	var errs Errors
 	tree, err := lineParser.ParseString(file, text)
@@ -127,7 +128,7 @@
 			case w.Quoted != nil:
 				s, err := strconv.Unquote(*w.Quoted)
 				if err != nil {
-					errs.Add(&l, "found %s, expected a value in quotes with \\\" \\\\ \\n or \\t as its escapes", *w.Quoted)
+					errs.Add(&l, "found %s, expected a quoted value with \\\" \\\\ \\n or \\t as its escapes", *w.Quoted)
 					sound = false
 				}
 				l.Words = append(l.Words, Word{Text: s, Quoted: true, Column: w.Pos.Column})
@@ -145,12 +146,12 @@
 	return lines, errs
 }
 
-// ReadLines reads a file and the files that its include lines name, relative to the file that names them.
-// Includes may be nested eight deep.
+// ReadLines reads a file and the files that its include lines name, relative to the including file. Includes may be
+// nested eight levels deep.
 func ReadLines(path string) ([]Line, Errors) { return readLines(path, nil) }
 
-func readLines(path string, within []string) ([]Line, Errors) {
-	const deepest = 8
+func readLines(path string, includedFrom []string) ([]Line, Errors) {
+	const maxDepth = 8
 	text, err := readBounded(path)
 	if err != nil {
 		return nil, Errors{{File: path, Text: err.Error()}}
@@ -171,13 +172,13 @@
 		if !filepath.IsAbs(next) {
 			next = filepath.Join(filepath.Dir(path), next)
 		}
-		chain := append(within[:len(within):len(within)], path)
-		if len(chain) >= deepest || contains(chain, next) {
-			errs.Add(l, "include %s goes round in a circle or is nested more than %d deep", next, deepest)
+		chain := append(includedFrom[:len(includedFrom):len(includedFrom)], path)
+		if len(chain) >= maxDepth || contains(chain, next) {
+			errs.Add(l, "include %s forms a cycle or is nested more than %d levels deep", next, maxDepth)
 			continue
 		}
 		more, wrong := readLines(next, chain)
-		if len(wrong) == 1 && wrong[0].Line == 0 { // the file itself: say where it is named
+		if len(wrong) == 1 && wrong[0].Line == 0 { // an error of the file itself: report the line that includes it
 			errs.Add(l, "include: %s", wrong[0].Text)
 			continue
 		}
@@ -192,10 +193,10 @@
 		return "", err
 	}
 	if info.IsDir() {
-		return "", fmt.Errorf("%s is a folder, expected a file", path)
+		return "", fmt.Errorf("%s is a directory, expected a file", path)
 	}
 	if info.Size() > MaxFileSize {
-		return "", fmt.Errorf("%s has %d bytes, at most %d are read", path, info.Size(), MaxFileSize)
+		return "", fmt.Errorf("%s has %d bytes, at most %d are allowed", path, info.Size(), MaxFileSize)
 	}
 	text, err := os.ReadFile(path)
 	return string(text), err
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -12,47 +12,48 @@
 	"mintdoor/roles"
 )
 
-// Class is one class of requests with its name.
+// Class is a class of requests and its name.
 type Class struct {
 	Name string
 	decide.Class
-	MaxTokens int // output limit of a request that names none
+	MaxTokens int // output limit of a request that sets none
 }
 
-// Kind is one kind of engine with its name.
+// Kind is a kind of engine and its name.
 type Kind struct {
 	Name string
 	decide.Kind
-	Becomes  string  // the kind that an engine of this one is after a change of role; "" it can't change
-	Capacity float64 // tokens a second that it reads, or writes
+	// Becomes is the kind that an engine of this kind has after a role change; "" if it can't change its role.
+	Becomes  string
+	Capacity float64 // tokens per second that it reads or writes
 }
 
-// RoleChanges is how roles of engines are shifted.
+// RoleChanges are the settings for changing the roles of engines.
 type RoleChanges struct {
 	Mode           string // off, dry or on
 	PlanInterval   time.Duration
 	CheckInterval  time.Duration
-	Horizon        time.Duration
-	ChangeCost     time.Duration
+	Horizon        time.Duration // a change has to pay within this time
+	ChangeCost     time.Duration // work that a change costs, as time of one engine: emptying, changing, slow start
 	Confidence     float64
-	AgreeingPlans  int
+	AgreeingPlans  int // plans in a row that have to agree before a change
 	MaxConcurrent  int
 	MinEngines     [2]int     // engines of each role, prefill first
-	MaxEngines     [2]int     // 0: no bound
-	MaxLoad        [2]float64 // prefill, decode
+	MaxEngines     [2]int     // 0: no limit
+	MaxLoad        [2]float64 // fraction of their capacity that engines may use, prefill first
 	Slot           time.Duration
 	EmptyTimeout   time.Duration
 	ChangeTimeout  time.Duration
 	FailureBackoff time.Duration
 }
 
-// Tenant is one tenant with its name.
+// Tenant is a tenant and its name.
 type Tenant struct {
 	Name string
 	decide.Tenant
 }
 
-// Settings is everything that a router is told at its start. It is not changed afterwards.
+// Settings are the settings of a router. They don't change after its start.
 type Settings struct {
 	// The router itself.
 	Name         string
@@ -67,7 +68,7 @@
 	ListInterval time.Duration
 	TraceFile    string
 
-	// Bounds.
+	// Limits.
 	MaxOpen            int
 	MaxConnections     int
 	MaxBody            int64
@@ -80,7 +81,7 @@
 	StreamIdleTimeout  time.Duration
 	DrainTimeout       time.Duration
 
-	// Towards engines.
+	// Engines.
 	DialTimeout     time.Duration
 	MaxEngineConns  int
 	ConnIdleTimeout time.Duration
@@ -98,7 +99,7 @@
 	LogSample       int
 	OverQuotaValue  float64
 
-	// The rules' figures.
+	// Figures of the five rules.
 	AnswerGrace      time.Duration
 	DrainGrace       time.Duration
 	HoldTimeout      time.Duration
@@ -108,7 +109,7 @@
 	SlowStartTime    time.Duration
 	MaxRetryAfter    time.Duration
 
-	// Fees of the module, in parts of the result.
+	// Costs that the decision module weighs, as fractions of the total value served.
 	ProbeCost float64
 
 	RoleChanges RoleChanges
@@ -117,7 +118,7 @@
 	Tenants     []Tenant
 }
 
-// Decide returns the decision module's part of the settings.
+// Decide returns the settings of the decision module. The function zone numbers the zones by their names.
 func (s *Settings) Decide(zone func(string) int) *decide.Settings {
 	d := &decide.Settings{
 		Routers: s.Routers, Index: s.Index, Zone: zone(s.Zone), OverQuotaValue: s.OverQuotaValue,
@@ -141,7 +142,7 @@
 	return d
 }
 
-// Roles returns the settings of the decisions on roles.
+// Roles returns the settings for decisions on roles.
 func (s *Settings) Roles() roles.Config {
 	h := &s.RoleChanges
 	return roles.Config{Classes: len(s.Classes), Confidence: h.Confidence, ConsecutivePlans: h.AgreeingPlans, PlanInterval: h.PlanInterval, SlowStartTime: s.SlowStartTime,
@@ -150,7 +151,7 @@
 		TurnOrder: roles.TurnOrder{Routers: s.Routers, Index: s.Index, SlotLength: h.Slot}, DryRun: h.Mode == "dry"}
 }
 
-// ClassIndex returns the index of a class by name, or -1.
+// ClassIndex returns the index of the class with the given name, or -1.
 func (s *Settings) ClassIndex(name string) int {
 	for i := range s.Classes {
 		if s.Classes[i].Name == name {
@@ -160,7 +161,7 @@
 	return -1
 }
 
-// TenantIndex returns the index of a tenant by name, or -1.
+// TenantIndex returns the index of the tenant with the given name, or -1.
 func (s *Settings) TenantIndex(name string) int {
 	for i := range s.Tenants {
 		if s.Tenants[i].Name == name {
@@ -170,7 +171,7 @@
 	return -1
 }
 
-// KindIndex returns the index of a kind by name, or -1.
+// KindIndex returns the index of the kind with the given name, or -1.
 func (s *Settings) KindIndex(name string) int {
 	for i := range s.Kinds {
 		if s.Kinds[i].Name == name {
@@ -180,7 +181,7 @@
 	return -1
 }
 
-// target is where a directive of the present section writes.
+// target is the place that the directives of the current section set.
 type target struct {
 	set    *Settings
 	class  *Class
@@ -188,23 +189,24 @@
 	tenant *Tenant
 }
 
-// directive is one row of the table of settings: everything that the parser, the check, the defaults and
-// the page know of it.
+// directive is one row of the settings table. The parser, the checks, the defaults and the documentation use nothing
+// else.
 type directive struct {
 	section      string // router, class, kind or tenant
 	name         string
-	defaultValue string // the default as it would be written; "" where there is none
-	required     bool   // has to be given
+	defaultValue string // the default as written in a file; "" if there is none
+	required     bool   // the file has to set it
 	doc          string
 	set          func(t *target, value string) error
 }
 
-// setter makes a put of a reader and a place.
-func setter[T any](read func(string) (T, error), place func(*target) *T) func(*target, string) error {
+// setter returns a set function for a directive: it parses the value and stores it in the field that the second
+// function returns.
+func setter[T any](parse func(string) (T, error), field func(*target) *T) func(*target, string) error {
 	return func(t *target, value string) error {
-		v, err := read(value)
+		v, err := parse(value)
 		if err == nil {
-			*place(t) = v
+			*field(t) = v
 		}
 		return err
 	}
@@ -217,10 +219,10 @@
 	return decide.Duration(d), err
 }
 
-// bounded makes a reader that also keeps a value in bounds.
-func bounded[T int | int64 | float64 | time.Duration](read func(string) (T, error), low, high T) func(string) (T, error) {
+// bounded returns a parser that also requires the value to be between low and high.
+func bounded[T int | int64 | float64 | time.Duration](parse func(string) (T, error), low, high T) func(string) (T, error) {
 	return func(s string) (T, error) {
-		v, err := read(s)
+		v, err := parse(s)
 		if err == nil && (v < low || v > high) {
 			err = errExpected(s, fmt.Sprintf("%v to %v", low, high))
 		}
@@ -228,6 +230,7 @@
 	}
 }
 
+// directives is the table of all settings, in the order in which WriteDefaults prints them.
 var directives = []directive{
 	{"router", "name", "router", false, "name of this router in logs and in ids sent to engines",
 		setter(plainText, func(t *target) *string { return &t.set.Name })},
@@ -421,10 +424,10 @@
 		setter(ParseRate, func(t *target) *float64 { return &t.tenant.RequestsPerSecond })},
 }
 
-// sections are the words that begin a section and take its name.
+// sections are the directives that begin a section; their value is the section's name.
 var sections = []string{"class", "kind", "tenant"}
 
-// Load reads and checks a settings file. Every error of the file comes back at once, as Errors.
+// Load reads and checks a settings file. It returns all errors in the file at once, as Errors.
 func Load(path string) (*Settings, error) {
 	lines, errs := ReadLines(path)
 	if lines == nil && len(errs) > 0 {
@@ -442,7 +445,7 @@
 	return s, nil
 }
 
-// Parse reads settings from a text; the list's path stays as it is written.
+// Parse parses settings from a text. Unlike Load, it doesn't make the paths in it relative to the file.
 func Parse(file, text string) (*Settings, error) {
 	lines, errs := ParseLines(file, text)
 	s, wrong := build(file, lines)
@@ -452,23 +455,25 @@
 	return s, nil
 }
 
+// occurrence is the first place of a section or directive in the file.
 type occurrence struct {
 	line  *Line
-	scope string // section and name, for doubles
+	scope string // section and name, to find duplicates
 }
 
-// Defaults returns the settings of a file that says nothing. Classes, kinds and tenants are none.
+// Defaults returns the settings of an empty file. They have no classes, kinds or tenants.
 func Defaults() *Settings {
 	s := &Settings{}
 	setDefaults(&target{set: s}, "router")
 	return s
 }
 
+// build makes settings from the lines of a file and checks them.
 func build(file string, lines []Line) (*Settings, Errors) {
 	var errs Errors
 	s := &Settings{}
-	now := target{set: s}
-	setDefaults(&now, "router")
+	current := target{set: s}
+	setDefaults(&current, "router")
 	section, scope := "router", "router"
 	seen := map[string]occurrence{}
 	type opened struct {
@@ -487,11 +492,11 @@
 				scope = section + " " + l.Words[1].Text
 			}
 			if first, ok := seen[scope]; ok {
-				errs.Add(l, "%s stands twice, first at %s:%d", scope, first.line.File, first.line.Number)
+				errs.Add(l, "%s is given twice, first at %s:%d", scope, first.line.File, first.line.Number)
 			}
 			seen[scope] = occurrence{line: l}
 			open = append(open, opened{section, scope, l})
-			beginSection(s, &now, section, strings.TrimPrefix(scope, section+" "))
+			beginSection(s, &current, section, strings.TrimPrefix(scope, section+" "))
 			continue
 		}
 		if l.Name() == "router" && len(l.Words) == 1 {
@@ -509,22 +514,22 @@
 		}
 		key := scope + "/" + d.name
 		if first, ok := seen[key]; ok {
-			errs.Add(l, "%s stands twice in %s, first at %s:%d", d.name, scope, first.line.File, first.line.Number)
+			errs.Add(l, "%s is given twice in %s, first at %s:%d", d.name, scope, first.line.File, first.line.Number)
 			continue
 		}
 		seen[key] = occurrence{line: l}
-		if err := d.set(&now, l.Words[1].Text); err != nil {
+		if err := d.set(&current, l.Words[1].Text); err != nil {
 			errs.Add(l, "%s: %v", d.name, err)
 		}
 	}
-	whole := &Line{File: file}
+	fileLine := &Line{File: file}
 	for _, d := range directives {
 		if !d.required {
 			continue
 		}
 		if d.section == "router" {
 			if _, ok := seen["router/"+d.name]; !ok {
-				errs.Add(whole, "%s is missing, expected: %s", d.name, d.doc)
+				errs.Add(fileLine, "%s is missing, expected: %s", d.name, d.doc)
 			}
 			continue
 		}
@@ -534,27 +539,27 @@
 			}
 		}
 	}
-	errs = append(errs, s.check(whole, seen)...)
+	errs = append(errs, s.check(fileLine, seen)...)
 	return s, errs
 }
 
-// check looks at what no single line can show.
-func (s *Settings) check(whole *Line, seen map[string]occurrence) (errs Errors) {
-	at := func(key string) *Line {
+// check finds errors that involve several lines.
+func (s *Settings) check(fileLine *Line, seen map[string]occurrence) (errs Errors) {
+	at := func(key string) *Line { // where a directive is given, or the file as a whole
 		if g, ok := seen[key]; ok {
 			return g.line
 		}
-		return whole
+		return fileLine
 	}
 	if len(s.Classes) == 0 {
-		errs.Add(whole, "no class is given, expected at least one section 'class NAME'")
+		errs.Add(fileLine, "no class is given, expected at least one section 'class NAME'")
 	}
 	roles := decide.Role(0)
 	for _, k := range s.Kinds {
 		roles |= k.Role
 	}
 	if roles != decide.Both {
-		errs.Add(whole, "the kinds of engines can't do both stages, expected sections 'kind NAME' with prefill and decode, or both")
+		errs.Add(fileLine, "the kinds of engines can't do both stages, expected sections 'kind NAME' with prefill and decode, or both")
 	}
 	if s.Index >= s.Routers {
 		errs.Add(at("router/index"), "index: found %d, expected less than routers, %d", s.Index, s.Routers)
@@ -568,14 +573,14 @@
 	errs = append(errs, s.checkRoleChanges(at)...)
 	for _, c := range s.Classes {
 		if c.Deadline < c.FirstTokenTarget {
-			errs.Add(at("class "+c.Name), "class %s: its deadline %v is under its aim %v", c.Name,
+			errs.Add(at("class "+c.Name), "class %s: its deadline %v is shorter than its aim %v", c.Name,
 				time.Duration(c.Deadline), time.Duration(c.FirstTokenTarget))
 		}
 	}
 	return errs
 }
 
-// checkRoleChanges looks at the kinds that become one another.
+// checkRoleChanges checks the kinds that engines can change between.
 func (s *Settings) checkRoleChanges(at func(string) *Line) (errs Errors) {
 	pairs := 0
 	for _, k := range s.Kinds {
@@ -589,12 +594,12 @@
 		case i < 0:
 			errs.Add(l, "becomes: found %q, expected the name of a kind", k.Becomes)
 		case s.Kinds[i].Becomes != k.Name:
-			errs.Add(l, "becomes: kind %s does not become %s again, expected 'becomes %s' there", k.Becomes, k.Name, k.Name)
+			errs.Add(l, "becomes: kind %s does not become %s in turn, expected 'becomes %s' there", k.Becomes, k.Name, k.Name)
 		case k.Role == decide.Both || s.Kinds[i].Role == decide.Both || k.Role == s.Kinds[i].Role:
 			errs.Add(l, "becomes: kinds %s and %s have to be one of prefill and one of decode", k.Name, k.Becomes)
 		}
 		if k.Capacity <= 0 && s.RoleChanges.Mode != "off" {
-			errs.Add(l, "kind %s has no capacity, expected tokens a second, to plan by", k.Name)
+			errs.Add(l, "kind %s has no capacity, expected tokens per second, which plans need", k.Name)
 		}
 	}
 	if s.RoleChanges.Mode != "off" {
@@ -605,8 +610,8 @@
 			errs.Add(at("router/shift-away"), "shift-away: found %v, expected less than shift-horizon, %v", s.RoleChanges.ChangeCost, s.RoleChanges.Horizon)
 		}
 		for i, role := range []string{"prefill", "decode"} {
-			if most := s.RoleChanges.MaxEngines[i]; most > 0 && most < s.RoleChanges.MinEngines[i] {
-				errs.Add(at("router/shift-most-"+role), "shift-most-%s: found %d, expected at least shift-least-%s, %d", role, most, role, s.RoleChanges.MinEngines[i])
+			if limit := s.RoleChanges.MaxEngines[i]; limit > 0 && limit < s.RoleChanges.MinEngines[i] {
+				errs.Add(at("router/shift-most-"+role), "shift-most-%s: found %d, expected at least shift-least-%s, %d", role, limit, role, s.RoleChanges.MinEngines[i])
 			}
 		}
 		if 4*s.RoleChanges.CheckInterval > s.RoleChanges.Slot {
@@ -616,6 +621,7 @@
 	return errs
 }
 
+// beginSection adds a class, kind or tenant with the defaults of its section, and makes t point to it.
 func beginSection(s *Settings, t *target, section, name string) {
 	t.class, t.kind, t.tenant = nil, nil, nil
 	switch section {
@@ -636,12 +642,13 @@
 	for _, d := range directives {
 		if d.section == section && d.defaultValue != "" {
 			if err := d.set(t, d.defaultValue); err != nil {
-				panic(fmt.Sprintf("config: default of %s: %v", d.name, err)) // a slip in the table
+				panic(fmt.Sprintf("config: default of %s: %v", d.name, err)) // an error in the table
 			}
 		}
 	}
 }
 
+// findDirective returns the directive of a section with the given name, or nil.
 func findDirective(section, name string) *directive {
 	for i := range directives {
 		if directives[i].section == section && directives[i].name == name {
@@ -651,6 +658,7 @@
 	return nil
 }
 
+// unknownDirective returns the error text for a directive that the section doesn't have.
 func unknownDirective(section, name string) string {
 	known := append([]string{"include", "router"}, sections...)
 	for _, d := range directives {
@@ -666,7 +674,7 @@
 	return fmt.Sprintf("found %q, expected a directive of section %s ('mintdoor config --defaults' lists them)", name, section)
 }
 
-// WriteDefaults prints every setting with its default and its meaning, as a file that could be read.
+// WriteDefaults writes every directive with its default and its meaning, in the format of a settings file.
 func WriteDefaults(w io.Writer) error {
 	section := ""
 	for _, d := range directives {
--- a/internal/config/values.go
+++ b/internal/config/values.go
@@ -9,11 +9,11 @@
 	"time"
 )
 
-// The readers of single values. Each error says what was found and what is expected.
+// The functions below parse single values. Each error tells what was found and what was expected.
 
 func errExpected(found, what string) error { return fmt.Errorf("found %q, expected %s", found, what) }
 
-// ParseDuration reads a time with its unit, such as 300ms or 1.5s. It is not negative.
+// ParseDuration parses a duration with its unit, such as 300ms or 1.5s. Negative durations are errors.
 func ParseDuration(s string) (time.Duration, error) {
 	d, err := time.ParseDuration(s)
 	if err != nil || d < 0 {
@@ -22,7 +22,8 @@
 	return d, nil
 }
 
-// parseScaled reads a number with one of the suffixes; "" is among them with factor 1.
+// parseScaled parses a number that is followed by one of the suffixes in factors; the suffix "" is for a plain
+// number.
 func parseScaled(s string, factors map[string]float64) (float64, bool) {
 	number := strings.TrimRightFunc(s, func(r rune) bool { return r < '0' || r > '9' })
 	factor, ok := factors[s[len(number):]]
@@ -33,7 +34,7 @@
 	return f * factor, true
 }
 
-// ParseSize reads bytes: 512, 64KiB, 1MiB, 2GiB.
+// ParseSize parses a number of bytes: 512, 64KiB, 1MiB, 2GiB.
 func ParseSize(s string) (int64, error) {
 	f, ok := parseScaled(s, map[string]float64{"": 1, "B": 1, "KiB": 1 << 10, "MiB": 1 << 20, "GiB": 1 << 30})
 	if !ok || f > math.MaxInt64/2 {
@@ -42,7 +43,7 @@
 	return int64(f), nil
 }
 
-// ParseTokens reads a count of tokens: 800, 280k, 1.5M.
+// ParseTokens parses a number of tokens: 800, 280k, 1.5M.
 func ParseTokens(s string) (float64, error) {
 	f, ok := parseScaled(s, map[string]float64{"": 1, "k": 1e3, "M": 1e6})
 	if !ok {
@@ -51,7 +52,7 @@
 	return f, nil
 }
 
-// ParseNumber reads a number that is not negative.
+// ParseNumber parses a number that is not negative.
 func ParseNumber(s string) (float64, error) {
 	f, ok := parseScaled(s, map[string]float64{"": 1})
 	if !ok {
@@ -60,7 +61,7 @@
 	return f, nil
 }
 
-// ParseCount reads a whole number that is not negative.
+// ParseCount parses a whole number that is not negative.
 func ParseCount(s string) (int, error) {
 	n, err := strconv.ParseUint(s, 10, 31)
 	if err != nil {
@@ -69,7 +70,7 @@
 	return int(n), nil
 }
 
-// ParseRate reads events a second: 20/s, 0.5/s.
+// ParseRate parses a rate per second: 20/s, 0.5/s.
 func ParseRate(s string) (float64, error) {
 	f, ok := parseScaled(s, map[string]float64{"/s": 1})
 	if !ok {
@@ -78,7 +79,7 @@
 	return f, nil
 }
 
-// ParseSwitch reads on or off.
+// ParseSwitch parses on or off.
 func ParseSwitch(s string) (bool, error) {
 	switch s {
 	case "on":
@@ -89,7 +90,7 @@
 	return false, errExpected(s, "on or off")
 }
 
-// ParseAddress reads host:port.
+// ParseAddress parses host:port.
 func ParseAddress(s string) (string, error) {
 	host, port, err := net.SplitHostPort(s)
 	if n, e := strconv.ParseUint(port, 10, 16); err != nil || e != nil || host == "" && n == 0 {
@@ -98,7 +99,7 @@
 	return s, nil
 }
 
-// ParseChoice reads one of some words.
+// ParseChoice parses one of the given words.
 func ParseChoice(s string, of ...string) (string, error) {
 	if contains(of, s) {
 		return s, nil
@@ -106,19 +107,19 @@
 	return "", errExpected(s, "one of "+strings.Join(of, ", "))
 }
 
-// ParseTime reads a point of wall time (RFC 3339), or "-" for one long ago, the zero time.
+// ParseTime parses a wall-clock time (RFC 3339). A "-" stands for a time long ago and gives the zero time.
 func ParseTime(s string) (time.Time, error) {
 	if s == "-" {
 		return time.Time{}, nil
 	}
 	t, err := time.Parse(time.RFC3339Nano, s)
 	if err != nil {
-		return t, errExpected(s, "a time such as 2026-03-01T05:00:00Z, or - for long ago")
+		return t, errExpected(s, "a time such as 2026-03-01T05:00:00Z, or - for a time long ago")
 	}
 	return t, nil
 }
 
-// nearest returns the known word closest to s by edit distance, or "" when none is near.
+// nearest returns the known word with the smallest edit distance to s, or "" if no word is within a distance of 2.
 func nearest(s string, known []string) string {
 	best, at := "", 3
 	for _, k := range known {
@@ -129,7 +130,7 @@
 	return best
 }
 
-// distance is the Levenshtein distance of two short words.
+// distance returns the Levenshtein distance of two short words.
 func distance(a, b string) int {
 	row := make([]int, len(b)+1)
 	for j := range row {
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,5 +1,5 @@
-// Package logging makes the program's loggers: text or JSON, and sampled under load so that a storm of
-// requests does not become a storm of lines.
+// Package logging makes the program's loggers. They write text or JSON, and sample under load so that a surge of
+// requests doesn't cause a surge of log lines.
 package logging
 
 import (
@@ -10,9 +10,9 @@
 	"time"
 )
 
-// New returns a logger. format is text or json; of each message at most sample lines a second are written
-// (0: all), and how many were left out is said with the first line of the next second. Warnings and errors
-// are sampled by the same rule, on their own.
+// New returns a logger. The format is text or json. At most sample lines per second are written for each message (0:
+// all), and the first line of a later second tells how many were left out. Warnings and errors are sampled by the
+// same rule, separately.
 func New(w io.Writer, format string, level slog.Level, sample int) *slog.Logger {
 	opts := &slog.HandlerOptions{Level: level}
 	var h slog.Handler
@@ -33,7 +33,7 @@
 	dropped int
 }
 
-// shared is what all derived handlers count in.
+// shared holds the counts that all derived handlers share.
 type shared struct {
 	mu    sync.Mutex
 	limit int
@@ -59,7 +59,7 @@
 	return s.next.Handle(ctx, r)
 }
 
-// maxMessages bounds the table for messages that are no constants.
+// maxMessages bounds the table in case messages are not constants.
 const maxMessages = 1000
 
 func (s *shared) allow(message string, at time.Time) (dropped int, ok bool) {
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -18,7 +18,7 @@
 	}
 	for range 10 {
 		line(h, "many")
-		line(h.WithAttrs([]slog.Attr{slog.Int("a", 1)}), "many") // counts with the others
+		line(h.WithAttrs([]slog.Attr{slog.Int("a", 1)}), "many") // counted together with the others
 	}
 	line(h, "one")
 	at = at.Add(time.Second)
@@ -27,10 +27,10 @@
 		t.Errorf("%d lines of one message in two seconds, want 3 and 1", n)
 	}
 	if !strings.Contains(b.String(), `"left out":17`) || strings.Count(b.String(), `"one"`) != 1 {
-		t.Errorf("what was left out is not said:\n%s", b.String())
+		t.Errorf("the number of lines left out is not logged:\n%s", b.String())
 	}
 	if h.Enabled(context.Background(), slog.LevelDebug) {
-		t.Error("debug is on")
+		t.Error("debug is enabled")
 	}
 }
 
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,5 +1,6 @@
-// Package metrics makes the router's counts readable for Prometheus and what speaks its text format. Names
-// follow its conventions: base units, _total for counts.
+// Package metrics exposes the router's counts in Prometheus' text format. Metric names follow Prometheus'
+// conventions: base units, and _total for counters. The package counts nothing about requests itself; it reads
+// router.Stats.
 package metrics
 
 import (
@@ -13,25 +14,25 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// Set is the metrics of one router. It is safe for concurrent use.
+// Set holds the metrics of one router. It is safe for concurrent use.
 type Set struct {
 	registry *prometheus.Registry
-	Roles    *RoleMetrics // nil until NewShift
+	Roles    *RoleMetrics // nil until NewRoleMetrics is called
 }
 
-// New returns the metrics of a router: stats are its counts, read at each scrape.
+// New returns the metrics of a router. It calls stats at each scrape.
 func New(stats func() router.Stats) *Set {
 	s := &Set{registry: prometheus.NewRegistry()}
 	s.registry.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}), &core{stats})
 	return s
 }
 
-// Handler answers scrapes.
+// Handler returns the handler that serves scrapes.
 func (s *Set) Handler() http.Handler {
 	return promhttp.HandlerFor(s.registry, promhttp.HandlerOpts{MaxRequestsInFlight: 4})
 }
 
-// core tells the router's own counts.
+// core collects the router's own counts.
 type core struct{ stats func() router.Stats }
 
 var (
@@ -78,8 +79,8 @@
 	ch <- prometheus.MustNewConstMetric(ready, prometheus.GaugeValue, float64(s.Engines))
 }
 
-// RoleMetrics is what is counted of shifting roles. Every router follows every change, so that each counts all that
-// it has seen: do not add routers up.
+// RoleMetrics holds the metrics of role changes. Every router observes every change, so each router counts all
+// changes that it has seen: the values of several routers must not be added up.
 type RoleMetrics struct {
 	changes     *prometheus.CounterVec
 	duration    *prometheus.HistogramVec
@@ -94,7 +95,7 @@
 
 var stages = [...]string{roles.Prefill: "prefill", roles.Decode: "decode"}
 
-// NewRoleMetrics adds the metrics of shifting roles to a set.
+// NewRoleMetrics adds the metrics of role changes to a set.
 func (s *Set) NewRoleMetrics() *RoleMetrics {
 	m := &RoleMetrics{
 		changes: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "mintdoor_role_changes_total",
@@ -115,7 +116,7 @@
 		dropped: prometheus.NewCounter(prometheus.CounterOpts{Name: "mintdoor_role_unseen_total", Help: "Observations of the traffic that did not fit."}),
 	}
 	s.registry.MustRegister(m.changes, m.duration, m.lost, m.engines, m.demand, m.servedRatio, m.confidence, m.planTime, m.dropped)
-	for _, to := range stages { // so that a change shows as one from nothing
+	for _, to := range stages { // so that the first change shows as an increase from zero
 		for _, result := range []string{"done", "failed"} {
 			m.changes.WithLabelValues(to, result)
 		}
@@ -124,7 +125,8 @@
 	return m
 }
 
-// ChangeEnded counts a change that has ended. cold is what coldness will take, as full time in seconds.
+// ChangeEnded counts a role change that has ended. cold is the cost of the engine's slow start, as the equivalent
+// number of seconds at full capacity.
 func (m *RoleMetrics) ChangeEnded(e *roles.ChangeResult, cold float64) {
 	if m == nil {
 		return
@@ -139,7 +141,7 @@
 	m.lost.WithLabelValues(stages[e.To], "away").Add(e.Elapsed.Seconds())
 }
 
-// PlanMade takes in a plan and the time that it took in seconds.
+// PlanMade records a plan, and the time in seconds that planning took.
 func (m *RoleMetrics) PlanMade(r *roles.PlanReport, took float64) {
 	if m == nil {
 		return
@@ -154,7 +156,7 @@
 	m.planTime.Observe(took)
 }
 
-// SetEngines takes in where all engines are.
+// SetEngines records the role and the step of all engines.
 func (m *RoleMetrics) SetEngines(list []roles.Status) {
 	if m == nil {
 		return
@@ -169,7 +171,7 @@
 	}
 }
 
-// ObservationDropped counts observations that did not fit.
+// ObservationDropped counts an observation of the traffic that was dropped because a queue was full.
 func (m *RoleMetrics) ObservationDropped() {
 	if m != nil {
 		m.dropped.Inc()
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -39,9 +39,9 @@
 		}
 	}
 	if strings.Contains(string(body), `by="cold",to="prefill"`) {
-		t.Error("a failed change is counted as cold")
+		t.Error("a failed change has a slow-start cost")
 	}
-	var none *RoleMetrics // metrics are off
+	var none *RoleMetrics // metrics are disabled
 	none.ChangeEnded(&roles.ChangeResult{}, 0)
 	none.ObservationDropped()
 	none.SetEngines(nil)
