--- a/cmd/mintdoor/shutdown_test.go
+++ b/cmd/mintdoor/shutdown_test.go
@@ -61,13 +61,13 @@
 
 func testLateInShutdown(t *testing.T, pause time.Duration) {
 	const lateFrom, killedAt = 710 * time.Millisecond, 3700 * time.Millisecond
-	world, err := soak.NewTestbed(soak.TestbedOptions{Program: platformRouter(), ConfigDir: t.TempDir(), Routers: 1, Readers: 1, Writers: 1,
+	testbed, err := soak.NewTestbed(soak.TestbedOptions{Program: platformRouter(), ConfigDir: t.TempDir(), Routers: 1, Readers: 1, Writers: 1,
 		Timing: longStreams})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer world.Close()
-	router := world.Routers[0]
+	defer testbed.Close()
+	router := testbed.Routers[0]
 	if err := router.Start(); err != nil {
 		t.Fatal(err)
 	}
@@ -116,7 +116,7 @@
 			t.Errorf("%s: status %d, then %v", q.name, q.code, q.err)
 		}
 	}
-	for _, a := range world.Cluster.Record().Attempts {
+	for _, a := range testbed.Cluster.Record().Attempts {
 		if a.Writer && a.Outcome != standin.Streamed && a.Outcome != standin.Refused {
 			t.Errorf("request %s was at writer %s and ended as %s", a.Request, a.Engine, a.Outcome)
 		}
--- a/cmd/mintdoor/silence_test.go
+++ b/cmd/mintdoor/silence_test.go
@@ -15,27 +15,27 @@
 // keptConnections is a router process with one reader and one writer, and clients whose first requests have left the
 // router with idle connections to both.
 type keptConnections struct {
-	world *soak.Testbed
-	conns []net.Conn
-	codes chan int
+	testbed *soak.Testbed
+	conns   []net.Conn
+	codes   chan int
 }
 
 func keepConnections(t *testing.T, clients int, work standin.Timing) *keptConnections {
 	t.Helper()
-	world, err := soak.NewTestbed(soak.TestbedOptions{Program: platformRouter(), ConfigDir: t.TempDir(), Routers: 1, Readers: 1, Writers: 1,
+	testbed, err := soak.NewTestbed(soak.TestbedOptions{Program: platformRouter(), ConfigDir: t.TempDir(), Routers: 1, Readers: 1, Writers: 1,
 		Timing: work})
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(world.Close)
-	router := world.Routers[0]
+	t.Cleanup(testbed.Close)
+	router := testbed.Routers[0]
 	if err := router.Start(); err != nil {
 		t.Fatal(err)
 	}
 	if err := router.AwaitReady(time.Minute); err != nil {
 		t.Fatal(err)
 	}
-	k := &keptConnections{world: world, codes: make(chan int, clients)}
+	k := &keptConnections{testbed: testbed, codes: make(chan int, clients)}
 	for range clients {
 		c, err := net.Dial("tcp", router.Addr)
 		if err != nil {
@@ -72,11 +72,11 @@
 // disturb applies a function to the proxies in front of the engines of one role.
 func (k *keptConnections) disturb(t *testing.T, writers bool, do func(*standin.Proxy) error) {
 	t.Helper()
-	for _, e := range k.world.Engines() {
+	for _, e := range k.testbed.Engines() {
 		if e.Writer() != writers {
 			continue
 		}
-		if err := do(k.world.Proxy(0, e.ID())); err != nil {
+		if err := do(k.testbed.Proxy(0, e.ID())); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -87,10 +87,10 @@
 func (k *keptConnections) checkHolds(t *testing.T, round string) {
 	t.Helper()
 	const limit = 1300 * time.Millisecond // the hold time-out of the settings (1 s) and what sockets add
-	k.world.Routers[0].Signal(syscall.SIGTERM)
-	k.world.Routers[0].Wait()
+	k.testbed.Routers[0].Signal(syscall.SIGTERM)
+	k.testbed.Routers[0].Wait()
 	held := 0
-	for _, h := range k.world.Cluster.Record().Holds {
+	for _, h := range k.testbed.Cluster.Record().Holds {
 		if h.Until.IsZero() {
 			t.Errorf("the KV state of %s is still held", h.Request)
 			continue
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -12,7 +12,7 @@
 	"mintdoor/decide"
 )
 
-const sound = `
+const validSettings = `
 list engines.list     # where the engines are
 listen 127.0.0.1:0
 let-go-within 300ms
@@ -33,7 +33,7 @@
 `
 
 func TestParse(t *testing.T) {
-	s, err := Parse("test.conf", sound)
+	s, err := Parse("test.conf", validSettings)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -54,7 +54,7 @@
 }
 
 // All errors of a file are reported at once, each with its line, what was found and what was expected.
-func TestEveryErrorAtOnce(t *testing.T) {
+func TestAllErrorsAreReported(t *testing.T) {
 	_, err := Parse("bad.conf", `listen nowhere
 lisst x
 aim 1s
@@ -100,7 +100,7 @@
 	}
 }
 
-func TestShiftIsChecked(t *testing.T) {
+func TestRoleChangeSettingsAreChecked(t *testing.T) {
 	head := "list x\nshift on\nclass a\n"
 	pair := "kind p\nrole prefill\nbecomes d\ncapacity 10k\nkind d\nrole decode\nbecomes p\ncapacity 1k\n"
 	if s, err := Parse("x", head+pair); err != nil || s.Kinds[0].Becomes != "d" || s.RoleChanges.Horizon != 45*time.Second || s.RoleChanges.MinEngines != [2]int{1, 1} {
@@ -201,7 +201,7 @@
 }
 
 func FuzzParseLines(f *testing.F) {
-	f.Add(sound)
+	f.Add(validSettings)
 	f.Add("a \"b\\\n#c\r\n\t\"")
 	f.Fuzz(func(t *testing.T, text string) {
 		lines, _ := ParseLines("f", text)
--- a/internal/config/lines.go
+++ b/internal/config/lines.go
@@ -122,24 +122,24 @@
 			continue
 		}
 		l := Line{File: file, Number: n.Words[0].Pos.Line}
-		sound := true
+		valid := true
 		for _, w := range n.Words {
 			switch {
 			case w.Quoted != nil:
 				s, err := strconv.Unquote(*w.Quoted)
 				if err != nil {
 					errs.Add(&l, "found %s, expected a quoted value with \\\" \\\\ \\n or \\t as its escapes", *w.Quoted)
-					sound = false
+					valid = false
 				}
 				l.Words = append(l.Words, Word{Text: s, Quoted: true, Column: w.Pos.Column})
 			case w.Plain != nil:
 				l.Words = append(l.Words, Word{Text: *w.Plain, Column: w.Pos.Column})
 			default:
 				errs.Add(&l, "found %s, expected a closing quote before the end of the line", *w.Stray)
-				sound = false
+				valid = false
 			}
 		}
-		if sound {
+		if valid {
 			lines = append(lines, l)
 		}
 	}
--- a/internal/router/concurrency_test.go
+++ b/internal/router/concurrency_test.go
@@ -39,7 +39,7 @@
 	<-abandoned // queued behind the decision
 	close(left)
 	if o := <-outcomes; o != decide.NotStarted {
-		t.Errorf("outcome %d, want moot", o)
+		t.Errorf("outcome %d, want not started", o)
 	}
 	if _, end := g.all(q); end.Kind != Gone {
 		t.Errorf("%+v", end)
--- a/internal/router/holds_test.go
+++ b/internal/router/holds_test.go
@@ -57,7 +57,7 @@
 				if o == decide.ReadDone {
 					return readDone(addr, q)
 				}
-				return engine.Result{Outcome: o, Report: engine.NoReport(), Err: errors.New("as told")}
+				return engine.Result{Outcome: o, Report: engine.NoReport(), Err: errors.New("scripted outcome")}
 			}
 			fake.decode = func(ctx context.Context, _ string, _ *engine.Call, sink func(string) error) engine.Result {
 				if r, off := calls(fake); r+off > 0 {
@@ -71,7 +71,7 @@
 				if c.write == decide.Reset { // after its first token, which releases everything
 					sink("a ")
 				}
-				return engine.Result{Outcome: c.write, Report: engine.NoReport(), Err: errors.New("as told")}
+				return engine.Result{Outcome: c.write, Report: engine.NoReport(), Err: errors.New("scripted outcome")}
 			}
 			module := withModule(func(_ decide.Time, ev *decide.Event, out []decide.Action) []decide.Action {
 				switch {
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -417,7 +417,7 @@
 	fake := &fakeEngines{prefill: func(ctx context.Context, _ string, _ *engine.Call) engine.Result { return wait(ctx) }}
 	p1, p2 := fleet()[2], fleet()[3]
 	var mu sync.Mutex
-	moot := 0
+	notStarted := 0
 	g := start(t, fake, withModule(func(_ decide.Time, ev *decide.Event, out []decide.Action) []decide.Action {
 		if ev.Kind == decide.Arrived {
 			out = append(out, decide.Action{Kind: decide.Send, Request: ev.Request, Server: p1.ID()},
@@ -425,7 +425,7 @@
 		}
 		if ev.Kind == decide.AttemptEnded && ev.Outcome == decide.NotStarted {
 			mu.Lock()
-			moot++
+			notStarted++
 			mu.Unlock()
 		}
 		return out
@@ -439,8 +439,8 @@
 	g.eventually("the row is removed", func() bool { return g.Stats().Open == 0 })
 	mu.Lock()
 	defer mu.Unlock()
-	if fake.maxInFlight != 1 || moot != 1 {
-		t.Errorf("%d attempts in flight at once, %d not started", fake.maxInFlight, moot)
+	if fake.maxInFlight != 1 || notStarted != 1 {
+		t.Errorf("%d attempts in flight at once, %d not started", fake.maxInFlight, notStarted)
 	}
 }
 
@@ -724,21 +724,21 @@
 
 // blockingModule returns a change of the configuration that makes the module block on some events until the test
 // calls unblock.
-func blockingModule(stuck func(*decide.Event) bool, seen func(*decide.Event)) (change func(*Config), unblock func()) {
-	let := make(chan bool)
+func blockingModule(blocks func(*decide.Event) bool, seen func(*decide.Event)) (change func(*Config), unblock func()) {
+	unblocked := make(chan bool)
 	change = func(c *Config) {
 		c.NewDecider = func(set *decide.Settings, seed uint64, now decide.Time) Decider {
 			inner := decide.New(set, seed, now)
 			return deciderFunc(func(now decide.Time, ev *decide.Event, out []decide.Action) []decide.Action {
 				seen(ev)
-				if stuck(ev) {
-					<-let
+				if blocks(ev) {
+					<-unblocked
 				}
 				return inner.Handle(now, ev, out)
 			})
 		}
 	}
-	return change, sync.OnceFunc(func() { close(let) })
+	return change, sync.OnceFunc(func() { close(unblocked) })
 }
 
 type deciderFunc func(now decide.Time, ev *decide.Event, out []decide.Action) []decide.Action
