--- a/cmd/mintdoor/deploy_test.go
+++ b/cmd/mintdoor/deploy_test.go
@@ -31,7 +31,8 @@
 	const outDir, packages = "-o bin/", "./cmd/..."
 	build := deployKey(t, "build")
 	for _, wanted := range []string{"CGO_ENABLED=1 ", "-ldflags=-linkmode=external "} {
-		if !strings.Contains(build, wanted) { // without them, the machine's Go setup decides whether the C library is used
+		// Without them, the machine's Go setup decides whether the C library is used.
+		if !strings.Contains(build, wanted) {
 			t.Errorf("build = %q lacks %q", build, wanted)
 		}
 	}
--- a/cmd/mintdoor/node_test.go
+++ b/cmd/mintdoor/node_test.go
@@ -35,7 +35,7 @@
 	return s.Listener.Addr().String(), asked
 }
 
-// In a router process, SIGHUP changes the discovery address and ends nothing, and SIGTERM ends the process with
+// In a router process, SIGHUP changes the discovery address and the process goes on, and SIGTERM ends the process with
 // status 0 after the last connection.
 func TestNodeAndItsSignals(t *testing.T) {
 	form, err := os.ReadFile("../../internal/node/testdata/config.json")
--- a/cmd/mintdoor/signals.go
+++ b/cmd/mintdoor/signals.go
@@ -21,8 +21,8 @@
 // immediately.
 const endQueueSize = 4
 
-// queueSignals queues SIGINT, SIGTERM and the signals that reload from now on. Without it, such a signal would end the
-// program.
+// queueSignals queues SIGINT, SIGTERM and the signals that reload from now on. Without it, such a signal would end
+// the program.
 func queueSignals(reloading ...os.Signal) *signalQueues {
 	q := &signalQueues{ends: make(chan os.Signal, endQueueSize), reloads: make(chan os.Signal, 1)}
 	signal.Notify(q.ends, syscall.SIGINT, syscall.SIGTERM)
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -25,7 +25,7 @@
 	Seed       uint64
 	MemoryMB   float64
 	Sockets    int
-	CachedList []byte // the last server list that this router had, in discovery's format; it may be truncated or empty
+	CachedList []byte // the last server list of this router, in discovery's format; it may be truncated or empty
 	Settings   *settings.Deployment
 }
 
--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -137,7 +137,7 @@
 	}
 	w := &testNode{platform: p, t: t}
 	w.run(cfg, nil)
-	w.eventually("ready", w.node.Router.Ready) // TestWaitsAreShort checks how soon
+	w.eventually("ready", w.node.Router.Ready) // how soon is tested in internal/discovery/watch
 	c := w.dial()
 	c.ask("a")
 	w.writeGate <- true
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -47,9 +47,9 @@
 	requestTimeout     = 2 * time.Second
 	clientIdleTimeout  = 6 * time.Second
 	clientStallTimeout = 5 * time.Second
-	// streamIdleTimeout is how long a stream may go without an event. The platform's protocol lets a client wait at most 5 s
-	// on a stream that has stopped, and forbids ending a stream whose events are still coming. The margin of twice
-	// decide.MaxPause allows for pauses of the process.
+	// streamIdleTimeout is how long a stream may go without an event. The platform's protocol lets a client wait at
+	// most 5 s on a stream that has stopped, and forbids ending a stream whose events are still coming. The margin of
+	// twice decide.MaxPause allows for pauses of the process.
 	streamIdleTimeout = 5*time.Second - 2*time.Duration(decide.MaxPause)
 	idleMarginParts   = 3 // one part of this many of the engines' idle time-out is left unused
 	streamBuffer      = 64
--- a/internal/router/holds.go
+++ b/internal/router/holds.go
@@ -16,7 +16,7 @@
 	Leased HoldMode = iota
 	// PerRequest means that everything an engine holds is filed under the request's id until it is released. A
 	// release drops whatever exists when the call arrives, including what a later attempt has just read, so it is
-	// sent only when the request is done. Until then an attempt is in flight and the hold timer of rule 5 is paused.
+	// sent only when the request is done. Until then an attempt is in flight and the hold timer is paused (rule 5).
 	PerRequest
 )
 
@@ -62,8 +62,8 @@
 func (k leasedHolds) renewInterval() decide.Duration { return max(k.r.cfg.Settings.HoldTimeout/3, 1) }
 
 // renew extends the lease of a KV state while an attempt at a writer is in flight and has not produced a token. An
-// engine drops what nobody asks for within the time of rule 5, so that a router that died doesn't occupy its memory;
-// an unresponsive writer doesn't claim the KV state, and the next writer needs it.
+// engine drops what nobody asks for within the hold time-out (rule 5), so that a router that died doesn't occupy its
+// memory. An unresponsive writer doesn't claim the KV state, and the next writer needs it.
 func (k leasedHolds) renew(a *attempt) {
 	row := a.row
 	if a.ended || a.streaming || row.inFlight != a || row.state == nil {
--- a/internal/router/loop.go
+++ b/internal/router/loop.go
@@ -149,8 +149,8 @@
 	}
 }
 
-// answerOverdue enforces rule 1 as the last resort: whatever the module does, no request is left without an answer
-// after its deadline.
+// answerOverdue enforces rule 1 (every request is answered in time) as the last resort: whatever the module does, no
+// request is left without an answer after its deadline.
 func (r *Router) answerOverdue(row *requestRow) {
 	if row.answered() || row.inFlight != nil && row.inFlight.streaming {
 		return
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -411,8 +411,8 @@
 	}
 }
 
-// A module that never answers a request can't break rule 1, and one that sends a request twice can't cause two
-// attempts in flight.
+// A module that never answers a request can't leave it without an answer (rule 1), and one that sends a request twice
+// can't cause two attempts in flight.
 func TestModuleThatNeverAnswers(t *testing.T) {
 	fake := &fakeEngines{prefill: func(ctx context.Context, _ string, _ *engine.Call) engine.Result { return wait(ctx) }}
 	p1, p2 := fleet()[2], fleet()[3]
