--- a/internal/router/actions.go
+++ b/internal/router/actions.go
@@ -196,7 +196,7 @@
 	defer func() {
 		if p := recover(); p != nil {
 			r.counts.panics.Add(1)
-			r.log.Error("attempt panicked", "request", a.row.name, "panic", fmt.Sprint(p), "stack", string(debug.Stack()))
+			r.log.Error("an attempt panicked", "request", a.row.name, "panic", fmt.Sprint(p), "stack", string(debug.Stack()))
 			res = engine.Result{Outcome: decide.Reset, Report: engine.NoReport(), Err: errPanicked}
 		}
 	}()
