--- a/internal/router/actions.go
+++ b/internal/router/actions.go
@@ -233,14 +233,14 @@
 			begun = true
 		}
 		select {
-		case q.parts <- text:
+		case q.tokens <- text:
 			return nil
 		default:
 		}
 		stall := time.NewTimer(r.cfg.ClientStallTimeout)
 		defer stall.Stop()
 		select {
-		case q.parts <- text:
+		case q.tokens <- text:
 			return nil
 		case <-a.ctx.Done():
 			return context.Cause(a.ctx)
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -68,7 +68,7 @@
 	job       Job
 	router    *Router
 	arrivedAt time.Time
-	parts     chan string
+	tokens    chan string
 	done      chan struct{} // closed when ending is set
 	ending    Ending
 	abandoned atomic.Bool // Abandon was called
@@ -85,16 +85,16 @@
 // request is abandoned.
 func (q *Request) Next(ctx context.Context) (string, *Ending) {
 	select {
-	case text := <-q.parts:
+	case text := <-q.tokens:
 		return text, nil
 	default:
 	}
 	select {
-	case text := <-q.parts:
+	case text := <-q.tokens:
 		return text, nil
 	case <-q.done:
 		select { // tokens that were passed on before the end come first
-		case text := <-q.parts:
+		case text := <-q.tokens:
 			return text, nil
 		default:
 			return "", &q.ending
@@ -179,4 +179,4 @@
 )
 
 // HasToken reports whether Next would return a token immediately.
-func (q *Request) HasToken() bool { return len(q.parts) > 0 }
+func (q *Request) HasToken() bool { return len(q.tokens) > 0 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -234,7 +234,7 @@
 		return nil, ErrDuplicateName
 	}
 	q := &Request{job: *job, router: r, arrivedAt: now,
-		parts: make(chan string, r.cfg.StreamBuffer), done: make(chan struct{})}
+		tokens: make(chan string, r.cfg.StreamBuffer), done: make(chan struct{})}
 	if q.ownsGuard = job.Guard == nil; q.ownsGuard {
 		q.job.Guard = r.cfg.Guard.Receive()
 	}
