--- a/internal/engine/chat/chat.go
+++ b/internal/engine/chat/chat.go
@@ -22,37 +22,37 @@
 )
 
 const (
-	loadComment  = ": " + platform.LoadHeader + ":"
-	doneSentinel = "[DONE]"
+	loadCommentPrefix = ": " + platform.LoadHeader + ":"
+	doneSentinel      = "[DONE]"
 )
 
 // Bounds of what an engine may send.
 const (
-	readBuffer = 4096
-	maxHead    = 16 << 10
-	maxBody    = 64 << 10 // of an answer that is no stream
-	maxChunk   = 64 << 10
-	maxEvent   = 64 << 10
-	maxInterim = 8                      // 1xx answers in front of one
-	firstTry   = 150 * time.Millisecond // of a call that must be heard, at one engine
-	// hedgeAfter is how long an engine has to take a release before another is asked too, maxHedged how many are asked at
+	readBufferSize      = 4096
+	maxHeadSize         = 16 << 10
+	maxBodySize         = 64 << 10 // of an answer that is no stream
+	maxChunkSize        = 64 << 10
+	maxEventSize        = 64 << 10
+	maxInterimResponses = 8                      // 1xx answers in front of one
+	releaseCallTimeout  = 150 * time.Millisecond // of a call that must be heard, at one engine
+	// hedgeDelay is how long an engine has to take a release before another is asked too, maxHedged how many are asked at
 	// a time, and hedgePause lies between two rounds over all engines.
-	hedgeAfter  = 30 * time.Millisecond
-	hedgePause  = 15 * time.Millisecond
-	maxHedged   = 6
-	maxHedges   = 32                    // of all releases together; one of each may always be under way
-	readEnds    = 30 * time.Millisecond // a read that was given up ends within this time, or has ended well
-	maxCallOffs = 10                    // calls for one read that was given up
-	expireEvery = time.Second
-	standsAfter = 2 * time.Millisecond // the last byte of a request is held back for so long
-	connTries   = 3                    // connections for one attempt, while none has brought the request
-	heardFor    = time.Minute          // an engine that answered is known for so long as one that runs
-	doubtFor    = 10 * time.Second     // an engine's connections are used once for so long after one was reset
-	// restFor is how long a connection rests after an attempt's answer: a second answer may come some milliseconds
+	hedgeDelay          = 30 * time.Millisecond
+	hedgeRoundPause     = 15 * time.Millisecond
+	maxHedgesPerRelease = 6
+	maxHedgesTotal      = 32                    // of all releases together; one of each may always be under way
+	readEndDelay        = 30 * time.Millisecond // a read that was given up ends within this time, or has ended well
+	maxCancelCalls      = 10                    // calls for one read that was given up
+	expireInterval      = time.Second
+	lastByteDelay       = 2 * time.Millisecond // the last byte of a request is held back for so long
+	maxConnTries        = 3                    // connections for one attempt, while none has brought the request
+	lastResponseTTL     = time.Minute          // an engine that answered is known for so long as one that runs
+	distrustDuration    = 10 * time.Second     // an engine's connections are used once for so long after one was reset
+	// connReuseDelay is how long a connection rests after an attempt's answer: a second answer may come some milliseconds
 	// behind it (FLEET, join), and on a connection used again it would be taken for the next request's.
-	restFor = 50 * time.Millisecond
-	// closeArrives is how long the closing of a connection may take to its engine: some times the way between zones.
-	closeArrives = 5 * time.Millisecond
+	connReuseDelay = 50 * time.Millisecond
+	// closeDelay is how long the closing of a connection may take to its engine: some times the way between zones.
+	closeDelay = 5 * time.Millisecond
 )
 
 // Options bound what the client does.
@@ -73,12 +73,12 @@
 	opts Options
 	pool *pool
 
-	mu     sync.Mutex
-	heard  map[string]time.Time // when an engine answered last
-	listed map[string]struct{}  // engines that are there
-	hedges atomic.Int32         // calls of releases that are under way
+	mu           sync.Mutex
+	lastResponse map[string]time.Time // when an engine answered last
+	listed       map[string]struct{}  // engines that are there
+	activeHedges atomic.Int32         // calls of releases that are under way
 
-	readEnds, restFor, firstTry, closeArrives time.Duration // the constants; tests change them
+	readEndDelay, connReuseDelay, releaseCallTimeout, closeDelay time.Duration // the constants; tests change them
 }
 
 // New returns a client. Run looks after its idle connections.
@@ -86,16 +86,16 @@
 	if opts.Log == nil {
 		opts.Log = slog.New(slog.DiscardHandler)
 	}
-	return &Client{opts: opts, readEnds: readEnds, restFor: restFor, firstTry: firstTry,
-		closeArrives: closeArrives, heard: map[string]time.Time{}, listed: map[string]struct{}{}, pool: &pool{dialTimeout: opts.DialTimeout,
-			keep: opts.IdleConnTimeout, standsAfter: standsAfter, most: opts.MaxConns, spare: opts.ReleaseConns}}
+	return &Client{opts: opts, readEndDelay: readEndDelay, connReuseDelay: connReuseDelay, releaseCallTimeout: releaseCallTimeout,
+		closeDelay: closeDelay, lastResponse: map[string]time.Time{}, listed: map[string]struct{}{}, pool: &pool{dialTimeout: opts.DialTimeout,
+			idleTimeout: opts.IdleConnTimeout, lastByteDelay: lastByteDelay, maxConns: opts.MaxConns, releaseConns: opts.ReleaseConns}}
 }
 
 // Run closes idle connections before their engines do, until ctx ends; then all.
 func (c *Client) Run(ctx context.Context) error {
-	t := time.NewTicker(expireEvery)
+	t := time.NewTicker(expireInterval)
 	defer t.Stop()
-	defer c.pool.forget("")
+	defer c.pool.closeConns("")
 	for {
 		select {
 		case <-ctx.Done():
@@ -107,7 +107,7 @@
 }
 
 // Close closes idle connections.
-func (c *Client) Close() { c.pool.forget("") }
+func (c *Client) Close() { c.pool.closeConns("") }
 
 // EngineListed notes that an engine is there.
 func (c *Client) EngineListed(addr string) {
@@ -119,52 +119,52 @@
 // ForgetEngine drops what is kept for an engine that is gone, or whose process is another now.
 func (c *Client) ForgetEngine(addr string) {
 	c.mu.Lock()
-	delete(c.heard, addr)
+	delete(c.lastResponse, addr)
 	delete(c.listed, addr)
 	c.mu.Unlock()
-	c.pool.forget(addr)
+	c.pool.closeConns(addr)
 }
 
 // expire forgets engines that have not answered for long: a late answer may come after Forget, and engines are
 // always new ones.
 func (c *Client) expire(now time.Time) {
-	c.pool.expire()
+	c.pool.closeExpired()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for addr, at := range c.heard {
-		if now.Sub(at) > heardFor {
-			delete(c.heard, addr)
+	for addr, at := range c.lastResponse {
+		if now.Sub(at) > lastResponseTTL {
+			delete(c.lastResponse, addr)
 		}
 	}
 }
 
-// attempt starts an attempt of a request.
-func (c *Client) attempt(ctx context.Context, addr string, q *engine.Call) (*exchange, error) {
-	x, err := c.start(ctx, addr, &call{method: "POST", target: q.Message.Target, id: q.Params.Request,
-		fields: q.Message.Fields, body: q.Message.Body, until: q.ResponseDeadline, fresh: q.NonIdempotent, heardWithin: q.LastResponseWithin, gate: q.Gate})
-	x.rest = c.restFor
+// startAttempt starts an attempt of a request.
+func (c *Client) startAttempt(ctx context.Context, addr string, q *engine.Call) (*exchange, error) {
+	x, err := c.start(ctx, addr, &call{method: "POST", target: q.Message.Target, requestID: q.Params.Request,
+		fields: q.Message.Fields, body: q.Message.Body, responseDeadline: q.ResponseDeadline, newConn: q.NonIdempotent, lastResponseWithin: q.LastResponseWithin, gate: q.Gate})
+	x.reuseDelay = c.connReuseDelay
 	return x, err
 }
 
 // Prefill has a prompt read and returns when the state waits, or the attempt has failed.
 func (c *Client) Prefill(ctx context.Context, addr string, q *engine.Call) engine.Result {
-	x, err := c.attempt(ctx, addr, q)
+	x, err := c.startAttempt(ctx, addr, q)
 	defer x.done()
 	if err != nil {
-		return x.failed(err)
+		return x.failureResult(err)
 	}
 	if x.status != 202 {
-		return x.refused()
+		return x.refusalResult()
 	}
 	b, err := x.body()
 	if err != nil {
-		return x.failed(err)
+		return x.failureResult(err)
 	}
 	var v struct {
 		Cached float64 `json:"cached_tokens"`
 	}
 	if err := json.Unmarshal(b, &v); err != nil || v.Cached < 0 {
-		return x.failed(fmt.Errorf("%w: no account of the read: %.60q", http1.ErrMalformed, b))
+		return x.failureResult(fmt.Errorf("%w: no account of the read: %.60q", http1.ErrMalformed, b))
 	}
 	return engine.Result{Outcome: decide.ReadDone, CachedTokens: v.Cached, Report: x.report(),
 		State: &engine.State{Addr: addr, Handle: q.Params.Request, Tokens: q.Params.PromptTokens}}
@@ -173,46 +173,46 @@
 // Decode has the answer written and hands each event to sink, unchanged. An error of sink ends the attempt as
 // cancelled.
 func (c *Client) Decode(ctx context.Context, addr string, q *engine.Call, sink func(event string) error) engine.Result {
-	x, err := c.attempt(ctx, addr, q)
+	x, err := c.startAttempt(ctx, addr, q)
 	defer x.done()
 	if err != nil {
-		return x.failed(err)
+		return x.failureResult(err)
 	}
 	if x.status != 200 {
-		return x.refused()
+		return x.refusalResult()
 	}
-	return x.stream(sink)
+	return x.readStream(sink)
 }
 
-func (x *exchange) stream(sink func(event string) error) engine.Result {
+func (x *exchange) readStream(sink func(event string) error) engine.Result {
 	_, chunked, err := x.head.Framing()
 	if err == nil && !chunked {
 		err = fmt.Errorf("%w: a stream that is not in chunks has no end to be known by", http1.ErrMalformed)
 	}
-	if v, _ := x.head.Get("Content-Type"); err == nil && !isEvents(v) {
+	if v, _ := x.head.Get("Content-Type"); err == nil && !isEventStream(v) {
 		err = fmt.Errorf("%w: Content-Type %.40q", http1.ErrMalformed, v)
 	}
 	if err != nil {
-		return x.failed(err)
+		return x.failureResult(err)
 	}
-	e := events{x: x, chunks: http1.NewChunkedReader(x.conn.br, maxChunk), report: x.report()}
+	e := eventStream{x: x, chunks: http1.NewChunkedReader(x.conn.br, maxChunkSize), report: x.report()}
 	tokens := 0
 	for {
 		event, err := e.next()
 		switch {
 		case errors.Is(err, io.EOF) && tokens == 0:
-			return x.failed(fmt.Errorf("%w: a stream without an event", http1.ErrMalformed))
+			return x.failureResult(fmt.Errorf("%w: a stream without an event", http1.ErrMalformed))
 		case errors.Is(err, io.EOF):
-			x.whole = true
+			x.complete = true
 			x.conn.SetReadDeadline(time.Time{})
 			return engine.Result{Outcome: decide.Served, Report: e.report, Tokens: tokens}
 		case err != nil:
-			r := x.failed(err)
+			r := x.failureResult(err)
 			r.Tokens, r.Report = tokens, e.report
 			return r
 		}
 		if err := sink(event); err != nil {
-			r := x.failed(err)
+			r := x.failureResult(err)
 			if r.Outcome != decide.TimedOut {
 				r.Outcome = decide.Cancelled
 			}
@@ -239,24 +239,24 @@
 }
 
 // Probe asks for a load report; fresh: on a connection that is made for it, which tells whether the engine is reached.
-func (c *Client) Probe(ctx context.Context, addr string, fresh bool) engine.Result {
+func (c *Client) Probe(ctx context.Context, addr string, newConn bool) engine.Result {
 	ctx, cancel := context.WithTimeoutCause(ctx, c.opts.ProbeTimeout, engine.ErrTimedOut)
 	defer cancel()
-	x, err := c.start(ctx, addr, &call{method: "GET", target: platform.LoadPath, fresh: fresh})
+	x, err := c.start(ctx, addr, &call{method: "GET", target: platform.LoadPath, newConn: newConn})
 	defer x.done()
 	if err != nil {
-		return x.failed(err)
+		return x.failureResult(err)
 	}
 	b, err := x.body()
 	if err != nil {
-		return x.failed(err)
+		return x.failureResult(err)
 	}
 	if x.status != 200 {
 		return engine.Result{Outcome: decide.Error, Report: engine.NoReport(), Err: fmt.Errorf("status %d", x.status)}
 	}
-	r := engine.Result{Outcome: decide.Served, Report: parseLoad(b)}
+	r := engine.Result{Outcome: decide.Served, Report: parseLoadReport(b)}
 	if v, n := x.head.Get(platform.LoadHeader); n > 0 && r.Report == engine.NoReport() {
-		r.Report = parseLoad([]byte(v))
+		r.Report = parseLoadReport([]byte(v))
 	}
 	return r
 }
--- a/internal/engine/chat/chat_test.go
+++ b/internal/engine/chat/chat_test.go
@@ -24,8 +24,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// peer is an engine that answers each request with what answer returns, and notes heads and connections.
-type peer struct {
+// fakeEngine is an engine that answers each request with what answer returns, and notes heads and connections.
+type fakeEngine struct {
 	addr   string
 	conns  atomic.Int64
 	mu     sync.Mutex
@@ -33,15 +33,15 @@
 	bodies []string
 }
 
-// play listens; answer gets the number of the request over all connections. stay keeps a connection for more
+// startFakeEngine listens; answer gets the number of the request over all connections. stay keeps a connection for more
 // requests, else it is closed after its answer.
-func play(t *testing.T, stay bool, answer func(n int, h *http1.Head) string) *peer {
+func startFakeEngine(t *testing.T, keepOpen bool, answer func(n int, h *http1.Head) string) *fakeEngine {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &peer{addr: l.Addr().String()}
+	p := &fakeEngine{addr: l.Addr().String()}
 	var work sync.WaitGroup
 	var mu sync.Mutex
 	open := map[net.Conn]bool{}
@@ -81,7 +81,7 @@
 					p.bodies = append(p.bodies, string(body))
 					i := len(p.heads) - 1
 					p.mu.Unlock()
-					if _, err := io.WriteString(c, answer(i, h)); err != nil || !stay {
+					if _, err := io.WriteString(c, answer(i, h)); err != nil || !keepOpen {
 						return
 					}
 				}
@@ -101,11 +101,11 @@
 	return p
 }
 
-func always(s string) func(int, *http1.Head) string {
+func alwaysRespond(s string) func(int, *http1.Head) string {
 	return func(int, *http1.Head) string { return s }
 }
 
-func (p *peer) requests() int {
+func (p *fakeEngine) requests() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.heads)
@@ -118,7 +118,7 @@
 		change(&o)
 	}
 	c := New(o)
-	c.restFor = 0 // connections are used again at once; TestConnectionsRest is about the rest
+	c.connReuseDelay = 0 // connections are used again at once; TestConnectionsRest is about the rest
 	t.Cleanup(c.Close)
 	return c
 }
@@ -128,12 +128,12 @@
 		Message: &engine.Message{Target: "/v1/chat/completions?a=b", Fields: []http1.Field{{Name: "Idempotency-Key", Value: "k7"}}, Body: []byte(`{"x":1}`)}}
 }
 
-func whole(status string, body string, fields ...string) string {
+func response(status string, body string, fields ...string) string {
 	return "HTTP/1.1 " + status + "\r\nContent-Length: " + strconv.Itoa(len(body)) + "\r\n" +
 		strings.Join(append(fields, ""), "\r\n") + "\r\n" + body
 }
 
-const unrun = "X-Unprocessed: 1"
+const unprocessedHeader = "X-Unprocessed: 1"
 
 func chunk(s string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(s), s) }
 
@@ -152,26 +152,26 @@
 		want         decide.Outcome
 		noState      bool
 	}{
-		{"read", whole("202 Accepted", `{"cached_tokens":4096}`), decide.ReadDone, false},
-		{"read, after 1xx", "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + whole("202 Accepted", `{"cached_tokens":4096}`), decide.ReadDone, false},
-		{"read, report unreadable", whole("202 Accepted", `{"cached_tokens":4096}`, platform.LoadHeader+": {x0"), decide.ReadDone, false},
-		{"error", whole("500 x", "no"), decide.Error, false},
-		{"full", whole("503 x", "", unrun), decide.Full, false},
-		{"too late", whole("504 x", "", unrun), decide.Full, false},
-		{"state gone", whole("410 x", "", unrun), decide.Full, true},
-		{"503 without the word", whole("503 x", ""), decide.Error, false},
-		{"500 with the word", whole("500 x", "", unrun), decide.Error, false},
-		{"the word is another", whole("503 x", "", "X-Unprocessed: 0"), decide.Error, false},
+		{"read", response("202 Accepted", `{"cached_tokens":4096}`), decide.ReadDone, false},
+		{"read, after 1xx", "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + response("202 Accepted", `{"cached_tokens":4096}`), decide.ReadDone, false},
+		{"read, report unreadable", response("202 Accepted", `{"cached_tokens":4096}`, platform.LoadHeader+": {x0"), decide.ReadDone, false},
+		{"error", response("500 x", "no"), decide.Error, false},
+		{"full", response("503 x", "", unprocessedHeader), decide.Full, false},
+		{"too late", response("504 x", "", unprocessedHeader), decide.Full, false},
+		{"state gone", response("410 x", "", unprocessedHeader), decide.Full, true},
+		{"503 without the word", response("503 x", ""), decide.Error, false},
+		{"500 with the word", response("500 x", "", unprocessedHeader), decide.Error, false},
+		{"the word is another", response("503 x", "", "X-Unprocessed: 0"), decide.Error, false},
 		{"closed", "", decide.Reset, false},
 		{"noise", "\x00\x01\x02noise\r\n\r\n", decide.Reset, false},
 		{"head without end", "HTTP/1.1 202 OK\r\n" + strings.Repeat("X: "+strings.Repeat("y", 1000)+"\r\n", 100), decide.Reset, false},
-		{"1xx without end", strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 100) + whole("202 x", "{}"), decide.Reset, false},
+		{"1xx without end", strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 100) + response("202 x", "{}"), decide.Reset, false},
 		{"half a body", "HTTP/1.1 202 x\r\nContent-Length: 500\r\n\r\n{", decide.Reset, false},
-		{"no JSON", whole("202 x", "<html>"), decide.Reset, false},
+		{"no JSON", response("202 x", "<html>"), decide.Reset, false},
 		{"body too large", "HTTP/1.1 202 x\r\nContent-Length: 3000000000\r\n\r\n{", decide.Reset, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			p := play(t, false, always(c.answer))
+			p := startFakeEngine(t, false, alwaysRespond(c.answer))
 			res := newClient(t, nil).Prefill(t.Context(), p.addr, request())
 			if res.Outcome != c.want || res.NoState != c.noState || (c.want == decide.ReadDone) != (res.Err == nil) {
 				t.Fatalf("outcome %d, no state %v, err %v", res.Outcome, res.NoState, res.Err)
@@ -194,9 +194,9 @@
 	}{
 		{"served", streamHead + chunk(eventA) + chunk(eventA+eventEnd) + lastChunk, decide.Served, 3},
 		{"served, events over chunks", streamHead + chunk(eventA[:9]) + chunk(eventA[9:]+eventEnd) + lastChunk, decide.Served, 2},
-		{"served, with a report", streamHead + chunk(eventA+eventEnd) + chunk(loadComment+` {"x0":0.25}`+"\n\n") + lastChunk, decide.Served, 2},
-		{"served, report unreadable", streamHead + chunk(eventA+eventEnd) + chunk(loadComment+" {x") + lastChunk, decide.Served, 2},
-		{"served, a second answer behind", streamHead + chunk(eventA) + lastChunk + whole("200 OK", "x"), decide.Served, 1},
+		{"served, with a report", streamHead + chunk(eventA+eventEnd) + chunk(loadCommentPrefix+` {"x0":0.25}`+"\n\n") + lastChunk, decide.Served, 2},
+		{"served, report unreadable", streamHead + chunk(eventA+eventEnd) + chunk(loadCommentPrefix+" {x") + lastChunk, decide.Served, 2},
+		{"served, a second answer behind", streamHead + chunk(eventA) + lastChunk + response("200 OK", "x"), decide.Served, 1},
 		{"no last chunk", streamHead + chunk(eventA+eventEnd), decide.Reset, 2},
 		{"no event", streamHead + lastChunk, decide.Reset, 0},
 		{"broken in an event", streamHead + chunk(eventA) + chunk(eventA[:20]), decide.Reset, 1},
@@ -206,13 +206,13 @@
 		{"chunk size is too small", streamHead + chunk(eventA) + "5\r\n" + eventA + "\r\n" + lastChunk, decide.Reset, 1},
 		{"chunk of 3 GB", streamHead + chunk(eventA) + "c0000000\r\n" + strings.Repeat("x", 1<<17), decide.Reset, 1},
 		{"endless event", streamHead + chunk(": ") + strings.Repeat(chunk(strings.Repeat("x", 1<<14)), 8) + chunk("\n\n"+eventA) + lastChunk, decide.Reset, 0},
-		{"not in chunks", whole("200 OK", eventA, "Content-Type: text/event-stream"), decide.Reset, 0},
-		{"not a stream", whole("200 OK", "{}", "Content-Type: application/json"), decide.Reset, 0},
-		{"state gone", whole("410 x", "", unrun), decide.Full, 0},
-		{"error", whole("500 x", ""), decide.Error, 0},
+		{"not in chunks", response("200 OK", eventA, "Content-Type: text/event-stream"), decide.Reset, 0},
+		{"not a stream", response("200 OK", "{}", "Content-Type: application/json"), decide.Reset, 0},
+		{"state gone", response("410 x", "", unprocessedHeader), decide.Full, 0},
+		{"error", response("500 x", ""), decide.Error, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			p := play(t, false, always(c.answer))
+			p := startFakeEngine(t, false, alwaysRespond(c.answer))
 			var got []string
 			res := newClient(t, nil).Decode(t.Context(), p.addr, request(), func(e string) error {
 				got = append(got, e)
@@ -234,12 +234,12 @@
 }
 
 // A stream that stops, or brings no event any more, is a broken one after a time, wherever it stops.
-func TestStreamsThatStop(t *testing.T) {
+func TestStalledStreamIsReset(t *testing.T) {
 	for name, after := range map[string]string{
 		"between events": "", "in a chunk": "50\r\ndata: ", "in a chunk's size": "5", "with comments alone": strings.Repeat(chunk(": x\n\n"), 3),
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := play(t, true, always(streamHead+chunk(eventA)+after))
+			p := startFakeEngine(t, true, alwaysRespond(streamHead+chunk(eventA)+after))
 			c := newClient(t, func(o *Options) { o.StreamIdleTimeout = 20 * time.Millisecond })
 			res := c.Decode(t.Context(), p.addr, request(), func(string) error { return nil })
 			if res.Outcome != decide.Reset || res.Tokens != 1 || c.pool.idle.Len() != 0 {
@@ -250,7 +250,7 @@
 }
 
 // A drip of comments is no life: without an event it ends as one that stopped.
-func TestDripOfComments(t *testing.T) {
+func TestCommentsDoNotKeepStreamOpen(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -279,8 +279,8 @@
 }
 
 // What the engine gets is the client's own, and the time for which the router waits.
-func TestPassedOnUnchanged(t *testing.T) {
-	p := play(t, true, always(whole("202 x", `{"cached_tokens":0}`)))
+func TestRequestIsForwardedUnchanged(t *testing.T) {
+	p := startFakeEngine(t, true, alwaysRespond(response("202 x", `{"cached_tokens":0}`)))
 	c := newClient(t, nil)
 	c.Prefill(t.Context(), p.addr, request())
 	h := p.heads[0]
@@ -297,35 +297,35 @@
 
 // A connection is kept after a whole answer only, and one that its engine has closed, or on which something
 // came unasked, gets no request.
-func TestConnectionsKept(t *testing.T) {
+func TestConnectionReuse(t *testing.T) {
 	for _, c := range []struct {
 		name, answer string
 		stay         bool
 		conns        int64
 	}{
-		{"kept", whole("202 x", `{}`), true, 1},
-		{"closed by the engine", whole("202 x", `{}`), false, 3},
-		{"said to be closed", whole("202 x", `{}`, "Connection: close"), true, 3},
-		{"something behind", whole("202 x", `{}`) + "more", true, 3},
-		{"1xx in front", "HTTP/1.1 100 x\r\n\r\n" + whole("202 x", `{}`), true, 3},
-		{"no JSON", whole("202 x", `<`), true, 1},
-		{"an error", whole("500 x", "oh"), true, 1},
+		{"kept", response("202 x", `{}`), true, 1},
+		{"closed by the engine", response("202 x", `{}`), false, 3},
+		{"said to be closed", response("202 x", `{}`, "Connection: close"), true, 3},
+		{"something behind", response("202 x", `{}`) + "more", true, 3},
+		{"1xx in front", "HTTP/1.1 100 x\r\n\r\n" + response("202 x", `{}`), true, 3},
+		{"no JSON", response("202 x", `<`), true, 1},
+		{"an error", response("500 x", "oh"), true, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			p := play(t, c.stay, always(c.answer))
+			p := startFakeEngine(t, c.stay, alwaysRespond(c.answer))
 			cl := newClient(t, nil)
 			for range 3 {
 				cl.Prefill(t.Context(), p.addr, request())
 				if !c.stay { // until the close has come
 					for deadline := time.Now().Add(5 * time.Second); time.Now().Before(deadline); {
-						conn := cl.pool.take(p.addr, 0)
+						conn := cl.pool.takeIdle(p.addr, 0)
 						if conn == nil {
 							break
 						}
-						sound := conn.sound()
-						used := conn.used
+						sound := conn.usable()
+						used := conn.lastUsed
 						cl.pool.put(conn)
-						conn.used = used
+						conn.lastUsed = used
 						if !sound {
 							break
 						}
@@ -342,8 +342,8 @@
 
 // One kept connection that its engine resets puts the others in doubt; what may be sent once never goes on a
 // kept one.
-func TestDoubtOfKeptConnections(t *testing.T) {
-	p := play(t, true, always(whole("202 x", "{}")))
+func TestResetOfKeptConnectionDistrustsTheOthers(t *testing.T) {
+	p := startFakeEngine(t, true, alwaysRespond(response("202 x", "{}")))
 	c := newClient(t, nil)
 	c.Prefill(t.Context(), p.addr, request())
 	once := request()
@@ -353,11 +353,11 @@
 	}
 	kept := c.pool.idle.Front().Value.(*conn)
 	x := &exchange{client: c, ctx: t.Context(), conn: kept}
-	if x.doubted(); len(c.pool.doubt) != 0 {
+	if x.distrustConn(); len(c.pool.distrustedUntil) != 0 {
 		t.Error("a fresh connection's end put others in doubt")
 	}
 	kept.uses = 1
-	x.doubted()
+	x.distrustConn()
 	if c.pool.idle.Len() != 0 {
 		t.Error("kept connections stayed")
 	}
@@ -365,9 +365,9 @@
 	if c.pool.idle.Len() != 0 {
 		t.Error("one was kept in doubt")
 	}
-	c.pool.doubt[p.addr] = time.Now().Add(-time.Second)
-	c.pool.expire()
-	if len(c.pool.doubt) != 0 {
+	c.pool.distrustedUntil[p.addr] = time.Now().Add(-time.Second)
+	c.pool.closeExpired()
+	if len(c.pool.distrustedUntil) != 0 {
 		t.Error("the doubt never ends")
 	}
 	c.Probe(t.Context(), p.addr, false)
@@ -380,7 +380,7 @@
 
 // A connection that breaks before the request's last byte has brought none: another carries it, and the engine
 // gets it once. One that breaks after it is a reset.
-func TestBrokenBeforeTheLastByte(t *testing.T) {
+func TestConnectionBrokenBeforeLastByteIsReplaced(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		after  int // bytes of the body that are read before the reset
@@ -414,14 +414,14 @@
 					}
 					io.CopyN(io.Discard, br, 7)
 					served++
-					io.WriteString(conn, whole("202 x", "{}"))
+					io.WriteString(conn, response("202 x", "{}"))
 					conn.Close()
 				}
 			}()
 			cl := newClient(t, nil)
-			cl.pool.standsAfter = time.Second // until the reset has come
+			cl.pool.lastByteDelay = time.Second // until the reset has come
 			if c.after == 7 {
-				cl.pool.standsAfter = time.Millisecond
+				cl.pool.lastByteDelay = time.Millisecond
 			}
 			res := cl.Prefill(t.Context(), l.Addr().String(), request())
 			l.Close()
@@ -434,12 +434,12 @@
 }
 
 // An attempt that is given up closes its connection, and its cause is its outcome.
-func TestGivenUp(t *testing.T) {
+func TestCancelledAttemptClosesConnection(t *testing.T) {
 	for _, c := range []struct {
 		cause error
 		want  decide.Outcome
 	}{{engine.ErrTimedOut, decide.TimedOut}, {engine.ErrCancelled, decide.Cancelled}} {
-		heard := make(chan bool)
+		received := make(chan bool)
 		closed := make(chan error, 1)
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -454,12 +454,12 @@
 			br := bufio.NewReader(conn)
 			http1.ReadHead(br, 1<<16)
 			io.CopyN(io.Discard, br, 7)
-			close(heard)
+			close(received)
 			_, err = br.ReadByte()
 			closed <- err
 		}()
 		ctx, cancel := context.WithCancelCause(t.Context())
-		go func() { <-heard; cancel(c.cause) }()
+		go func() { <-received; cancel(c.cause) }()
 		res := newClient(t, nil).Prefill(ctx, l.Addr().String(), request())
 		if res.Outcome != c.want {
 			t.Errorf("%v: outcome %d, %v", c.cause, res.Outcome, res.Err)
@@ -472,7 +472,7 @@
 }
 
 // Nothing ran where no connection came up, also for want of room.
-func TestNeverConnected(t *testing.T) {
+func TestFailedConnect(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -482,7 +482,7 @@
 	if res := newClient(t, nil).Prefill(t.Context(), addr, request()); res.Outcome != decide.ConnectFailed {
 		t.Errorf("refused: %d %v", res.Outcome, res.Err)
 	}
-	p := play(t, true, always(whole("202 x", "{}")))
+	p := startFakeEngine(t, true, alwaysRespond(response("202 x", "{}")))
 	res := newClient(t, func(o *Options) { o.MaxConns = 0 }).Prefill(t.Context(), p.addr, request())
 	if res.Outcome != decide.ConnectFailed || !errors.Is(res.Err, errLimit) || p.requests() != 0 {
 		t.Errorf("no room: %d %v", res.Outcome, res.Err)
@@ -491,22 +491,22 @@
 
 // The bound holds over all engines: the connection unused for longest makes room, and a release finds some
 // even when attempts hold all.
-func TestBoundOfConnections(t *testing.T) {
+func TestConnectionLimit(t *testing.T) {
 	c := newClient(t, func(o *Options) { o.MaxConns, o.ReleaseConns = 2, 1 })
-	answer := always(whole("202 x", "{}"))
-	var peers []*peer
+	answer := alwaysRespond(response("202 x", "{}"))
+	var peers []*fakeEngine
 	for range 3 {
-		p := play(t, true, answer)
+		p := startFakeEngine(t, true, answer)
 		peers = append(peers, p)
 		c.Prefill(t.Context(), p.addr, request())
 	}
 	if n := c.pool.idle.Len(); n != 2 || c.pool.total != 2 {
 		t.Errorf("%d idle of %d", n, c.pool.total)
 	}
-	if got := c.pool.take(peers[0].addr, 0); got != nil {
+	if got := c.pool.takeIdle(peers[0].addr, 0); got != nil {
 		t.Error("the oldest stayed")
 	}
-	a, b := c.pool.take(peers[1].addr, 0), c.pool.take(peers[2].addr, 0)
+	a, b := c.pool.takeIdle(peers[1].addr, 0), c.pool.takeIdle(peers[2].addr, 0)
 	if res := c.Prefill(t.Context(), peers[0].addr, request()); res.Outcome != decide.ConnectFailed {
 		t.Errorf("over the bound: %d", res.Outcome)
 	}
@@ -518,17 +518,17 @@
 }
 
 // A release that its engine does not hear is taken to another that answers.
-func TestReleaseElsewhere(t *testing.T) {
+func TestReleaseAtAnotherEngine(t *testing.T) {
 	silent, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer silent.Close() // connections come up in the kernel's queue, and nothing answers
-	p := play(t, true, func(_ int, h *http1.Head) string {
+	p := startFakeEngine(t, true, func(_ int, h *http1.Head) string {
 		if strings.HasPrefix(h.Line, "DELETE ") {
 			return "HTTP/1.1 204 No Content\r\n\r\n"
 		}
-		return whole("202 x", "{}")
+		return response("202 x", "{}")
 	})
 	c := newClient(t, nil)
 	c.Prefill(t.Context(), p.addr, request())
@@ -545,10 +545,10 @@
 
 // A read that was given up is called off only when it has had time to end: a call that overtakes the closing of
 // its connection finds nothing, and what the read then leaves stays.
-func TestCallOffWaitsForTheReadsEnd(t *testing.T) {
-	p := play(t, true, always("HTTP/1.1 204 x\r\n\r\n"))
+func TestCancelReadWaitsForReadToEnd(t *testing.T) {
+	p := startFakeEngine(t, true, alwaysRespond("HTTP/1.1 204 x\r\n\r\n"))
 	c := newClient(t, nil)
-	c.readEnds = time.Hour
+	c.readEndDelay = time.Hour
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Millisecond)
 	defer cancel()
 	if err := c.CancelRead(ctx, p.addr, "id1"); err == nil || p.requests() != 0 {
@@ -556,14 +556,14 @@
 	}
 }
 
-func TestProbesAndPlaces(t *testing.T) {
+func TestProbesAndReservations(t *testing.T) {
 	answers := map[string]string{
-		"GET /metrics/load HTTP/1.1":  whole("200 OK", `{"latency_ms":12,"x0":0.5,"x1":3}`),
-		"POST /v1/holds/yes HTTP/1.1": whole("200 OK", ""),
-		"POST /v1/holds/no HTTP/1.1":  whole("409 x", ""),
+		"GET /metrics/load HTTP/1.1":  response("200 OK", `{"latency_ms":12,"x0":0.5,"x1":3}`),
+		"POST /v1/holds/yes HTTP/1.1": response("200 OK", ""),
+		"POST /v1/holds/no HTTP/1.1":  response("409 x", ""),
 		"POST /v1/holds/who HTTP/1.1": "HTTP/1.1 204 x\r\n\r\n",
 	}
-	p := play(t, true, func(_ int, h *http1.Head) string { return answers[h.Line] })
+	p := startFakeEngine(t, true, func(_ int, h *http1.Head) string { return answers[h.Line] })
 	c := newClient(t, nil)
 	if r := c.Probe(t.Context(), p.addr, false); r.Outcome != decide.Served || r.Report != (decide.Report{MemoryUse: 0.5, QueuedKTokens: 3, Latency: 12}) {
 		t.Errorf("%+v", r)
@@ -573,8 +573,8 @@
 			t.Errorf("%s: %v %v", name, held, err)
 		}
 	}
-	for _, answer := range []string{whole("503 x", ""), whole("200 OK", "nonsense")} {
-		q := play(t, true, always(answer))
+	for _, answer := range []string{response("503 x", ""), response("200 OK", "nonsense")} {
+		q := startFakeEngine(t, true, alwaysRespond(answer))
 		if r := c.Probe(t.Context(), q.addr, false); r.Report != engine.NoReport() || (r.Outcome == decide.Served) != strings.Contains(answer, "200") {
 			t.Errorf("%q: %+v", answer, r)
 		}
@@ -582,30 +582,30 @@
 }
 
 // What is kept by engine is gone with the engine, also when its last answer came after the word of its end.
-func TestNothingIsKeptOfEnginesThatLeft(t *testing.T) {
+func TestRemovedEnginesAreForgotten(t *testing.T) {
 	c := newClient(t, nil)
 	for i := range 50 {
 		addr := fmt.Sprintf("10.0.0.%d:1", i)
-		c.heard[addr] = time.Now()
+		c.lastResponse[addr] = time.Now()
 		c.pool.distrust(addr)
 		c.ForgetEngine(addr)
-		c.heard[addr] = time.Now()
+		c.lastResponse[addr] = time.Now()
 	}
-	for addr := range c.pool.doubt {
-		c.pool.doubt[addr] = time.Now().Add(-time.Millisecond)
+	for addr := range c.pool.distrustedUntil {
+		c.pool.distrustedUntil[addr] = time.Now().Add(-time.Millisecond)
 	}
 	c.expire(time.Now())
-	if len(c.heard) != 50 || len(c.pool.doubt) != 0 {
-		t.Errorf("%d heard, %d doubted", len(c.heard), len(c.pool.doubt))
+	if len(c.lastResponse) != 50 || len(c.pool.distrustedUntil) != 0 {
+		t.Errorf("%d heard, %d doubted", len(c.lastResponse), len(c.pool.distrustedUntil))
 	}
-	if c.expire(time.Now().Add(2 * heardFor)); len(c.heard) != 0 {
-		t.Errorf("%d heard", len(c.heard))
+	if c.expire(time.Now().Add(2 * lastResponseTTL)); len(c.lastResponse) != 0 {
+		t.Errorf("%d heard", len(c.lastResponse))
 	}
 }
 
 // A call that asks for a connection that was heard lately gets a new one where the kept ones have rested for longer.
-func TestConnectionsHeardLately(t *testing.T) {
-	p := play(t, true, always(whole("202 x", `{}`)))
+func TestLastResponseWithin(t *testing.T) {
+	p := startFakeEngine(t, true, alwaysRespond(response("202 x", `{}`)))
 	cl := newClient(t, nil)
 	q := request()
 	for i, within := range []time.Duration{0, time.Hour, time.Nanosecond, 0} {
@@ -620,14 +620,14 @@
 }
 
 // What is held at an engine that is gone is let go at another that is listed, also when none was ever heard.
-func TestReleaseAtAnEngineNeverHeard(t *testing.T) {
+func TestReleaseAtListedEngineWithoutResponses(t *testing.T) {
 	gone, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	addr := gone.Addr().String()
 	gone.Close() // nobody answers there
-	p := play(t, true, always("HTTP/1.1 204 x\r\n\r\n"))
+	p := startFakeEngine(t, true, alwaysRespond("HTTP/1.1 204 x\r\n\r\n"))
 	c := newClient(t, nil)
 	c.EngineListed(addr)
 	c.EngineListed(p.addr)
--- a/internal/engine/chat/crossings_test.go
+++ b/internal/engine/chat/crossings_test.go
@@ -18,8 +18,8 @@
 	"mintdoor/internal/http1"
 )
 
-// scripted is an engine whose every connection is served by the test's own function; the connections are numbered.
-func scripted(t *testing.T, serve func(n int, c net.Conn, br *bufio.Reader)) (addr string) {
+// startScriptedEngine is an engine whose every connection is served by the test's own function; the connections are numbered.
+func startScriptedEngine(t *testing.T, serve func(n int, c net.Conn, br *bufio.Reader)) (addr string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -58,28 +58,28 @@
 // so another connection carries it, and the second answer is not taken for its own.
 func TestSecondAnswerBeforeTheLastByte(t *testing.T) {
 	requests := make(chan int, 10)
-	addr := scripted(t, func(n int, c net.Conn, br *bufio.Reader) {
+	addr := startScriptedEngine(t, func(n int, c net.Conn, br *bufio.Reader) {
 		if n > 0 {
 			for readRequest(br) {
 				requests <- n
-				io.WriteString(c, whole("202 x", `{"cached_tokens":7}`))
+				io.WriteString(c, response("202 x", `{"cached_tokens":7}`))
 			}
 			return
 		}
 		readRequest(br)
-		io.WriteString(c, whole("202 x", `{"cached_tokens":1}`))
+		io.WriteString(c, response("202 x", `{"cached_tokens":1}`))
 		if _, err := http1.ReadHead(br, 1<<16); err != nil { // the next request's head has come, its last byte not
 			t.Error(err)
 			return
 		}
-		io.WriteString(c, whole("202 x", `{"cached_tokens":99}`))
+		io.WriteString(c, response("202 x", `{"cached_tokens":99}`))
 		io.Copy(io.Discard, br)
 	})
 	c := newClient(t, nil)
 	if res := c.Prefill(t.Context(), addr, request()); res.CachedTokens != 1 {
 		t.Fatalf("the first: %+v", res)
 	}
-	c.pool.standsAfter = 2 * time.Second // until the second answer has come
+	c.pool.lastByteDelay = 2 * time.Second // until the second answer has come
 	res := c.Prefill(t.Context(), addr, request())
 	if res.Outcome != decide.ReadDone || res.CachedTokens != 7 {
 		t.Errorf("the second: outcome %d, %g kept, %v", res.Outcome, res.CachedTokens, res.Err)
@@ -91,10 +91,10 @@
 
 // A second answer may also come a moment after the request's last byte, and nothing tells it from the request's own.
 // So a connection rests after an attempt for longer than such answers take; a probe's needs no rest.
-func TestConnectionsRest(t *testing.T) {
-	p := play(t, true, always(whole("202 x", `{"x0":0.5}`)))
+func TestConnectionIsReusedOnlyAfterDelay(t *testing.T) {
+	p := startFakeEngine(t, true, alwaysRespond(response("202 x", `{"x0":0.5}`)))
 	c := newClient(t, nil)
-	c.restFor = 20 * time.Second
+	c.connReuseDelay = 20 * time.Second
 	c.Probe(t.Context(), p.addr, false)
 	c.Prefill(t.Context(), p.addr, request())
 	if n := p.conns.Load(); n != 1 {
@@ -105,7 +105,7 @@
 		t.Errorf("%d connections for a further read, %d kept", n, c.pool.idle.Len())
 	}
 	for e := c.pool.idle.Front(); e != nil; e = e.Next() {
-		e.Value.(*conn).used = time.Now().Add(-c.restFor)
+		e.Value.(*conn).lastUsed = time.Now().Add(-c.connReuseDelay)
 	}
 	c.Prefill(t.Context(), p.addr, request())
 	if n := p.conns.Load(); n != 2 {
@@ -115,14 +115,14 @@
 
 // An engine leaves, or starts anew at its address, while an attempt has its connection: that attempt ends as it ends,
 // and the connection is used by no other.
-func TestForgottenWhileOut(t *testing.T) {
+func TestEngineForgottenDuringAttempt(t *testing.T) {
 	reading, goOn := make(chan bool), make(chan bool)
-	p := play(t, true, func(n int, _ *http1.Head) string {
+	p := startFakeEngine(t, true, func(n int, _ *http1.Head) string {
 		if n == 0 {
 			reading <- true
 			<-goOn
 		}
-		return whole("202 x", `{"cached_tokens":3}`)
+		return response("202 x", `{"cached_tokens":3}`)
 	})
 	c := newClient(t, nil)
 	ended := make(chan engine.Result)
@@ -133,8 +133,8 @@
 	if res := <-ended; res.Outcome != decide.ReadDone || res.CachedTokens != 3 {
 		t.Errorf("%+v", res)
 	}
-	if n := c.pool.idle.Len(); n != 0 || c.pool.total != 0 || len(c.pool.out) != 0 {
-		t.Errorf("%d kept, %d counted, %d out", n, c.pool.total, len(c.pool.out))
+	if n := c.pool.idle.Len(); n != 0 || c.pool.total != 0 || len(c.pool.inUse) != 0 {
+		t.Errorf("%d kept, %d counted, %d out", n, c.pool.total, len(c.pool.inUse))
 	}
 	if c.Prefill(t.Context(), p.addr, request()); p.conns.Load() != 2 || c.pool.idle.Len() != 1 {
 		t.Errorf("%d connections, %d kept", p.conns.Load(), c.pool.idle.Len())
@@ -142,7 +142,7 @@
 }
 
 // An answer that does not end, wherever it goes on, ends with the attempt's time; nothing of it is kept.
-func TestAnswersWithoutEnd(t *testing.T) {
+func TestEndlessResponsesTimeOut(t *testing.T) {
 	for name, c := range map[string]struct {
 		start, more string
 		stream      bool
@@ -160,7 +160,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			asked := make(chan bool)
-			addr := scripted(t, func(_ int, conn net.Conn, br *bufio.Reader) {
+			addr := startScriptedEngine(t, func(_ int, conn net.Conn, br *bufio.Reader) {
 				readRequest(br)
 				_, err := io.WriteString(conn, c.start)
 				close(asked)
@@ -192,7 +192,7 @@
 
 // A zone is cut off: the engine that holds a state and those that answered last are silent, and a call to each in turn
 // would take longer than the state may be held. The one that runs is asked in time, and none is asked without end.
-func TestReleaseWithManySilentEngines(t *testing.T) {
+func TestReleaseWithManyUnresponsiveEngines(t *testing.T) {
 	var silent []string
 	for range 5 {
 		l, err := net.Listen("tcp", "127.0.0.1:0") // connections come up, and nothing answers
@@ -202,12 +202,12 @@
 		defer l.Close()
 		silent = append(silent, l.Addr().String())
 	}
-	p := play(t, true, always("HTTP/1.1 204 x\r\n\r\n"))
+	p := startFakeEngine(t, true, alwaysRespond("HTTP/1.1 204 x\r\n\r\n"))
 	c := newClient(t, func(o *Options) { o.ReleaseTimeout = 8 * time.Second })
-	c.firstTry = 2 * time.Second // five in turn would take longer
-	c.heard[p.addr] = time.Now().Add(-time.Second)
+	c.releaseCallTimeout = 2 * time.Second // five in turn would take longer
+	c.lastResponse[p.addr] = time.Now().Add(-time.Second)
 	for _, addr := range silent {
-		c.heard[addr] = time.Now()
+		c.lastResponse[addr] = time.Now()
 	}
 	if err := c.Release(t.Context(), &engine.State{Addr: silent[0], Handle: "id1"}); err != nil {
 		t.Error(err)
@@ -215,13 +215,13 @@
 	if n := p.requests(); n != 1 {
 		t.Errorf("%d calls at the engine that runs", n)
 	}
-	if c.pool.total > 1 || len(c.pool.out) != 0 {
-		t.Errorf("%d connections are open, %d out", c.pool.total, len(c.pool.out))
+	if c.pool.total > 1 || len(c.pool.inUse) != 0 {
+		t.Errorf("%d connections are open, %d out", c.pool.total, len(c.pool.inUse))
 	}
 }
 
 // Where no engine takes a release it ends with its time, and leaves nothing behind.
-func TestReleaseThatNobodyTakes(t *testing.T) {
+func TestReleaseTimesOutWithoutEngines(t *testing.T) {
 	c := newClient(t, func(o *Options) { o.ReleaseTimeout = 100 * time.Millisecond })
 	for _, addr := range []string{"", "127.0.0.1:1"} {
 		if err := c.Release(t.Context(), &engine.State{Addr: addr, Handle: "id1"}); !errors.Is(err, context.DeadlineExceeded) {
@@ -235,10 +235,10 @@
 
 // The closing of a read's connection may not reach its engine, where the network is cut: the read ends well after the
 // first call that lets go, and what it left is taken by the second.
-func TestReadEndsAfterItWasCalledOff(t *testing.T) {
+func TestReadThatEndsAfterItsCancellationIsReleased(t *testing.T) {
 	held, calls := false, 0
 	var mu sync.Mutex
-	p := play(t, true, func(_ int, h *http1.Head) string {
+	p := startFakeEngine(t, true, func(_ int, h *http1.Head) string {
 		mu.Lock()
 		defer mu.Unlock()
 		calls++
@@ -251,7 +251,7 @@
 	}
 	mu.Lock()
 	defer mu.Unlock()
-	if held || calls < 2 || calls > maxCallOffs {
+	if held || calls < 2 || calls > maxCancelCalls {
 		t.Errorf("held %v after %d calls", held, calls)
 	}
 }
@@ -259,7 +259,7 @@
 // A read was given up at an engine that the network has cut off, or that hangs: its connection's end has not come there, and the
 // read may end at any time. It is let go again and again, at an engine that can be reached, also after that one was heard:
 // others may hear an engine while a read hangs there.
-func TestCalledOffAgainAndAgain(t *testing.T) {
+func TestCancelReadIsRepeated(t *testing.T) {
 	for name, callOff := range map[string]func(c *Client, ctx context.Context, addr string) error{
 		"the request is over": func(c *Client, ctx context.Context, addr string) error { return c.CancelRead(ctx, addr, "id1") },
 		"the answer has begun": func(c *Client, ctx context.Context, addr string) error {
@@ -267,7 +267,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := play(t, true, always("HTTP/1.1 204 x\r\n\r\n"))
+			p := startFakeEngine(t, true, alwaysRespond("HTTP/1.1 204 x\r\n\r\n"))
 			gone, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
@@ -275,12 +275,12 @@
 			addr := gone.Addr().String()
 			gone.Close() // nobody answers there
 			c := newClient(t, func(o *Options) { o.CancelRetryDelay = time.Millisecond })
-			c.heard[p.addr], c.heard[addr] = time.Now(), time.Now().Add(time.Hour)
+			c.lastResponse[p.addr], c.lastResponse[addr] = time.Now(), time.Now().Add(time.Hour)
 			if err := callOff(c, t.Context(), addr); err != nil {
 				t.Error(err)
 			}
-			if n := p.requests(); n != maxCallOffs {
-				t.Errorf("%d calls, want %d", n, maxCallOffs)
+			if n := p.requests(); n != maxCancelCalls {
+				t.Errorf("%d calls, want %d", n, maxCancelCalls)
 			}
 		})
 	}
@@ -289,17 +289,17 @@
 // An attempt that is given up is out until its engine has seen the connection closed, which takes the network's time.
 // Its outcome comes later than that: a refusal to the client, on a shorter way, would overtake the end of an attempt
 // that may have run.
-func TestOutcomeDoesNotOvertakeTheClose(t *testing.T) {
+func TestOutcomeWaitsForConnectionClose(t *testing.T) {
 	for cause, want := range map[error]decide.Outcome{engine.ErrTimedOut: decide.TimedOut, engine.ErrCancelled: decide.Cancelled} {
 		asked, closed := make(chan bool), make(chan bool, 1)
-		addr := scripted(t, func(_ int, _ net.Conn, br *bufio.Reader) {
+		addr := startScriptedEngine(t, func(_ int, _ net.Conn, br *bufio.Reader) {
 			readRequest(br)
 			close(asked)
 			br.ReadByte()
 			closed <- true
 		})
 		c := newClient(t, nil)
-		c.closeArrives = 100 * time.Millisecond
+		c.closeDelay = 100 * time.Millisecond
 		ctx, cancel := context.WithCancelCause(t.Context())
 		given := make(chan time.Time, 1)
 		go func() {
@@ -308,7 +308,7 @@
 			cancel(cause)
 		}()
 		res := c.Prefill(ctx, addr, request())
-		if waited := time.Since(<-given); res.Outcome != want || waited < c.closeArrives {
+		if waited := time.Since(<-given); res.Outcome != want || waited < c.closeDelay {
 			t.Errorf("outcome %d %v after it was given up, %v", res.Outcome, waited, res.Err)
 		}
 		<-closed
@@ -316,14 +316,14 @@
 }
 
 // The same holds for an attempt whose answer can't be read, or breaks off in a refusal, while its connection stands.
-func TestSpoiltAnswersOutcomeDoesNotOvertakeTheClose(t *testing.T) {
+func TestMalformedResponseOutcomeWaitsForConnectionClose(t *testing.T) {
 	for name, answer := range map[string]string{
 		"noise": "\x00noise\r\n\r\n", "a read without an account": "HTTP/1.1 202 x\r\nContent-Length: 999999\r\n\r\n{",
 		"an error of a length that is noise": "HTTP/1.1 500 x\r\nContent-Length: x\r\n\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
 			answered, closed := make(chan time.Time, 1), make(chan bool, 1)
-			addr := scripted(t, func(_ int, conn net.Conn, br *bufio.Reader) {
+			addr := startScriptedEngine(t, func(_ int, conn net.Conn, br *bufio.Reader) {
 				readRequest(br)
 				answered <- time.Now()
 				io.WriteString(conn, answer)
@@ -331,9 +331,9 @@
 				closed <- true
 			})
 			c := newClient(t, nil)
-			c.closeArrives = 100 * time.Millisecond
+			c.closeDelay = 100 * time.Millisecond
 			res := c.Prefill(t.Context(), addr, request())
-			if waited := time.Since(<-answered); res.Err == nil || waited < c.closeArrives {
+			if waited := time.Since(<-answered); res.Err == nil || waited < c.closeDelay {
 				t.Errorf("outcome %d %v after the answer, %v", res.Outcome, waited, res.Err)
 			}
 			<-closed
@@ -343,7 +343,7 @@
 
 // A reset on a kept connection: before the request's last byte nothing ran and another connection carries it; at the
 // last byte, or long after, the request may have run and is sent on no other.
-func TestResetOfAKeptConnection(t *testing.T) {
+func TestResetOfKeptConnection(t *testing.T) {
 	for name, c := range map[string]struct {
 		bytes   int64 // of the second request's body that are read before the reset
 		later   bool  // the reset comes after an answer has begun
@@ -356,17 +356,17 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			var mu sync.Mutex
-			whole7 := 0
-			addr := scripted(t, func(n int, conn net.Conn, br *bufio.Reader) {
+			received := 0
+			addr := startScriptedEngine(t, func(n int, conn net.Conn, br *bufio.Reader) {
 				if !readRequest(br) {
 					return
 				}
 				if n > 0 {
 					mu.Lock()
-					whole7++
+					received++
 					mu.Unlock()
 				}
-				io.WriteString(conn, whole("202 x", "{}"))
+				io.WriteString(conn, response("202 x", "{}"))
 				if n > 0 {
 					br.ReadByte()
 					return
@@ -377,7 +377,7 @@
 				}
 				if got, _ := io.CopyN(io.Discard, br, c.bytes); got == 7 {
 					mu.Lock()
-					whole7++
+					received++
 					mu.Unlock()
 				}
 				if c.later {
@@ -389,23 +389,23 @@
 			if res := cl.Prefill(t.Context(), addr, request()); res.Outcome != decide.ReadDone {
 				t.Fatalf("%+v", res)
 			}
-			cl.pool.standsAfter = 2 * time.Millisecond
+			cl.pool.lastByteDelay = 2 * time.Millisecond
 			if c.bytes < 7 {
-				cl.pool.standsAfter = 2 * time.Second // until the reset has come
+				cl.pool.lastByteDelay = 2 * time.Second // until the reset has come
 			}
 			res := cl.Prefill(t.Context(), addr, request())
 			cl.Close()
 			mu.Lock()
 			defer mu.Unlock()
-			if res.Outcome != c.want || whole7 != c.carried {
-				t.Errorf("outcome %d, %v; it reached the engine %d times", res.Outcome, res.Err, whole7)
+			if res.Outcome != c.want || received != c.carried {
+				t.Errorf("outcome %d, %v; it reached the engine %d times", res.Outcome, res.Err, received)
 			}
 		})
 	}
 }
 
 // A connection that comes up only after its dial was given up carries nothing, and is closed.
-func TestDialThatComesUpLate(t *testing.T) {
+func TestLateDialCarriesNoRequest(t *testing.T) {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/engine/chat/events.go
+++ b/internal/engine/chat/events.go
@@ -13,8 +13,8 @@
 	"mintdoor/internal/platform"
 )
 
-// events takes a stream of server-sent events apart and checks it, so that nothing spoilt reaches a client.
-type events struct {
+// eventStream takes a stream of server-sent events apart and checks it, so that nothing spoilt reaches a client.
+type eventStream struct {
 	x      *exchange
 	chunks *http1.ChunkedReader
 	buf    []byte // what came and is no whole event yet
@@ -24,13 +24,13 @@
 var blankLine = []byte("\n\n")
 
 // next returns the next event with data, as it came. io.EOF comes only after the last chunk.
-func (e *events) next() (string, error) {
+func (e *eventStream) next() (string, error) {
 	// From event to event: what is neither, a drip of bytes or of comments, does not put the time off.
 	e.x.conn.SetReadDeadline(time.Now().Add(e.x.client.opts.StreamIdleTimeout))
 	for {
 		if i := bytes.Index(e.buf, blankLine); i >= 0 {
 			raw := e.buf[:i+len(blankLine)]
-			data, err := e.check(raw)
+			data, err := e.checkEvent(raw)
 			event := string(raw)
 			e.buf = append(e.buf[:0], e.buf[len(raw):]...)
 			if err != nil {
@@ -41,12 +41,12 @@
 			}
 			continue
 		}
-		if len(e.buf) > maxEvent {
+		if len(e.buf) > maxEventSize {
 			return "", fmt.Errorf("%w: event", http1.ErrTooLarge)
 		}
 		if err := e.fill(); err != nil {
 			if err == io.EOF && len(bytes.TrimSpace(e.buf)) > 0 {
-				if _, bad := e.check(e.buf); bad != nil {
+				if _, bad := e.checkEvent(e.buf); bad != nil {
 					return "", bad
 				}
 				e.buf = nil // a closing comment without a blank line
@@ -57,7 +57,7 @@
 }
 
 // fill reads more.
-func (e *events) fill() error {
+func (e *eventStream) fill() error {
 	n := len(e.buf)
 	if cap(e.buf)-n < 512 {
 		e.buf = append(make([]byte, 0, max(2*cap(e.buf), 1024)), e.buf...)
@@ -73,30 +73,30 @@
 	return nil
 }
 
-// check tells whether an event carries data for the client. A comment is between the engine and the router.
-func (e *events) check(raw []byte) (data bool, err error) {
+// checkEvent tells whether an event carries data for the client. A comment is between the engine and the router.
+func (e *eventStream) checkEvent(raw []byte) (hasData bool, err error) {
 	for line := range bytes.SplitSeq(raw, []byte("\n")) {
 		line = bytes.TrimSuffix(line, []byte("\r"))
 		switch {
 		case len(line) == 0:
 		case line[0] == ':':
-			if v, ok := strings.CutPrefix(string(line), loadComment); ok {
-				e.report = parseLoad([]byte(v))
+			if v, ok := strings.CutPrefix(string(line), loadCommentPrefix); ok {
+				e.report = parseLoadReport([]byte(v))
 			}
 		case bytes.HasPrefix(line, []byte("data:")):
 			v := bytes.TrimSpace(line[len("data:"):])
 			if string(v) != doneSentinel && !json.Valid(v) {
 				return false, fmt.Errorf("%w: event %.60q", http1.ErrMalformed, line)
 			}
-			data = true
+			hasData = true
 		default:
 			return false, fmt.Errorf("%w: event %.60q", http1.ErrMalformed, line)
 		}
 	}
-	return data, nil
+	return hasData, nil
 }
 
-func isEvents(contentType string) bool {
+func isEventStream(contentType string) bool {
 	v, _, _ := strings.Cut(contentType, ";")
 	return strings.EqualFold(strings.TrimSpace(v), platform.EventStreamType)
 }
--- a/internal/engine/chat/release.go
+++ b/internal/engine/chat/release.go
@@ -13,7 +13,7 @@
 // Release lets go of all that is held for a request. Any engine that runs takes the call for all of them, so
 // it is tried at others when the one that holds it does not answer.
 func (c *Client) Release(ctx context.Context, s *engine.State) error {
-	return c.letGo(ctx, s.Addr, s.Handle, hedgeAfter)
+	return c.releaseHolds(ctx, s.Addr, s.Handle, hedgeDelay)
 }
 
 // CancelRead lets go of what a read may have left that was given up. It waits for the read's end first: a call
@@ -21,54 +21,54 @@
 // the network keeps the closing from the engine, or the engine hangs, the read goes on and ends later. That the engine
 // answers others does not show that it has ended. So the call is made again and again for a while.
 func (c *Client) CancelRead(ctx context.Context, addr, request string) error {
-	return c.callOff(ctx, addr, request, c.readEnds)
+	return c.cancelRead(ctx, addr, request, c.readEndDelay)
 }
 
 // CancelReadLater does the same for a read whose request has an answer that has begun: what is known is let go already.
 func (c *Client) CancelReadLater(ctx context.Context, addr, request string) error {
-	return c.callOff(ctx, addr, request, c.opts.CancelRetryDelay)
+	return c.cancelRead(ctx, addr, request, c.opts.CancelRetryDelay)
 }
 
-func (c *Client) callOff(ctx context.Context, addr, request string, wait time.Duration) error {
+func (c *Client) cancelRead(ctx context.Context, addr, request string, wait time.Duration) error {
 	var err error
-	after := hedgeAfter
-	for range maxCallOffs {
+	after := hedgeDelay
+	for range maxCancelCalls {
 		select {
 		case <-ctx.Done():
-			return errors.Join(err, c.letGo(ctx, addr, request, after)) // says what it is that was not let go
+			return errors.Join(err, c.releaseHolds(ctx, addr, request, after)) // says what it is that was not let go
 		case <-time.After(wait):
 		}
-		err = c.letGo(ctx, addr, request, after)
-		wait, after = c.opts.CancelRetryDelay, c.firstTry // there may be many such calls, and most find nothing
+		err = c.releaseHolds(ctx, addr, request, after)
+		wait, after = c.opts.CancelRetryDelay, c.releaseCallTimeout // there may be many such calls, and most find nothing
 	}
 	return err
 }
 
-// heardSince tells whether an engine has answered something since a time.
-func (c *Client) heardSince(addr string, since time.Time) bool {
+// respondedSince tells whether an engine has answered something since a time.
+func (c *Client) respondedSince(addr string, since time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.heard[addr].After(since)
+	return c.lastResponse[addr].After(since)
 }
 
 // CancelReservation lets go of a place; the protocol has one call for all that is held.
 func (c *Client) CancelReservation(ctx context.Context, addr, request string) error {
-	return c.letGo(ctx, addr, request, hedgeAfter)
+	return c.releaseHolds(ctx, addr, request, hedgeDelay)
 }
 
 // Renew does nothing: the protocol's engines hold a state until it is let go.
 func (c *Client) Renew(context.Context, *engine.State) error { return nil }
 
-// keptTries is how many engines are tried on kept connections; those may have fallen silent, all of them.
-const keptTries = 2
+// maxKeptConnTries is how many engines are tried on kept connections; those may have fallen silent, all of them.
+const maxKeptConnTries = 2
 
-// letGo takes the call to an engine, and to others as long as none has taken it: one more after each such time, or at once when one
+// releaseHolds takes the call to an engine, and to others as long as none has taken it: one more after each such time, or at once when one
 // fails; of all calls together maxHedges are at others at a time. Any engine that runs takes it for all. First comes the engine at addr if it was heard lately, else one that was; then
 // those that answered last, and then any that is listed: most may be silent. What is held has to be let go within a time that a
 // few silent engines, one after the other, would use up (a zone that is cut off).
-func (c *Client) letGo(ctx context.Context, addr, request string, hedgeAfter time.Duration) error {
+func (c *Client) releaseHolds(ctx context.Context, addr, request string, hedgeDelay time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, c.opts.ReleaseTimeout)
-	began := time.Now()
+	start := time.Now()
 	type result struct {
 		addr string
 		err  error
@@ -81,13 +81,13 @@
 			<-results
 		}
 	}()
-	var last error
+	var lastErr error
 	tried := map[string]bool{}
 	next := func() string {
-		if addr != "" && !tried[addr] && (len(tried) > 0 || c.heardSince(addr, began.Add(-c.firstTry))) {
+		if addr != "" && !tried[addr] && (len(tried) > 0 || c.respondedSince(addr, start.Add(-c.releaseCallTimeout))) {
 			return addr
 		}
-		if other := c.other(tried); other != "" || tried[addr] {
+		if other := c.nextEngine(tried); other != "" || tried[addr] {
 			return other
 		}
 		return addr
@@ -97,49 +97,49 @@
 	for {
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("DELETE %s%s: %w", platform.HoldsPath, request, errors.Join(last, ctx.Err()))
+			return fmt.Errorf("DELETE %s%s: %w", platform.HoldsPath, request, errors.Join(lastErr, ctx.Err()))
 		case res := <-results:
 			pending--
 			if res.err == nil {
 				c.opts.Log.Info("let go", "request", request, "held at", addr, "taken by", res.addr, "engines asked", len(tried),
-					"after", time.Since(began))
+					"after", time.Since(start))
 				return nil
 			}
-			last = res.err
+			lastErr = res.err
 			hedge.Reset(0)
 		case <-hedge.C:
-			if pending == maxHedged {
+			if pending == maxHedgesPerRelease {
 				continue // the first that ends makes room
 			}
-			to := next()
-			if pending > 0 && c.hedges.Load() >= maxHedges && !c.heardSince(to, began) { // one that is heard now takes it at once
-				hedge.Reset(hedgeAfter)
+			target := next()
+			if pending > 0 && c.activeHedges.Load() >= maxHedgesTotal && !c.respondedSince(target, start) { // one that is heard now takes it at once
+				hedge.Reset(hedgeDelay)
 				continue
 			}
-			if to == "" {
+			if target == "" {
 				clear(tried) // all once more
-				hedge.Reset(hedgePause)
+				hedge.Reset(hedgeRoundPause)
 				continue
 			}
-			tried[to] = true
+			tried[target] = true
 			pending++
-			fresh := len(tried) > keptTries
-			c.hedges.Add(1)
+			newConn := len(tried) > maxKeptConnTries
+			c.activeHedges.Add(1)
 			go func() {
-				defer c.hedges.Add(-1)
-				results <- result{to, c.release(ctx, to, request, fresh)}
+				defer c.activeHedges.Add(-1)
+				results <- result{target, c.sendRelease(ctx, target, request, newConn)}
 			}()
-			hedge.Reset(hedgeAfter)
+			hedge.Reset(hedgeDelay)
 		}
 	}
 }
 
-// release makes the call that lets go of what is held, at one engine.
-func (c *Client) release(ctx context.Context, addr, request string, fresh bool) error {
-	ctx, cancel := context.WithTimeout(ctx, c.firstTry)
+// sendRelease makes the call that lets go of what is held, at one engine.
+func (c *Client) sendRelease(ctx context.Context, addr, request string, newConn bool) error {
+	ctx, cancel := context.WithTimeout(ctx, c.releaseCallTimeout)
 	defer cancel()
 	x, err := c.start(ctx, addr, &call{method: "DELETE", target: platform.HoldsPath + request, urgent: true,
-		fresh: fresh})
+		newConn: newConn})
 	defer x.done()
 	if err != nil {
 		return err
@@ -153,12 +153,12 @@
 	return nil
 }
 
-// other returns the engine that answered last of those not tried yet, or else any that is listed; "" if there is none.
-func (c *Client) other(tried map[string]bool) string {
+// nextEngine returns the engine that answered last of those not tried yet, or else any that is listed; "" if there is none.
+func (c *Client) nextEngine(tried map[string]bool) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	best, at := "", time.Time{}
-	for addr, t := range c.heard {
+	for addr, t := range c.lastResponse {
 		if !tried[addr] && (best == "" || t.After(at)) {
 			best, at = addr, t
 		}
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -22,20 +22,20 @@
 
 // Bounds of what an engine may send.
 const (
-	maxAnswer  = 1 << 20                // bytes of a body that is no stream
-	maxEvent   = 64 << 10               // bytes of one event of a stream
-	maxHeaders = 64 << 10               // bytes of headers
-	maxError   = 512                    // bytes of an error that are kept for the log
-	readBuffer = 4096                   // bytes, one for each connection
-	endWithin  = 100 * time.Millisecond // for the end of a stream after its last event
+	maxResponseSize  = 1 << 20                // bytes of a body that is no stream
+	maxEventSize     = 64 << 10               // bytes of one event of a stream
+	maxHeaderSize    = 64 << 10               // bytes of headers
+	maxErrorSize     = 512                    // bytes of an error that are kept for the log
+	bufferSize       = 4096                   // bytes, one for each connection
+	streamEndTimeout = 100 * time.Millisecond // for the end of a stream after its last event
 )
 
 // Client speaks to all engines. Its zero value is of no use; make one with New. It is safe for
 // concurrent use.
 type Client struct {
-	opts  Options
-	http  *http.Client
-	trans *http.Transport
+	opts      Options
+	http      *http.Client
+	transport *http.Transport
 
 	mu    sync.Mutex
 	conns map[string]*atomic.Int64 // open connections by address
@@ -44,33 +44,33 @@
 // New returns a client. Close it to let go of idle connections.
 func New(opts Options) *Client {
 	c := &Client{opts: opts, conns: map[string]*atomic.Int64{}}
-	c.trans = &http.Transport{
+	c.transport = &http.Transport{
 		DialContext:            c.dial,
 		MaxIdleConnsPerHost:    opts.MaxConns,
 		IdleConnTimeout:        opts.IdleConnTimeout,
-		MaxResponseHeaderBytes: maxHeaders,
-		ReadBufferSize:         readBuffer,
-		WriteBufferSize:        readBuffer,
+		MaxResponseHeaderBytes: maxHeaderSize,
+		ReadBufferSize:         bufferSize,
+		WriteBufferSize:        bufferSize,
 		DisableCompression:     true,
 	}
-	c.http = &http.Client{Transport: c.trans, CheckRedirect: func(*http.Request, []*http.Request) error {
+	c.http = &http.Client{Transport: c.transport, CheckRedirect: func(*http.Request, []*http.Request) error {
 		return http.ErrUseLastResponse
 	}}
 	return c
 }
 
 // Close lets go of idle connections. Attempts that are out are ended by their contexts, not by Close.
-func (c *Client) Close() { c.trans.CloseIdleConnections() }
+func (c *Client) Close() { c.transport.CloseIdleConnections() }
 
-// counted is a connection that counts towards its engine's limit.
-type counted struct {
+// countedConn is a connection that counts towards its engine's limit.
+type countedConn struct {
 	net.Conn
 	once sync.Once
-	n    *atomic.Int64
+	open *atomic.Int64
 }
 
-func (c *counted) Close() error {
-	c.once.Do(func() { c.n.Add(-1) })
+func (c *countedConn) Close() error {
+	c.once.Do(func() { c.open.Add(-1) })
 	return c.Conn.Close()
 }
 
@@ -92,7 +92,7 @@
 		n.Add(-1)
 		return nil, err
 	}
-	return &counted{Conn: conn, n: n}, nil
+	return &countedConn{Conn: conn, open: n}, nil
 }
 
 // ForgetEngine drops what is kept for engines that are not in use any more.
@@ -104,12 +104,12 @@
 	}
 }
 
-// call is one HTTP exchange, with what is known of how far it came.
-type call struct {
-	ctx  context.Context
-	got  atomic.Bool // a connection stood
-	resp *http.Response
-	err  error
+// exchange is one HTTP exchange, with what is known of how far it came.
+type exchange struct {
+	ctx       context.Context
+	connected atomic.Bool // a connection stood
+	resp      *http.Response
+	err       error
 }
 
 // DenialOutcome tells how an attempt ended whose last byte the gate did not let leave, if that is what an error says. Its engine has
@@ -128,17 +128,17 @@
 // gatedBody is a body that is sent only with the gate's leave. It can be read once, so that nothing sends it again.
 type gatedBody struct {
 	*bytes.Reader
-	gate  Gate
-	asked bool
+	gate    Gate
+	allowed bool
 }
 
 // Read implements io.Reader.
 func (b *gatedBody) Read(p []byte) (int, error) {
-	if !b.asked {
+	if !b.allowed {
 		if err := b.gate.MaySend(0); err != nil {
 			return 0, err
 		}
-		b.asked = true
+		b.allowed = true
 	}
 	n, err := b.Reader.Read(p)
 	if b.Reader.Len() == 0 && n > 0 {
@@ -147,14 +147,14 @@
 	return n, err
 }
 
-func (c *Client) post(ctx context.Context, method, addr, path string, body []byte) *call {
-	return c.postGated(ctx, method, addr, path, body, nil)
+func (c *Client) send(ctx context.Context, method, addr, path string, body []byte) *exchange {
+	return c.sendGated(ctx, method, addr, path, body, nil)
 }
 
-func (c *Client) postGated(ctx context.Context, method, addr, path string, body []byte, gate Gate) *call {
-	x := &call{}
+func (c *Client) sendGated(ctx context.Context, method, addr, path string, body []byte, gate Gate) *exchange {
+	x := &exchange{}
 	x.ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
-		GotConn: func(httptrace.GotConnInfo) { x.got.Store(true) },
+		GotConn: func(httptrace.GotConnInfo) { x.connected.Store(true) },
 	})
 	req, err := http.NewRequestWithContext(x.ctx, method, "http://"+addr+path, bytes.NewReader(body))
 	if err != nil {
@@ -171,23 +171,23 @@
 	return x
 }
 
-// failed tells how an exchange that has an error ended.
-func (x *call) failed(err error) Result {
+// failureResult tells how an exchange that has an error ended.
+func (x *exchange) failureResult(err error) Result {
 	r := Result{Report: NoReport(), Err: err}
 	cause := context.Cause(x.ctx)
 	denied, isDenied := DenialOutcome(err)
 	switch {
 	case isDenied:
 		r.Outcome = denied
-	case !x.got.Load() && !errors.Is(cause, ErrCancelled):
+	case !x.connected.Load() && !errors.Is(cause, ErrCancelled):
 		r.Outcome = decide.ConnectFailed // nothing was sent, so nothing ran
 	case errors.Is(cause, ErrTimedOut):
 		r.Outcome = decide.TimedOut
 	case errors.Is(cause, ErrCancelled), errors.Is(cause, context.Canceled):
 		r.Outcome = decide.Cancelled
-	case errors.Is(cause, errIdle):
-		r.Outcome, r.Err = decide.Reset, errIdle
-	case errors.Is(err, errNotAnswer), errors.Is(err, kserve.ErrEventTooLong):
+	case errors.Is(cause, errStreamIdle):
+		r.Outcome, r.Err = decide.Reset, errStreamIdle
+	case errors.Is(err, errMalformedResponse), errors.Is(err, kserve.ErrEventTooLong):
 		r.Outcome = decide.Error
 	default:
 		r.Outcome = decide.Reset
@@ -195,14 +195,14 @@
 	return r
 }
 
-// refused tells how an answer other than 200 is to be taken. Only a refusal that the engine names proves
+// refusalResult tells how an answer other than 200 is to be taken. Only a refusal that the engine names proves
 // that nothing ran.
-func refused(resp *http.Response) Result {
-	r := Result{Outcome: decide.Error, Report: report(resp)}
-	why := resp.Header.Get(RefusedHeader)
-	text, _ := io.ReadAll(io.LimitReader(resp.Body, maxError))
+func refusalResult(resp *http.Response) Result {
+	r := Result{Outcome: decide.Error, Report: loadReport(resp)}
+	reason := resp.Header.Get(RefusedHeader)
+	text, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorSize))
 	if resp.StatusCode == http.StatusServiceUnavailable {
-		switch why {
+		switch reason {
 		case RefusedFull, RefusedDraining, RefusedRole:
 			r.Outcome = decide.Full
 		case RefusedNoState:
@@ -217,16 +217,16 @@
 	return r
 }
 
-func report(resp *http.Response) decide.Report {
+func loadReport(resp *http.Response) decide.Report {
 	if v := resp.Header.Get(LoadHeader); v != "" {
 		return ParseLoadHeader(v)
 	}
 	return NoReport()
 }
 
-// discard reads what is left of a body so that its connection can be used again, or closes it.
-func discard(body io.ReadCloser) {
-	io.CopyN(io.Discard, body, maxError)
+// drainAndClose reads what is left of a body so that its connection can be used again, or closes it.
+func drainAndClose(body io.ReadCloser) {
+	io.CopyN(io.Discard, body, maxErrorSize)
 	body.Close()
 }
 
@@ -250,33 +250,33 @@
 	if err != nil {
 		return Result{Outcome: decide.NotStarted, Report: NoReport(), Err: err}
 	}
-	x := c.postGated(ctx, http.MethodPost, addr, "/v2/models/"+url.PathEscape(q.Model)+"/infer", body, q.Gate)
+	x := c.sendGated(ctx, http.MethodPost, addr, "/v2/models/"+url.PathEscape(q.Model)+"/infer", body, q.Gate)
 	if x.err != nil {
-		return x.failed(x.err)
+		return x.failureResult(x.err)
 	}
-	defer discard(x.resp.Body)
+	defer drainAndClose(x.resp.Body)
 	if x.resp.StatusCode != http.StatusOK {
-		return refused(x.resp)
+		return refusalResult(x.resp)
 	}
 	var answer struct {
 		ID         string      `json:"id"`
 		Parameters *ReadParams `json:"parameters"`
 	}
-	if err := kserve.Decode(io.LimitReader(x.resp.Body, maxAnswer), &answer); err != nil {
+	if err := kserve.Decode(io.LimitReader(x.resp.Body, maxResponseSize), &answer); err != nil {
 		var syntax *json.SyntaxError
 		var kind *json.UnmarshalTypeError
 		if errors.As(err, &syntax) || errors.As(err, &kind) || errors.Is(err, kserve.ErrTrailingData) {
-			err = fmt.Errorf("%w: %w", errNotAnswer, err)
+			err = fmt.Errorf("%w: %w", errMalformedResponse, err)
 		}
-		return x.failed(err)
+		return x.failureResult(err)
 	}
 	switch p := answer.Parameters; {
 	case answer.ID != q.ID:
-		return x.failed(fmt.Errorf("%w: it has the id %.40q, want %q", errNotAnswer, answer.ID, q.ID))
+		return x.failureResult(fmt.Errorf("%w: it has the id %.40q, want %q", errMalformedResponse, answer.ID, q.ID))
 	case p == nil || p.Handle == "" || p.Source == "" || p.CachedTokens < 0 || p.Tokens < 0:
-		return x.failed(fmt.Errorf("%w: it names no state", errNotAnswer))
+		return x.failureResult(fmt.Errorf("%w: it names no state", errMalformedResponse))
 	default:
-		return Result{Outcome: decide.ReadDone, CachedTokens: p.CachedTokens, Report: report(x.resp),
+		return Result{Outcome: decide.ReadDone, CachedTokens: p.CachedTokens, Report: loadReport(x.resp),
 			State: &State{Addr: p.Source, Handle: p.Handle, Tokens: p.Tokens}}
 	}
 }
@@ -290,22 +290,22 @@
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	x := c.postGated(ctx, http.MethodPost, addr, "/v2/models/"+url.PathEscape(q.Model)+"/generate_stream", body, q.Gate)
+	x := c.sendGated(ctx, http.MethodPost, addr, "/v2/models/"+url.PathEscape(q.Model)+"/generate_stream", body, q.Gate)
 	if x.err != nil {
-		return x.failed(x.err)
+		return x.failureResult(x.err)
 	}
 	defer x.resp.Body.Close()
 	if x.resp.StatusCode != http.StatusOK {
-		return refused(x.resp)
+		return refusalResult(x.resp)
 	}
-	rep := report(x.resp)
-	idle := time.AfterFunc(time.Hour, func() { cancel(errIdle) })
+	rep := loadReport(x.resp)
+	idle := time.AfterFunc(time.Hour, func() { cancel(errStreamIdle) })
 	idle.Stop() // before its first token an attempt is bounded by its owner alone
 	defer idle.Stop()
-	events := kserve.NewEventReader(x.resp.Body, maxEvent)
+	events := kserve.NewEventReader(x.resp.Body, maxEventSize)
 	tokens := 0
 	fail := func(err error) Result {
-		r := x.failed(err)
+		r := x.failureResult(err)
 		r.Tokens, r.Report = tokens, rep
 		return r
 	}
@@ -326,15 +326,15 @@
 			Error      string          `json:"error"`
 		}
 		if err := json.Unmarshal(data, &ev); err != nil {
-			return fail(fmt.Errorf("%w: %w", errNotAnswer, err))
+			return fail(fmt.Errorf("%w: %w", errMalformedResponse, err))
 		}
 		switch {
 		case ev.Error != "":
-			return fail(fmt.Errorf("%w: the engine says %.200q", errNotAnswer, ev.Error))
+			return fail(fmt.Errorf("%w: the engine says %.200q", errMalformedResponse, ev.Error))
 		case ev.ID != q.ID:
-			return fail(fmt.Errorf("%w: it has the id %.40q, want %q", errNotAnswer, ev.ID, q.ID))
+			return fail(fmt.Errorf("%w: it has the id %.40q, want %q", errMalformedResponse, ev.ID, q.ID))
 		case ev.TextOutput == nil && ev.Details == nil:
-			return fail(fmt.Errorf("%w: an event without text", errNotAnswer))
+			return fail(fmt.Errorf("%w: an event without text", errMalformedResponse))
 		}
 		if ev.Parameters != nil {
 			rep = ev.Parameters.Report()
@@ -353,12 +353,12 @@
 		if ev.Details != nil {
 			// What follows the last event is no part of the answer; read the end of the body so that
 			// the connection can be used again, but wait for it no longer than a moment.
-			end := time.AfterFunc(endWithin, func() { cancel(errIdle) })
+			end := time.AfterFunc(streamEndTimeout, func() { cancel(errStreamIdle) })
 			_, err := events.Next()
 			end.Stop()
 			r := Result{Outcome: decide.Served, Report: rep, FinishReason: ev.Details.FinishReason, Tokens: tokens}
 			if err == nil {
-				r.Err = fmt.Errorf("%w: more came after the end", errNotAnswer)
+				r.Err = fmt.Errorf("%w: more came after the end", errMalformedResponse)
 			}
 			return r
 		}
@@ -368,7 +368,7 @@
 
 // Release lets go of a state. It tries again until the time for it is over, since nobody else will.
 func (c *Client) Release(ctx context.Context, s *State) error {
-	return c.insist(ctx, http.MethodPost, s.Addr, StatePath+url.PathEscape(s.Handle)+"/release")
+	return c.sendUntilAccepted(ctx, http.MethodPost, s.Addr, StatePath+url.PathEscape(s.Handle)+"/release")
 }
 
 // Renew tells the engine where a state waits that it is still wanted: an attempt at a writer is out, and
@@ -376,17 +376,17 @@
 func (c *Client) Renew(ctx context.Context, s *State) error {
 	ctx, cancel := context.WithTimeout(ctx, c.opts.ReleaseTimeout)
 	defer cancel()
-	x := c.post(ctx, http.MethodPost, s.Addr, StatePath+url.PathEscape(s.Handle)+"/renew", nil)
+	x := c.send(ctx, http.MethodPost, s.Addr, StatePath+url.PathEscape(s.Handle)+"/renew", nil)
 	if x.err != nil {
 		return x.err
 	}
-	discard(x.resp.Body)
+	drainAndClose(x.resp.Body)
 	return nil
 }
 
 // CancelRead ends a read whose answer will not be taken, and lets go of the state that it may have left.
 func (c *Client) CancelRead(ctx context.Context, addr, request string) error {
-	return c.insist(ctx, http.MethodDelete, addr, ReadPath+url.PathEscape(request))
+	return c.sendUntilAccepted(ctx, http.MethodDelete, addr, ReadPath+url.PathEscape(request))
 }
 
 // EngineListed does nothing: what is held is let go where it is.
@@ -397,18 +397,18 @@
 
 // CancelReservation lets go of a place held ahead.
 func (c *Client) CancelReservation(ctx context.Context, addr, request string) error {
-	return c.insist(ctx, http.MethodDelete, addr, ReservationPath+url.PathEscape(request))
+	return c.sendUntilAccepted(ctx, http.MethodDelete, addr, ReservationPath+url.PathEscape(request))
 }
 
-func (c *Client) insist(ctx context.Context, method, addr, path string) error {
+func (c *Client) sendUntilAccepted(ctx context.Context, method, addr, path string) error {
 	ctx, cancel := context.WithTimeout(ctx, c.opts.ReleaseTimeout)
 	defer cancel()
-	const first = 5 * time.Millisecond
-	for pause := first; ; pause *= 2 {
-		x := c.post(ctx, method, addr, path, nil)
+	const firstPause = 5 * time.Millisecond
+	for pause := firstPause; ; pause *= 2 {
+		x := c.send(ctx, method, addr, path, nil)
 		if x.err == nil {
 			code := x.resp.StatusCode
-			discard(x.resp.Body)
+			drainAndClose(x.resp.Body)
 			if code < 500 { // 404: it is gone already
 				return nil
 			}
@@ -430,16 +430,16 @@
 	if err != nil {
 		return false, err
 	}
-	x := c.post(ctx, http.MethodPut, addr, ReservationPath+url.PathEscape(p.Request), body)
+	x := c.send(ctx, http.MethodPut, addr, ReservationPath+url.PathEscape(p.Request), body)
 	if x.err != nil {
 		return false, x.err
 	}
-	defer discard(x.resp.Body)
+	defer drainAndClose(x.resp.Body)
 	if x.resp.StatusCode != http.StatusOK {
-		return false, refused(x.resp).Err
+		return false, refusalResult(x.resp).Err
 	}
 	var answer ReservationResponse
-	err = kserve.Decode(io.LimitReader(x.resp.Body, maxAnswer), &answer)
+	err = kserve.Decode(io.LimitReader(x.resp.Body, maxResponseSize), &answer)
 	return answer.Held && err == nil, err
 }
 
@@ -448,38 +448,38 @@
 func (c *Client) Probe(ctx context.Context, addr string, _ bool) Result {
 	ctx, cancel := context.WithTimeoutCause(ctx, c.opts.ProbeTimeout, ErrTimedOut)
 	defer cancel()
-	x := c.post(ctx, http.MethodGet, addr, LoadPath, nil)
+	x := c.send(ctx, http.MethodGet, addr, LoadPath, nil)
 	if x.err != nil {
-		return x.failed(x.err)
+		return x.failureResult(x.err)
 	}
-	defer discard(x.resp.Body)
+	defer drainAndClose(x.resp.Body)
 	if x.resp.StatusCode != http.StatusOK {
-		return refused(x.resp)
+		return refusalResult(x.resp)
 	}
 	var l LoadReport
-	if err := kserve.Decode(io.LimitReader(x.resp.Body, maxAnswer), &l); err != nil {
-		return x.failed(fmt.Errorf("%w: %w", errNotAnswer, err))
+	if err := kserve.Decode(io.LimitReader(x.resp.Body, maxResponseSize), &l); err != nil {
+		return x.failureResult(fmt.Errorf("%w: %w", errMalformedResponse, err))
 	}
 	return Result{Outcome: decide.Served, Report: l.Report()}
 }
 
 // Role asks an engine for its role.
 func (c *Client) Role(ctx context.Context, addr string) (Role, error) {
-	r, _, err := c.role(ctx, http.MethodGet, addr, RolePath, nil)
+	r, _, err := c.callRole(ctx, http.MethodGet, addr, RolePath, nil)
 	return r, err
 }
 
 // ChangeRole asks an engine to change, and tells whether it grants that, with what it is now.
 func (c *Client) ChangeRole(ctx context.Context, addr string, q *RoleChange) (Role, bool, error) {
-	return c.role(ctx, http.MethodPost, addr, RolePath, q)
+	return c.callRole(ctx, http.MethodPost, addr, RolePath, q)
 }
 
 // CancelRoleChange asks an engine to take a change back, and tells whether it does.
 func (c *Client) CancelRoleChange(ctx context.Context, addr string, q *RoleChangeCancel) (Role, bool, error) {
-	return c.role(ctx, http.MethodPost, addr, RolePath+"/stay", q)
+	return c.callRole(ctx, http.MethodPost, addr, RolePath+"/stay", q)
 }
 
-func (c *Client) role(ctx context.Context, method, addr, path string, q any) (r Role, granted bool, err error) {
+func (c *Client) callRole(ctx context.Context, method, addr, path string, q any) (r Role, granted bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, c.opts.ProbeTimeout)
 	defer cancel()
 	var body []byte
@@ -488,19 +488,19 @@
 			return r, false, err
 		}
 	}
-	x := c.post(ctx, method, addr, path, body)
+	x := c.send(ctx, method, addr, path, body)
 	if x.err != nil {
 		return r, false, x.err
 	}
-	defer discard(x.resp.Body)
+	defer drainAndClose(x.resp.Body)
 	if code := x.resp.StatusCode; code != http.StatusOK && code != http.StatusConflict {
-		return r, false, refused(x.resp).Err
+		return r, false, refusalResult(x.resp).Err
 	}
-	if err := kserve.Decode(io.LimitReader(x.resp.Body, maxAnswer), &r); err != nil {
-		return r, false, fmt.Errorf("%w: %w", errNotAnswer, err)
+	if err := kserve.Decode(io.LimitReader(x.resp.Body, maxResponseSize), &r); err != nil {
+		return r, false, fmt.Errorf("%w: %w", errMalformedResponse, err)
 	}
 	if r.Role == "" || r.Phase == "" {
-		return r, false, fmt.Errorf("%w: it names no role", errNotAnswer)
+		return r, false, fmt.Errorf("%w: it names no role", errMalformedResponse)
 	}
 	return r, x.resp.StatusCode == http.StatusOK, nil
 }
--- a/internal/engine/client_test.go
+++ b/internal/engine/client_test.go
@@ -17,8 +17,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// peer answers each connection's first request with some bytes, and keeps it open or closes it.
-func peer(t *testing.T, answer string, stay bool) string {
+// startFakeEngine answers each connection's first request with some bytes, and keeps it open or closes it.
+func startFakeEngine(t *testing.T, answer string, keepOpen bool) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -41,7 +41,7 @@
 				}
 			}
 			c.Write([]byte(answer))
-			if stay {
+			if keepOpen {
 				<-end
 			}
 			c.Close()
@@ -62,15 +62,15 @@
 	return c
 }
 
-func ok(body string) string {
+func okResponse(body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-func refusal(why string) string {
-	return "HTTP/1.1 503 Service Unavailable\r\nKv-Refused: " + why + "\r\nContent-Length: 0\r\n\r\n"
+func refusal(reason string) string {
+	return "HTTP/1.1 503 Service Unavailable\r\nKv-Refused: " + reason + "\r\nContent-Length: 0\r\n\r\n"
 }
 
-const handle = `{"id":"a","parameters":{"kv_handle":"h","kv_source":"x:1","kv_tokens":9,"kept_tokens":4}}`
+const readResponse = `{"id":"a","parameters":{"kv_handle":"h","kv_source":"x:1","kv_tokens":9,"kept_tokens":4}}`
 
 // What an engine does tells the outcome: only its own word, or a connection that never stood, proves that
 // nothing ran.
@@ -80,23 +80,23 @@
 		want         decide.Outcome
 		noState      bool
 	}{
-		{"read", ok(handle), decide.ReadDone, false},
+		{"read", okResponse(readResponse), decide.ReadDone, false},
 		{"full", refusal(RefusedFull), decide.Full, false},
 		{"draining", refusal(RefusedDraining), decide.Full, false},
 		{"no state", refusal(RefusedNoState), decide.Full, true},
 		{"503 of somebody between", "HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n", decide.Error, false},
 		{"503 with another word", refusal("tired"), decide.Error, false},
 		{"500 with the word", strings.Replace(refusal(RefusedFull), "503", "500", 1), decide.Error, false},
-		{"wrong id", ok(strings.Replace(handle, `"a"`, `"b"`, 1)), decide.Error, false},
-		{"no handle", ok(`{"id":"a","parameters":{}}`), decide.Error, false},
-		{"two answers", ok(handle + handle), decide.Error, false},
-		{"no JSON", ok("<html>"), decide.Error, false},
+		{"wrong id", okResponse(strings.Replace(readResponse, `"a"`, `"b"`, 1)), decide.Error, false},
+		{"no handle", okResponse(`{"id":"a","parameters":{}}`), decide.Error, false},
+		{"two answers", okResponse(readResponse + readResponse), decide.Error, false},
+		{"no JSON", okResponse("<html>"), decide.Error, false},
 		{"half an answer", "HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n{\"id\":", decide.Reset, false},
 		{"closed", "", decide.Reset, false},
 		{"no HTTP", "hello\r\n\r\n", decide.Reset, false},
 		{"endless headers", "HTTP/1.1 200 OK\r\n" + strings.Repeat("X: "+strings.Repeat("y", 1000)+"\r\n", 100), decide.Reset, false},
 	} {
-		res := newClient(t, nil).Prefill(t.Context(), peer(t, c.answer, false), &Call{ID: "a", Model: "m", Prompt: "x"})
+		res := newClient(t, nil).Prefill(t.Context(), startFakeEngine(t, c.answer, false), &Call{ID: "a", Model: "m", Prompt: "x"})
 		if res.Outcome != c.want || res.NoState != c.noState || (res.Outcome == decide.ReadDone) != (res.Err == nil) {
 			t.Errorf("%s: outcome %d (no state %v), err %v; want %d", c.name, res.Outcome, res.NoState, res.Err, c.want)
 		}
@@ -130,7 +130,7 @@
 		{"full", refusal(RefusedFull), false, decide.Full, 0},
 	} {
 		n := 0
-		res := newClient(t, nil).Decode(t.Context(), peer(t, c.answer, c.stay), &Call{ID: "a", Model: "m"},
+		res := newClient(t, nil).Decode(t.Context(), startFakeEngine(t, c.answer, c.stay), &Call{ID: "a", Model: "m"},
 			func(string) error { n++; return nil })
 		if res.Outcome != c.want || res.Tokens != c.tokens || n != c.tokens {
 			t.Errorf("%s: outcome %d, %d tokens, err %v; want %d and %d", c.name, res.Outcome, n, res.Err, c.want, c.tokens)
@@ -142,8 +142,8 @@
 }
 
 // How an attempt's owner ends it is its outcome; before a connection stood nothing can have run.
-func TestOutcomesByItsOwner(t *testing.T) {
-	addr := peer(t, "", true)
+func TestOutcomesOfCancelledAttempts(t *testing.T) {
+	addr := startFakeEngine(t, "", true)
 	for cause, want := range map[error]decide.Outcome{ErrTimedOut: decide.TimedOut, ErrCancelled: decide.Cancelled} {
 		ctx, cancel := context.WithCancelCause(t.Context())
 		time.AfterFunc(50*time.Millisecond, func() { cancel(cause) })
@@ -181,12 +181,12 @@
 	<-done
 }
 
-func TestReleaseInsists(t *testing.T) {
-	if err := newClient(t, nil).Release(t.Context(), &State{Addr: peer(t, "HTTP/1.1 404 x\r\nContent-Length: 0\r\n\r\n", false), Handle: "h"}); err != nil {
+func TestReleaseIsRetried(t *testing.T) {
+	if err := newClient(t, nil).Release(t.Context(), &State{Addr: startFakeEngine(t, "HTTP/1.1 404 x\r\nContent-Length: 0\r\n\r\n", false), Handle: "h"}); err != nil {
 		t.Errorf("a state that is gone: %v", err)
 	}
 	began := time.Now()
-	if err := newClient(t, nil).Release(t.Context(), &State{Addr: peer(t, "HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n", false), Handle: "h"}); err == nil {
+	if err := newClient(t, nil).Release(t.Context(), &State{Addr: startFakeEngine(t, "HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n", false), Handle: "h"}); err == nil {
 		t.Error("an engine that fails took a release")
 	}
 	if time.Since(began) < 50*time.Millisecond {
--- a/internal/engine/wire.go
+++ b/internal/engine/wire.go
@@ -268,11 +268,11 @@
 // The causes by which the owner of an attempt ends it before its time. They are given to the attempt's
 // context and come back as the outcome.
 var (
-	ErrTimedOut  = errors.New("time-out of the attempt")
-	ErrCancelled = errors.New("attempt called off")
-	errIdle      = errors.New("no token for too long")
-	errLimit     = errors.New("connection limit of the engine is reached")
-	errNotAnswer = errors.New("malformed answer")
+	ErrTimedOut          = errors.New("time-out of the attempt")
+	ErrCancelled         = errors.New("attempt called off")
+	errStreamIdle        = errors.New("no token for too long")
+	errLimit             = errors.New("connection limit of the engine is reached")
+	errMalformedResponse = errors.New("malformed answer")
 )
 
 // Options bound what the client does.
