--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -49,7 +49,7 @@
 	}
 }
 
-func TestChanges(t *testing.T) {
+func TestDiff(t *testing.T) {
 	old := sample()
 	now := []Engine{old[0], {Name: "p2", Addr: "127.0.0.1:9003", Kind: "prefill", State: decide.Ready}}
 	now[0].State = decide.Ready
@@ -63,7 +63,7 @@
 	}
 }
 
-func TestNumbers(t *testing.T) {
+func TestLocationNumber(t *testing.T) {
 	if LocationNumber("") != 0 || LocationNumber("a") == LocationNumber("b") || LocationNumber("a") <= 0 {
 		t.Error("zones and cells are not told apart")
 	}
--- a/internal/discovery/file.go
+++ b/internal/discovery/file.go
@@ -29,24 +29,24 @@
 }
 
 // Run reads the file until ctx ends.
-func (f *File) Run(ctx context.Context, tell func(Update)) error {
+func (f *File) Run(ctx context.Context, notify func(Update)) error {
 	tick := time.NewTicker(f.Interval)
 	defer tick.Stop()
 	var last string
-	var failed string
+	var reported string
 	for first := true; ; first = false {
 		text, err := os.ReadFile(f.Path)
 		if err == nil && (first || string(text) != last) {
 			last = string(text)
 			var list []Engine
 			if list, err = ParseList(f.Path, last, f.Kinds); err == nil {
-				failed = ""
-				tell(Update{Engines: list, At: time.Now()})
+				reported = ""
+				notify(Update{Engines: list, At: time.Now()})
 			}
 		}
-		if err != nil && err.Error() != failed { // once, not at each look
-			failed = err.Error()
-			tell(Update{Err: fmt.Errorf("list of engines: %w", err), At: time.Now()})
+		if err != nil && err.Error() != reported { // once, not at each look
+			reported = err.Error()
+			notify(Update{Err: fmt.Errorf("list of engines: %w", err), At: time.Now()})
 		}
 		select {
 		case <-ctx.Done():
--- a/internal/discovery/watch/members.go
+++ b/internal/discovery/watch/members.go
@@ -18,9 +18,9 @@
 
 // Bounds of a list.
 const (
-	maxMembers = 10_000
-	maxName    = 256
-	maxFaults  = 5 // named in one log line
+	maxMembers      = 10_000
+	maxNameLen      = 256
+	maxLoggedErrors = 5 // named in one log line
 )
 
 // Member is one entry on the wire.
@@ -49,8 +49,8 @@
 	Members  []Member `json:"members"`
 }
 
-// answer is a list as it came. Its members are decoded one by one, so that a broken one spoils no other.
-type answer struct {
+// response is a list as it came. Its members are decoded one by one, so that a broken one spoils no other.
+type response struct {
 	Revision int64             `json:"revision"`
 	Complete bool              `json:"complete"`
 	Members  []json.RawMessage `json:"members"`
@@ -58,8 +58,8 @@
 }
 
 // decodeList reads a list as discovery tells it.
-func decodeList(b []byte) (*answer, error) {
-	l := &answer{Revision: -1}
+func decodeList(b []byte) (*response, error) {
+	l := &response{Revision: -1}
 	if err := json.Unmarshal(b, l); err != nil {
 		return nil, fmt.Errorf("discovery's list: %w", err)
 	}
@@ -71,15 +71,15 @@
 
 // members is the list as discovery told it last.
 type members struct {
-	kinds []string
-	log   *slog.Logger
-	list  []discovery.Engine // sorted by name
-	fault string             // what was last logged as wrong with it
+	kinds      []string
+	log        *slog.Logger
+	list       []discovery.Engine // sorted by name
+	lastLogged string             // what was last logged as wrong with it
 }
 
 // apply puts a sound answer into the list and reports whether one of its members was broken. A broken member never
 // keeps the others from being taken: if its phase can be read it is honoured, else what was known of the member stays.
-func (m *members) apply(l *answer) (faulty bool) {
+func (m *members) apply(l *response) (invalid bool) {
 	before := make(map[string]discovery.Engine, len(m.list))
 	for _, e := range m.list {
 		before[e.Name] = e
@@ -88,22 +88,22 @@
 	if !l.Complete {
 		maps.Copy(next, before)
 	}
-	var faults []string
+	var problems []string
 	seen := make(map[string]bool, len(l.Members))
 	for _, raw := range l.Members {
 		member, err := decodeMember(raw)
 		if err != nil {
-			faults = append(faults, err.Error())
+			problems = append(problems, err.Error())
 		}
-		if member.ID == "" || len(member.ID) > maxName {
+		if member.ID == "" || len(member.ID) > maxNameLen {
 			if err == nil {
-				faults = append(faults, fmt.Sprintf("member %.40q at %.40q", member.ID, member.Addr))
+				problems = append(problems, fmt.Sprintf("member %.40q at %.40q", member.ID, member.Addr))
 			}
 			continue
 		}
 		old, known := before[member.ID]
 		if seen[member.ID] {
-			faults = append(faults, fmt.Sprintf("member %q stands twice", member.ID))
+			problems = append(problems, fmt.Sprintf("member %q stands twice", member.ID))
 			old, known = next[member.ID] // of two contradicting entries the one that asks for less is right
 			if member.Phase == Up {
 				continue
@@ -116,14 +116,14 @@
 		}
 		if err == nil {
 			var engine discovery.Engine
-			if engine, err = m.engine(&member); err == nil {
+			if engine, err = m.toEngine(&member); err == nil {
 				next[member.ID] = engine
 				continue
 			}
-			faults = append(faults, err.Error())
+			problems = append(problems, err.Error())
 		}
 		switch {
-		case errors.Is(err, errKind):
+		case errors.Is(err, errUnknownKind):
 			delete(next, member.ID) // nobody could say what it can do
 		case known && member.Phase != Up:
 			old.State = decide.Draining
@@ -132,19 +132,19 @@
 			next[member.ID] = old
 		}
 	}
-	faults = append(faults, dropSharedAddresses(next, before)...)
+	problems = append(problems, dropSharedAddresses(next, before)...)
 	m.list = slices.SortedFunc(maps.Values(next), func(a, b discovery.Engine) int { return strings.Compare(a.Name, b.Name) })
-	m.report(faults)
-	return len(faults) > 0
+	m.logProblems(problems)
+	return len(problems) > 0
 }
 
-// report logs what is wrong with a list, once a change.
-func (m *members) report(faults []string) {
-	text := strings.Join(faults[:min(len(faults), maxFaults)], "; ")
-	if text != "" && text != m.fault {
-		m.log.Warn("broken members in discovery's list; the sound ones are taken", "count", len(faults), "first", text)
+// logProblems logs what is wrong with a list, once a change.
+func (m *members) logProblems(problems []string) {
+	text := strings.Join(problems[:min(len(problems), maxLoggedErrors)], "; ")
+	if text != "" && text != m.lastLogged {
+		m.log.Warn("broken members in discovery's list; the sound ones are taken", "count", len(problems), "first", text)
 	}
-	m.fault = text
+	m.lastLogged = text
 }
 
 // decodeMember reads one member. With an error what could be read of it is returned.
@@ -163,17 +163,17 @@
 	return m, fmt.Errorf("member %.40q: %w", m.ID, err)
 }
 
-var errKind = errors.New("the settings do not know its kind")
+var errUnknownKind = errors.New("the settings do not know its kind")
 
-// engine makes an engine of a member.
-func (m *members) engine(w *Member) (discovery.Engine, error) {
+// toEngine makes an engine of a member.
+func (m *members) toEngine(w *Member) (discovery.Engine, error) {
 	e := discovery.Engine{Name: w.ID, Addr: w.Addr, Kind: settings.NormalizeName(w.Kind), Zone: settings.NormalizeName(w.Zone),
 		Cell: strconv.Itoa(w.Cell), Weight: w.Size}
 	switch {
-	case w.Addr == "" || len(w.Addr) > maxName:
+	case w.Addr == "" || len(w.Addr) > maxNameLen:
 		return e, fmt.Errorf("member %q has the address %.40q", w.ID, w.Addr)
 	case !slices.Contains(m.kinds, e.Kind):
-		return e, fmt.Errorf("member %q, kind %.40q: %w", w.ID, w.Kind, errKind)
+		return e, fmt.Errorf("member %q, kind %.40q: %w", w.ID, w.Kind, errUnknownKind)
 	case w.SinceMS < 0 || w.Size < 0:
 		return e, fmt.Errorf("member %q has the start %d and the size %g", w.ID, w.SinceMS, w.Size)
 	}
@@ -193,27 +193,27 @@
 
 // dropSharedAddresses leaves one engine at each address, for two would let the router send to one process as if it
 // were two: the one that started last, else the one that was not known before.
-func dropSharedAddresses(engines, before map[string]discovery.Engine) (faults []string) {
-	holder := make(map[string]string, len(engines))
+func dropSharedAddresses(engines, before map[string]discovery.Engine) (problems []string) {
+	owner := make(map[string]string, len(engines))
 	for _, name := range slices.Sorted(maps.Keys(engines)) {
-		other, taken := holder[engines[name].Addr]
+		other, taken := owner[engines[name].Addr]
 		if !taken {
-			holder[engines[name].Addr] = name
+			owner[engines[name].Addr] = name
 			continue
 		}
-		faults = append(faults, fmt.Sprintf("members %q and %q have the same address", other, name))
+		problems = append(problems, fmt.Sprintf("members %q and %q have the same address", other, name))
 		keep, drop := name, other
-		if replaces(engines[other], engines[name], before) {
+		if supersedes(engines[other], engines[name], before) {
 			keep, drop = other, name
 		}
-		holder[engines[keep].Addr] = keep
+		owner[engines[keep].Addr] = keep
 		delete(engines, drop)
 	}
-	return faults
+	return problems
 }
 
-// replaces tells whether a is the process that took over the address of b.
-func replaces(a, b discovery.Engine, before map[string]discovery.Engine) bool {
+// supersedes tells whether a is the process that took over the address of b.
+func supersedes(a, b discovery.Engine, before map[string]discovery.Engine) bool {
 	if !a.StartedAt.Equal(b.StartedAt) {
 		return a.StartedAt.After(b.StartedAt)
 	}
--- a/internal/discovery/watch/watch_test.go
+++ b/internal/discovery/watch/watch_test.go
@@ -30,7 +30,7 @@
 	asked   []string
 }
 
-func newAgent(t *testing.T, answers ...string) *agent {
+func startAgent(t *testing.T, answers ...string) *agent {
 	a := &agent{answers: answers}
 	a.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		a.mu.Lock()
@@ -72,8 +72,8 @@
 		id, addr, phase, since)
 }
 
-// run starts a source and hands on what it tells.
-func run(t *testing.T, s *Source) chan discovery.Update {
+// runSource starts a source and hands on what it tells.
+func runSource(t *testing.T, s *Source) chan discovery.Update {
 	ctx, cancel := context.WithCancel(context.Background())
 	told := make(chan discovery.Update, 100)
 	done := make(chan struct{})
@@ -87,7 +87,7 @@
 	return told
 }
 
-func next(t *testing.T, told chan discovery.Update) string {
+func nextUpdate(t *testing.T, told chan discovery.Update) string {
 	t.Helper()
 	select {
 	case u := <-told:
@@ -110,17 +110,17 @@
 	}
 }
 
-func quiet() *slog.Logger { return slog.New(slog.DiscardHandler) }
+func discardLogger() *slog.Logger { return slog.New(slog.DiscardHandler) }
 
 // First the whole list, then the changes, each asked for from the last revision.
 func TestListAndChanges(t *testing.T) {
-	a := newAgent(t,
+	a := startAgent(t,
 		list(41, true, member("s1", "h:1", "up", 0), member("s2", "h:2", "up", 0)),
 		list(42, false),
 		list(43, false, member("s1", "h:1", "draining", 0), member("s3", "h:3", "up", 7)),
 		list(44, false, member("s1", "h:1", "removed", 0), member("s2", "h:9", "up", 5)),
 		list(50, true, member("s9", "h:1", "up", 0)))
-	told := run(t, New(a.addr(), []string{"m1", "m2"}, nil, quiet()))
+	told := runSource(t, New(a.addr(), []string{"m1", "m2"}, nil, discardLogger()))
 	for _, want := range []string{
 		"s1 h:1 up 0, s2 h:2 up 0",
 		"s1 h:1 up 0, s2 h:2 up 0",
@@ -128,7 +128,7 @@
 		"s2 h:9 up 5, s3 h:3 up 7",
 		"s9 h:1 up 0",
 	} {
-		if got := next(t, told); got != want {
+		if got := nextUpdate(t, told); got != want {
 			t.Errorf("told %q, want %q", got, want)
 		}
 	}
@@ -142,7 +142,7 @@
 }
 
 // An unsound answer is a failed call: the last sound list stays, and is asked for whole again.
-func TestUnsoundAnswers(t *testing.T) {
+func TestMalformedResponses(t *testing.T) {
 	sound := list(41, true, member("s1", "h:1", "up", 0))
 	for name, bad := range map[string]string{
 		"no JSON":                 `{"revision":42,`,
@@ -151,14 +151,14 @@
 		"older":                   list(40, false),
 		"older and whole":         list(40, true),
 		"status":                  "status 500",
-		"endless":                 list(42, true, member("s2", strings.Repeat("x", maxAnswer), "up", 0)),
+		"endless":                 list(42, true, member("s2", strings.Repeat("x", maxResponseSize), "up", 0)),
 		"more members than bound": list(42, true, slices.Repeat([]string{"{}"}, maxMembers+1)...),
 	} {
 		t.Run(name, func(t *testing.T) {
-			a := newAgent(t, sound, bad, list(43, true, member("s1", "h:1", "draining", 0)))
-			told := run(t, New(a.addr(), []string{"m2"}, nil, quiet()))
+			a := startAgent(t, sound, bad, list(43, true, member("s1", "h:1", "draining", 0)))
+			told := runSource(t, New(a.addr(), []string{"m2"}, nil, discardLogger()))
 			for _, want := range []string{"s1 h:1 up 0", "failed", "s1 h:1 draining 0"} {
-				if got := next(t, told); got != want {
+				if got := nextUpdate(t, told); got != want {
 					t.Errorf("told %q, want %q", got, want)
 				}
 			}
@@ -171,7 +171,7 @@
 
 // A broken member spoils no other one: a drain that stands beside it is told with the same answer, the member itself
 // gets nothing new that its entry might forbid, and the whole list is asked for next.
-func TestBrokenMembers(t *testing.T) {
+func TestInvalidMembers(t *testing.T) {
 	const others = "s1 h:1 draining 0, s2 h:2 up 0"
 	ofKind := func(member, kind string) string { return strings.Replace(member, `"m2"`, `"`+kind+`"`, 1) }
 	for name, c := range map[string]struct {
@@ -204,14 +204,14 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			changes := append(c.broken, member("s1", "h:1", "draining", 0))
-			a := newAgent(t, list(41, true, member("s1", "h:1", "up", 0), member("s2", "h:2", "up", 0), member("s3", "h:3", "up", 0)),
+			a := startAgent(t, list(41, true, member("s1", "h:1", "up", 0), member("s2", "h:2", "up", 0), member("s3", "h:3", "up", 0)),
 				list(42, false, changes...), list(43, true, member("s2", "h:2", "up", 0)))
-			told := run(t, New(a.addr(), []string{"m2"}, nil, quiet()))
-			next(t, told)
-			if got := next(t, told); got != c.want {
+			told := runSource(t, New(a.addr(), []string{"m2"}, nil, discardLogger()))
+			nextUpdate(t, told)
+			if got := nextUpdate(t, told); got != c.want {
 				t.Errorf("told %q, want %q", got, c.want)
 			}
-			if got := next(t, told); got != "s2 h:2 up 0" {
+			if got := nextUpdate(t, told); got != "s2 h:2 up 0" {
 				t.Errorf("then told %q", got)
 			}
 			if got := a.requests()[2]; got != ListPath {
@@ -222,24 +222,24 @@
 }
 
 // Settings have '_' for a space or a comma in a name, discovery the name itself: the kind is known all the same.
-func TestKindsAreComparedAsSettingsHaveThem(t *testing.T) {
-	a := newAgent(t, list(41, true, strings.Replace(member("s1", "h:1", "up", 0), `"m2"`, `"m 2,big"`, 1)))
-	told := run(t, New(a.addr(), []string{"m_2_big"}, nil, quiet()))
-	if got := next(t, told); got != "s1 h:1 up 0" {
+func TestKindsAreNormalizedAsInSettings(t *testing.T) {
+	a := startAgent(t, list(41, true, strings.Replace(member("s1", "h:1", "up", 0), `"m2"`, `"m 2,big"`, 1)))
+	told := runSource(t, New(a.addr(), []string{"m_2_big"}, nil, discardLogger()))
+	if got := nextUpdate(t, told); got != "s1 h:1 up 0" {
 		t.Errorf("told %q", got)
 	}
 }
 
 // A whole list with a broken member is watched like any other, and what is wrong with it is logged once.
-func TestWholeListWithABrokenMember(t *testing.T) {
+func TestCompleteListWithInvalidMember(t *testing.T) {
 	broken := strings.Replace(member("s9", "h:9", "up", 0), "m2", "m9", 1)
-	a := newAgent(t, list(41, true, member("s1", "h:1", "up", 0), broken), list(42, false, member("s1", "h:1", "draining", 0)),
+	a := startAgent(t, list(41, true, member("s1", "h:1", "up", 0), broken), list(42, false, member("s1", "h:1", "draining", 0)),
 		list(43, true, member("s1", "h:1", "draining", 0), broken), list(44, true, member("s1", "h:1", "draining", 0), broken),
 		list(45, true))
 	var log strings.Builder
-	told := run(t, New(a.addr(), []string{"m2"}, nil, slog.New(slog.NewTextHandler(&log, nil))))
+	told := runSource(t, New(a.addr(), []string{"m2"}, nil, slog.New(slog.NewTextHandler(&log, nil))))
 	for i, want := range []string{"s1 h:1 up 0", "s1 h:1 draining 0", "s1 h:1 draining 0", "s1 h:1 draining 0", ""} {
-		if got := next(t, told); got != want {
+		if got := nextUpdate(t, told); got != want {
 			t.Errorf("word %d: %q, want %q", i, got, want)
 		}
 	}
@@ -275,14 +275,14 @@
 			[]string{"s0 h:0 up 0", "failed", "s1 h:1 up 0"}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			a := newAgent(t, c.answers...)
-			s := New(a.addr(), []string{"m2"}, []byte(c.cached), quiet())
+			a := startAgent(t, c.answers...)
+			s := New(a.addr(), []string{"m2"}, []byte(c.cached), discardLogger())
 			if c.answers == nil {
-				s.startWithin, s.within, s.slack = 50*time.Millisecond, 50*time.Millisecond, 50*time.Millisecond
+				s.startTimeout, s.listTimeout, s.watchSlack = 50*time.Millisecond, 50*time.Millisecond, 50*time.Millisecond
 			}
-			told := run(t, s)
+			told := runSource(t, s)
 			for i, want := range c.want {
-				if got := next(t, told); got != want {
+				if got := nextUpdate(t, told); got != want {
 					t.Errorf("word %d: %q, want %q", i, got, want)
 				}
 			}
@@ -292,24 +292,24 @@
 
 // An agent that tells a lower revision for long has started anew; one that gives an old list once has not (see
 // 'older and whole' above).
-func TestRevisionsCountedAnew(t *testing.T) {
+func TestAgentRevisionsRestart(t *testing.T) {
 	old := list(7, true, member("s1", "h:1", "draining", 0))
-	a := newAgent(t, list(41, true, member("s1", "h:1", "up", 0)), old, old, list(8, false, member("s1", "h:1", "removed", 0)))
-	s := New(a.addr(), []string{"m2"}, nil, quiet())
-	s.regressedFor = firstPause // over when the second comes, which is asked for after that pause
-	told := run(t, s)
+	a := startAgent(t, list(41, true, member("s1", "h:1", "up", 0)), old, old, list(8, false, member("s1", "h:1", "removed", 0)))
+	s := New(a.addr(), []string{"m2"}, nil, discardLogger())
+	s.regressionWindow = firstPause // over when the second comes, which is asked for after that pause
+	told := runSource(t, s)
 	for i, want := range []string{"s1 h:1 up 0", "failed", "s1 h:1 draining 0", ""} {
-		if got := next(t, told); got != want {
+		if got := nextUpdate(t, told); got != want {
 			t.Errorf("word %d: %q, want %q", i, got, want)
 		}
 	}
 }
 
 // A move to an agent that counts lower takes its list at once, also when it comes between two calls.
-func TestMoveToALowerRevision(t *testing.T) {
-	a := newAgent(t, list(41, true, member("s1", "h:1", "up", 0)))
-	b := newAgent(t, list(3, true, member("s2", "h:2", "up", 0)), list(4, false, member("s2", "h:2", "draining", 0)))
-	s := New(a.addr(), []string{"m2"}, nil, quiet())
+func TestSetAddrWithLowerRevision(t *testing.T) {
+	a := startAgent(t, list(41, true, member("s1", "h:1", "up", 0)))
+	b := startAgent(t, list(3, true, member("s2", "h:2", "up", 0)), list(4, false, member("s2", "h:2", "draining", 0)))
+	s := New(a.addr(), []string{"m2"}, nil, discardLogger())
 	told := make(chan discovery.Update, 10)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -326,7 +326,7 @@
 	}()
 	defer func() { cancel(); <-done }()
 	for i, want := range []string{"s1 h:1 up 0", "s2 h:2 up 0", "s2 h:2 draining 0"} {
-		if got := next(t, told); got != want {
+		if got := nextUpdate(t, told); got != want {
 			t.Errorf("word %d: %q, want %q", i, got, want)
 		}
 	}
@@ -340,7 +340,7 @@
 
 // A dial that never comes up ends with its own bound, or two of them would hold up all calls for minutes.
 func TestDialsAreBounded(t *testing.T) {
-	s := New("h:1", nil, nil, quiet())
+	s := New("h:1", nil, nil, discardLogger())
 	transport := s.http.Transport.(*http.Transport)
 	if transport.DialContext == nil {
 		t.Fatal("dials have no bound")
@@ -379,34 +379,34 @@
 }
 
 // A move ends the call under way and asks for the whole list elsewhere, without a word of failure.
-func TestMove(t *testing.T) {
-	a := newAgent(t, list(41, true, member("s1", "h:1", "up", 0)))
-	b := newAgent(t, list(42, true, member("s2", "h:2", "up", 0)))
-	s := New(a.addr(), []string{"m2"}, nil, quiet())
-	s.wait = time.Hour
-	told := run(t, s)
-	if got := next(t, told); got != "s1 h:1 up 0" {
+func TestSetAddr(t *testing.T) {
+	a := startAgent(t, list(41, true, member("s1", "h:1", "up", 0)))
+	b := startAgent(t, list(42, true, member("s2", "h:2", "up", 0)))
+	s := New(a.addr(), []string{"m2"}, nil, discardLogger())
+	s.watchTimeout = time.Hour
+	told := runSource(t, s)
+	if got := nextUpdate(t, told); got != "s1 h:1 up 0" {
 		t.Fatal(got)
 	}
 	for len(a.requests()) < 2 { // the watch is out
 		time.Sleep(time.Millisecond)
 	}
 	s.SetAddr(b.addr())
-	if got := next(t, told); got != "s2 h:2 up 0" {
+	if got := nextUpdate(t, told); got != "s2 h:2 up 0" {
 		t.Errorf("told %q", got)
 	}
 	s.SetAddr(b.addr()) // nothing to do
 }
 
 // A watch that falls silent is a failed asking, soon; the whole list is asked for, and watched again.
-func TestSilentWatch(t *testing.T) {
-	a := newAgent(t, list(41, true, member("s1", "h:1", "up", 0)), "", list(42, true, member("s1", "h:1", "draining", 0)),
+func TestUnresponsiveWatch(t *testing.T) {
+	a := startAgent(t, list(41, true, member("s1", "h:1", "up", 0)), "", list(42, true, member("s1", "h:1", "draining", 0)),
 		list(43, false, member("s1", "h:1", "removed", 0)))
-	s := New(a.addr(), []string{"m2"}, nil, quiet())
-	s.wait, s.slack, s.within = 20*time.Millisecond, 200*time.Millisecond, 200*time.Millisecond
-	told := run(t, s)
+	s := New(a.addr(), []string{"m2"}, nil, discardLogger())
+	s.watchTimeout, s.watchSlack, s.listTimeout = 20*time.Millisecond, 200*time.Millisecond, 200*time.Millisecond
+	told := runSource(t, s)
 	for _, want := range []string{"s1 h:1 up 0", "failed", "s1 h:1 draining 0", ""} {
-		if got := next(t, told); got != want {
+		if got := nextUpdate(t, told); got != want {
 			t.Errorf("told %q, want %q", got, want)
 		}
 	}
@@ -420,32 +420,32 @@
 // What a silent watch costs is bounded: its list is old by no more than the wait and the time for an answer. And the
 // clock of the standing test: whatever the router believes is at most 6 s old, though after a watch that fell silent
 // two more calls in a row are silent or refused, at the longest pause.
-func TestWaitsAreShort(t *testing.T) {
-	if most := 2 * time.Second; waitFor+watchSlack > most {
-		t.Errorf("a silent watch is noticed after %v", waitFor+watchSlack)
+func TestTimeLimits(t *testing.T) {
+	if most := 2 * time.Second; watchTimeout+watchSlack > most {
+		t.Errorf("a silent watch is noticed after %v", watchTimeout+watchSlack)
 	}
 	// What an agent gets when discovery returns counts as told at once; a drain in it has to be known within its grace of
 	// a second, less what a process may be held up.
-	longest := time.Duration(float64(hedgeEvery+mostPause) * (1 + jitter))
+	longest := time.Duration(float64(hedgeInterval+maxPause) * (1 + jitter))
 	if most := time.Second - time.Duration(decide.MaxPause); longest > most {
 		t.Errorf("a list is asked for %v after the last time", longest)
 	}
-	if most := time.Second; startWithin > most { // a router has 6 s to be ready without discovery, some of a core at that
-		t.Errorf("the cached list is used after %v", startWithin)
+	if most := time.Second; startTimeout > most { // a router has 6 s to be ready without discovery, some of a core at that
+		t.Errorf("the cached list is used after %v", startTimeout)
 	}
-	if most := 6 * time.Second; waitFor+watchSlack+2*(mostPause+listWithin) > most {
-		t.Errorf("a change may be told after %v", waitFor+watchSlack+2*(mostPause+listWithin))
+	if most := 6 * time.Second; watchTimeout+watchSlack+2*(maxPause+listTimeout) > most {
+		t.Errorf("a change may be told after %v", watchTimeout+watchSlack+2*(maxPause+listTimeout))
 	}
 }
 
 // However many calls fail, the next comes after the longest pause, and the whole list is asked for.
-func TestFailedCallsAreRepeated(t *testing.T) {
+func TestFailedCallsAreRetried(t *testing.T) {
 	answers := []string{list(41, true, member("s1", "h:1", "up", 0))}
 	for range 6 {
 		answers = append(answers, "status 503")
 	}
-	a := newAgent(t, append(answers, list(42, true, member("s1", "h:1", "draining", 0)))...)
-	told := run(t, New(a.addr(), []string{"m2"}, nil, quiet()))
+	a := startAgent(t, append(answers, list(42, true, member("s1", "h:1", "draining", 0)))...)
+	told := runSource(t, New(a.addr(), []string{"m2"}, nil, discardLogger()))
 	for i := range 8 {
 		want := "failed"
 		if i == 0 {
@@ -453,7 +453,7 @@
 		} else if i == 7 {
 			want = "s1 h:1 draining 0"
 		}
-		if got := next(t, told); got != want {
+		if got := nextUpdate(t, told); got != want {
 			t.Fatalf("word %d: %q, want %q", i, got, want)
 		}
 	}
@@ -465,14 +465,14 @@
 }
 
 // Calls that come while discovery is down stay silent for good; the next one is answered, and comes soon.
-func TestCallsBesideSilentOnes(t *testing.T) {
-	a := newAgent(t, list(41, true, member("s1", "h:1", "up", 0)), "", "", "", list(42, true, member("s1", "h:1", "draining", 0)),
+func TestUnresponsiveCallsAreHedged(t *testing.T) {
+	a := startAgent(t, list(41, true, member("s1", "h:1", "up", 0)), "", "", "", list(42, true, member("s1", "h:1", "draining", 0)),
 		list(43, false, member("s1", "h:1", "removed", 0)))
-	s := New(a.addr(), []string{"m2"}, nil, quiet())
-	s.wait, s.slack, s.within, s.hedgeEvery = 20*time.Millisecond, 20*time.Millisecond, time.Hour, 20*time.Millisecond
-	told := run(t, s)
+	s := New(a.addr(), []string{"m2"}, nil, discardLogger())
+	s.watchTimeout, s.watchSlack, s.listTimeout, s.hedgeInterval = 20*time.Millisecond, 20*time.Millisecond, time.Hour, 20*time.Millisecond
+	told := runSource(t, s)
 	for _, want := range []string{"s1 h:1 up 0", "failed", "s1 h:1 draining 0", ""} {
-		if got := next(t, told); got != want {
+		if got := nextUpdate(t, told); got != want {
 			t.Errorf("told %q, want %q", got, want)
 		}
 	}
@@ -485,15 +485,15 @@
 }
 
 // However long discovery is silent, no more than a bounded number of calls is out.
-func TestSilentCallsAreBounded(t *testing.T) {
-	a := newAgent(t)
-	s := New(a.addr(), []string{"m2"}, nil, quiet())
-	s.startWithin, s.hedgeEvery = 300*time.Millisecond, time.Millisecond
-	told := run(t, s)
-	if got := next(t, told); got != "failed" {
+func TestHedgedCallsAreBounded(t *testing.T) {
+	a := startAgent(t)
+	s := New(a.addr(), []string{"m2"}, nil, discardLogger())
+	s.startTimeout, s.hedgeInterval = 300*time.Millisecond, time.Millisecond
+	told := runSource(t, s)
+	if got := nextUpdate(t, told); got != "failed" {
 		t.Errorf("told %q", got)
 	}
-	if n := len(a.requests()); n > maxCalls {
-		t.Errorf("%d calls, at most %d may be out", n, maxCalls)
+	if n := len(a.requests()); n > maxHedgedCalls {
+		t.Errorf("%d calls, at most %d may be out", n, maxHedgedCalls)
 	}
 }
--- a/internal/front/chat/answer.go
+++ b/internal/front/chat/answer.go
@@ -12,12 +12,12 @@
 	"mintdoor/internal/router"
 )
 
-var reasons = map[int]string{200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
+var statusTexts = map[int]string{200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
 	408: "Request Timeout", 413: "Content Too Large", 429: "Too Many Requests", 500: "Internal Server Error",
 	503: "Service Unavailable", 504: "Gateway Timeout"}
 
-// status maps trouble to a status. Only 429 and 503 say that trying again is harmless.
-func status(t front.ErrorKind) int {
+// statusCode maps trouble to a status. Only 429 and 503 say that trying again is harmless.
+func statusCode(t front.ErrorKind) int {
 	switch t {
 	case front.BadRequest:
 		return 400
@@ -35,12 +35,12 @@
 	return 500
 }
 
-// answer makes a whole answer.
-func (f *Front) answer(code int, contentType string, body []byte, retryAfter time.Duration, closes bool) []byte {
+// response makes a whole answer.
+func (f *Front) response(code int, contentType string, body []byte, retryAfter time.Duration, closes bool) []byte {
 	b := make([]byte, 0, 192+len(body))
 	b = append(b, "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(code), 10)
-	b = append(b, " "+reasons[code]+"\r\nContent-Type: "+contentType+"\r\nContent-Length: "...)
+	b = append(b, " "+statusTexts[code]+"\r\nContent-Type: "+contentType+"\r\nContent-Length: "...)
 	b = strconv.AppendInt(b, int64(len(body)), 10)
 	if retryAfter > 0 && f.opts.SendRetryAfter {
 		b = append(b, "\r\nRetry-After: "...)
@@ -53,10 +53,10 @@
 	return append(b, body...)
 }
 
-// say answers with a short text and reports whether the connection can take another request.
-func (c *conn) say(code int, text string, retryAfter time.Duration, closes bool) bool {
+// respond answers with a short text and reports whether the connection can take another request.
+func (c *conn) respond(code int, text string, retryAfter time.Duration, closes bool) bool {
 	f := c.front
-	closes = closes || f.last.Load()
+	closes = closes || f.closing.Load()
 	var body []byte
 	if text != "" {
 		body = []byte(text + "\n")
@@ -65,25 +65,25 @@
 		return false
 	}
 	c.SetWriteDeadline(time.Now().Add(f.opts.WriteTimeout))
-	_, err := c.Write(f.answer(code, "text/plain", body, retryAfter, closes))
-	c.whole = err == nil
-	return c.whole && !closes
+	_, err := c.Write(f.response(code, "text/plain", body, retryAfter, closes))
+	c.complete = err == nil
+	return c.complete && !closes
 }
 
-func (c *conn) fail(e *front.Error, closes bool) bool {
-	return c.say(status(e.Kind), e.Text, e.RetryAfter, closes)
+func (c *conn) respondError(e *front.Error, closes bool) bool {
+	return c.respond(statusCode(e.Kind), e.Text, e.RetryAfter, closes)
 }
 
-// hand hands a request's events on to its client, each as it comes, and its ending.
-func (c *conn) hand(ctx context.Context, q *router.Request, closes bool) bool {
+// streamAnswer hands a request's events on to its client, each as it comes, and its ending.
+func (c *conn) streamAnswer(ctx context.Context, q *router.Request, closes bool) bool {
 	defer q.Abandon() // of no effect after the ending
-	ctx, left := context.WithCancel(ctx)
-	defer left()
-	watching := c.watch(func() {
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	watcher := c.watchClient(func() {
 		c.request.ClientLeft()
-		left()
+		cancel()
 	})
-	defer watching.stop(c)
+	defer watcher.stop(c)
 	begun := false
 	var buf []byte
 	for {
@@ -94,7 +94,7 @@
 				if begun = c.request.BeginAnswer("200"); !begun {
 					return false
 				}
-				closes = closes || c.front.last.Load()
+				closes = closes || c.front.closing.Load()
 				buf = append(buf, "HTTP/1.1 200 OK\r\nContent-Type: "+platform.EventStreamType+"\r\nCache-Control: no-store\r\n"...)
 				if closes {
 					buf = append(buf, "Connection: close\r\n"...)
@@ -111,36 +111,36 @@
 		}
 		e := front.EndingError(end)
 		switch {
-		case end.Kind == router.Gone && (begun || !watching.stop(c)):
+		case end.Kind == router.Gone && (begun || !watcher.stop(c)):
 			return false
 		case end.Kind == router.Gone: // the front has ended before the core
-			return c.say(500, "the router has stopped", 0, true)
+			return c.respond(500, "the router has stopped", 0, true)
 		case e != nil && begun:
 			return false // ends without the last chunk
-		case !watching.stop(c):
+		case !watcher.stop(c):
 			return false
 		case e != nil:
-			return c.fail(e, closes)
+			return c.respondError(e, closes)
 		case !begun:
-			return c.say(500, "an answer without an event", 0, true)
+			return c.respond(500, "an answer without an event", 0, true)
 		}
 		c.SetWriteDeadline(time.Now().Add(c.front.opts.WriteTimeout))
 		_, err := c.Write([]byte("0\r\n\r\n"))
-		c.whole = err == nil
-		return c.whole && !closes
+		c.complete = err == nil
+		return c.complete && !closes
 	}
 }
 
-// watcher notices that a client has left while its request is open.
-type watcher struct {
+// clientWatcher notices that a client has left while its request is open.
+type clientWatcher struct {
 	done chan struct{}
-	gone bool
+	left bool
 }
 
-// watch reads ahead on the connection: the client's leaving may stand behind what it has sent before its answer.
+// watchClient reads ahead on the connection: the client's leaving may stand behind what it has sent before its answer.
 // Past the bounds of that it shows only when the client is written to.
-func (c *conn) watch(left func()) *watcher {
-	w := &watcher{done: make(chan struct{})}
+func (c *conn) watchClient(onLeave func()) *clientWatcher {
+	w := &clientWatcher{done: make(chan struct{})}
 	c.SetReadDeadline(time.Time{})
 	c.front.conns.tasks.Add(1)
 	go func() {
@@ -154,12 +154,12 @@
 				err = c.readAhead()
 			}
 			if err != nil {
-				if w.gone = !isTimeout(err) && !errors.Is(err, errNoRoom); w.gone {
-					left()
+				if w.left = !isTimeout(err) && !errors.Is(err, errNoBodyMemory); w.left {
+					onLeave()
 				}
 				return
 			}
-			c.front.conns.seen.Add(1)
+			c.front.conns.readsWhileOpen.Add(1)
 		}
 	}()
 	return w
@@ -167,30 +167,30 @@
 
 // readAhead reads what br has no room for.
 func (c *conn) readAhead() error {
-	if n := len(c.ahead); n == cap(c.ahead) {
-		grown := min(max(2*n, readBuffer), maxAhead)
+	if n := len(c.readAheadData); n == cap(c.readAheadData) {
+		grown := min(max(2*n, readBufferSize), maxReadAhead)
 		if n >= grown {
-			return errNoRoom
+			return errNoBodyMemory
 		}
-		more := int64(grown) - c.room
-		if c.front.bodies.Add(more) > c.front.opts.MaxBodyMemory {
-			c.front.bodies.Add(-more)
-			return errNoRoom
+		more := int64(grown) - c.readAheadMemory
+		if c.front.bodyMemory.Add(more) > c.front.opts.MaxBodyMemory {
+			c.front.bodyMemory.Add(-more)
+			return errNoBodyMemory
 		}
-		c.room = int64(grown) // dropAhead gives it back
-		c.ahead = append(make([]byte, 0, grown), c.ahead...)
+		c.readAheadMemory = int64(grown) // dropAhead gives it back
+		c.readAheadData = append(make([]byte, 0, grown), c.readAheadData...)
 	}
-	n, err := c.Conn.Read(c.ahead[len(c.ahead):cap(c.ahead)])
-	c.ahead = c.ahead[:len(c.ahead)+n]
+	n, err := c.Conn.Read(c.readAheadData[len(c.readAheadData):cap(c.readAheadData)])
+	c.readAheadData = c.readAheadData[:len(c.readAheadData)+n]
 	return err
 }
 
 func isTimeout(err error) bool { return os.IsTimeout(err) }
 
 // stop ends the watch and reports whether the client is still there.
-func (w *watcher) stop(c *conn) bool {
-	c.SetReadDeadline(past)
+func (w *clientWatcher) stop(c *conn) bool {
+	c.SetReadDeadline(pastTime)
 	<-w.done
 	c.SetReadDeadline(time.Time{})
-	return !w.gone
+	return !w.left
 }
--- a/internal/front/chat/chat.go
+++ b/internal/front/chat/chat.go
@@ -16,23 +16,23 @@
 
 // Bounds of what a client may send.
 const (
-	MaxBody    = 256 << 10
-	maxHead    = 16 << 10
-	maxID      = 64
-	maxName    = 256
-	maxTokens  = 1e7
-	readBuffer = 4096
-	maxAhead   = maxHead + MaxBody // read of a next request while one is open
-	// lingerFor and lingerBytes bound what is still read, and thrown away, after a connection's last answer.
-	lingerFor   = 500 * time.Millisecond
-	lingerBytes = MaxBody
-	// endWithin is how long the core has for its last answers when the front ends at once, and a client to take them.
-	endWithin = 500 * time.Millisecond
-	// refuseWithin bounds the writing of a refusal by the goroutine that accepts.
-	refuseWithin = time.Millisecond
-	// lastAccept is how long connections in the kernel's queue are taken before the listener closes.
-	lastAccept = 20 * time.Millisecond
-	bytesToken = 4.0 // four characters make a token (PROTOCOL)
+	MaxBody        = 256 << 10
+	maxHeadSize    = 16 << 10
+	maxIDLen       = 64
+	maxNameLen     = 256
+	maxTokens      = 1e7
+	readBufferSize = 4096
+	maxReadAhead   = maxHeadSize + MaxBody // read of a next request while one is open
+	// lingerTimeout and lingerBytes bound what is still read, and thrown away, after a connection's last answer.
+	lingerTimeout  = 500 * time.Millisecond
+	maxLingerBytes = MaxBody
+	// finalAnswerTimeout is how long the core has for its last answers when the front ends at once, and a client to take them.
+	finalAnswerTimeout = 500 * time.Millisecond
+	// refusalWriteTimeout bounds the writing of a refusal by the goroutine that accepts.
+	refusalWriteTimeout = time.Millisecond
+	// finalAcceptTime is how long connections in the kernel's queue are taken before the listener closes.
+	finalAcceptTime = 20 * time.Millisecond
+	bytesPerToken   = 4.0 // four characters make a token (PROTOCOL)
 )
 
 // Options are what the front is made of.
@@ -52,20 +52,20 @@
 
 // Front serves clients. Make it with New.
 type Front struct {
-	opts   Options
-	core   front.Core
-	log    *slog.Logger
-	conns  conns
-	bodies atomic.Int64
-	last   atomic.Bool // every answer is the last on its connection
+	opts       Options
+	core       front.Core
+	log        *slog.Logger
+	conns      conns
+	bodyMemory atomic.Int64
+	closing    atomic.Bool // every answer is the last on its connection
 
-	lingerFor, endWithin time.Duration // the constants; tests change them
+	lingerTimeout, finalAnswerTimeout time.Duration // the constants; tests change them
 
-	mu           sync.Mutex
-	listener     net.Listener
-	stopping     bool          // StopListening was called
-	stopListened chan struct{} // closed when no connection is accepted any more
-	timers       []*time.Timer // of the end; Serve stops them
+	mu              sync.Mutex
+	listener        net.Listener
+	stopRequested   bool          // StopListening was called
+	listenerStopped chan struct{} // closed when no connection is accepted any more
+	timers          []*time.Timer // of the end; Serve stops them
 }
 
 // New returns a front that hands requests to core.
@@ -73,24 +73,24 @@
 	if opts.Guard == nil {
 		opts.Guard = guard.New(opts.Log)
 	}
-	f := &Front{opts: opts, core: core, log: opts.Log, lingerFor: lingerFor, endWithin: endWithin, stopListened: make(chan struct{})}
-	f.conns.limit, f.conns.refused = opts.MaxConns, opts.MaxRefusedConns
+	f := &Front{opts: opts, core: core, log: opts.Log, lingerTimeout: lingerTimeout, finalAnswerTimeout: finalAnswerTimeout, listenerStopped: make(chan struct{})}
+	f.conns.maxConns, f.conns.maxRefused = opts.MaxConns, opts.MaxRefusedConns
 	return f
 }
 
 // BeginShutdown makes every answer from now on the last of its connection: clients are to go elsewhere. New connections are
 // still taken.
-func (f *Front) BeginShutdown() { f.last.Store(true) }
+func (f *Front) BeginShutdown() { f.closing.Store(true) }
 
 // CloseIdle closes the connections that have been between two requests for a time: their clients have read the last
 // answer. What crosses the close stays unread.
-func (f *Front) CloseIdle(restedFor time.Duration) { f.conns.closeResting(restedFor) }
+func (f *Front) CloseIdle(idleFor time.Duration) { f.conns.closeIdle(idleFor) }
 
 // RefuseUnused refuses connections that have brought no request yet.
-func (f *Front) RefuseUnused() { f.conns.expire(fresh) }
+func (f *Front) RefuseUnused() { f.conns.expireDeadlines(stateNew) }
 
 // RefuseIncomplete refuses requests that have begun to come and are not complete.
-func (f *Front) RefuseIncomplete() { f.conns.expire(receiving) }
+func (f *Front) RefuseIncomplete() { f.conns.expireDeadlines(stateReceiving) }
 
 // OpenConns tells how many connections are open.
 func (f *Front) OpenConns() int { return f.conns.count() }
--- a/internal/front/chat/chat_test.go
+++ b/internal/front/chat/chat_test.go
@@ -26,41 +26,41 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// engines read at once and write what write says.
-type engines struct {
+// fakeEngines read at once and write what write says.
+type fakeEngines struct {
 	mu    sync.Mutex
 	calls []*engine.Call
 	write func(ctx context.Context, sink func(string) error) engine.Result
 }
 
-func (e *engines) Prefill(_ context.Context, addr string, q *engine.Call) engine.Result {
+func (e *fakeEngines) Prefill(_ context.Context, addr string, q *engine.Call) engine.Result {
 	e.mu.Lock()
 	e.calls = append(e.calls, q)
 	e.mu.Unlock()
 	return engine.Result{Outcome: decide.ReadDone, Report: engine.NoReport(), State: &engine.State{Addr: addr, Handle: q.Params.Request}}
 }
 
-func (e *engines) Decode(ctx context.Context, _ string, _ *engine.Call, sink func(string) error) engine.Result {
+func (e *fakeEngines) Decode(ctx context.Context, _ string, _ *engine.Call, sink func(string) error) engine.Result {
 	return e.write(ctx, sink)
 }
-func (e *engines) Release(context.Context, *engine.State) error     { return nil }
-func (e *engines) Renew(context.Context, *engine.State) error       { return nil }
-func (e *engines) CancelRead(context.Context, string, string) error { return nil }
-func (e *engines) CancelReadLater(context.Context, string, string) error {
+func (e *fakeEngines) Release(context.Context, *engine.State) error     { return nil }
+func (e *fakeEngines) Renew(context.Context, *engine.State) error       { return nil }
+func (e *fakeEngines) CancelRead(context.Context, string, string) error { return nil }
+func (e *fakeEngines) CancelReadLater(context.Context, string, string) error {
 	return nil
 }
-func (e *engines) CancelReservation(context.Context, string, string) error { return nil }
-func (e *engines) EngineListed(string)                                     {}
+func (e *fakeEngines) CancelReservation(context.Context, string, string) error { return nil }
+func (e *fakeEngines) EngineListed(string)                                     {}
 
-func (e *engines) ForgetEngine(string) {}
-func (e *engines) Probe(context.Context, string, bool) engine.Result {
+func (e *fakeEngines) ForgetEngine(string) {}
+func (e *fakeEngines) Probe(context.Context, string, bool) engine.Result {
 	return engine.Result{Report: engine.NoReport()}
 }
-func (e *engines) Reserve(context.Context, string, *engine.ReservationRequest) (bool, error) {
+func (e *fakeEngines) Reserve(context.Context, string, *engine.ReservationRequest) (bool, error) {
 	return false, nil
 }
 
-func (e *engines) sent() int {
+func (e *fakeEngines) sent() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return len(e.calls)
@@ -71,35 +71,35 @@
 	eventEnd = "data: [DONE]\n\n"
 )
 
-func served(_ context.Context, sink func(string) error) engine.Result {
+func writeAnswer(_ context.Context, sink func(string) error) engine.Result {
 	sink(eventA)
 	sink(eventEnd)
 	return engine.Result{Outcome: decide.Served, Report: engine.NoReport(), Tokens: 2}
 }
 
-func hangs(ctx context.Context, _ func(string) error) engine.Result {
+func hang(ctx context.Context, _ func(string) error) engine.Result {
 	<-ctx.Done()
 	return engine.Result{Outcome: decide.Cancelled, Report: engine.NoReport(), Err: context.Cause(ctx)}
 }
 
-type world struct {
+type testFront struct {
 	t       *testing.T
 	front   *Front
 	router  *router.Router
-	engines *engines
+	engines *fakeEngines
 	addr    string
 
 	stopFront, stopCore context.CancelFunc
 	served              chan struct{} // closed when the front has ended
 }
 
-func start(t *testing.T, write func(context.Context, func(string) error) engine.Result, change func(*Options)) *world {
+func startFront(t *testing.T, write func(context.Context, func(string) error) engine.Result, change func(*Options)) *testFront {
 	t.Helper()
 	set := &decide.Settings{Routers: 1, MaxAttempts: 6, MayCancel: true, AnswerGrace: 16e6, DrainGrace: 1e9,
 		HoldTimeout: 1e9, OverloadMultiple: 2, OverloadWindow: 1e9, InitialCapacity: 0.3, SlowStartTime: 10e9, DialTimeout: 250e6,
 		MaxRetryAfter: 500e6, Kinds: []decide.Kind{{Role: decide.Reader}, {Role: decide.Writer, Memory: 1e5}},
 		Classes: []decide.Class{{FirstTokenTarget: 1e9, Deadline: 10e9, Value: 1}, {FirstTokenTarget: 1e9, Deadline: 10e9, Value: 1, RetryPolicy: decide.Unsafe}}}
-	e := &engines{write: write}
+	e := &fakeEngines{write: write}
 	g := guard.New(slog.New(slog.NewTextHandler(t.Output(), &slog.HandlerOptions{Level: slog.LevelError})))
 	r := router.New(router.Config{Name: "r", Settings: set, Kinds: []string{"p", "d"}, Engines: e, HoldMode: router.PerRequest, Guard: g,
 		MaxOpen: 8, StreamBuffer: 8, ClientStallTimeout: time.Second, StopTimeout: 10 * time.Second})
@@ -108,7 +108,7 @@
 	if change != nil {
 		change(&o)
 	}
-	w := &world{t: t, engines: e, router: r, front: New(o, r), served: make(chan struct{})}
+	w := &testFront{t: t, engines: e, router: r, front: New(o, r), served: make(chan struct{})}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -136,12 +136,12 @@
 	return w
 }
 
-func (w *world) eventually(what string, cond func() bool) {
+func (w *testFront) eventually(what string, cond func() bool) {
 	w.t.Helper()
 	eventually.Is(w.t, what, cond, func() any { return w.router.Stats() })
 }
 
-func (w *world) dial() (net.Conn, *bufio.Reader) {
+func (w *testFront) dial() (net.Conn, *bufio.Reader) {
 	w.t.Helper()
 	c, err := net.Dial("tcp", w.addr)
 	if err != nil {
@@ -161,8 +161,8 @@
 	return strings.NewReplacer(change...).Replace(m)
 }
 
-// answer reads an answer whole; its body's error says whether it was.
-func answer(t *testing.T, br *bufio.Reader) (*http.Response, string, error) {
+// readAnswer reads an answer whole; its body's error says whether it was.
+func readAnswer(t *testing.T, br *bufio.Reader) (*http.Response, string, error) {
 	t.Helper()
 	resp, err := http.ReadResponse(br, nil)
 	if err != nil {
@@ -175,11 +175,11 @@
 // A request's way: its meaning, the client's message unchanged to the engine, the events unchanged back, and
 // the next on the same connection.
 func TestServed(t *testing.T) {
-	w := start(t, served, nil)
+	w := startFront(t, writeAnswer, nil)
 	c, br := w.dial()
 	for i := range 3 {
 		io.WriteString(c, message(fmt.Sprint("id", i)))
-		resp, got, err := answer(t, br)
+		resp, got, err := readAnswer(t, br)
 		if resp.StatusCode != 200 || got != eventA+eventEnd || err != nil || resp.Header.Get("Content-Type") != "text/event-stream" {
 			t.Fatalf("%+v %q %v", resp, got, err)
 		}
@@ -195,7 +195,7 @@
 // What a client gets that sends what it should not; nothing of it reaches an engine.
 func TestBadRequests(t *testing.T) {
 	length := fmt.Sprintf("Content-Length: %d", len(body))
-	w := start(t, served, func(o *Options) { o.MaxBodyMemory = 1 << 20 })
+	w := startFront(t, writeAnswer, func(o *Options) { o.MaxBodyMemory = 1 << 20 })
 	for _, c := range []struct {
 		name, in string
 		code     int
@@ -256,16 +256,16 @@
 	if n := w.engines.sent(); n != 0 {
 		t.Errorf("%d requests reached an engine", n)
 	}
-	w.eventually("no body is counted any more", func() bool { return w.front.bodies.Load() == 0 })
+	w.eventually("no body is counted any more", func() bool { return w.front.bodyMemory.Load() == 0 })
 }
 
 // What waits behind a message that can't be read is not taken for a request.
-func TestNothingBehindBadInput(t *testing.T) {
-	w := start(t, served, nil)
+func TestNoRequestIsReadAfterMalformedOne(t *testing.T) {
+	w := startFront(t, writeAnswer, nil)
 	c, br := w.dial()
 	length := fmt.Sprintf("Content-Length: %d", len(body))
 	io.WriteString(c, message("x", length, length+"\r\nTransfer-Encoding: chunked")+message("hidden"))
-	if resp, _, _ := answer(t, br); resp.StatusCode != 400 {
+	if resp, _, _ := readAnswer(t, br); resp.StatusCode != 400 {
 		t.Errorf("status %d", resp.StatusCode)
 	}
 	if b, _ := io.ReadAll(br); len(b) > 0 {
@@ -277,9 +277,9 @@
 }
 
 // Half a request, or none, is closed in time.
-func TestSilence(t *testing.T) {
+func TestIncompleteRequestsTimeOut(t *testing.T) {
 	for _, in := range []string{"", "POST /v1", "POST / HTTP/1.1\r\nHost: x\r\n", message("x")[:250]} {
-		w := start(t, served, func(o *Options) { o.RequestTimeout = 20 * time.Millisecond })
+		w := startFront(t, writeAnswer, func(o *Options) { o.RequestTimeout = 20 * time.Millisecond })
 		c, br := w.dial()
 		io.WriteString(c, in)
 		if resp, err := http.ReadResponse(br, nil); err == nil && resp.StatusCode != 408 {
@@ -292,10 +292,10 @@
 
 // The id of an open request is refused, and the open one goes on.
 func TestIDOfAnOpenRequest(t *testing.T) {
-	go1 := make(chan bool)
-	w := start(t, func(ctx context.Context, sink func(string) error) engine.Result {
+	proceed := make(chan bool)
+	w := startFront(t, func(ctx context.Context, sink func(string) error) engine.Result {
 		sink(eventA)
-		<-go1
+		<-proceed
 		sink(eventEnd)
 		return engine.Result{Outcome: decide.Served, Report: engine.NoReport(), Tokens: 2}
 	}, nil)
@@ -308,37 +308,37 @@
 	io.ReadFull(resp.Body, make([]byte, len(eventA)))
 	c2, br2 := w.dial()
 	io.WriteString(c2, message("same"))
-	if resp, _, _ := answer(t, br2); resp.StatusCode != 400 {
+	if resp, _, _ := readAnswer(t, br2); resp.StatusCode != 400 {
 		t.Errorf("the second: %d", resp.StatusCode)
 	}
-	close(go1)
+	close(proceed)
 	if b, err := io.ReadAll(resp.Body); string(b) != eventEnd || err != nil {
 		t.Errorf("the first: %q %v", b, err)
 	}
 	c3, br3 := w.dial() // over, so the id is anybody's
 	w.eventually("it is over", func() bool { return w.router.Stats().Open == 0 })
 	io.WriteString(c3, message("same"))
-	if resp, _, _ := answer(t, br3); resp.StatusCode != 200 {
+	if resp, _, _ := readAnswer(t, br3); resp.StatusCode != 200 {
 		t.Errorf("the third: %d", resp.StatusCode)
 	}
 }
 
 // A stream that breaks ends without the last chunk, at once.
 func TestBrokenStream(t *testing.T) {
-	w := start(t, func(_ context.Context, sink func(string) error) engine.Result {
+	w := startFront(t, func(_ context.Context, sink func(string) error) engine.Result {
 		sink(eventA)
 		return engine.Result{Outcome: decide.Reset, Report: engine.NoReport(), Tokens: 1, Err: io.ErrUnexpectedEOF}
 	}, nil)
 	c, br := w.dial()
 	io.WriteString(c, message("x"))
-	if _, got, err := answer(t, br); got != eventA || err != io.ErrUnexpectedEOF {
+	if _, got, err := readAnswer(t, br); got != eventA || err != io.ErrUnexpectedEOF {
 		t.Errorf("%q %v", got, err)
 	}
 }
 
 // A client that leaves takes its request with it, before and in its stream.
 func TestClientLeaves(t *testing.T) {
-	w := start(t, hangs, nil)
+	w := startFront(t, hang, nil)
 	c, _ := w.dial()
 	io.WriteString(c, message("x"))
 	w.eventually("taken", func() bool { return w.router.Stats().Sends > 1 })
@@ -348,11 +348,11 @@
 
 // Requests sent at once are answered in their order.
 func TestPipelined(t *testing.T) {
-	w := start(t, served, nil)
+	w := startFront(t, writeAnswer, nil)
 	c, br := w.dial()
 	io.WriteString(c, message("a")+message("b", "Class: chat", "Class: chess")+message("c"))
 	for _, want := range []int{200, 400} {
-		if resp, _, _ := answer(t, br); resp.StatusCode != want {
+		if resp, _, _ := readAnswer(t, br); resp.StatusCode != want {
 			t.Errorf("status %d, want %d", resp.StatusCode, want)
 		}
 	}
@@ -362,11 +362,11 @@
 }
 
 // Silent connections beyond the bound make room for others, longest silent first; requests that are open stay.
-func TestCrowdOfConnections(t *testing.T) {
-	go1 := make(chan bool)
-	w := start(t, func(ctx context.Context, sink func(string) error) engine.Result {
-		<-go1
-		return served(ctx, sink)
+func TestIdleConnectionsMakeRoom(t *testing.T) {
+	proceed := make(chan bool)
+	w := startFront(t, func(ctx context.Context, sink func(string) error) engine.Result {
+		<-proceed
+		return writeAnswer(ctx, sink)
 	}, func(o *Options) { o.MaxConns = 4 })
 	c, br := w.dial()
 	io.WriteString(c, message("x"))
@@ -377,36 +377,36 @@
 	w.eventually("bounded", func() bool { return w.front.OpenConns() <= 4 })
 	late, lateBr := w.dial()
 	io.WriteString(late, "GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
-	if resp, _, _ := answer(t, lateBr); resp.StatusCode != 200 {
+	if resp, _, _ := readAnswer(t, lateBr); resp.StatusCode != 200 {
 		t.Errorf("a late one: %d", resp.StatusCode)
 	}
-	close(go1)
-	if resp, got, err := answer(t, br); resp.StatusCode != 200 || got != eventA+eventEnd || err != nil {
+	close(proceed)
+	if resp, got, err := readAnswer(t, br); resp.StatusCode != 200 || got != eventA+eventEnd || err != nil {
 		t.Errorf("the open one: %q %v", got, err)
 	}
 }
 
 // Bodies are bounded together: what is over gets a 503, not memory.
-func TestBoundOfBodies(t *testing.T) {
-	w := start(t, served, func(o *Options) { o.MaxBodyMemory = 20 << 10 })
+func TestBodyMemoryLimit(t *testing.T) {
+	w := startFront(t, writeAnswer, func(o *Options) { o.MaxBodyMemory = 20 << 10 })
 	c, br := w.dial()
 	big := `{"x":"` + strings.Repeat("y", 100<<10) + `"}`
 	io.WriteString(c, message("x", fmt.Sprintf("Content-Length: %d", len(body)), fmt.Sprintf("Content-Length: %d", len(big)), body, big))
 	if resp, err := http.ReadResponse(br, nil); err == nil && resp.StatusCode != 503 {
 		t.Errorf("status %d", resp.StatusCode)
 	}
-	w.eventually("counted off", func() bool { return w.front.bodies.Load() == 0 })
+	w.eventually("counted off", func() bool { return w.front.bodyMemory.Load() == 0 })
 }
 
 // Refusals name a time; where the settings do not allow it, none.
-func TestRefused(t *testing.T) {
+func TestRefusalRetryAfter(t *testing.T) {
 	for _, allowed := range []bool{true, false} {
-		w := start(t, func(context.Context, func(string) error) engine.Result {
+		w := startFront(t, func(context.Context, func(string) error) engine.Result {
 			return engine.Result{Outcome: decide.Full, Report: engine.NoReport()}
 		}, func(o *Options) { o.SendRetryAfter = allowed })
 		c, br := w.dial()
 		io.WriteString(c, message("x"))
-		resp, _, _ := answer(t, br)
+		resp, _, _ := readAnswer(t, br)
 		want := ""
 		if allowed {
 			want = "0.500"
@@ -419,18 +419,18 @@
 
 // Before the end, answers close their connections, and connections between requests are closed; new ones are
 // still answered.
-func TestShutDown(t *testing.T) {
-	w := start(t, served, nil)
+func TestBeginShutdown(t *testing.T) {
+	w := startFront(t, writeAnswer, nil)
 	idle, idleBr := w.dial()
 	io.WriteString(idle, message("a"))
-	answer(t, idleBr)
+	readAnswer(t, idleBr)
 	fresh, freshBr := w.dial()
 	w.eventually("both are there", func() bool { return w.front.OpenConns() == 2 })
 	w.eventually("one is between requests", func() bool {
 		w.front.conns.mu.Lock()
 		defer w.front.conns.mu.Unlock()
-		for e := w.front.conns.waiting.Front(); e != nil; e = e.Next() {
-			if e.Value.(*conn).entry.state == resting {
+		for e := w.front.conns.evictable.Front(); e != nil; e = e.Next() {
+			if e.Value.(*conn).entry.state == stateIdle {
 				return true
 			}
 		}
@@ -442,25 +442,25 @@
 		t.Errorf("the idle one: %v", err)
 	}
 	io.WriteString(fresh, message("b"))
-	resp, got, err := answer(t, freshBr)
+	resp, got, err := readAnswer(t, freshBr)
 	if resp.StatusCode != 200 || !resp.Close || got != eventA+eventEnd || err != nil {
 		t.Errorf("the fresh one: %+v %q %v", resp, got, err)
 	}
 	c, br := w.dial()
 	io.WriteString(c, "GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
-	if resp, _, _ := answer(t, br); resp.StatusCode != 503 || !resp.Close {
+	if resp, _, _ := readAnswer(t, br); resp.StatusCode != 503 || !resp.Close {
 		t.Errorf("/up: %d", resp.StatusCode)
 	}
 	w.eventually("all are closed", func() bool { return w.front.OpenConns() == 0 })
 }
 
 // Each event goes out as it comes.
-func TestEventsAsTheyCome(t *testing.T) {
-	go1 := make(chan bool)
-	w := start(t, func(_ context.Context, sink func(string) error) engine.Result {
+func TestEventsAreForwardedImmediately(t *testing.T) {
+	proceed := make(chan bool)
+	w := startFront(t, func(_ context.Context, sink func(string) error) engine.Result {
 		for range 3 {
 			sink(eventA)
-			<-go1
+			<-proceed
 		}
 		return engine.Result{Outcome: decide.Served, Report: engine.NoReport(), Tokens: 3}
 	}, nil)
@@ -475,7 +475,7 @@
 		if _, err := io.ReadFull(resp.Body, b); err != nil || !bytes.Equal(b, []byte(eventA)) {
 			t.Fatalf("%q %v", b, err)
 		}
-		go1 <- true
+		proceed <- true
 	}
 	if b, err := io.ReadAll(resp.Body); len(b) > 0 || err != nil {
 		t.Errorf("%q %v", b, err)
--- a/internal/front/chat/conn.go
+++ b/internal/front/chat/conn.go
@@ -24,67 +24,67 @@
 // conn is a client's connection. Its fields are its goroutine's, but for those of conns.
 type conn struct {
 	net.Conn
-	front *Front
-	began time.Time // when it was accepted
-	br    *bufio.Reader
-	ahead []byte // what br had no room for while a request was open
-	room  int64  // that ahead takes of the room for bodies
-	entry entry  // of conns
-	whole bool   // the last answer was written to its end
+	front           *Front
+	accepted        time.Time // when it was accepted
+	br              *bufio.Reader
+	readAheadData   []byte // what br had no room for while a request was open
+	readAheadMemory int64  // that ahead takes of the room for bodies
+	entry           entry  // of conns
+	complete        bool   // the last answer was written to its end
 
-	request *guard.Request // the one that is open; nil between requests
-	ended   string         // why its goroutine ends
+	request   *guard.Request // the one that is open; nil between requests
+	endReason string         // why its goroutine ends
 }
 
 // Read is br's source: first what was read ahead.
 func (c *conn) Read(p []byte) (int, error) {
-	if len(c.ahead) == 0 {
+	if len(c.readAheadData) == 0 {
 		return c.Conn.Read(p)
 	}
-	n := copy(p, c.ahead)
-	if c.ahead = c.ahead[n:]; len(c.ahead) == 0 {
-		c.dropAhead()
+	n := copy(p, c.readAheadData)
+	if c.readAheadData = c.readAheadData[n:]; len(c.readAheadData) == 0 {
+		c.dropReadAhead()
 	}
 	return n, nil
 }
 
 func (c *conn) serve(ctx context.Context) {
 	f := c.front
-	c.br = bufio.NewReaderSize(c, readBuffer)
-	defer c.dropAhead()
+	c.br = bufio.NewReaderSize(c, readBufferSize)
+	defer c.dropReadAhead()
 	defer c.linger()
-	defer c.recovered()
+	defer c.recoverPanic()
 	for first := true; ; first = false {
-		if !first && !c.rest() {
+		if !first && !c.beginIdle() {
 			return
 		}
 		if err := c.awaitRequest(); err != nil {
-			c.ended = "no request: " + err.Error()
-			if c.whole = false; first {
-				c.unreadable(err)
+			c.endReason = "no request: " + err.Error()
+			if c.complete = false; first {
+				c.respondUnreadable(err)
 			}
 			return // it has left, or rested for long: nothing can be lost any more
 		}
-		if !f.conns.move(c, receiving) {
+		if !f.conns.transition(c, stateReceiving) {
 			return
 		}
 		within := time.Now().Add(f.opts.RequestTimeout)
 		if first { // what was waited for counts, but bytes that have come get time to be read
-			within = latest(c.began.Add(f.opts.RequestTimeout), time.Now().Add(f.opts.RequestTimeout/4))
+			within = latest(c.accepted.Add(f.opts.RequestTimeout), time.Now().Add(f.opts.RequestTimeout/4))
 		}
 		c.SetReadDeadline(within)
 		c.request = f.opts.Guard.Receive()
 		more := c.takeRequest(ctx)
-		c.ended = c.end(more)
-		c.request.Closed(c.ended)
+		c.endReason = c.describeEnd(more)
+		c.request.Closed(c.endReason)
 		if c.request = nil; !more {
 			return
 		}
 	}
 }
 
-// recovered answers a request whose handling has panicked; other connections go on.
-func (c *conn) recovered() {
+// recoverPanic answers a request whose handling has panicked; other connections go on.
+func (c *conn) recoverPanic() {
 	p := recover()
 	if p == nil {
 		return
@@ -94,21 +94,21 @@
 		return
 	}
 	if c.request.State() < guard.Streaming {
-		c.say(500, "internal error of the router", 0, true)
+		c.respond(500, "internal error of the router", 0, true)
 	}
 	c.request.Closed("panic")
 }
 
-// rest begins the wait for a further request; false if the connection is to end now. In a shutdown it rests too: a
+// beginIdle begins the wait for a further request; false if the connection is to end now. In a shutdown it rests too: a
 // request that comes is refused, where an end of sending would cross it, and what is read and thrown away is lost.
-func (c *conn) rest() bool {
+func (c *conn) beginIdle() bool {
 	c.SetReadDeadline(time.Now().Add(c.front.opts.IdleTimeout))
-	return c.front.conns.move(c, resting)
+	return c.front.conns.transition(c, stateIdle)
 }
 
 // awaitRequest waits until something can be read, and reads nothing: see conns.
 func (c *conn) awaitRequest() error {
-	if c.br.Buffered() > 0 || len(c.ahead) > 0 {
+	if c.br.Buffered() > 0 || len(c.readAheadData) > 0 {
 		return nil
 	}
 	socket, ok := c.Conn.(syscall.Conn)
@@ -143,7 +143,7 @@
 		n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		switch {
 		case err == nil && n > 0:
-			gone = endIsBehind(int(fd))
+			gone = peerClosed(int(fd))
 		case err == nil:
 			gone = true
 		default:
@@ -153,8 +153,8 @@
 	return gone
 }
 
-// endIsBehind tells whether the peer's end stands behind bytes that wait to be read.
-func endIsBehind(fd int) bool {
+// peerClosed tells whether the peer's end stands behind bytes that wait to be read.
+func peerClosed(fd int) bool {
 	poll := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
 	n, err := unix.Poll(poll, 0)
 	return err == nil && n > 0 && poll[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
@@ -167,15 +167,15 @@
 	return b
 }
 
-// dropAhead gives back the room of what was read ahead.
-func (c *conn) dropAhead() {
-	c.front.bodies.Add(-c.room)
-	c.ahead, c.room = nil, 0
+// dropReadAhead gives back the room of what was read ahead.
+func (c *conn) dropReadAhead() {
+	c.front.bodyMemory.Add(-c.readAheadMemory)
+	c.readAheadData, c.readAheadMemory = nil, 0
 }
 
 // linger ends a connection after an answer.
 func (c *conn) linger() {
-	if c.whole && c.front.conns.move(c, lingering) {
+	if c.complete && c.front.conns.transition(c, stateLingering) {
 		c.front.discard(c.Conn, c.br)
 	}
 }
@@ -187,16 +187,16 @@
 	if !ok || tcp.CloseWrite() != nil {
 		return
 	}
-	nc.SetReadDeadline(time.Now().Add(f.lingerFor))
-	io.CopyN(io.Discard, r, lingerBytes)
+	nc.SetReadDeadline(time.Now().Add(f.lingerTimeout))
+	io.CopyN(io.Discard, r, maxLingerBytes)
 }
 
-// end says how a request has ended for its connection.
-func (c *conn) end(more bool) string {
+// describeEnd says how a request has ended for its connection.
+func (c *conn) describeEnd(more bool) string {
 	switch {
 	case more:
 		return "the connection rests"
-	case c.whole:
+	case c.complete:
 		return "last answer on the connection"
 	}
 	return "the answer is not whole"
@@ -205,42 +205,42 @@
 // takeRequest takes one request and answers it. It reports whether the connection can take another.
 func (c *conn) takeRequest(ctx context.Context) bool {
 	f := c.front
-	c.whole = false
-	head, err := http1.ReadHead(c.br, maxHead)
+	c.complete = false
+	head, err := http1.ReadHead(c.br, maxHeadSize)
 	if err != nil {
-		return c.unreadable(err)
+		return c.respondUnreadable(err)
 	}
 	method, target, old, err := head.RequestLine()
 	if err != nil {
-		return c.unreadable(err)
+		return c.respondUnreadable(err)
 	}
 	closes := old || head.WantsClose()
-	body, err := c.body(head)
-	defer f.bodies.Add(-int64(cap(body)))
+	body, err := c.readBody(head)
+	defer f.bodyMemory.Add(-int64(cap(body)))
 	if err != nil {
-		return c.unreadable(err)
+		return c.respondUnreadable(err)
 	}
-	if !f.conns.move(c, open) {
+	if !f.conns.transition(c, stateOpen) {
 		return false
 	}
 	path, _, _ := strings.Cut(target, "?")
 	switch {
 	case path == platform.ReadyPath && method == "GET":
-		if f.core.Ready() && !f.last.Load() {
-			return c.say(200, "", 0, closes)
+		if f.core.Ready() && !f.closing.Load() {
+			return c.respond(200, "", 0, closes)
 		}
-		return c.say(503, "not ready", 0, closes)
+		return c.respond(503, "not ready", 0, closes)
 	case path != platform.ChatPath:
-		return c.say(404, "no such path", 0, closes)
+		return c.respond(404, "no such path", 0, closes)
 	case method != "POST":
-		return c.say(405, "POST only", 0, closes)
+		return c.respond(405, "POST only", 0, closes)
 	}
 	job, bad := f.job(head, target, body, time.Now())
 	if bad != nil {
 		if bad.Kind == front.BadRequest {
 			f.log.Info("bad request", "client", c.RemoteAddr().String(), "reason", bad.Text)
 		}
-		return c.fail(bad, true)
+		return c.respondError(bad, true)
 	}
 	job.Guard = c.request
 	c.request.SetClientCheck(c.clientGone)
@@ -248,16 +248,16 @@
 	q, err := f.core.Submit(job)
 	if err != nil {
 		if errors.Is(err, router.ErrDuplicateName) {
-			return c.fail(&front.Error{Kind: front.BadRequest, Text: err.Error()}, true)
+			return c.respondError(&front.Error{Kind: front.BadRequest, Text: err.Error()}, true)
 		}
-		return c.fail(front.SubmitError(err), closes)
+		return c.respondError(front.SubmitError(err), closes)
 	}
-	return c.hand(ctx, q, closes)
+	return c.streamAnswer(ctx, q, closes)
 }
 
-// unreadable answers what can't be read and has the connection closed: nobody knows where a next request
+// respondUnreadable answers what can't be read and has the connection closed: nobody knows where a next request
 // would begin.
-func (c *conn) unreadable(err error) bool {
+func (c *conn) respondUnreadable(err error) bool {
 	code, text := 400, err.Error()
 	var late net.Error
 	switch {
@@ -268,25 +268,25 @@
 		return false
 	case errors.Is(err, net.ErrClosed):
 		return false
-	case errors.Is(err, errNoRoom):
+	case errors.Is(err, errNoBodyMemory):
 		code = 503
 	case errors.Is(err, http1.ErrTooLarge):
 		code = 413
 	case errors.As(err, &late) && late.Timeout():
 		code, text = 408, "the request did not end in time"
-		if c.front.last.Load() { // a client that has sent it meanwhile may send it elsewhere
+		if c.front.closing.Load() { // a client that has sent it meanwhile may send it elsewhere
 			code, text = 503, "the router is stopping"
 		}
 	}
 	c.front.log.Info("unreadable request", "client", c.RemoteAddr().String(), "err", err)
-	return c.say(code, text, 0, true)
+	return c.respond(code, text, 0, true)
 }
 
-var errNoRoom = errors.New("no room for a body")
+var errNoBodyMemory = errors.New("no room for a body")
 
-// body reads a body. What it takes is counted among the bodies of all; the caller counts it off. The room
+// readBody reads a body. What it takes is counted among the bodies of all; the caller counts it off. The room
 // grows as bytes come, whatever length is claimed.
-func (c *conn) body(h *http1.Head) ([]byte, error) {
+func (c *conn) readBody(h *http1.Head) ([]byte, error) {
 	length, chunked, err := h.Framing()
 	if err != nil {
 		return nil, err
@@ -320,9 +320,9 @@
 			if grown == int64(cap(b)) {
 				break // as much as there may be
 			}
-			if c.front.bodies.Add(grown-int64(cap(b))) > c.front.opts.MaxBodyMemory {
-				c.front.bodies.Add(int64(cap(b)) - grown)
-				return b, errNoRoom
+			if c.front.bodyMemory.Add(grown-int64(cap(b))) > c.front.opts.MaxBodyMemory {
+				c.front.bodyMemory.Add(int64(cap(b)) - grown)
+				return b, errNoBodyMemory
 			}
 			b = append(make([]byte, 0, grown), b...)
 		}
--- a/internal/front/chat/conns.go
+++ b/internal/front/chat/conns.go
@@ -11,12 +11,12 @@
 type connState uint8
 
 const (
-	fresh     connState = iota // no byte of its first request has been read
-	resting                    // between requests
-	receiving                  // a request is coming
-	open                       // a request is open
-	lingering                  // it has had its last answer, and what still comes is thrown away
-	closed
+	stateNew       connState = iota // no byte of its first request has been read
+	stateIdle                       // between requests
+	stateReceiving                  // a request is coming
+	stateOpen                       // a request is open
+	stateLingering                  // it has had its last answer, and what still comes is thrown away
+	stateClosed
 )
 
 func (s connState) String() string {
@@ -29,16 +29,16 @@
 // as it is closed. So no request is read from a connection that is closed for room, or in a drain: the client sends
 // it once more.
 type conns struct {
-	limit   int
-	refused int // connections that may linger after a refusal for want of room, beside limit
-	tasks   sync.WaitGroup
-	seen    atomic.Int64 // times that bytes came while a request was open
+	maxConns       int
+	maxRefused     int // connections that may linger after a refusal for want of room, beside limit
+	tasks          sync.WaitGroup
+	readsWhileOpen atomic.Int64 // times that bytes came while a request was open
 
-	mu        sync.Mutex
-	all       map[*conn]struct{}
-	waiting   list.List // of *conn: lingering, then fresh and resting, longest in front
-	receiving list.List // of *conn, longest in front
-	refusing  int       // connections that linger after a refusal
+	mu           sync.Mutex
+	all          map[*conn]struct{}
+	evictable    list.List // of *conn: lingering, then fresh and resting, longest in front
+	receiving    list.List // of *conn, longest in front
+	refusedCount int       // connections that linger after a refusal
 }
 
 // entry is a connection's place in conns.
@@ -55,51 +55,51 @@
 	if s.all == nil {
 		s.all = map[*conn]struct{}{}
 	}
-	if len(s.all) >= s.limit && !s.evict() {
+	if len(s.all) >= s.maxConns && !s.evict() {
 		return false
 	}
 	s.all[c] = struct{}{}
-	s.enter(c, fresh)
+	s.setState(c, stateNew)
 	s.tasks.Add(1)
 	return true
 }
 
-// enter moves a connection to a state. mu is held.
-func (s *conns) enter(c *conn, state connState) {
+// setState moves a connection to a state. mu is held.
+func (s *conns) setState(c *conn, state connState) {
 	switch {
 	case c.entry.element == nil:
-	case c.entry.state == receiving:
+	case c.entry.state == stateReceiving:
 		s.receiving.Remove(c.entry.element)
 	default:
-		s.waiting.Remove(c.entry.element)
+		s.evictable.Remove(c.entry.element)
 	}
 	c.entry = entry{state: state, since: time.Now()}
 	switch state {
-	case fresh, resting:
-		c.entry.element = s.waiting.PushBack(c)
-	case lingering:
-		c.entry.element = s.waiting.PushFront(c)
-	case receiving:
+	case stateNew, stateIdle:
+		c.entry.element = s.evictable.PushBack(c)
+	case stateLingering:
+		c.entry.element = s.evictable.PushFront(c)
+	case stateReceiving:
 		c.entry.element = s.receiving.PushBack(c)
 	}
 }
 
-// move moves a connection to a state; false if it is closed.
-func (s *conns) move(c *conn, state connState) bool {
+// transition moves a connection to a state; false if it is closed.
+func (s *conns) transition(c *conn, state connState) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if c.entry.state == closed {
+	if c.entry.state == stateClosed {
 		return false
 	}
-	s.enter(c, state)
+	s.setState(c, state)
 	return true
 }
 
 // evict closes the connection that has waited for longest. Where all are busy with requests, those that have sent for
 // long without an end are to be answered as late, which makes room for others that come. mu is held.
 func (s *conns) evict() bool {
-	if e := s.waiting.Front(); e != nil {
-		s.shut(e.Value.(*conn), "room is needed")
+	if e := s.evictable.Front(); e != nil {
+		s.closeConn(e.Value.(*conn), "room is needed")
 		return true
 	}
 	for e := s.receiving.Front(); e != nil; e = e.Next() {
@@ -107,21 +107,21 @@
 		if time.Since(c.entry.since) < c.front.opts.RequestTimeout/2 {
 			break
 		}
-		c.SetReadDeadline(past)
+		c.SetReadDeadline(pastTime)
 	}
 	return false
 }
 
-// past is a deadline that is over.
-var past = time.Unix(1, 0)
+// pastTime is a deadline that is over.
+var pastTime = time.Unix(1, 0)
 
-// shut closes a connection; its goroutine ends by itself. mu is held.
-func (s *conns) shut(c *conn, reason string) {
-	if c.entry.state == closed {
+// closeConn closes a connection; its goroutine ends by itself. mu is held.
+func (s *conns) closeConn(c *conn, reason string) {
+	if c.entry.state == stateClosed {
 		return
 	}
 	c.front.opts.Guard.ConnectionClosed(c.RemoteAddr().String(), c.entry.state.String(), reason)
-	s.enter(c, closed)
+	s.setState(c, stateClosed)
 	delete(s.all, c)
 	c.Conn.Close()
 }
@@ -132,58 +132,58 @@
 	s.evict()
 }
 
-// gone: the connection's goroutine ends.
-func (s *conns) gone(c *conn) {
+// remove: the connection's goroutine ends.
+func (s *conns) remove(c *conn) {
 	s.mu.Lock()
-	s.shut(c, c.ended)
+	s.closeConn(c, c.endReason)
 	s.mu.Unlock()
 	s.tasks.Done()
 }
 
-// refuse counts one more connection that lingers after a refusal; false if there are enough of them.
-func (s *conns) refuse() bool {
+// addRefused counts one more connection that lingers after a refusal; false if there are enough of them.
+func (s *conns) addRefused() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.refusing >= s.refused {
+	if s.refusedCount >= s.maxRefused {
 		return false
 	}
-	s.refusing++
+	s.refusedCount++
 	s.tasks.Add(1)
 	return true
 }
 
-// refusalOver counts one that refuse has counted off.
-func (s *conns) refusalOver() {
+// removeRefused counts one that refuse has counted off.
+func (s *conns) removeRefused() {
 	s.mu.Lock()
-	s.refusing--
+	s.refusedCount--
 	s.mu.Unlock()
 	s.tasks.Done()
 }
 
-// closeResting closes those that have been between requests for a time. One that has had none yet brings its first.
-func (s *conns) closeResting(restedFor time.Duration) {
+// closeIdle closes those that have been between requests for a time. One that has had none yet brings its first.
+func (s *conns) closeIdle(idleFor time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for e := s.waiting.Front(); e != nil; {
+	for e := s.evictable.Front(); e != nil; {
 		c := e.Value.(*conn)
 		e = e.Next()
-		if c.entry.state == resting && time.Since(c.entry.since) >= restedFor {
-			s.shut(c, "shutdown")
+		if c.entry.state == stateIdle && time.Since(c.entry.since) >= idleFor {
+			s.closeConn(c, "shutdown")
 		}
 	}
 }
 
-// expire lets what connections in a state are waiting for be late now.
-func (s *conns) expire(state connState) {
+// expireDeadlines lets what connections in a state are waiting for be late now.
+func (s *conns) expireDeadlines(state connState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	list := &s.waiting
-	if state == receiving {
+	list := &s.evictable
+	if state == stateReceiving {
 		list = &s.receiving
 	}
 	for e := list.Front(); e != nil; e = e.Next() {
 		if c := e.Value.(*conn); c.entry.state == state {
-			c.SetReadDeadline(past)
+			c.SetReadDeadline(pastTime)
 		}
 	}
 }
@@ -192,14 +192,14 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.all {
-		s.shut(c, "the router stops at once")
+		s.closeConn(c, "the router stops at once")
 	}
 }
 
 func (s *conns) count() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.all) + s.refusing
+	return len(s.all) + s.refusedCount
 }
 
 func (s *conns) wait() { s.tasks.Wait() }
--- a/internal/front/chat/job.go
+++ b/internal/front/chat/job.go
@@ -18,70 +18,70 @@
 
 // job is a request's meaning. now is when its last byte had come.
 func (f *Front) job(h *http1.Head, target string, body []byte, now time.Time) (*router.Job, *front.Error) {
-	one := func(name string) (string, *front.Error) {
+	header := func(name string) (string, *front.Error) {
 		v, n := h.Get(name)
 		if n > 1 {
 			return "", front.BadRequestf("%s stands %d times", name, n)
 		}
-		limit := maxName
+		limit := maxNameLen
 		if name == platform.IDHeader {
-			limit = maxID
+			limit = maxIDLen
 		}
 		if len(v) > limit && name != platform.FactsHeader {
 			return "", front.BadRequestf("%s is longer than %d bytes", name, limit)
 		}
 		return v, nil
 	}
-	var first *front.Error
+	var firstErr *front.Error
 	get := func(name string) string {
-		v, e := one(name)
-		if first == nil {
-			first = e
+		v, e := header(name)
+		if firstErr == nil {
+			firstErr = e
 		}
 		return v
 	}
-	id, class, left, facts := get(platform.IDHeader), get(platform.ClassHeader), get(platform.TimeLeftHeader), get(platform.FactsHeader)
+	id, class, timeLeft, facts := get(platform.IDHeader), get(platform.ClassHeader), get(platform.TimeLeftHeader), get(platform.FactsHeader)
 	session, repeat := get(platform.SessionHeader), get(platform.RepeatHeader)
 	tenant := get(platform.TenantHeader)
 	switch {
-	case first != nil:
-		return nil, first
+	case firstErr != nil:
+		return nil, firstErr
 	case !http1.IsToken(id): // it becomes part of a path
 		return nil, front.BadRequestf("%s %.40q is no id", platform.IDHeader, id)
 	case !json.Valid(body):
 		return nil, front.BadRequestf("the body is not JSON")
 	}
 	j := &router.Job{Name: id, ClientID: id, Class: -1, ClassName: class, Tenant: math.MaxInt, Session: session,
-		Message:      &engine.Message{Target: target, Fields: passedOn(h), Body: body},
-		PromptTokens: max(float64(len(body))/bytesToken, 1), ClientRetry: repeat == "1", AfterInterruption: repeat == "again"}
+		Message:      &engine.Message{Target: target, Fields: forwardedFields(h), Body: body},
+		PromptTokens: max(float64(len(body))/bytesPerToken, 1), ClientRetry: repeat == "1", AfterInterruption: repeat == "again"}
 	if j.Class = slices.Index(f.opts.Classes, settings.NormalizeName(class)); j.Class < 0 {
 		return nil, front.BadRequestf("there is no class %.40q", class)
 	}
-	ms, err := strconv.ParseInt(left, 10, 64)
+	ms, err := strconv.ParseInt(timeLeft, 10, 64)
 	if err != nil || ms <= 0 || ms > front.MaxDeadline.Milliseconds() {
-		return nil, front.BadRequestf("%s %.40q is no time that a client waits", platform.TimeLeftHeader, left)
+		return nil, front.BadRequestf("%s %.40q is no time that a client waits", platform.TimeLeftHeader, timeLeft)
 	}
 	j.Deadline = now.Add(time.Duration(ms) * time.Millisecond)
 	if i := slices.Index(f.opts.Tenants, settings.NormalizeName(tenant)); i >= 0 && tenant != "" {
 		j.Tenant, j.TenantName = i, tenant
 	}
-	if e := takeFacts(j, facts); e != nil {
+	if e := parseFacts(j, facts); e != nil {
 		return nil, e
 	}
 	return j, nil
 }
 
-// passedOn returns the fields of a client's message that engines get as they are: what they mean is between the two (an
+// forwardedFields returns the fields of a client's message that engines get as they are: what they mean is between the two (an
 // idempotency key, say). The router tells the time and the id itself, and reads the stream, so it can't be encoded.
-func passedOn(h *http1.Head) []http1.Field {
+func forwardedFields(h *http1.Head) []http1.Field {
 	return slices.DeleteFunc(h.EndToEnd(), func(f http1.Field) bool {
 		return strings.EqualFold(f.Name, platform.TimeLeftHeader) || strings.EqualFold(f.Name, platform.IDHeader) ||
 			strings.EqualFold(f.Name, "Content-Type") || strings.EqualFold(f.Name, "Accept-Encoding")
 	})
 }
 
-// takeFacts takes in the facts of a prompt.
-func takeFacts(j *router.Job, facts string) *front.Error {
+// parseFacts takes in the facts of a prompt.
+func parseFacts(j *router.Job, facts string) *front.Error {
 	if facts == "" {
 		return nil
 	}
@@ -91,8 +91,8 @@
 			return front.BadRequestf("%s: %.40q has no '='", platform.FactsHeader, pair)
 		}
 		if name == "prefix" {
-			if len(value) > maxName {
-				return front.BadRequestf("%s: prefix is longer than %d bytes", platform.FactsHeader, maxName)
+			if len(value) > maxNameLen {
+				return front.BadRequestf("%s: prefix is longer than %d bytes", platform.FactsHeader, maxNameLen)
 			}
 			j.SharedPrefix = value
 			continue
--- a/internal/front/chat/leave_test.go
+++ b/internal/front/chat/leave_test.go
@@ -12,43 +12,43 @@
 	"mintdoor/internal/engine"
 )
 
-// big is a message with a body of many bytes, more than the connection's buffer takes.
-func big(id string) string {
-	text := `{"model":"chat","x":"` + strings.Repeat("y", 5*readBuffer) + `"}`
+// bigMessage is a message with a body of many bytes, more than the connection's buffer takes.
+func bigMessage(id string) string {
+	text := `{"model":"chat","x":"` + strings.Repeat("y", 5*readBufferSize) + `"}`
 	return message(id, fmt.Sprintf("Content-Length: %d", len(body)), fmt.Sprintf("Content-Length: %d", len(text)), body, text)
 }
 
-// gated is a writer that waits for the gate.
-func gated(gate chan bool) func(context.Context, func(string) error) engine.Result {
+// writeAfter is a writer that waits for the gate.
+func writeAfter(gate chan bool) func(context.Context, func(string) error) engine.Result {
 	return func(ctx context.Context, sink func(string) error) engine.Result {
 		select {
 		case <-gate:
-			return served(ctx, sink)
+			return writeAnswer(ctx, sink)
 		case <-ctx.Done():
-			return hangs(ctx, sink)
+			return hang(ctx, sink)
 		}
 	}
 }
 
 // A client's leaving stands behind whatever it has sent before, in one piece or in several: it ends the request
 // that is open, and nothing of what stands in front of it is begun.
-func TestClientLeavesBehindWhatItSent(t *testing.T) {
+func TestClientLeavesAfterFurtherData(t *testing.T) {
 	for name, pieces := range map[string][]string{
 		"half a line":             {"PO"},
 		"half a line, in pieces":  {"P", "OS", "T /v1"},
 		"a request":               {message("b")},
-		"more than the buffer":    {big("b")},
-		"many requests in pieces": {message("b"), big("c"), message("d"), "POST"},
+		"more than the buffer":    {bigMessage("b")},
+		"many requests in pieces": {message("b"), bigMessage("c"), message("d"), "POST"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := start(t, hangs, nil)
+			w := startFront(t, hang, nil)
 			c, _ := w.dial()
 			io.WriteString(c, message("a"))
 			w.eventually("taken", func() bool { return w.router.Stats().Sends == 2 })
 			for _, p := range pieces {
-				before := w.front.conns.seen.Load()
+				before := w.front.conns.readsWhileOpen.Load()
 				io.WriteString(c, p)
-				w.eventually("seen", func() bool { return w.front.conns.seen.Load() > before })
+				w.eventually("seen", func() bool { return w.front.conns.readsWhileOpen.Load() > before })
 			}
 			c.Close()
 			w.eventually("gone", func() bool { return w.router.Stats().Gone == 1 && w.router.Stats().Open == 0 })
@@ -56,7 +56,7 @@
 			if n := w.router.Stats().Sends; n != 2 {
 				t.Errorf("%d attempts, want the read and the write of the first request", n)
 			}
-			if n := w.front.bodies.Load(); n != 0 {
+			if n := w.front.bodyMemory.Load(); n != 0 {
 				t.Errorf("%d bytes are still counted", n)
 			}
 		})
@@ -66,31 +66,31 @@
 // What was read ahead is served in its order once the request before it is over.
 func TestPipelinedPastTheBuffer(t *testing.T) {
 	gate := make(chan bool)
-	w := start(t, gated(gate), nil)
+	w := startFront(t, writeAfter(gate), nil)
 	c, br := w.dial()
-	io.WriteString(c, message("a")+big("b")+big("c")+message("d", "Class: chat", "Class: chess"))
-	w.eventually("read ahead", func() bool { return w.front.bodies.Load() > 0 })
+	io.WriteString(c, message("a")+bigMessage("b")+bigMessage("c")+message("d", "Class: chat", "Class: chess"))
+	w.eventually("read ahead", func() bool { return w.front.bodyMemory.Load() > 0 })
 	close(gate)
 	for _, want := range []int{200, 200, 200, 400} {
-		if resp, _, err := answer(t, br); resp.StatusCode != want || err != nil {
+		if resp, _, err := readAnswer(t, br); resp.StatusCode != want || err != nil {
 			t.Fatalf("status %d, %v; want %d", resp.StatusCode, err, want)
 		}
 	}
-	w.eventually("counted off", func() bool { return w.front.bodies.Load() == 0 })
+	w.eventually("counted off", func() bool { return w.front.bodyMemory.Load() == 0 })
 }
 
 // A close over bytes that nobody has read resets the connection, and the answer may go with it: the last answer's
 // connection is ended for sending first, and what still comes is read and not served.
 func TestLastAnswerIsNotReset(t *testing.T) {
 	gate := make(chan bool)
-	w := start(t, gated(gate), func(o *Options) { o.MaxBodyMemory = 3 * readBuffer })
+	w := startFront(t, writeAfter(gate), func(o *Options) { o.MaxBodyMemory = 3 * readBufferSize })
 	c, br := w.dial()
 	io.WriteString(c, message("a"))
 	w.eventually("taken", func() bool { return w.router.Stats().Sends == 2 })
 	w.front.BeginShutdown()
-	io.WriteString(c, big("b")) // more than is read ahead: some of it stays unread
+	io.WriteString(c, bigMessage("b")) // more than is read ahead: some of it stays unread
 	close(gate)
-	resp, got, err := answer(t, br)
+	resp, got, err := readAnswer(t, br)
 	if resp.StatusCode != 200 || got != eventA+eventEnd || err != nil {
 		t.Fatalf("%+v %q %v", resp, got, err)
 	}
@@ -105,11 +105,11 @@
 }
 
 // A connection that lingers is the first to make room.
-func TestLingeringMakesRoom(t *testing.T) {
-	w := start(t, served, func(o *Options) { o.MaxConns = 1 })
+func TestLingeringConnectionIsEvictedFirst(t *testing.T) {
+	w := startFront(t, writeAnswer, func(o *Options) { o.MaxConns = 1 })
 	c, br := w.dial()
 	io.WriteString(c, strings.Replace(message("a"), "Host:", "Connection: close\r\nHost:", 1))
-	if resp, _, err := answer(t, br); resp.StatusCode != 200 || err != nil {
+	if resp, _, err := readAnswer(t, br); resp.StatusCode != 200 || err != nil {
 		t.Fatalf("%d %v", resp.StatusCode, err)
 	}
 	next, nextBr := w.dial() // the first client has not closed
@@ -121,13 +121,13 @@
 }
 
 // Where the bodies have no room left nothing is read ahead, and nothing is counted for it.
-func TestNoRoomToReadAhead(t *testing.T) {
-	f := New(Options{MaxBodyMemory: readBuffer - 1}, nil)
+func TestReadAheadWithoutBodyMemory(t *testing.T) {
+	f := New(Options{MaxBodyMemory: readBufferSize - 1}, nil)
 	c := &conn{front: f}
-	if err := c.readAhead(); !errors.Is(err, errNoRoom) {
+	if err := c.readAhead(); !errors.Is(err, errNoBodyMemory) {
 		t.Errorf("got %v", err)
 	}
-	if n := f.bodies.Load(); n != 0 || c.room != 0 {
-		t.Errorf("%d bytes are counted, %d for this connection", n, c.room)
+	if n := f.bodyMemory.Load(); n != 0 || c.readAheadMemory != 0 {
+		t.Errorf("%d bytes are counted, %d for this connection", n, c.readAheadMemory)
 	}
 }
--- a/internal/front/chat/listen.go
+++ b/internal/front/chat/listen.go
@@ -11,24 +11,24 @@
 // Serve takes connections until ctx ends, or until StopListening; it returns when all of them are closed. When ctx ends,
 // what is open gets the answer that the core has for it then, or a word of the front.
 func (f *Front) Serve(ctx context.Context, l net.Listener) error {
-	asking, endAsking := context.WithCancel(context.WithoutCancel(ctx))
-	defer endAsking()
-	stop := context.AfterFunc(ctx, func() { f.end(l, endAsking) })
+	requestCtx, cancelRequests := context.WithCancel(context.WithoutCancel(ctx))
+	defer cancelRequests()
+	stop := context.AfterFunc(ctx, func() { f.stop(l, cancelRequests) })
 	defer stop()
 	defer f.stopTimers()
 	defer f.conns.wait()
-	defer close(f.stopListened)
-	f.listenOn(l)
+	defer close(f.listenerStopped)
+	f.setListener(l)
 	for {
 		nc, err := l.Accept()
 		if err == nil {
-			f.take(asking, nc)
+			f.serveConn(requestCtx, nc)
 			continue
 		}
 		switch {
 		case ctx.Err() != nil:
 			return nil
-		case f.stopsListening() && isTimeout(err):
+		case f.isStopping() && isTimeout(err):
 			l.Close()
 			return nil
 		case errors.Is(err, net.ErrClosed):
@@ -40,16 +40,16 @@
 	}
 }
 
-// end ends all connections: at once where no request is open, else after its answer.
-func (f *Front) end(l net.Listener, endAsking func()) {
+// stop ends all connections: at once where no request is open, else after its answer.
+func (f *Front) stop(l net.Listener, cancelRequests func()) {
 	l.Close()
 	f.BeginShutdown()
-	f.conns.closeResting(0)
-	f.conns.expire(fresh)
-	f.conns.expire(receiving)
+	f.conns.closeIdle(0)
+	f.conns.expireDeadlines(stateNew)
+	f.conns.expireDeadlines(stateReceiving)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.timers = append(f.timers, time.AfterFunc(f.endWithin, endAsking), time.AfterFunc(2*f.endWithin, f.conns.closeAll))
+	f.timers = append(f.timers, time.AfterFunc(f.finalAnswerTimeout, cancelRequests), time.AfterFunc(2*f.finalAnswerTimeout, f.conns.closeAll))
 }
 
 func (f *Front) stopTimers() {
@@ -60,16 +60,16 @@
 	}
 }
 
-// take serves a new connection, or refuses it.
-func (f *Front) take(ctx context.Context, nc net.Conn) {
-	c := &conn{Conn: nc, front: f, began: time.Now()}
-	c.SetReadDeadline(c.began.Add(f.opts.RequestTimeout))
+// serveConn serves a new connection, or refuses it.
+func (f *Front) serveConn(ctx context.Context, nc net.Conn) {
+	c := &conn{Conn: nc, front: f, accepted: time.Now()}
+	c.SetReadDeadline(c.accepted.Add(f.opts.RequestTimeout))
 	if !f.conns.add(c) {
 		f.refuse(nc)
 		return
 	}
 	go func() {
-		defer f.conns.gone(c)
+		defer f.conns.remove(c)
 		c.serve(ctx)
 	}()
 }
@@ -77,14 +77,14 @@
 // refuse tells a client that there is no room for its connection. The connection is kept for a moment, as a close over
 // unread bytes would reset it, and the answer might go with it; beyond MaxRefused at a time it is closed at once.
 func (f *Front) refuse(nc net.Conn) {
-	nc.SetWriteDeadline(time.Now().Add(refuseWithin))
-	nc.Write(f.answer(503, "text/plain", []byte("too many connections\n"), 0, true))
-	if !f.conns.refuse() {
+	nc.SetWriteDeadline(time.Now().Add(refusalWriteTimeout))
+	nc.Write(f.response(503, "text/plain", []byte("too many connections\n"), 0, true))
+	if !f.conns.addRefused() {
 		nc.Close()
 		return
 	}
 	go func() {
-		defer f.conns.refusalOver()
+		defer f.conns.removeRefused()
 		defer nc.Close()
 		f.discard(nc, nc)
 	}()
@@ -94,35 +94,35 @@
 // returns is closed.
 func (f *Front) StopListening() <-chan struct{} {
 	f.mu.Lock()
-	f.stopping = true
+	f.stopRequested = true
 	l := f.listener
 	f.mu.Unlock()
 	if l != nil {
-		expireAccept(l)
+		limitAccept(l)
 	}
-	return f.stopListened
+	return f.listenerStopped
 }
 
-// listenOn notes the listener, which may have to stop already.
-func (f *Front) listenOn(l net.Listener) {
+// setListener notes the listener, which may have to stop already.
+func (f *Front) setListener(l net.Listener) {
 	f.mu.Lock()
 	f.listener = l
-	stopping := f.stopping
+	stopping := f.stopRequested
 	f.mu.Unlock()
 	if stopping {
-		expireAccept(l)
+		limitAccept(l)
 	}
 }
 
-// expireAccept lets a listener take what waits in the kernel's queue and no more.
-func expireAccept(l net.Listener) {
+// limitAccept lets a listener take what waits in the kernel's queue and no more.
+func limitAccept(l net.Listener) {
 	if d, ok := l.(interface{ SetDeadline(time.Time) error }); ok {
-		d.SetDeadline(time.Now().Add(lastAccept))
+		d.SetDeadline(time.Now().Add(finalAcceptTime))
 	}
 }
 
-func (f *Front) stopsListening() bool {
+func (f *Front) isStopping() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.stopping
+	return f.stopRequested
 }
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -77,7 +77,7 @@
 
 // Bounds of what a client may name.
 const (
-	maxName = 256 // bytes of an id or a name
+	maxNameLen = 256 // bytes of an id or a name
 	// MaxDeadline is the longest that a client may wait.
 	MaxDeadline = 10 * time.Minute
 )
@@ -91,45 +91,45 @@
 // CheckModel checks a model's name and version; the empty version is any.
 func (m *JobBuilder) CheckModel(name, version string) *Error {
 	if name != m.set.Model {
-		return &Error{Kind: NotFound, Text: fmt.Sprintf("unknown model %q", clip(name))}
+		return &Error{Kind: NotFound, Text: fmt.Sprintf("unknown model %q", truncate(name))}
 	}
 	if version != "" && version != m.set.ModelVersion {
-		return &Error{Kind: NotFound, Text: fmt.Sprintf("model %q has no version %q", name, clip(version))}
+		return &Error{Kind: NotFound, Text: fmt.Sprintf("model %q has no version %q", name, truncate(version))}
 	}
 	return nil
 }
 
-// reader collects the first error of a request's parameters.
-type reader struct {
+// paramReader collects the first error of a request's parameters.
+type paramReader struct {
 	p   kserve.Parameters
 	err error
 }
 
-func (r *reader) text(name string) string {
+func (r *paramReader) text(name string) string {
 	s, err := r.p.Text(name)
-	if err == nil && len(s) > maxName {
-		err = fmt.Errorf("parameter %q is longer than %d bytes", name, maxName)
+	if err == nil && len(s) > maxNameLen {
+		err = fmt.Errorf("parameter %q is longer than %d bytes", name, maxNameLen)
 	}
-	r.note(err)
+	r.noteError(err)
 	return s
 }
 
-func (r *reader) number(name string, def float64) float64 {
+func (r *paramReader) number(name string, fallback float64) float64 {
 	f, ok, err := r.p.Number(name)
-	r.note(err)
+	r.noteError(err)
 	if !ok {
-		return def
+		return fallback
 	}
 	return f
 }
 
-func (r *reader) flag(name string) bool {
+func (r *paramReader) flag(name string) bool {
 	b, err := r.p.Bool(name)
-	r.note(err)
+	r.noteError(err)
 	return b
 }
 
-func (r *reader) note(err error) {
+func (r *paramReader) noteError(err error) {
 	if r.err == nil {
 		r.err = err
 	}
@@ -143,13 +143,13 @@
 	if err := in.Params.Check(); err != nil {
 		return nil, BadRequestf("%v", err)
 	}
-	if len(in.ID) > maxName {
-		return nil, BadRequestf("id is longer than %d bytes", maxName)
+	if len(in.ID) > maxNameLen {
+		return nil, BadRequestf("id is longer than %d bytes", maxNameLen)
 	}
 	if in.Prompt == "" {
 		return nil, BadRequestf("the prompt is empty")
 	}
-	r := reader{p: in.Params}
+	r := paramReader{p: in.Params}
 	j := &router.Job{ClientID: in.ID, Prompt: in.Prompt, Session: r.text(ParamSession),
 		SharedPrefix: r.text(ParamSharedText), ClientRetry: r.flag(ParamRepeat), AfterInterruption: r.flag(ParamResume)}
 	class, tenant := r.text(ParamClass), r.text(ParamTenant)
@@ -163,7 +163,7 @@
 	}
 	if class != "" {
 		if j.Class = m.set.ClassIndex(class); j.Class < 0 {
-			return nil, BadRequestf("parameter %q: there is no class %q", ParamClass, clip(class))
+			return nil, BadRequestf("parameter %q: there is no class %q", ParamClass, truncate(class))
 		}
 	}
 	c := &m.set.Classes[j.Class]
@@ -174,7 +174,7 @@
 	j.Tenant = len(m.set.Tenants)
 	if tenant != "" {
 		if j.Tenant = m.set.TenantIndex(tenant); j.Tenant < 0 {
-			return nil, BadRequestf("parameter %q: there is no tenant %q", ParamTenant, clip(tenant))
+			return nil, BadRequestf("parameter %q: there is no tenant %q", ParamTenant, truncate(tenant))
 		}
 		j.TenantName = tenant
 	}
@@ -234,8 +234,8 @@
 	return &Error{Kind: t, Text: "failed: " + e.Reason}
 }
 
-// clip shortens what a client sent to what an error may repeat.
-func clip(s string) string {
+// truncate shortens what a client sent to what an error may repeat.
+func truncate(s string) string {
 	const most = 60
 	s = strings.ToValidUTF8(s, "?")
 	if len(s) > most {
--- a/internal/front/rest/rest.go
+++ b/internal/front/rest/rest.go
@@ -27,14 +27,14 @@
 	maxElements = 1 << 16 // of an input tensor
 	textInput   = "text_input"
 	textOutput  = "text_output"
-	idleFor     = 5 * time.Minute // a connection without a request is closed after this
+	idleTimeout = 5 * time.Minute // a connection without a request is closed after this
 )
 
 // Front serves the protocol for one model.
 type Front struct {
 	set     *config.Settings
 	core    front.Core
-	meaning *front.JobBuilder
+	jobs    *front.JobBuilder
 	log     *slog.Logger
 	version string
 	mux     *http.ServeMux
@@ -42,7 +42,7 @@
 
 // New returns a front over a core. version is the server's, for its metadata.
 func New(set *config.Settings, core front.Core, log *slog.Logger, version string) *Front {
-	f := &Front{set: set, core: core, meaning: front.NewJobBuilder(set), log: log, version: version,
+	f := &Front{set: set, core: core, jobs: front.NewJobBuilder(set), log: log, version: version,
 		mux: http.NewServeMux()}
 	f.route("GET", "/v2", f.serverMetadata)
 	f.route("GET", "/v2/health/live", f.live)
@@ -72,11 +72,11 @@
 func (f *Front) ServeHTTP(w http.ResponseWriter, r *http.Request) { f.mux.ServeHTTP(w, r) }
 
 // Serve serves a listener until ctx ends; then it waits, at most within, for answers under way.
-func (f *Front) Serve(ctx context.Context, l net.Listener, within time.Duration) error {
+func (f *Front) Serve(ctx context.Context, l net.Listener, timeout time.Duration) error {
 	s := &http.Server{
 		Handler:           f,
 		ReadHeaderTimeout: f.set.HeaderTimeout,
-		IdleTimeout:       idleFor,
+		IdleTimeout:       idleTimeout,
 		MaxHeaderBytes:    int(f.set.MaxHeader),
 		ErrorLog:          slog.NewLogLogger(f.log.Handler(), slog.LevelDebug),
 	}
@@ -87,7 +87,7 @@
 		return fmt.Errorf("front on %s: %w", l.Addr(), err)
 	case <-ctx.Done():
 	}
-	stop, cancel := context.WithTimeout(context.WithoutCancel(ctx), within)
+	stop, cancel := context.WithTimeout(context.WithoutCancel(ctx), timeout)
 	defer cancel()
 	if err := s.Shutdown(stop); err != nil {
 		s.Close()
@@ -96,8 +96,8 @@
 	return nil
 }
 
-// status is the HTTP status of each kind of trouble.
-var status = map[front.ErrorKind]int{
+// statusCodes is the HTTP status of each kind of trouble.
+var statusCodes = map[front.ErrorKind]int{
 	front.BadRequest:  http.StatusBadRequest,
 	front.NotFound:    http.StatusNotFound,
 	front.TooLarge:    http.StatusRequestEntityTooLarge,
@@ -118,7 +118,7 @@
 	if e.Kind == front.BadRequest || e.Kind == front.TooLarge {
 		f.log.Info("bad request", "path", r.URL.Path, "from", r.RemoteAddr, "err", e.Text)
 	}
-	f.write(w, status[e.Kind], kserve.ErrorResponse{Error: e.Text})
+	f.write(w, statusCodes[e.Kind], kserve.ErrorResponse{Error: e.Text})
 }
 
 func (f *Front) write(w http.ResponseWriter, code int, v any) {
@@ -149,7 +149,7 @@
 }
 
 func (f *Front) modelMetadata(w http.ResponseWriter, r *http.Request) {
-	if e := f.meaning.CheckModel(r.PathValue("model"), r.PathValue("version")); e != nil {
+	if e := f.jobs.CheckModel(r.PathValue("model"), r.PathValue("version")); e != nil {
 		f.fail(w, r, e)
 		return
 	}
@@ -162,7 +162,7 @@
 }
 
 func (f *Front) modelReady(w http.ResponseWriter, r *http.Request) {
-	if e := f.meaning.CheckModel(r.PathValue("model"), r.PathValue("version")); e != nil {
+	if e := f.jobs.CheckModel(r.PathValue("model"), r.PathValue("version")); e != nil {
 		f.fail(w, r, e)
 		return
 	}
@@ -173,8 +173,8 @@
 	f.write(w, http.StatusOK, map[string]any{"name": f.set.Model, "ready": true})
 }
 
-// body decodes a request's body within its bounds of bytes and time.
-func (f *Front) body(w http.ResponseWriter, r *http.Request, v any) *front.Error {
+// decodeBody decodes a request's body within its bounds of bytes and time.
+func (f *Front) decodeBody(w http.ResponseWriter, r *http.Request, v any) *front.Error {
 	if r.ContentLength > f.set.MaxBody {
 		w.Header().Set("Connection", "close")
 		return f.tooLarge()
@@ -205,7 +205,7 @@
 // submit decodes nothing more: it hands an input to the core.
 func (f *Front) submit(w http.ResponseWriter, r *http.Request, in *front.DecodedRequest) *router.Request {
 	in.Model, in.Version = r.PathValue("model"), r.PathValue("version")
-	job, e := f.meaning.Job(in, time.Now())
+	job, e := f.jobs.Job(in, time.Now())
 	if e == nil {
 		q, err := f.core.Submit(job)
 		if err == nil {
@@ -219,7 +219,7 @@
 
 func (f *Front) infer(w http.ResponseWriter, r *http.Request) {
 	var body kserve.InferRequest
-	if e := f.body(w, r, &body); e != nil {
+	if e := f.decodeBody(w, r, &body); e != nil {
 		f.fail(w, r, e)
 		return
 	}
@@ -244,7 +244,7 @@
 
 // inferInput finds the prompt among the tensors and checks all of them.
 func inferInput(body *kserve.InferRequest) (*front.DecodedRequest, *front.Error) {
-	wrong := func(err error) (*front.DecodedRequest, *front.Error) {
+	badRequest := func(err error) (*front.DecodedRequest, *front.Error) {
 		return nil, &front.Error{Kind: front.BadRequest, Text: err.Error()}
 	}
 	in := &front.DecodedRequest{ID: body.ID, Params: body.Parameters}
@@ -252,40 +252,40 @@
 	for i := range body.Inputs {
 		t := &body.Inputs[i]
 		if err := t.Check(maxElements); err != nil {
-			return wrong(err)
+			return badRequest(err)
 		}
 		if n, _ := kserve.ElementCount(t.Shape, maxElements); n != 1 {
-			return wrong(fmt.Errorf("tensor %q has %d elements, want 1", t.Name, n))
+			return badRequest(fmt.Errorf("tensor %q has %d elements, want 1", t.Name, n))
 		}
 		switch t.Name {
 		case textInput:
 			texts, err := t.Strings()
 			if err != nil {
-				return wrong(err)
+				return badRequest(err)
 			}
 			in.Prompt, found = texts[0], true
 		case front.ParamMaxTokens:
 			if t.Datatype != "INT32" {
-				return wrong(fmt.Errorf("tensor %q has datatype %s, want INT32", t.Name, t.Datatype))
+				return badRequest(fmt.Errorf("tensor %q has datatype %s, want INT32", t.Name, t.Datatype))
 			}
 			var n []json.Number
 			if err := json.Unmarshal(t.Data, &n); err != nil {
-				return wrong(fmt.Errorf("tensor %q: want a list of one number", t.Name))
+				return badRequest(fmt.Errorf("tensor %q: want a list of one number", t.Name))
 			}
 			if in.Params == nil {
 				in.Params = kserve.Parameters{}
 			}
 			in.Params[front.ParamMaxTokens] = n[0]
 		default:
-			return wrong(fmt.Errorf("the model has no input %q", t.Name))
+			return badRequest(fmt.Errorf("the model has no input %q", t.Name))
 		}
 	}
 	if !found {
-		return wrong(fmt.Errorf("the input %q is missing", textInput))
+		return badRequest(fmt.Errorf("the input %q is missing", textInput))
 	}
 	for _, o := range body.Outputs {
 		if o.Name != textOutput {
-			return wrong(fmt.Errorf("the model has no output %q", o.Name))
+			return badRequest(fmt.Errorf("the model has no output %q", o.Name))
 		}
 	}
 	return in, nil
@@ -303,10 +303,10 @@
 	}
 }
 
-// ask takes a generate request; when it returns nil, all is said already.
-func (f *Front) ask(w http.ResponseWriter, r *http.Request) (id string, q *router.Request) {
+// submitGenerate takes a generate request; when it returns nil, all is said already.
+func (f *Front) submitGenerate(w http.ResponseWriter, r *http.Request) (id string, q *router.Request) {
 	var body kserve.GenerateRequest
-	if e := f.body(w, r, &body); e != nil {
+	if e := f.decodeBody(w, r, &body); e != nil {
 		f.fail(w, r, e)
 		return "", nil
 	}
@@ -314,7 +314,7 @@
 }
 
 func (f *Front) generate(w http.ResponseWriter, r *http.Request) {
-	id, q := f.ask(w, r)
+	id, q := f.submitGenerate(w, r)
 	if q == nil {
 		return
 	}
@@ -330,7 +330,7 @@
 // generateStream streams an answer as server-sent events, one a token and one for the end. Before the
 // first token an error is an HTTP status; after it, an event with the error, and the stream ends.
 func (f *Front) generateStream(w http.ResponseWriter, r *http.Request) {
-	id, q := f.ask(w, r)
+	id, q := f.submitGenerate(w, r)
 	if q == nil {
 		return
 	}
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -34,8 +34,8 @@
 
 // Bounds of a head beside its bytes.
 const (
-	maxFields = 64
-	maxBlank  = 2 // empty lines before a start line (RFC 9112, 2.2)
+	maxFields     = 64
+	maxBlankLines = 2 // empty lines before a start line (RFC 9112, 2.2)
 )
 
 // Get returns the value of a field and how often it stands there; the value is that of the first.
@@ -50,8 +50,8 @@
 	return value, n
 }
 
-// line reads a line without its end. A line has to fit into br's buffer.
-func line(br *bufio.Reader) ([]byte, error) {
+// readLine reads a line without its end. A line has to fit into br's buffer.
+func readLine(br *bufio.Reader) ([]byte, error) {
 	b, err := br.ReadSlice('\n')
 	switch {
 	case errors.Is(err, bufio.ErrBufferFull):
@@ -74,7 +74,7 @@
 	h := &Head{}
 	first := true
 	for blank := 0; ; {
-		b, err := line(br)
+		b, err := readLine(br)
 		if err != nil {
 			if errors.Is(err, io.EOF) && !first {
 				err = io.ErrUnexpectedEOF
@@ -86,7 +86,7 @@
 		}
 		switch {
 		case first && len(b) == 0:
-			if blank++; blank > maxBlank {
+			if blank++; blank > maxBlankLines {
 				return nil, malformed("no start line")
 			}
 		case first:
@@ -99,7 +99,7 @@
 		case len(b) == 0:
 			return h, nil
 		default:
-			f, err := field(b)
+			f, err := parseField(b)
 			if err != nil {
 				return nil, err
 			}
@@ -111,7 +111,7 @@
 	}
 }
 
-func field(b []byte) (Field, error) {
+func parseField(b []byte) (Field, error) {
 	name, value, ok := strings.Cut(string(b), ":")
 	if !ok || !IsToken(name) { // a folded line and a space before the colon end here too
 		return Field{}, malformed("header line %.40q", b)
@@ -138,7 +138,7 @@
 }
 
 // RequestLine returns the parts of a request's start line. old is HTTP/1.0.
-func (h *Head) RequestLine() (method, target string, old bool, err error) {
+func (h *Head) RequestLine() (method, target string, http10 bool, err error) {
 	method, rest, _ := strings.Cut(h.Line, " ")
 	target, version, ok := strings.Cut(rest, " ")
 	target = originForm(target)
@@ -248,11 +248,11 @@
 
 // ChunkedReader reads a body in chunks.
 type ChunkedReader struct {
-	br   *bufio.Reader
-	max  int64 // bytes of one chunk
-	left int64 // of the chunk under way
-	open bool  // in a chunk
-	done bool
+	br        *bufio.Reader
+	max       int64 // bytes of one chunk
+	remaining int64 // of the chunk under way
+	inChunk   bool  // in a chunk
+	done      bool
 }
 
 // NewChunkedReader returns a reader of the chunks in br, none of them over max bytes.
@@ -266,40 +266,40 @@
 	if c.done {
 		return 0, io.EOF
 	}
-	if !c.open {
-		if err := c.next(); err != nil {
-			return 0, whole(err)
+	if !c.inChunk {
+		if err := c.nextChunk(); err != nil {
+			return 0, unexpectedEOF(err)
 		}
 		if c.done {
 			return 0, io.EOF
 		}
 	}
-	if int64(len(p)) > c.left {
-		p = p[:c.left]
+	if int64(len(p)) > c.remaining {
+		p = p[:c.remaining]
 	}
 	n, err := c.br.Read(p)
-	if c.left -= int64(n); c.left == 0 && n > 0 {
-		c.open = false
-		if end, e := line(c.br); e != nil {
-			return n, whole(e)
+	if c.remaining -= int64(n); c.remaining == 0 && n > 0 {
+		c.inChunk = false
+		if end, e := readLine(c.br); e != nil {
+			return n, unexpectedEOF(e)
 		} else if len(end) != 0 {
 			return n, malformed("a chunk is longer than it says")
 		}
 		return n, nil
 	}
-	return n, whole(err)
+	return n, unexpectedEOF(err)
 }
 
-// whole: a body in chunks that ends before its last chunk is not whole.
-func whole(err error) error {
+// unexpectedEOF: a body in chunks that ends before its last chunk is not whole.
+func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
 	}
 	return err
 }
 
-func (c *ChunkedReader) next() error {
-	b, err := line(c.br)
+func (c *ChunkedReader) nextChunk() error {
+	b, err := readLine(c.br)
 	if err != nil {
 		return err
 	}
@@ -313,11 +313,11 @@
 		return fmt.Errorf("%w: chunk of %.20s bytes", ErrTooLarge, size)
 	}
 	if n > 0 {
-		c.left, c.open = n, true
+		c.remaining, c.inChunk = n, true
 		return nil
 	}
 	for range maxFields { // the trailer
-		b, err := line(c.br)
+		b, err := readLine(c.br)
 		if err != nil {
 			return err
 		}
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-func reader(s string) *bufio.Reader { return bufio.NewReaderSize(strings.NewReader(s), 256) }
+func newReader(s string) *bufio.Reader { return bufio.NewReaderSize(strings.NewReader(s), 256) }
 
 func TestReadHead(t *testing.T) {
 	long := strings.Repeat("x", 300)
@@ -33,7 +33,7 @@
 		{"too many fields", "GET / HTTP/1.1\r\n" + strings.Repeat("a:\r\n", maxFields+1) + "\r\n", ErrTooLarge},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			h, err := ReadHead(reader(c.in), 1000)
+			h, err := ReadHead(newReader(c.in), 1000)
 			if !errors.Is(err, c.want) {
 				t.Fatalf("%v, want %v", err, c.want)
 			}
@@ -87,7 +87,7 @@
 		{"Transfer-Encoding: gzip, chunked\r\n", 0, false, ErrMalformed},
 		{"Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n", 0, false, ErrMalformed},
 	} {
-		h, err := ReadHead(reader("GET / HTTP/1.1\r\n"+c.head+"\r\n"), 1000)
+		h, err := ReadHead(newReader("GET / HTTP/1.1\r\n"+c.head+"\r\n"), 1000)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -116,7 +116,7 @@
 		{"trailer without end", "0\r\n" + strings.Repeat("a: b\r\n", maxFields+1), "", ErrTooLarge},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			got, err := io.ReadAll(NewChunkedReader(reader(c.in), 100))
+			got, err := io.ReadAll(NewChunkedReader(newReader(c.in), 100))
 			if string(got) != c.out || !errors.Is(err, c.want) {
 				t.Errorf("%q, %v; want %q, %v", got, err, c.out, c.want)
 			}
--- a/internal/kserve/kserve.go
+++ b/internal/kserve/kserve.go
@@ -163,11 +163,11 @@
 	Outputs  []TensorMetadata `json:"outputs"`
 }
 
-// kind tells how the elements of a datatype look in JSON.
-type kind uint8
+// elementKind tells how the elements of a datatype look in JSON.
+type elementKind uint8
 
 const (
-	kindBool kind = iota + 1
+	kindBool elementKind = iota + 1
 	kindInt
 	kindUint
 	kindFloat
@@ -176,7 +176,7 @@
 
 // datatypes are those of the specification's table "Tensor Data Types", with their bits.
 var datatypes = map[string]struct {
-	kind kind
+	kind elementKind
 	bits int
 }{
 	"BOOL": {kindBool, 8}, "BYTES": {kindBytes, 0},
@@ -221,7 +221,7 @@
 	if len(t.Data) == 0 {
 		return fmt.Errorf("tensor %q: data is missing", t.Name)
 	}
-	n, err := t.each(func(tok json.Token) error { return element(tok, dt.kind, dt.bits) })
+	n, err := t.eachElement(func(tok json.Token) error { return checkElement(tok, dt.kind, dt.bits) })
 	if err != nil {
 		return fmt.Errorf("tensor %q: %w", t.Name, err)
 	}
@@ -237,7 +237,7 @@
 		return nil, fmt.Errorf("tensor %q has datatype %s, want BYTES", t.Name, t.Datatype)
 	}
 	var out []string
-	_, err := t.each(func(tok json.Token) error {
+	_, err := t.eachElement(func(tok json.Token) error {
 		s, ok := tok.(string)
 		if !ok {
 			return errors.New("a BYTES element is not a string")
@@ -251,8 +251,8 @@
 	return out, nil
 }
 
-// each calls f for every element of the data, whether nested or flat, and counts them.
-func (t *Tensor) each(f func(json.Token) error) (int64, error) {
+// eachElement calls f for every element of the data, whether nested or flat, and counts them.
+func (t *Tensor) eachElement(f func(json.Token) error) (int64, error) {
 	dec := json.NewDecoder(bytes.NewReader(t.Data))
 	dec.UseNumber()
 	depth, n := 0, int64(0)
@@ -286,7 +286,7 @@
 	return n, nil
 }
 
-func element(tok json.Token, k kind, bits int) error {
+func checkElement(tok json.Token, k elementKind, bits int) error {
 	switch k {
 	case kindBool:
 		if _, ok := tok.(bool); ok {
--- a/internal/kserve/kserve_test.go
+++ b/internal/kserve/kserve_test.go
@@ -71,7 +71,7 @@
 	}
 }
 
-func TestEvents(t *testing.T) {
+func TestEventReader(t *testing.T) {
 	long := strings.Repeat("x", 9000)
 	text := ": hello\nevent: token\ndata: a\n\n\ndata:b\r\ndata: c\r\n\r\ndata: " + long + "\n\n"
 	for _, r := range []io.Reader{strings.NewReader(text), iotest.OneByteReader(strings.NewReader(text))} {
--- a/internal/kserve/sse.go
+++ b/internal/kserve/sse.go
@@ -30,7 +30,7 @@
 	e.data = e.data[:0]
 	seen := false
 	for {
-		line, err := e.line()
+		line, err := e.readLine()
 		if err != nil {
 			if errors.Is(err, io.EOF) && (seen || len(line) > 0) {
 				return nil, io.ErrUnexpectedEOF
@@ -58,8 +58,8 @@
 	}
 }
 
-// line returns one line without its end.
-func (e *EventReader) line() ([]byte, error) {
+// readLine returns one line without its end.
+func (e *EventReader) readLine() ([]byte, error) {
 	line, err := e.r.ReadSlice('\n')
 	if err == nil {
 		return bytes.TrimSuffix(line[:len(line)-1], []byte("\r")), nil
