--- a/internal/engine/chat/chat.go
+++ b/internal/engine/chat/chat.go
@@ -1,7 +1,10 @@
-// Package chat is the client of engines that speak the platform's protocol: the client's own request passed
-// on unchanged, first to an engine that reads it, then to one that streams the answer's events; what is held
-// for it stands under its id. It tells truly how an attempt ended: only what the engine said, or what was
-// never written, counts as never run. It sends nothing twice and decides nothing.
+// Package chat is the client of engines that speak the platform's protocol. A client's request is forwarded unchanged,
+// first to an engine that reads the prompt, then to one that streams the answer's events. What engines hold for a
+// request between its stages is named by the request's id.
+//
+// The package reports exactly how an attempt ended: an attempt counts as never executed only if the engine said so or
+// if its last byte was never written. The package delivers an attempt's request at most once and makes no routing
+// decisions.
 package chat
 
 import (
@@ -26,62 +29,65 @@
 	doneSentinel      = "[DONE]"
 )
 
-// Bounds of what an engine may send.
+// Limits on engine responses, connections and calls. Sizes are in bytes.
 const (
 	readBufferSize      = 4096
 	maxHeadSize         = 16 << 10
-	maxBodySize         = 64 << 10 // of an answer that is no stream
+	maxBodySize         = 64 << 10 // of a response that is not a stream
 	maxChunkSize        = 64 << 10
 	maxEventSize        = 64 << 10
-	maxInterimResponses = 8                      // 1xx answers in front of one
-	releaseCallTimeout  = 150 * time.Millisecond // of a call that must be heard, at one engine
-	// hedgeDelay is how long an engine has to take a release before another is asked too, maxHedged how many are asked at
-	// a time, and hedgePause lies between two rounds over all engines.
+	maxInterimResponses = 8                      // 1xx responses before the final one
+	releaseCallTimeout  = 150 * time.Millisecond // of one release call to one engine
+	// hedgeDelay is how long an engine may take to accept a release before another engine is called as well.
+	// maxHedgesPerRelease is the number of calls in flight at a time for one release, and hedgeRoundPause is the pause
+	// between two rounds over all engines.
 	hedgeDelay          = 30 * time.Millisecond
 	hedgeRoundPause     = 15 * time.Millisecond
 	maxHedgesPerRelease = 6
-	maxHedgesTotal      = 32                    // of all releases together; one of each may always be under way
-	readEndDelay        = 30 * time.Millisecond // a read that was given up ends within this time, or has ended well
-	maxCancelCalls      = 10                    // calls for one read that was given up
+	maxHedgesTotal      = 32                    // for all releases together; each release may always have one call in flight
+	readEndDelay        = 30 * time.Millisecond // a cancelled read ends within this time, or has already succeeded
+	maxCancelCalls      = 10                    // release calls for one cancelled read
 	expireInterval      = time.Second
-	lastByteDelay       = 2 * time.Millisecond // the last byte of a request is held back for so long
-	maxConnTries        = 3                    // connections for one attempt, while none has brought the request
-	lastResponseTTL     = time.Minute          // an engine that answered is known for so long as one that runs
-	distrustDuration    = 10 * time.Second     // an engine's connections are used once for so long after one was reset
-	// connReuseDelay is how long a connection rests after an attempt's answer: a second answer may come some milliseconds
-	// behind it (FLEET, join), and on a connection used again it would be taken for the next request's.
+	lastByteDelay       = 2 * time.Millisecond // the last byte of a request is held back for this long
+	maxConnTries        = 3                    // connections tried for one attempt while none has delivered the request
+	lastResponseTTL     = time.Minute          // an engine counts as running for this long after a response
+	distrustDuration    = 10 * time.Second     // for this long after a reset, each connection to the engine is used once
+	// connReuseDelay is how long a connection stays unused after an attempt's response. A faulty engine may send a
+	// second response some milliseconds after the first, and on a reused connection it would be taken for the
+	// response to the next request.
 	connReuseDelay = 50 * time.Millisecond
-	// closeDelay is how long the closing of a connection may take to its engine: some times the way between zones.
+	// closeDelay is how long the close of a connection may take to reach its engine: several times the network
+	// latency between zones.
 	closeDelay = 5 * time.Millisecond
 )
 
-// Options bound what the client does.
+// Options are the limits and time-outs of a Client.
 type Options struct {
 	DialTimeout       time.Duration
-	IdleConnTimeout   time.Duration // idle connections are closed after this
-	MaxConns          int           // to all engines
-	ReleaseConns      int           // more for releases
-	StreamIdleTimeout time.Duration // without an event for so long a stream has broken
+	IdleConnTimeout   time.Duration // idle connections are closed after this time
+	MaxConns          int           // to all engines together
+	ReleaseConns      int           // additional connections that only releases may use
+	StreamIdleTimeout time.Duration // a stream without an event for this long is broken
 	ReleaseTimeout    time.Duration
-	CancelRetryDelay  time.Duration // after a read was called off it is called off once more
+	CancelRetryDelay  time.Duration // between repeated release calls for a cancelled read
 	ProbeTimeout      time.Duration
-	Log               *slog.Logger // nil: none
+	Log               *slog.Logger // nil: nothing is logged
 }
 
-// Client speaks to all engines; a router.Engines. It is safe for concurrent use.
+// Client talks to all engines and implements router.Engines. It is safe for concurrent use.
 type Client struct {
 	opts Options
 	pool *pool
 
 	mu           sync.Mutex
-	lastResponse map[string]time.Time // when an engine answered last
-	listed       map[string]struct{}  // engines that are there
-	activeHedges atomic.Int32         // calls of releases that are under way
+	lastResponse map[string]time.Time // time of each engine's last response, by address
+	listed       map[string]struct{}  // addresses of the engines in the server list
+	activeHedges atomic.Int32         // release calls in flight
 
-	readEndDelay, connReuseDelay, releaseCallTimeout, closeDelay time.Duration // the constants; tests change them
+	readEndDelay, connReuseDelay, releaseCallTimeout, closeDelay time.Duration // set from the constants; tests change them
 }
 
-// New returns a client. Run looks after its idle connections.
+// New returns a client. Run closes its idle connections in time.
 func New(opts Options) *Client {
 	if opts.Log == nil {
 		opts.Log = slog.New(slog.DiscardHandler)
@@ -91,7 +97,7 @@
 			idleTimeout: opts.IdleConnTimeout, lastByteDelay: lastByteDelay, maxConns: opts.MaxConns, releaseConns: opts.ReleaseConns}}
 }
 
-// Run closes idle connections before their engines do, until ctx ends; then all.
+// Run closes idle connections before their engines do. When ctx ends it closes all idle connections and returns.
 func (c *Client) Run(ctx context.Context) error {
 	t := time.NewTicker(expireInterval)
 	defer t.Stop()
@@ -106,17 +112,18 @@
 	}
 }
 
-// Close closes idle connections.
+// Close closes all idle connections.
 func (c *Client) Close() { c.pool.closeConns("") }
 
-// EngineListed notes that an engine is there.
+// EngineListed records that an engine is in the server list.
 func (c *Client) EngineListed(addr string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.listed[addr] = struct{}{}
 }
 
-// ForgetEngine drops what is kept for an engine that is gone, or whose process is another now.
+// ForgetEngine drops everything stored for an engine that has left the server list, or whose process was replaced by
+// another at the same address.
 func (c *Client) ForgetEngine(addr string) {
 	c.mu.Lock()
 	delete(c.lastResponse, addr)
@@ -125,8 +132,8 @@
 	c.pool.closeConns(addr)
 }
 
-// expire forgets engines that have not answered for long: a late answer may come after Forget, and engines are
-// always new ones.
+// expire drops engines that have not responded for lastResponseTTL. A late response may be recorded after ForgetEngine,
+// and since new engines keep coming with new addresses, such entries would otherwise pile up.
 func (c *Client) expire(now time.Time) {
 	c.pool.closeExpired()
 	c.mu.Lock()
@@ -138,7 +145,7 @@
 	}
 }
 
-// startAttempt starts an attempt of a request.
+// startAttempt sends an attempt's request and reads the head of the response.
 func (c *Client) startAttempt(ctx context.Context, addr string, q *engine.Call) (*exchange, error) {
 	x, err := c.start(ctx, addr, &call{method: "POST", target: q.Message.Target, requestID: q.Params.Request,
 		fields: q.Message.Fields, body: q.Message.Body, responseDeadline: q.ResponseDeadline, newConn: q.NonIdempotent, lastResponseWithin: q.LastResponseWithin, gate: q.Gate})
@@ -146,7 +153,7 @@
 	return x, err
 }
 
-// Prefill has a prompt read and returns when the state waits, or the attempt has failed.
+// Prefill has an engine read a prompt. It returns when the engine holds the KV state or the attempt has failed.
 func (c *Client) Prefill(ctx context.Context, addr string, q *engine.Call) engine.Result {
 	x, err := c.startAttempt(ctx, addr, q)
 	defer x.done()
@@ -164,14 +171,14 @@
 		Cached float64 `json:"cached_tokens"`
 	}
 	if err := json.Unmarshal(b, &v); err != nil || v.Cached < 0 {
-		return x.failureResult(fmt.Errorf("%w: no account of the read: %.60q", http1.ErrMalformed, b))
+		return x.failureResult(fmt.Errorf("%w: no report of cached tokens: %.60q", http1.ErrMalformed, b))
 	}
 	return engine.Result{Outcome: decide.ReadDone, CachedTokens: v.Cached, Report: x.report(),
 		State: &engine.State{Addr: addr, Handle: q.Params.Request, Tokens: q.Params.PromptTokens}}
 }
 
-// Decode has the answer written and hands each event to sink, unchanged. An error of sink ends the attempt as
-// cancelled.
+// Decode has an engine write the answer and passes each event to sink unchanged. An error from sink ends the attempt
+// with the outcome Cancelled, unless the attempt has timed out.
 func (c *Client) Decode(ctx context.Context, addr string, q *engine.Call, sink func(event string) error) engine.Result {
 	x, err := c.startAttempt(ctx, addr, q)
 	defer x.done()
@@ -184,10 +191,11 @@
 	return x.readStream(sink)
 }
 
+// readStream reads a response as a stream of events and passes each of them to sink.
 func (x *exchange) readStream(sink func(event string) error) engine.Result {
 	_, chunked, err := x.head.Framing()
 	if err == nil && !chunked {
-		err = fmt.Errorf("%w: a stream that is not in chunks has no end to be known by", http1.ErrMalformed)
+		err = fmt.Errorf("%w: a stream without chunked encoding has no recognizable end", http1.ErrMalformed)
 	}
 	if v, _ := x.head.Get("Content-Type"); err == nil && !isEventStream(v) {
 		err = fmt.Errorf("%w: Content-Type %.40q", http1.ErrMalformed, v)
@@ -201,7 +209,7 @@
 		event, err := e.next()
 		switch {
 		case errors.Is(err, io.EOF) && tokens == 0:
-			return x.failureResult(fmt.Errorf("%w: a stream without an event", http1.ErrMalformed))
+			return x.failureResult(fmt.Errorf("%w: the stream has no event", http1.ErrMalformed))
 		case errors.Is(err, io.EOF):
 			x.complete = true
 			x.conn.SetReadDeadline(time.Time{})
@@ -223,7 +231,7 @@
 	}
 }
 
-// Reserve asks for a place ahead and tells whether it is known to be held.
+// Reserve requests a reservation at a writer and reports whether the engine has confirmed it.
 func (c *Client) Reserve(ctx context.Context, addr string, p *engine.ReservationRequest) (bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.opts.ProbeTimeout)
 	defer cancel()
@@ -238,7 +246,7 @@
 	return x.status == 200, nil
 }
 
-// Probe asks for a load report; fresh: on a connection that is made for it, which tells whether the engine is reached.
+// Probe requests a load report. With newConn it opens a new connection, which shows whether the engine is reachable.
 func (c *Client) Probe(ctx context.Context, addr string, newConn bool) engine.Result {
 	ctx, cancel := context.WithTimeoutCause(ctx, c.opts.ProbeTimeout, engine.ErrTimedOut)
 	defer cancel()
--- a/internal/engine/chat/chat_test.go
+++ b/internal/engine/chat/chat_test.go
@@ -24,7 +24,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// fakeEngine is an engine that answers each request with what answer returns, and notes heads and connections.
+// fakeEngine is an engine that answers requests with given responses and records request heads, bodies and connections.
 type fakeEngine struct {
 	addr   string
 	conns  atomic.Int64
@@ -33,8 +33,8 @@
 	bodies []string
 }
 
-// startFakeEngine listens; answer gets the number of the request over all connections. stay keeps a connection for more
-// requests, else it is closed after its answer.
+// startFakeEngine starts an engine that answers each request with what answer returns; n is the request's number over all
+// connections. With keepOpen a connection stays open for more requests, otherwise it is closed after one response.
 func startFakeEngine(t *testing.T, keepOpen bool, answer func(n int, h *http1.Head) string) *fakeEngine {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -101,6 +101,7 @@
 	return p
 }
 
+// alwaysRespond answers every request with s.
 func alwaysRespond(s string) func(int, *http1.Head) string {
 	return func(int, *http1.Head) string { return s }
 }
@@ -118,7 +119,7 @@
 		change(&o)
 	}
 	c := New(o)
-	c.connReuseDelay = 0 // connections are used again at once; TestConnectionsRest is about the rest
+	c.connReuseDelay = 0 // connections are reused at once; TestConnectionIsReusedOnlyAfterDelay covers the delay
 	t.Cleanup(c.Close)
 	return c
 }
@@ -144,8 +145,8 @@
 	lastChunk  = "0\r\n\r\n"
 )
 
-// Every row of the protocol's table of outcomes. Only the engine's X-Unprocessed, or a connection that never
-// stood, proves that nothing ran.
+// Covers every row of the protocol's table of outcomes. Only the engine's X-Unprocessed header, or a connection that
+// never came up, proves that nothing was executed.
 func TestOutcomesOfReads(t *testing.T) {
 	for _, c := range []struct {
 		name, answer string
@@ -159,13 +160,13 @@
 		{"full", response("503 x", "", unprocessedHeader), decide.Full, false},
 		{"too late", response("504 x", "", unprocessedHeader), decide.Full, false},
 		{"state gone", response("410 x", "", unprocessedHeader), decide.Full, true},
-		{"503 without the word", response("503 x", ""), decide.Error, false},
-		{"500 with the word", response("500 x", "", unprocessedHeader), decide.Error, false},
-		{"the word is another", response("503 x", "", "X-Unprocessed: 0"), decide.Error, false},
+		{"503 without X-Unprocessed", response("503 x", ""), decide.Error, false},
+		{"500 with X-Unprocessed", response("500 x", "", unprocessedHeader), decide.Error, false},
+		{"X-Unprocessed has another value", response("503 x", "", "X-Unprocessed: 0"), decide.Error, false},
 		{"closed", "", decide.Reset, false},
-		{"noise", "\x00\x01\x02noise\r\n\r\n", decide.Reset, false},
-		{"head without end", "HTTP/1.1 202 OK\r\n" + strings.Repeat("X: "+strings.Repeat("y", 1000)+"\r\n", 100), decide.Reset, false},
-		{"1xx without end", strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 100) + response("202 x", "{}"), decide.Reset, false},
+		{"random bytes", "\x00\x01\x02noise\r\n\r\n", decide.Reset, false},
+		{"endless head", "HTTP/1.1 202 OK\r\n" + strings.Repeat("X: "+strings.Repeat("y", 1000)+"\r\n", 100), decide.Reset, false},
+		{"endless 1xx responses", strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 100) + response("202 x", "{}"), decide.Reset, false},
 		{"half a body", "HTTP/1.1 202 x\r\nContent-Length: 500\r\n\r\n{", decide.Reset, false},
 		{"no JSON", response("202 x", "<html>"), decide.Reset, false},
 		{"body too large", "HTTP/1.1 202 x\r\nContent-Length: 3000000000\r\n\r\n{", decide.Reset, false},
@@ -196,17 +197,17 @@
 		{"served, events over chunks", streamHead + chunk(eventA[:9]) + chunk(eventA[9:]+eventEnd) + lastChunk, decide.Served, 2},
 		{"served, with a report", streamHead + chunk(eventA+eventEnd) + chunk(loadCommentPrefix+` {"x0":0.25}`+"\n\n") + lastChunk, decide.Served, 2},
 		{"served, report unreadable", streamHead + chunk(eventA+eventEnd) + chunk(loadCommentPrefix+" {x") + lastChunk, decide.Served, 2},
-		{"served, a second answer behind", streamHead + chunk(eventA) + lastChunk + response("200 OK", "x"), decide.Served, 1},
+		{"served, followed by a second response", streamHead + chunk(eventA) + lastChunk + response("200 OK", "x"), decide.Served, 1},
 		{"no last chunk", streamHead + chunk(eventA+eventEnd), decide.Reset, 2},
 		{"no event", streamHead + lastChunk, decide.Reset, 0},
-		{"broken in an event", streamHead + chunk(eventA) + chunk(eventA[:20]), decide.Reset, 1},
-		{"noise for an event", streamHead + chunk("\x00\xffnoise\n\n") + lastChunk, decide.Reset, 0},
+		{"cut off in an event", streamHead + chunk(eventA) + chunk(eventA[:20]), decide.Reset, 1},
+		{"random bytes for an event", streamHead + chunk("\x00\xffnoise\n\n") + lastChunk, decide.Reset, 0},
 		{"no JSON", streamHead + chunk("data: {\n\n") + lastChunk, decide.Reset, 0},
-		{"chunk size is noise", streamHead + chunk(eventA) + "zz\r\n" + eventA, decide.Reset, 1},
+		{"malformed chunk size", streamHead + chunk(eventA) + "zz\r\n" + eventA, decide.Reset, 1},
 		{"chunk size is too small", streamHead + chunk(eventA) + "5\r\n" + eventA + "\r\n" + lastChunk, decide.Reset, 1},
 		{"chunk of 3 GB", streamHead + chunk(eventA) + "c0000000\r\n" + strings.Repeat("x", 1<<17), decide.Reset, 1},
 		{"endless event", streamHead + chunk(": ") + strings.Repeat(chunk(strings.Repeat("x", 1<<14)), 8) + chunk("\n\n"+eventA) + lastChunk, decide.Reset, 0},
-		{"not in chunks", response("200 OK", eventA, "Content-Type: text/event-stream"), decide.Reset, 0},
+		{"not chunked", response("200 OK", eventA, "Content-Type: text/event-stream"), decide.Reset, 0},
 		{"not a stream", response("200 OK", "{}", "Content-Type: application/json"), decide.Reset, 0},
 		{"state gone", response("410 x", "", unprocessedHeader), decide.Full, 0},
 		{"error", response("500 x", ""), decide.Error, 0},
@@ -223,7 +224,7 @@
 			}
 			for i, e := range got {
 				if e != eventA && e != eventEnd {
-					t.Errorf("event %d was changed: %q", i, e)
+					t.Errorf("event %d was modified: %q", i, e)
 				}
 			}
 			if c.name == "served, with a report" && res.Report.MemoryUse != 0.25 {
@@ -233,10 +234,10 @@
 	}
 }
 
-// A stream that stops, or brings no event any more, is a broken one after a time, wherever it stops.
+// A stream that stalls, or delivers no further event, counts as broken after StreamIdleTimeout, wherever it stops.
 func TestStalledStreamIsReset(t *testing.T) {
 	for name, after := range map[string]string{
-		"between events": "", "in a chunk": "50\r\ndata: ", "in a chunk's size": "5", "with comments alone": strings.Repeat(chunk(": x\n\n"), 3),
+		"between events": "", "in a chunk": "50\r\ndata: ", "in a chunk's size": "5", "with comments only": strings.Repeat(chunk(": x\n\n"), 3),
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := startFakeEngine(t, true, alwaysRespond(streamHead+chunk(eventA)+after))
@@ -249,7 +250,7 @@
 	}
 }
 
-// A drip of comments is no life: without an event it ends as one that stopped.
+// Comments do not count as events: a stream that delivers only comments ends like one that has stalled.
 func TestCommentsDoNotKeepStreamOpen(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -265,7 +266,7 @@
 		}
 		defer conn.Close()
 		io.WriteString(conn, streamHead+chunk(eventA))
-		for err == nil { // until the client closes
+		for err == nil { // until the client closes the connection
 			time.Sleep(time.Millisecond)
 			_, err = io.WriteString(conn, chunk(": x\n\n"))
 		}
@@ -278,7 +279,7 @@
 	<-done
 }
 
-// What the engine gets is the client's own, and the time for which the router waits.
+// The engine gets the client's request unchanged, plus the time for which the router waits.
 func TestRequestIsForwardedUnchanged(t *testing.T) {
 	p := startFakeEngine(t, true, alwaysRespond(response("202 x", `{"cached_tokens":0}`)))
 	c := newClient(t, nil)
@@ -295,8 +296,8 @@
 	}
 }
 
-// A connection is kept after a whole answer only, and one that its engine has closed, or on which something
-// came unasked, gets no request.
+// A connection is kept only after a complete response. A connection that its engine has closed, or on which unexpected
+// data has arrived, gets no request.
 func TestConnectionReuse(t *testing.T) {
 	for _, c := range []struct {
 		name, answer string
@@ -305,9 +306,9 @@
 	}{
 		{"kept", response("202 x", `{}`), true, 1},
 		{"closed by the engine", response("202 x", `{}`), false, 3},
-		{"said to be closed", response("202 x", `{}`, "Connection: close"), true, 3},
-		{"something behind", response("202 x", `{}`) + "more", true, 3},
-		{"1xx in front", "HTTP/1.1 100 x\r\n\r\n" + response("202 x", `{}`), true, 3},
+		{"with Connection: close", response("202 x", `{}`, "Connection: close"), true, 3},
+		{"data after the response", response("202 x", `{}`) + "more", true, 3},
+		{"1xx response first", "HTTP/1.1 100 x\r\n\r\n" + response("202 x", `{}`), true, 3},
 		{"no JSON", response("202 x", `<`), true, 1},
 		{"an error", response("500 x", "oh"), true, 1},
 	} {
@@ -316,7 +317,7 @@
 			cl := newClient(t, nil)
 			for range 3 {
 				cl.Prefill(t.Context(), p.addr, request())
-				if !c.stay { // until the close has come
+				if !c.stay { // wait until the close has arrived
 					for deadline := time.Now().Add(5 * time.Second); time.Now().Before(deadline); {
 						conn := cl.pool.takeIdle(p.addr, 0)
 						if conn == nil {
@@ -340,8 +341,8 @@
 	}
 }
 
-// One kept connection that its engine resets puts the others in doubt; what may be sent once never goes on a
-// kept one.
+// After an engine has reset one kept connection, its other kept connections are not reused. A request that must not be
+// sent twice never goes on a kept connection.
 func TestResetOfKeptConnectionDistrustsTheOthers(t *testing.T) {
 	p := startFakeEngine(t, true, alwaysRespond(response("202 x", "{}")))
 	c := newClient(t, nil)
@@ -349,42 +350,42 @@
 	once := request()
 	once.NonIdempotent = true
 	if c.pool.idle.Len() != 1 {
-		t.Fatal("nothing was kept")
+		t.Fatal("no connection was kept")
 	}
 	kept := c.pool.idle.Front().Value.(*conn)
 	x := &exchange{client: c, ctx: t.Context(), conn: kept}
 	if x.distrustConn(); len(c.pool.distrustedUntil) != 0 {
-		t.Error("a fresh connection's end put others in doubt")
+		t.Error("the reset of a new connection caused others to be distrusted")
 	}
 	kept.uses = 1
 	x.distrustConn()
 	if c.pool.idle.Len() != 0 {
-		t.Error("kept connections stayed")
+		t.Error("kept connections were not closed")
 	}
 	c.Probe(t.Context(), p.addr, false)
 	if c.pool.idle.Len() != 0 {
-		t.Error("one was kept in doubt")
+		t.Error("a connection to a distrusted engine was kept")
 	}
 	c.pool.distrustedUntil[p.addr] = time.Now().Add(-time.Second)
 	c.pool.closeExpired()
 	if len(c.pool.distrustedUntil) != 0 {
-		t.Error("the doubt never ends")
+		t.Error("the distrust never ends")
 	}
 	c.Probe(t.Context(), p.addr, false)
 	before := p.conns.Load()
 	c.Prefill(t.Context(), p.addr, once)
 	if n := p.conns.Load(); n != before+1 {
-		t.Errorf("%d connections more for what may be sent once", n-before)
+		t.Errorf("%d new connections for a request that must not be sent twice, want 1", n-before)
 	}
 }
 
-// A connection that breaks before the request's last byte has brought none: another carries it, and the engine
-// gets it once. One that breaks after it is a reset.
+// A connection that breaks before the request's last byte has delivered no request: another connection carries it, and
+// the engine gets it once. A break after the last byte is a reset.
 func TestConnectionBrokenBeforeLastByteIsReplaced(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		after  int // bytes of the body that are read before the reset
-		resets int // connections that are reset so
+		resets int // number of connections that are reset this way
 		want   decide.Outcome
 	}{
 		{"once", 6, 1, decide.ReadDone}, {"twice", 0, 2, decide.ReadDone}, {"always", 6, 99, decide.ConnectFailed},
@@ -419,7 +420,7 @@
 				}
 			}()
 			cl := newClient(t, nil)
-			cl.pool.lastByteDelay = time.Second // until the reset has come
+			cl.pool.lastByteDelay = time.Second // until the reset has arrived
 			if c.after == 7 {
 				cl.pool.lastByteDelay = time.Millisecond
 			}
@@ -433,7 +434,7 @@
 	}
 }
 
-// An attempt that is given up closes its connection, and its cause is its outcome.
+// A cancelled attempt closes its connection, and the cause of the cancellation determines its outcome.
 func TestCancelledAttemptClosesConnection(t *testing.T) {
 	for _, c := range []struct {
 		cause error
@@ -471,7 +472,7 @@
 	}
 }
 
-// Nothing ran where no connection came up, also for want of room.
+// Nothing is executed if no connection comes up, also when the connection limit prevents it.
 func TestFailedConnect(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -485,12 +486,12 @@
 	p := startFakeEngine(t, true, alwaysRespond(response("202 x", "{}")))
 	res := newClient(t, func(o *Options) { o.MaxConns = 0 }).Prefill(t.Context(), p.addr, request())
 	if res.Outcome != decide.ConnectFailed || !errors.Is(res.Err, errLimit) || p.requests() != 0 {
-		t.Errorf("no room: %d %v", res.Outcome, res.Err)
+		t.Errorf("limit reached: %d %v", res.Outcome, res.Err)
 	}
 }
 
-// The bound holds over all engines: the connection unused for longest makes room, and a release finds some
-// even when attempts hold all.
+// The limit holds for all engines together: the connection unused for longest is closed to make room, and a release gets
+// a connection even when attempts use all others.
 func TestConnectionLimit(t *testing.T) {
 	c := newClient(t, func(o *Options) { o.MaxConns, o.ReleaseConns = 2, 1 })
 	answer := alwaysRespond(response("202 x", "{}"))
@@ -504,11 +505,11 @@
 		t.Errorf("%d idle of %d", n, c.pool.total)
 	}
 	if got := c.pool.takeIdle(peers[0].addr, 0); got != nil {
-		t.Error("the oldest stayed")
+		t.Error("the oldest connection was not closed")
 	}
 	a, b := c.pool.takeIdle(peers[1].addr, 0), c.pool.takeIdle(peers[2].addr, 0)
 	if res := c.Prefill(t.Context(), peers[0].addr, request()); res.Outcome != decide.ConnectFailed {
-		t.Errorf("over the bound: %d", res.Outcome)
+		t.Errorf("over the limit: %d", res.Outcome)
 	}
 	if err := c.Release(t.Context(), &engine.State{Addr: peers[0].addr, Handle: "id1"}); err != nil {
 		t.Errorf("a release: %v", err)
@@ -517,13 +518,13 @@
 	b.Close()
 }
 
-// A release that its engine does not hear is taken to another that answers.
+// A release that its own engine does not answer is sent to another engine that responds.
 func TestReleaseAtAnotherEngine(t *testing.T) {
 	silent, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer silent.Close() // connections come up in the kernel's queue, and nothing answers
+	defer silent.Close() // connections are accepted by the kernel, and nothing answers
 	p := startFakeEngine(t, true, func(_ int, h *http1.Head) string {
 		if strings.HasPrefix(h.Line, "DELETE ") {
 			return "HTTP/1.1 204 No Content\r\n\r\n"
@@ -543,8 +544,8 @@
 	}
 }
 
-// A read that was given up is called off only when it has had time to end: a call that overtakes the closing of
-// its connection finds nothing, and what the read then leaves stays.
+// A cancelled read is released only after it has had time to end: a release that overtakes the close of the read's
+// connection finds nothing, and the KV state that the read then leaves is never released.
 func TestCancelReadWaitsForReadToEnd(t *testing.T) {
 	p := startFakeEngine(t, true, alwaysRespond("HTTP/1.1 204 x\r\n\r\n"))
 	c := newClient(t, nil)
@@ -581,7 +582,7 @@
 	}
 }
 
-// What is kept by engine is gone with the engine, also when its last answer came after the word of its end.
+// Everything stored for an engine is dropped when it leaves, even if its last response came after it was forgotten.
 func TestRemovedEnginesAreForgotten(t *testing.T) {
 	c := newClient(t, nil)
 	for i := range 50 {
@@ -596,14 +597,15 @@
 	}
 	c.expire(time.Now())
 	if len(c.lastResponse) != 50 || len(c.pool.distrustedUntil) != 0 {
-		t.Errorf("%d heard, %d doubted", len(c.lastResponse), len(c.pool.distrustedUntil))
+		t.Errorf("%d responses stored, %d engines distrusted", len(c.lastResponse), len(c.pool.distrustedUntil))
 	}
 	if c.expire(time.Now().Add(2 * lastResponseTTL)); len(c.lastResponse) != 0 {
-		t.Errorf("%d heard", len(c.lastResponse))
+		t.Errorf("%d responses stored", len(c.lastResponse))
 	}
 }
 
-// A call that asks for a connection that was heard lately gets a new one where the kept ones have rested for longer.
+// A call that requires a recent response on its connection gets a new connection if the kept ones have been idle for
+// longer.
 func TestLastResponseWithin(t *testing.T) {
 	p := startFakeEngine(t, true, alwaysRespond(response("202 x", `{}`)))
 	cl := newClient(t, nil)
@@ -619,14 +621,14 @@
 	}
 }
 
-// What is held at an engine that is gone is let go at another that is listed, also when none was ever heard.
+// The holds at an engine that is gone are released at another engine in the server list, even if none has ever responded.
 func TestReleaseAtListedEngineWithoutResponses(t *testing.T) {
 	gone, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	addr := gone.Addr().String()
-	gone.Close() // nobody answers there
+	gone.Close() // nothing listens there
 	p := startFakeEngine(t, true, alwaysRespond("HTTP/1.1 204 x\r\n\r\n"))
 	c := newClient(t, nil)
 	c.EngineListed(addr)
--- a/internal/engine/chat/crossings_test.go
+++ b/internal/engine/chat/crossings_test.go
@@ -18,7 +18,8 @@
 	"mintdoor/internal/http1"
 )
 
-// startScriptedEngine is an engine whose every connection is served by the test's own function; the connections are numbered.
+// startScriptedEngine starts an engine that serves each connection with the test's own function; n is the connection's
+// number.
 func startScriptedEngine(t *testing.T, serve func(n int, c net.Conn, br *bufio.Reader)) (addr string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -43,7 +44,7 @@
 	return l.Addr().String()
 }
 
-// readRequest reads a request whole; false at the connection's end.
+// readRequest reads a whole request. It returns false at the end of the connection.
 func readRequest(br *bufio.Reader) bool {
 	h, err := http1.ReadHead(br, 1<<16)
 	if err != nil {
@@ -54,8 +55,8 @@
 	return err == nil
 }
 
-// A second answer that comes while the next request is written, before its last byte: the request has reached nobody,
-// so another connection carries it, and the second answer is not taken for its own.
+// A second response arrives while the next request is being written, before its last byte. The request has reached no
+// engine, so another connection carries it, and the second response is not taken for the request's own.
 func TestSecondAnswerBeforeTheLastByte(t *testing.T) {
 	requests := make(chan int, 10)
 	addr := startScriptedEngine(t, func(n int, c net.Conn, br *bufio.Reader) {
@@ -68,7 +69,7 @@
 		}
 		readRequest(br)
 		io.WriteString(c, response("202 x", `{"cached_tokens":1}`))
-		if _, err := http1.ReadHead(br, 1<<16); err != nil { // the next request's head has come, its last byte not
+		if _, err := http1.ReadHead(br, 1<<16); err != nil { // the next request's head has arrived, its last byte has not
 			t.Error(err)
 			return
 		}
@@ -77,20 +78,21 @@
 	})
 	c := newClient(t, nil)
 	if res := c.Prefill(t.Context(), addr, request()); res.CachedTokens != 1 {
-		t.Fatalf("the first: %+v", res)
+		t.Fatalf("first request: %+v", res)
 	}
-	c.pool.lastByteDelay = 2 * time.Second // until the second answer has come
+	c.pool.lastByteDelay = 2 * time.Second // until the second response has arrived
 	res := c.Prefill(t.Context(), addr, request())
 	if res.Outcome != decide.ReadDone || res.CachedTokens != 7 {
-		t.Errorf("the second: outcome %d, %g kept, %v", res.Outcome, res.CachedTokens, res.Err)
+		t.Errorf("second request: outcome %d, %g cached tokens, %v", res.Outcome, res.CachedTokens, res.Err)
 	}
 	if len(requests) != 1 || <-requests != 1 {
-		t.Errorf("the second connection did not carry it once")
+		t.Errorf("the second connection did not carry the request exactly once")
 	}
 }
 
-// A second answer may also come a moment after the request's last byte, and nothing tells it from the request's own.
-// So a connection rests after an attempt for longer than such answers take; a probe's needs no rest.
+// A second response may also arrive just after the next request's last byte, when it can't be told from the request's own
+// response. A connection is therefore not reused after an attempt for longer than such responses take. The connection of
+// a probe needs no such delay.
 func TestConnectionIsReusedOnlyAfterDelay(t *testing.T) {
 	p := startFakeEngine(t, true, alwaysRespond(response("202 x", `{"x0":0.5}`)))
 	c := newClient(t, nil)
@@ -109,12 +111,12 @@
 	}
 	c.Prefill(t.Context(), p.addr, request())
 	if n := p.conns.Load(); n != 2 {
-		t.Errorf("%d connections: one that has rested was not used again", n)
+		t.Errorf("%d connections: the kept one was not reused after the delay", n)
 	}
 }
 
-// An engine leaves, or starts anew at its address, while an attempt has its connection: that attempt ends as it ends,
-// and the connection is used by no other.
+// An engine leaves, or restarts at its address, while an attempt uses a connection to it. The attempt completes normally,
+// and no other attempt uses the connection.
 func TestEngineForgottenDuringAttempt(t *testing.T) {
 	reading, goOn := make(chan bool), make(chan bool)
 	p := startFakeEngine(t, true, func(n int, _ *http1.Head) string {
@@ -134,14 +136,14 @@
 		t.Errorf("%+v", res)
 	}
 	if n := c.pool.idle.Len(); n != 0 || c.pool.total != 0 || len(c.pool.inUse) != 0 {
-		t.Errorf("%d kept, %d counted, %d out", n, c.pool.total, len(c.pool.inUse))
+		t.Errorf("%d kept, %d counted, %d in use", n, c.pool.total, len(c.pool.inUse))
 	}
 	if c.Prefill(t.Context(), p.addr, request()); p.conns.Load() != 2 || c.pool.idle.Len() != 1 {
 		t.Errorf("%d connections, %d kept", p.conns.Load(), c.pool.idle.Len())
 	}
 }
 
-// An answer that does not end, wherever it goes on, ends with the attempt's time; nothing of it is kept.
+// An endless response, whichever part of it is endless, ends with the attempt's time-out, and its connection is not kept.
 func TestEndlessResponsesTimeOut(t *testing.T) {
 	for name, c := range map[string]struct {
 		start, more string
@@ -156,7 +158,7 @@
 		"in a chunk":          {streamHead + "ffff\r\ndata: ", "x", true, decide.TimedOut},
 		"in comments":         {streamHead, chunk(": x\n\n"), true, decide.TimedOut},
 		"in an event":         {streamHead, chunk("data: 1\n"), true, decide.TimedOut},
-		"in 1xx answers":      {"", "HTTP/1.1 100 x\r\n\r\n", false, decide.Reset}, // by their number
+		"in 1xx answers":      {"", "HTTP/1.1 100 x\r\n\r\n", false, decide.Reset}, // ended by the limit on their number
 	} {
 		t.Run(name, func(t *testing.T) {
 			asked := make(chan bool)
@@ -164,7 +166,7 @@
 				readRequest(br)
 				_, err := io.WriteString(conn, c.start)
 				close(asked)
-				for err == nil { // until the client closes
+				for err == nil { // until the client closes the connection
 					time.Sleep(time.Millisecond)
 					_, err = io.WriteString(conn, c.more)
 				}
@@ -173,7 +175,7 @@
 			defer cancel(nil)
 			go func() {
 				<-asked
-				time.Sleep(20 * time.Millisecond) // some of it comes first
+				time.Sleep(20 * time.Millisecond) // let some of the response arrive first
 				cancel(engine.ErrTimedOut)
 			}()
 			cl := newClient(t, nil)
@@ -190,12 +192,13 @@
 	}
 }
 
-// A zone is cut off: the engine that holds a state and those that answered last are silent, and a call to each in turn
-// would take longer than the state may be held. The one that runs is asked in time, and none is asked without end.
+// A zone is cut off: the engine that holds a KV state and those with the latest responses are unresponsive, and calling
+// them one after the other would take longer than the KV state may be held. The running engine is called in time, and no
+// call stays in flight.
 func TestReleaseWithManyUnresponsiveEngines(t *testing.T) {
 	var silent []string
 	for range 5 {
-		l, err := net.Listen("tcp", "127.0.0.1:0") // connections come up, and nothing answers
+		l, err := net.Listen("tcp", "127.0.0.1:0") // connections are accepted by the kernel, and nothing answers
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -204,7 +207,7 @@
 	}
 	p := startFakeEngine(t, true, alwaysRespond("HTTP/1.1 204 x\r\n\r\n"))
 	c := newClient(t, func(o *Options) { o.ReleaseTimeout = 8 * time.Second })
-	c.releaseCallTimeout = 2 * time.Second // five in turn would take longer
+	c.releaseCallTimeout = 2 * time.Second // five calls in a row would take longer
 	c.lastResponse[p.addr] = time.Now().Add(-time.Second)
 	for _, addr := range silent {
 		c.lastResponse[addr] = time.Now()
@@ -213,14 +216,14 @@
 		t.Error(err)
 	}
 	if n := p.requests(); n != 1 {
-		t.Errorf("%d calls at the engine that runs", n)
+		t.Errorf("%d calls to the running engine, want 1", n)
 	}
 	if c.pool.total > 1 || len(c.pool.inUse) != 0 {
-		t.Errorf("%d connections are open, %d out", c.pool.total, len(c.pool.inUse))
+		t.Errorf("%d connections are open, %d in use", c.pool.total, len(c.pool.inUse))
 	}
 }
 
-// Where no engine takes a release it ends with its time, and leaves nothing behind.
+// A release that no engine accepts ends with its time-out and leaves no connection open.
 func TestReleaseTimesOutWithoutEngines(t *testing.T) {
 	c := newClient(t, func(o *Options) { o.ReleaseTimeout = 100 * time.Millisecond })
 	for _, addr := range []string{"", "127.0.0.1:1"} {
@@ -233,8 +236,8 @@
 	}
 }
 
-// The closing of a read's connection may not reach its engine, where the network is cut: the read ends well after the
-// first call that lets go, and what it left is taken by the second.
+// If the network is cut, the close of a read's connection may not reach its engine. The read succeeds after the first
+// release call, and the second call releases the KV state that it left.
 func TestReadThatEndsAfterItsCancellationIsReleased(t *testing.T) {
 	held, calls := false, 0
 	var mu sync.Mutex
@@ -242,7 +245,7 @@
 		mu.Lock()
 		defer mu.Unlock()
 		calls++
-		held = calls == 1 // the read ends well right after the first call
+		held = calls == 1 // the read succeeds right after the first call
 		return "HTTP/1.1 204 x\r\n\r\n"
 	})
 	c := newClient(t, func(o *Options) { o.CancelRetryDelay = time.Millisecond })
@@ -256,13 +259,13 @@
 	}
 }
 
-// A read was given up at an engine that the network has cut off, or that hangs: its connection's end has not come there, and the
-// read may end at any time. It is let go again and again, at an engine that can be reached, also after that one was heard:
-// others may hear an engine while a read hangs there.
+// A read was cancelled at an engine that is cut off by the network or hangs: the close of its connection has not arrived,
+// and the read may end at any time. Its holds are released repeatedly, at an engine that can be reached. The calls go on
+// after the read's engine has responded to others, because it may respond to them while the read still hangs.
 func TestCancelReadIsRepeated(t *testing.T) {
 	for name, callOff := range map[string]func(c *Client, ctx context.Context, addr string) error{
-		"the request is over": func(c *Client, ctx context.Context, addr string) error { return c.CancelRead(ctx, addr, "id1") },
-		"the answer has begun": func(c *Client, ctx context.Context, addr string) error {
+		"request is over": func(c *Client, ctx context.Context, addr string) error { return c.CancelRead(ctx, addr, "id1") },
+		"answer has begun": func(c *Client, ctx context.Context, addr string) error {
 			return c.CancelReadLater(ctx, addr, "id1")
 		},
 	} {
@@ -273,7 +276,7 @@
 				t.Fatal(err)
 			}
 			addr := gone.Addr().String()
-			gone.Close() // nobody answers there
+			gone.Close() // nothing listens there
 			c := newClient(t, func(o *Options) { o.CancelRetryDelay = time.Millisecond })
 			c.lastResponse[p.addr], c.lastResponse[addr] = time.Now(), time.Now().Add(time.Hour)
 			if err := callOff(c, t.Context(), addr); err != nil {
@@ -286,9 +289,9 @@
 	}
 }
 
-// An attempt that is given up is out until its engine has seen the connection closed, which takes the network's time.
-// Its outcome comes later than that: a refusal to the client, on a shorter way, would overtake the end of an attempt
-// that may have run.
+// A cancelled attempt is in flight until its engine has seen the connection close, which takes the network's latency. Its
+// outcome must come later than that, or else a refusal to the client, which has a shorter way, would overtake the end of
+// an attempt that may have executed.
 func TestOutcomeWaitsForConnectionClose(t *testing.T) {
 	for cause, want := range map[error]decide.Outcome{engine.ErrTimedOut: decide.TimedOut, engine.ErrCancelled: decide.Cancelled} {
 		asked, closed := make(chan bool), make(chan bool, 1)
@@ -309,17 +312,17 @@
 		}()
 		res := c.Prefill(ctx, addr, request())
 		if waited := time.Since(<-given); res.Outcome != want || waited < c.closeDelay {
-			t.Errorf("outcome %d %v after it was given up, %v", res.Outcome, waited, res.Err)
+			t.Errorf("outcome %d %v after the cancellation, %v", res.Outcome, waited, res.Err)
 		}
 		<-closed
 	}
 }
 
-// The same holds for an attempt whose answer can't be read, or breaks off in a refusal, while its connection stands.
+// The same holds for an attempt whose response is malformed, or stops in a refusal, while its connection stays open.
 func TestMalformedResponseOutcomeWaitsForConnectionClose(t *testing.T) {
 	for name, answer := range map[string]string{
-		"noise": "\x00noise\r\n\r\n", "a read without an account": "HTTP/1.1 202 x\r\nContent-Length: 999999\r\n\r\n{",
-		"an error of a length that is noise": "HTTP/1.1 500 x\r\nContent-Length: x\r\n\r\n",
+		"random bytes": "\x00noise\r\n\r\n", "a read without its body": "HTTP/1.1 202 x\r\nContent-Length: 999999\r\n\r\n{",
+		"an error with a malformed length": "HTTP/1.1 500 x\r\nContent-Length: x\r\n\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
 			answered, closed := make(chan time.Time, 1), make(chan bool, 1)
@@ -334,21 +337,21 @@
 			c.closeDelay = 100 * time.Millisecond
 			res := c.Prefill(t.Context(), addr, request())
 			if waited := time.Since(<-answered); res.Err == nil || waited < c.closeDelay {
-				t.Errorf("outcome %d %v after the answer, %v", res.Outcome, waited, res.Err)
+				t.Errorf("outcome %d %v after the response, %v", res.Outcome, waited, res.Err)
 			}
 			<-closed
 		})
 	}
 }
 
-// A reset on a kept connection: before the request's last byte nothing ran and another connection carries it; at the
-// last byte, or long after, the request may have run and is sent on no other.
+// A kept connection is reset. Before the request's last byte nothing was executed, and another connection carries the
+// request. At the last byte, or long after it, the request may have executed, and it is not sent on another connection.
 func TestResetOfKeptConnection(t *testing.T) {
 	for name, c := range map[string]struct {
 		bytes   int64 // of the second request's body that are read before the reset
-		later   bool  // the reset comes after an answer has begun
+		later   bool  // the reset comes after a response has begun
 		want    decide.Outcome
-		carried int // requests that reached the engine whole after the first
+		carried int // complete requests that reached the engine after the first one
 	}{
 		"before the last byte": {6, false, decide.ReadDone, 1},
 		"at the last byte":     {7, false, decide.Reset, 1},
@@ -391,7 +394,7 @@
 			}
 			cl.pool.lastByteDelay = 2 * time.Millisecond
 			if c.bytes < 7 {
-				cl.pool.lastByteDelay = 2 * time.Second // until the reset has come
+				cl.pool.lastByteDelay = 2 * time.Second // until the reset has arrived
 			}
 			res := cl.Prefill(t.Context(), addr, request())
 			cl.Close()
@@ -404,7 +407,7 @@
 	}
 }
 
-// A connection that comes up only after its dial was given up carries nothing, and is closed.
+// A connection that comes up only after its dial has timed out carries no request and is closed.
 func TestLateDialCarriesNoRequest(t *testing.T) {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	if err != nil {
@@ -435,12 +438,12 @@
 	if res.Outcome != decide.ConnectFailed || c.pool.total != 0 {
 		t.Fatalf("outcome %d, %v, %d connections", res.Outcome, res.Err, c.pool.total)
 	}
-	l, err := net.FileListener(file) // what waits is taken now
+	l, err := net.FileListener(file) // the waiting connections are accepted now
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	l.(*net.TCPListener).SetDeadline(time.Now().Add(3 * time.Second)) // a connection's first try again is after a second
+	l.(*net.TCPListener).SetDeadline(time.Now().Add(3 * time.Second)) // the kernel first retries a connection after a second
 	for {
 		conn, err := l.Accept()
 		if err != nil {
--- a/internal/engine/chat/events.go
+++ b/internal/engine/chat/events.go
@@ -13,19 +13,20 @@
 	"mintdoor/internal/platform"
 )
 
-// eventStream takes a stream of server-sent events apart and checks it, so that nothing spoilt reaches a client.
+// eventStream splits a stream of server-sent events into events and validates them, so that no corrupted event reaches a
+// client.
 type eventStream struct {
 	x      *exchange
 	chunks *http1.ChunkedReader
-	buf    []byte // what came and is no whole event yet
+	buf    []byte // received bytes that do not form a whole event yet
 	report decide.Report
 }
 
 var blankLine = []byte("\n\n")
 
-// next returns the next event with data, as it came. io.EOF comes only after the last chunk.
+// next returns the next event that carries data, exactly as received. It returns io.EOF only after the last chunk.
 func (e *eventStream) next() (string, error) {
-	// From event to event: what is neither, a drip of bytes or of comments, does not put the time off.
+	// The deadline runs from event to event: single bytes and comments that trickle in do not extend it.
 	e.x.conn.SetReadDeadline(time.Now().Add(e.x.client.opts.StreamIdleTimeout))
 	for {
 		if i := bytes.Index(e.buf, blankLine); i >= 0 {
@@ -49,14 +50,14 @@
 				if _, bad := e.checkEvent(e.buf); bad != nil {
 					return "", bad
 				}
-				e.buf = nil // a closing comment without a blank line
+				e.buf = nil // the stream may end with a comment that lacks its blank line
 			}
 			return "", err
 		}
 	}
 }
 
-// fill reads more.
+// fill reads more of the response body into buf.
 func (e *eventStream) fill() error {
 	n := len(e.buf)
 	if cap(e.buf)-n < 512 {
@@ -73,7 +74,8 @@
 	return nil
 }
 
-// checkEvent tells whether an event carries data for the client. A comment is between the engine and the router.
+// checkEvent validates an event and reports whether it carries data for the client. A comment is meant for the router
+// alone: it may carry a load report, which checkEvent stores.
 func (e *eventStream) checkEvent(raw []byte) (hasData bool, err error) {
 	for line := range bytes.SplitSeq(raw, []byte("\n")) {
 		line = bytes.TrimSuffix(line, []byte("\r"))
@@ -96,6 +98,7 @@
 	return hasData, nil
 }
 
+// isEventStream reports whether a Content-Type is that of server-sent events.
 func isEventStream(contentType string) bool {
 	v, _, _ := strings.Cut(contentType, ";")
 	return strings.EqualFold(strings.TrimSpace(v), platform.EventStreamType)
--- a/internal/engine/chat/exchange.go
+++ b/internal/engine/chat/exchange.go
@@ -19,38 +19,38 @@
 	"mintdoor/internal/settings"
 )
 
-// exchange is one request and its answer. done gives the connection back or closes it.
+// exchange is one request and its response. done returns its connection to the pool or closes it.
 type exchange struct {
 	client         *Client
 	ctx            context.Context
 	conn           *conn
-	stopWatch      func() bool // of the watch over ctx
-	requestWritten bool        // to the last byte
+	stopWatch      func() bool // stops closing the connection when ctx ends
+	requestWritten bool        // including its last byte
 	head           *http1.Head
 	status         int
-	sawInterim     bool          // 1xx answers came in front
-	complete       bool          // the answer was read to its end, and nothing more is expected
-	reuseDelay     time.Duration // of the connection afterwards
+	sawInterim     bool          // 1xx responses came before the final one
+	complete       bool          // the response was read to its end, and nothing more is expected
+	reuseDelay     time.Duration // how long the connection must not be used afterwards
 }
 
-// call is what is written.
+// call is a request to write and what it requires of its connection.
 type call struct {
 	method, target, requestID string
 	fields                    []http1.Field
 	body                      []byte
-	responseDeadline          time.Time // zero: nothing is said of the time
+	responseDeadline          time.Time // zero: the engine is not told how much time is left
 	urgent                    bool
-	newConn                   bool          // on a connection that has carried nothing yet
-	lastResponseWithin        time.Duration // or on one that has brought an answer so recently; 0: on any
-	gate                      engine.Gate   // nil: nobody is asked
+	newConn                   bool          // only a connection that has carried no request yet may be used
+	lastResponseWithin        time.Duration // maximum age of the last response on a kept connection; 0: any age
+	gate                      engine.Gate   // nil: the request is sent without asking
 }
 
-// connRequirements tells which connections will do for a call.
+// connRequirements returns which connections may carry a call.
 func (q *call) connRequirements() connRequirements {
 	return connRequirements{urgent: q.urgent, newConn: q.newConn, lastResponseWithin: q.lastResponseWithin}
 }
 
-// start writes a request and reads the head of its answer.
+// start writes a request and reads the head of its response.
 func (c *Client) start(ctx context.Context, addr string, q *call) (*exchange, error) {
 	x := &exchange{client: c, ctx: ctx, stopWatch: func() bool { return true }}
 	var err error
@@ -60,10 +60,11 @@
 		}
 		var netErr net.Error
 		if errors.As(err, &netErr) && netErr.Timeout() && x.conn == nil {
-			c.pool.closeConns(addr) // they are as silent, if the machine has vanished
+			c.pool.closeConns(addr) // if the machine has vanished, the kept connections are as dead
 		}
-		// A connection that broke before the request's last byte has brought no request: it is no attempt yet,
-		// and another may carry it. Where nobody listens, or nothing comes up, there is no use in that.
+		// A connection that broke before the request's last byte has delivered no request. This does not count as an
+		// attempt, and another connection may carry the request. If the connection is refused or the dial times out,
+		// another try would not help.
 		if try == maxConnTries || ctx.Err() != nil || !connUnusable(err) {
 			return x, err
 		}
@@ -99,26 +100,28 @@
 	return x, nil
 }
 
-// errUnexpectedData: an engine spoke on a kept connection before it had the request. What it said belongs to no request or to
-// the one before, and so may whatever follows.
-var errUnexpectedData = errors.New("the engine answers before it has the request")
+// errUnexpectedData is returned when an engine sends data on a kept connection before it has the whole request. The data
+// belongs to no request or to the previous one, and so may everything that follows on this connection.
+var errUnexpectedData = errors.New("the engine sent a response before it had the request")
 
-// connUnusable tells whether an error of write says that the connection was of no use.
+// connUnusable reports whether an error of write means that the connection was broken before it delivered the request.
 func connUnusable(err error) bool {
 	return errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE) || errors.Is(err, io.EOF) ||
 		errors.Is(err, errUnexpectedData) || errors.Is(err, guard.Stale)
 }
 
-// distrustConn: the connection broke before an answer. If it was kept, others to its engine may be as dead.
+// distrustConn handles a connection that broke before its response. If it was a kept one, other kept connections to the
+// engine may be dead as well, so the pool stops reusing them for a while.
 func (x *exchange) distrustConn() {
 	if x.conn.uses > 0 && x.ctx.Err() == nil {
 		x.client.pool.distrust(x.conn.addr)
 	}
 }
 
-// write writes a request, on a connection that has proved to stand: the last byte is held back for a moment, in
-// which an engine that has closed the connection, or closes it under a request, makes that known. Without it the
-// whole request is in the kernel before the reset comes, and nobody can tell whether it ran.
+// write writes a request on a connection that has proved to be open: it holds the last byte back for lastByteDelay, so
+// that the reset of an engine that has closed the connection, or closes it when a request arrives, is seen first.
+// Without this delay the whole request would be in the kernel's send buffer before the reset arrives, and it would be
+// unknown whether the request was executed.
 func (x *exchange) write(addr string, q *call) error {
 	var err error
 	if x.conn, err = x.client.pool.get(x.ctx, addr, q.connRequirements()); err != nil {
@@ -128,7 +131,7 @@
 	if q.gate != nil {
 		q.gate.Connected(conn.uses)
 	}
-	x.stopWatch = context.AfterFunc(x.ctx, func() { conn.Close() }) // closing is how an attempt is given up
+	x.stopWatch = context.AfterFunc(x.ctx, func() { conn.Close() }) // an attempt is cancelled by closing its connection
 	head := make([]byte, 0, 256)
 	head = append(head, q.method+" "+q.target+" HTTP/1.1\r\nHost: "+addr+"\r\n"...)
 	if q.requestID != "" {
@@ -161,7 +164,7 @@
 	conn.SetReadDeadline(time.Time{})
 	var netErr net.Error
 	switch {
-	case err == nil && conn.uses > 0: // on a fresh one it may be a refusal of the connection
+	case err == nil && conn.uses > 0: // on a new connection it may be a refusal of the connection
 		return errUnexpectedData
 	case err != nil && !(errors.As(err, &netErr) && netErr.Timeout()):
 		return fmt.Errorf("write: %w", err)
@@ -184,7 +187,8 @@
 	return nil
 }
 
-// done gives the connection back after a whole answer. Whether something came behind it shows when it is taken.
+// done returns the connection to the pool after a complete response and closes it otherwise. Data that arrives after the
+// response is noticed when the connection is taken from the pool again.
 func (x *exchange) done() {
 	if x.conn == nil {
 		return
@@ -197,7 +201,7 @@
 	x.conn.Close()
 }
 
-// body reads an answer's body that is no stream.
+// body reads the body of a response that is not a stream.
 func (x *exchange) body() ([]byte, error) {
 	length, chunked, err := x.head.Framing()
 	switch {
@@ -215,7 +219,7 @@
 		}
 		x.complete = err == nil
 		return b, err
-	case length == http1.UnknownLength: // to the connection's end
+	case length == http1.UnknownLength: // the body ends with the connection
 		return io.ReadAll(io.LimitReader(x.conn.br, maxBodySize))
 	}
 	b := make([]byte, length)
@@ -224,19 +228,21 @@
 	return b, err
 }
 
-// closedByPeer tells whether an error of reading says that the connection has ended.
+// closedByPeer reports whether a read error means that the peer has ended the connection.
 func closedByPeer(err error) bool {
 	return errors.Is(err, syscall.ECONNRESET) || errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF)
 }
 
-// abandon closes the connection of an attempt that is not waited for any longer, and returns when its engine has seen
-// that. Until then the attempt is out: a refusal to the client, or another attempt, would overtake its end.
+// abandon closes the connection of an attempt that is no longer waited for and returns after closeDelay, when the engine
+// should have seen the close. Until then the attempt is still in flight: a refusal sent to the client, or another
+// attempt, would overtake its end.
 func (x *exchange) abandon() {
 	x.conn.Close()
 	time.Sleep(x.client.closeDelay)
 }
 
-// failureResult tells how an exchange with an error ended. What was not written to its last byte never ran.
+// failureResult returns the result of an exchange that ended with an error. A request whose last byte was not written
+// was never executed.
 func (x *exchange) failureResult(err error) engine.Result {
 	r := engine.Result{Report: engine.NoReport(), Err: err}
 	cause := context.Cause(x.ctx)
@@ -259,8 +265,8 @@
 	return r
 }
 
-// refusalResult takes an answer that is neither a finished read nor a stream. Only X-Unprocessed proves that
-// nothing ran.
+// refusalResult returns the result for a response that is neither a finished read nor a stream. Only the X-Unprocessed
+// header proves that nothing was executed.
 func (x *exchange) refusalResult() engine.Result {
 	r := engine.Result{Outcome: decide.Error, Report: x.report()}
 	text, _ := x.body()
@@ -279,12 +285,13 @@
 	return r
 }
 
+// report returns the load report in the response's header.
 func (x *exchange) report() decide.Report {
 	v, _ := x.head.Get(platform.LoadHeader)
 	return parseLoadReport([]byte(v))
 }
 
-// parseLoadReport reads a load report; one that can't be read tells nothing.
+// parseLoadReport parses a load report. A report that can't be parsed counts as not reported.
 func parseLoadReport(b []byte) decide.Report {
 	var v map[string]any
 	if json.Unmarshal(b, &v) != nil {
--- a/internal/engine/chat/pool.go
+++ b/internal/engine/chat/pool.go
@@ -11,22 +11,22 @@
 	"time"
 )
 
-// conn is a connection to an engine. One exchange at a time travels on it.
+// conn is a connection to an engine. It carries one exchange at a time.
 type conn struct {
 	net.Conn
 	addr       string
 	br         *bufio.Reader
 	lastUsed   time.Time
-	uses       int           // exchanges before the one under way
-	reuseDelay time.Duration // after its last exchange it is not used for so long
+	uses       int           // exchanges before the current one
+	reuseDelay time.Duration // after its last exchange it must not be used for this long
 	closeOnce  sync.Once
 	pool       *pool
-	idle       *list.Element // in pool.idle; nil while it is out
+	idle       *list.Element // in pool.idle; nil while the connection is in use
 
-	closeAfterUse bool // under pool.mu: its engine left or started anew while it was out
+	closeAfterUse bool // guarded by pool.mu: its engine left or restarted while the connection was in use
 }
 
-// Close closes the connection and gives its descriptor back to the pool. It may be called more than once.
+// Close closes the connection and stops counting it against the pool's limit. It may be called more than once.
 func (c *conn) Close() error {
 	var err error
 	c.closeOnce.Do(func() {
@@ -39,32 +39,33 @@
 	return err
 }
 
-// pool keeps connections for all engines under one bound. Opening one costs its engine work and the request
-// time, so the one used last is taken first; the one unused for longest makes room.
+// pool keeps connections to all engines under one common limit. Opening a connection costs the engine work and the
+// request time, so the most recently used one is taken first. When the limit is reached, the idle connection that has
+// been unused for longest is closed.
 type pool struct {
 	dialTimeout   time.Duration
-	idleTimeout   time.Duration // well under the engines' time for idle connections
-	maxConns      int           // open at once
-	releaseConns  int           // more for what has to be let go
-	lastByteDelay time.Duration // a request's last byte is held back for so long
+	idleTimeout   time.Duration // well below the engines' own idle time-out
+	maxConns      int           // open at the same time
+	releaseConns  int           // additional connections for releases
+	lastByteDelay time.Duration // a request's last byte is held back for this long
 
 	mu              sync.Mutex
 	total           int
-	idle            list.List            // of *conn, used last in front
-	inUse           map[*conn]struct{}   // those that are not idle
-	distrustedUntil map[string]time.Time // until when no connection to an engine is used twice
+	idle            list.List            // of *conn, most recently used first
+	inUse           map[*conn]struct{}   // all open connections that are not idle
+	distrustedUntil map[string]time.Time // by address: until when no connection to the engine is used twice
 }
 
-var errLimit = errors.New("limit of connections to engines is reached")
+var errLimit = errors.New("the limit of connections to engines is reached")
 
-// connRequirements tells which connections will do for a call.
+// connRequirements states which connections may carry a call.
 type connRequirements struct {
-	urgent             bool          // it has more room
-	newConn            bool          // only one that has carried nothing yet
-	lastResponseWithin time.Duration // a kept one only if an answer has come on it so recently; 0: any
+	urgent             bool          // the call may use the additional connections as well
+	newConn            bool          // only a connection that has carried no request yet
+	lastResponseWithin time.Duration // maximum age of the last response on a kept connection; 0: any age
 }
 
-// get returns a connection that stands.
+// get returns an open connection to an engine: a kept one if possible, else a new one.
 func (p *pool) get(ctx context.Context, addr string, w connRequirements) (*conn, error) {
 	for !w.newConn {
 		c := p.takeIdle(addr, w.lastResponseWithin)
@@ -99,7 +100,7 @@
 	return c, nil
 }
 
-// markInUse notes that a connection is out. mu is held.
+// markInUse records that a connection is in use. The caller holds mu.
 func (p *pool) markInUse(c *conn) {
 	if p.inUse == nil {
 		p.inUse = map[*conn]struct{}{}
@@ -107,7 +108,8 @@
 	p.inUse[c] = struct{}{}
 }
 
-// reserveConn counts one more connection, and closes the idle one unused for longest when it must.
+// reserveConn counts one more connection and reports whether the limit allows it. At the limit it closes the idle
+// connection that has been unused for longest to make room.
 func (p *pool) reserveConn(limit int) bool {
 	p.mu.Lock()
 	if p.total < limit {
@@ -124,18 +126,18 @@
 	p.removeIdle(c)
 	p.total++
 	p.mu.Unlock()
-	c.Close() // counts down
+	c.Close() // also decrements total
 	return true
 }
 
-// removeIdle takes an idle connection out of the list.
+// removeIdle takes a connection out of the list of idle ones. The caller holds mu.
 func (p *pool) removeIdle(c *conn) {
 	p.idle.Remove(c.idle)
 	c.idle = nil
 }
 
-// takeIdle returns an idle connection to an address, the one used last of those that have rested; nil if there is none. Of those
-// that will do, none was used longer ago than heardWithin, if that is not 0.
+// takeIdle returns the most recently used idle connection to an address whose reuse delay is over, or nil if there is
+// none. If lastResponseWithin is not 0, it returns no connection that was last used longer ago than that.
 func (p *pool) takeIdle(addr string, lastResponseWithin time.Duration) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -143,7 +145,7 @@
 		c := e.Value.(*conn)
 		age := time.Since(c.lastUsed)
 		if lastResponseWithin > 0 && age > lastResponseWithin {
-			return nil // the others have rested for longer
+			return nil // the others have been idle for longer
 		}
 		if c.addr == addr && age >= c.reuseDelay {
 			p.removeIdle(c)
@@ -154,7 +156,7 @@
 	return nil
 }
 
-// put keeps a connection whose last exchange was whole.
+// put keeps a connection whose last exchange was complete, unless its engine was forgotten or is distrusted.
 func (p *pool) put(c *conn) {
 	c.lastUsed = time.Now()
 	p.mu.Lock()
@@ -168,8 +170,8 @@
 	p.mu.Unlock()
 }
 
-// distrust: an engine has reset a connection that was kept. It may have closed others without a word, so for a
-// while each of its connections is used once.
+// distrust handles an engine that has reset a kept connection. It may have closed others without notice, so the idle
+// connections are closed, and for distrustDuration each connection to the engine is used only once.
 func (p *pool) distrust(addr string) {
 	p.mu.Lock()
 	if p.distrustedUntil == nil {
@@ -180,8 +182,8 @@
 	p.closeConns(addr)
 }
 
-// closeConns closes the idle connections to an address, or all with "". Those that are out are closed after their exchange:
-// what listens there now, if anything, is another process.
+// closeConns closes the idle connections to an address, or to all addresses if addr is "". Connections in use are closed
+// after their exchange, because whatever listens at the address now, if anything, is another process.
 func (p *pool) closeConns(addr string) {
 	p.mu.Lock()
 	for c := range p.inUse {
@@ -191,7 +193,7 @@
 	p.closeIdleIf(func(c *conn) bool { return addr == "" || c.addr == addr })
 }
 
-// closeExpired closes those that an engine may close soon.
+// closeExpired closes idle connections that their engines may close soon and drops outdated entries of distrustedUntil.
 func (p *pool) closeExpired() {
 	p.closeIdleIf(func(c *conn) bool { return time.Since(c.lastUsed) >= p.idleTimeout })
 	p.mu.Lock()
@@ -203,6 +205,7 @@
 	}
 }
 
+// closeIdleIf closes the idle connections for which match returns true.
 func (p *pool) closeIdleIf(match func(*conn) bool) {
 	var closing []*conn
 	p.mu.Lock()
@@ -220,11 +223,11 @@
 	}
 }
 
-// usable tells whether an idle connection still stands and is silent. A request written to one that its
-// engine has closed would end as a reset, of which nobody knows whether it ran.
+// usable reports whether an idle connection is still open and has no unread data. A request written to a connection that
+// its engine has closed would end in a reset, and it would be unknown whether the request was executed.
 func (c *conn) usable() bool {
 	if c.br.Buffered() > 0 {
-		return false // something came after the last answer's end
+		return false // data arrived after the end of the last response
 	}
 	raw, err := c.Conn.(syscall.Conn).SyscallConn()
 	if err != nil {
--- a/internal/engine/chat/release.go
+++ b/internal/engine/chat/release.go
@@ -10,62 +10,70 @@
 	"mintdoor/internal/platform"
 )
 
-// Release lets go of all that is held for a request. Any engine that runs takes the call for all of them, so
-// it is tried at others when the one that holds it does not answer.
+// Release releases all holds of a request. Any running engine accepts the call on behalf of all engines, so other engines
+// are called when the one that holds the KV state does not respond.
 func (c *Client) Release(ctx context.Context, s *engine.State) error {
 	return c.releaseHolds(ctx, s.Addr, s.Handle, hedgeDelay)
 }
 
-// CancelRead lets go of what a read may have left that was given up. It waits for the read's end first: a call
-// that overtakes the closing of the read's connection would find nothing, and leave what the read then ends with. Where
-// the network keeps the closing from the engine, or the engine hangs, the read goes on and ends later. That the engine
-// answers others does not show that it has ended. So the call is made again and again for a while.
+// CancelRead releases the KV state that a cancelled read may have left. It first waits until the read should have ended:
+// a release that overtakes the close of the read's connection would find nothing, and the KV state with which the read
+// then ends would stay behind. If the network keeps the close from the engine, or the engine hangs, the read continues
+// and ends later, and responses of the engine to other requests don't show that it has ended. The release is therefore
+// repeated maxCancelCalls times.
 func (c *Client) CancelRead(ctx context.Context, addr, request string) error {
 	return c.cancelRead(ctx, addr, request, c.readEndDelay)
 }
 
-// CancelReadLater does the same for a read whose request has an answer that has begun: what is known is let go already.
+// CancelReadLater does the same as CancelRead for a read whose request already has an answer that has begun. The holds
+// that are known are released already, so the first call is made only after CancelRetryDelay.
 func (c *Client) CancelReadLater(ctx context.Context, addr, request string) error {
 	return c.cancelRead(ctx, addr, request, c.opts.CancelRetryDelay)
 }
 
+// cancelRead releases the holds of a cancelled read maxCancelCalls times, for the first time after wait.
 func (c *Client) cancelRead(ctx context.Context, addr, request string, wait time.Duration) error {
 	var err error
 	after := hedgeDelay
 	for range maxCancelCalls {
 		select {
 		case <-ctx.Done():
-			return errors.Join(err, c.releaseHolds(ctx, addr, request, after)) // says what it is that was not let go
+			return errors.Join(err, c.releaseHolds(ctx, addr, request, after)) // the error names what was not released
 		case <-time.After(wait):
 		}
 		err = c.releaseHolds(ctx, addr, request, after)
-		wait, after = c.opts.CancelRetryDelay, c.releaseCallTimeout // there may be many such calls, and most find nothing
+		wait, after = c.opts.CancelRetryDelay, c.releaseCallTimeout // hedge later: there may be many such calls, and most find nothing
 	}
 	return err
 }
 
-// respondedSince tells whether an engine has answered something since a time.
+// respondedSince reports whether an engine has sent any response since a given time.
 func (c *Client) respondedSince(addr string, since time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.lastResponse[addr].After(since)
 }
 
-// CancelReservation lets go of a place; the protocol has one call for all that is held.
+// CancelReservation cancels a reservation. The protocol has a single call that releases all holds of a request.
 func (c *Client) CancelReservation(ctx context.Context, addr, request string) error {
 	return c.releaseHolds(ctx, addr, request, hedgeDelay)
 }
 
-// Renew does nothing: the protocol's engines hold a state until it is let go.
+// Renew does nothing: engines of this protocol hold a KV state until it is released.
 func (c *Client) Renew(context.Context, *engine.State) error { return nil }
 
-// maxKeptConnTries is how many engines are tried on kept connections; those may have fallen silent, all of them.
+// maxKeptConnTries is how many engines a release tries on kept connections. Further ones are tried on new connections,
+// because all kept ones may have become unresponsive.
 const maxKeptConnTries = 2
 
-// releaseHolds takes the call to an engine, and to others as long as none has taken it: one more after each such time, or at once when one
-// fails; of all calls together maxHedges are at others at a time. Any engine that runs takes it for all. First comes the engine at addr if it was heard lately, else one that was; then
-// those that answered last, and then any that is listed: most may be silent. What is held has to be let go within a time that a
-// few silent engines, one after the other, would use up (a zone that is cut off).
+// releaseHolds releases the holds of a request. It calls one engine, and as long as none has accepted the release it
+// hedges: it calls one more engine after each hedgeDelay, or at once when a call fails. All releases together have at
+// most maxHedgesTotal hedges in flight. Any running engine accepts the call on behalf of all engines.
+//
+// The first call goes to the engine at addr if it has responded recently, otherwise to one that has. Then follow the
+// other engines, those with the latest responses first, and last any engine in the server list, since most may be
+// unresponsive. The calls are hedged because holds must be released within a time that a few unresponsive engines, called
+// one after the other, would use up, for example when a zone is cut off.
 func (c *Client) releaseHolds(ctx context.Context, addr, request string, hedgeDelay time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, c.opts.ReleaseTimeout)
 	start := time.Now()
@@ -101,7 +109,7 @@
 		case res := <-results:
 			pending--
 			if res.err == nil {
-				c.opts.Log.Info("let go", "request", request, "held at", addr, "taken by", res.addr, "engines asked", len(tried),
+				c.opts.Log.Info("holds released", "request", request, "held at", addr, "taken by", res.addr, "engines asked", len(tried),
 					"after", time.Since(start))
 				return nil
 			}
@@ -109,15 +117,16 @@
 			hedge.Reset(0)
 		case <-hedge.C:
 			if pending == maxHedgesPerRelease {
-				continue // the first that ends makes room
+				continue // the first call that ends triggers the next
 			}
 			target := next()
-			if pending > 0 && c.activeHedges.Load() >= maxHedgesTotal && !c.respondedSince(target, start) { // one that is heard now takes it at once
+			// An engine that has responded since the start is called in any case, as it will accept the release at once.
+			if pending > 0 && c.activeHedges.Load() >= maxHedgesTotal && !c.respondedSince(target, start) {
 				hedge.Reset(hedgeDelay)
 				continue
 			}
 			if target == "" {
-				clear(tried) // all once more
+				clear(tried) // start another round over all engines
 				hedge.Reset(hedgeRoundPause)
 				continue
 			}
@@ -134,7 +143,7 @@
 	}
 }
 
-// sendRelease makes the call that lets go of what is held, at one engine.
+// sendRelease makes the release call to one engine.
 func (c *Client) sendRelease(ctx context.Context, addr, request string, newConn bool) error {
 	ctx, cancel := context.WithTimeout(ctx, c.releaseCallTimeout)
 	defer cancel()
@@ -153,7 +162,8 @@
 	return nil
 }
 
-// nextEngine returns the engine that answered last of those not tried yet, or else any that is listed; "" if there is none.
+// nextEngine returns the engine with the latest response among those not tried yet, or else any engine in the server list
+// that was not tried yet. It returns "" if there is none.
 func (c *Client) nextEngine(tried map[string]bool) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -166,7 +176,7 @@
 	if best != "" {
 		return best
 	}
-	for addr := range c.listed { // in no order
+	for addr := range c.listed { // in no particular order
 		if !tried[addr] {
 			return addr
 		}
