--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -20,18 +20,17 @@
 	"mintdoor/internal/kserve"
 )
 
-// Bounds of what an engine may send.
+// Limits on engine responses. Sizes are in bytes.
 const (
-	maxResponseSize  = 1 << 20                // bytes of a body that is no stream
-	maxEventSize     = 64 << 10               // bytes of one event of a stream
-	maxHeaderSize    = 64 << 10               // bytes of headers
-	maxErrorSize     = 512                    // bytes of an error that are kept for the log
-	bufferSize       = 4096                   // bytes, one for each connection
-	streamEndTimeout = 100 * time.Millisecond // for the end of a stream after its last event
+	maxResponseSize  = 1 << 20                // of a body that is not a stream
+	maxEventSize     = 64 << 10               // of one event of a stream
+	maxHeaderSize    = 64 << 10               // of all response headers together
+	maxErrorSize     = 512                    // of an error text that is kept for the log
+	bufferSize       = 4096                   // of the read and the write buffer of each connection
+	streamEndTimeout = 100 * time.Millisecond // wait for the end of a stream after its last event
 )
 
-// Client speaks to all engines. Its zero value is of no use; make one with New. It is safe for
-// concurrent use.
+// Client talks to all engines over HTTP. Create it with New; the zero value is not usable. It is safe for concurrent use.
 type Client struct {
 	opts      Options
 	http      *http.Client
@@ -41,7 +40,7 @@
 	conns map[string]*atomic.Int64 // open connections by address
 }
 
-// New returns a client. Close it to let go of idle connections.
+// New returns a client. Close closes its idle connections.
 func New(opts Options) *Client {
 	c := &Client{opts: opts, conns: map[string]*atomic.Int64{}}
 	c.transport = &http.Transport{
@@ -59,10 +58,10 @@
 	return c
 }
 
-// Close lets go of idle connections. Attempts that are out are ended by their contexts, not by Close.
+// Close closes idle connections. Attempts in flight are ended by their contexts, not by Close.
 func (c *Client) Close() { c.transport.CloseIdleConnections() }
 
-// countedConn is a connection that counts towards its engine's limit.
+// countedConn is a connection that counts towards the connection limit of its engine.
 type countedConn struct {
 	net.Conn
 	once sync.Once
@@ -74,6 +73,7 @@
 	return c.Conn.Close()
 }
 
+// dial opens a connection to an engine unless the engine's connection limit is reached.
 func (c *Client) dial(ctx context.Context, network, addr string) (net.Conn, error) {
 	c.mu.Lock()
 	n := c.conns[addr]
@@ -95,7 +95,7 @@
 	return &countedConn{Conn: conn, open: n}, nil
 }
 
-// ForgetEngine drops what is kept for engines that are not in use any more.
+// ForgetEngine drops the connection count of an engine that is no longer in use.
 func (c *Client) ForgetEngine(addr string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -104,16 +104,16 @@
 	}
 }
 
-// exchange is one HTTP exchange, with what is known of how far it came.
+// exchange is one HTTP request with its response, and whether a connection came up for it.
 type exchange struct {
 	ctx       context.Context
-	connected atomic.Bool // a connection stood
+	connected atomic.Bool // a connection was established
 	resp      *http.Response
 	err       error
 }
 
-// DenialOutcome tells how an attempt ended whose last byte the gate did not let leave, if that is what an error says. Its engine has
-// no part in that, unless it takes nothing new.
+// DenialOutcome returns the outcome of an attempt whose last byte the gate did not allow to be sent, and whether err is
+// such a denial. The denial is not the engine's doing, unless the engine accepts no new requests.
 func DenialOutcome(err error) (decide.Outcome, bool) {
 	var denial guard.Denial
 	switch {
@@ -125,7 +125,8 @@
 	return decide.NotStarted, true
 }
 
-// gatedBody is a body that is sent only with the gate's leave. It can be read once, so that nothing sends it again.
+// gatedBody is a request body that is sent only if the gate allows it. It can be read only once, so that the HTTP client
+// can't send it again.
 type gatedBody struct {
 	*bytes.Reader
 	gate    Gate
@@ -147,10 +148,12 @@
 	return n, err
 }
 
+// send sends a request and waits for the head of its response.
 func (c *Client) send(ctx context.Context, method, addr, path string, body []byte) *exchange {
 	return c.sendGated(ctx, method, addr, path, body, nil)
 }
 
+// sendGated does the same as send, but asks gate before the body is sent, if gate is not nil.
 func (c *Client) sendGated(ctx context.Context, method, addr, path string, body []byte, gate Gate) *exchange {
 	x := &exchange{}
 	x.ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
@@ -171,7 +174,7 @@
 	return x
 }
 
-// failureResult tells how an exchange that has an error ended.
+// failureResult returns the result of an exchange that ended with an error.
 func (x *exchange) failureResult(err error) Result {
 	r := Result{Report: NoReport(), Err: err}
 	cause := context.Cause(x.ctx)
@@ -180,7 +183,7 @@
 	case isDenied:
 		r.Outcome = denied
 	case !x.connected.Load() && !errors.Is(cause, ErrCancelled):
-		r.Outcome = decide.ConnectFailed // nothing was sent, so nothing ran
+		r.Outcome = decide.ConnectFailed // nothing was sent, so nothing was executed
 	case errors.Is(cause, ErrTimedOut):
 		r.Outcome = decide.TimedOut
 	case errors.Is(cause, ErrCancelled), errors.Is(cause, context.Canceled):
@@ -195,8 +198,8 @@
 	return r
 }
 
-// refusalResult tells how an answer other than 200 is to be taken. Only a refusal that the engine names proves
-// that nothing ran.
+// refusalResult returns the result for a response with a status other than 200. Only a refusal whose reason the engine
+// names in RefusedHeader proves that nothing was executed.
 func refusalResult(resp *http.Response) Result {
 	r := Result{Outcome: decide.Error, Report: loadReport(resp)}
 	reason := resp.Header.Get(RefusedHeader)
@@ -217,6 +220,7 @@
 	return r
 }
 
+// loadReport returns the load report in a response's header.
 func loadReport(resp *http.Response) decide.Report {
 	if v := resp.Header.Get(LoadHeader); v != "" {
 		return ParseLoadHeader(v)
@@ -224,26 +228,27 @@
 	return NoReport()
 }
 
-// drainAndClose reads what is left of a body so that its connection can be used again, or closes it.
+// drainAndClose reads what is left of a body, up to maxErrorSize, so that its connection can be reused, and closes it.
 func drainAndClose(body io.ReadCloser) {
 	io.CopyN(io.Discard, body, maxErrorSize)
 	body.Close()
 }
 
-// inferBody is an infer request with typed parameters.
+// inferBody is the body of an infer request with typed parameters.
 type inferBody struct {
 	ID         string          `json:"id"`
 	Parameters *Params         `json:"parameters"`
 	Inputs     []kserve.Tensor `json:"inputs"`
 }
 
+// generateBody is the body of a generate request with typed parameters.
 type generateBody struct {
 	ID         string  `json:"id"`
 	TextInput  string  `json:"text_input"`
 	Parameters *Params `json:"parameters"`
 }
 
-// Prefill has a prompt read and returns when the state waits, or the attempt has failed.
+// Prefill has an engine read a prompt. It returns when the engine holds the KV state or the attempt has failed.
 func (c *Client) Prefill(ctx context.Context, addr string, q *Call) Result {
 	body, err := json.Marshal(inferBody{ID: q.ID, Parameters: &q.Params,
 		Inputs: []kserve.Tensor{kserve.TextTensor("text_input", q.Prompt)}})
@@ -272,17 +277,17 @@
 	}
 	switch p := answer.Parameters; {
 	case answer.ID != q.ID:
-		return x.failureResult(fmt.Errorf("%w: it has the id %.40q, want %q", errMalformedResponse, answer.ID, q.ID))
+		return x.failureResult(fmt.Errorf("%w: its id is %.40q, want %q", errMalformedResponse, answer.ID, q.ID))
 	case p == nil || p.Handle == "" || p.Source == "" || p.CachedTokens < 0 || p.Tokens < 0:
-		return x.failureResult(fmt.Errorf("%w: it names no state", errMalformedResponse))
+		return x.failureResult(fmt.Errorf("%w: it names no KV state", errMalformedResponse))
 	default:
 		return Result{Outcome: decide.ReadDone, CachedTokens: p.CachedTokens, Report: loadReport(x.resp),
 			State: &State{Addr: p.Source, Handle: p.Handle, Tokens: p.Tokens}}
 	}
 }
 
-// Decode has the answer written and hands each token to sink. An error of sink ends the attempt as
-// cancelled. It returns when the answer has ended, or the attempt has failed.
+// Decode has an engine write the answer and passes each token to sink. An error from sink ends the attempt with the
+// outcome Cancelled. Decode returns when the answer has ended or the attempt has failed.
 func (c *Client) Decode(ctx context.Context, addr string, q *Call, sink func(text string) error) Result {
 	body, err := json.Marshal(generateBody{ID: q.ID, TextInput: q.Prompt, Parameters: &q.Params})
 	if err != nil {
@@ -300,7 +305,7 @@
 	}
 	rep := loadReport(x.resp)
 	idle := time.AfterFunc(time.Hour, func() { cancel(errStreamIdle) })
-	idle.Stop() // before its first token an attempt is bounded by its owner alone
+	idle.Stop() // before the first token only the caller limits the attempt's time
 	defer idle.Stop()
 	events := kserve.NewEventReader(x.resp.Body, maxEventSize)
 	tokens := 0
@@ -314,7 +319,7 @@
 		idle.Stop()
 		if err != nil {
 			if errors.Is(err, io.EOF) {
-				err = io.ErrUnexpectedEOF // the last event never came
+				err = io.ErrUnexpectedEOF // the last event is missing
 			}
 			return fail(err)
 		}
@@ -330,9 +335,9 @@
 		}
 		switch {
 		case ev.Error != "":
-			return fail(fmt.Errorf("%w: the engine says %.200q", errMalformedResponse, ev.Error))
+			return fail(fmt.Errorf("%w: the engine reports %.200q", errMalformedResponse, ev.Error))
 		case ev.ID != q.ID:
-			return fail(fmt.Errorf("%w: it has the id %.40q, want %q", errMalformedResponse, ev.ID, q.ID))
+			return fail(fmt.Errorf("%w: its id is %.40q, want %q", errMalformedResponse, ev.ID, q.ID))
 		case ev.TextOutput == nil && ev.Details == nil:
 			return fail(fmt.Errorf("%w: an event without text", errMalformedResponse))
 		}
@@ -351,14 +356,14 @@
 			tokens++
 		}
 		if ev.Details != nil {
-			// What follows the last event is no part of the answer; read the end of the body so that
-			// the connection can be used again, but wait for it no longer than a moment.
+			// Data after the last event is not part of the answer. Read the body to its end so that the connection
+			// can be reused, but wait no longer than streamEndTimeout.
 			end := time.AfterFunc(streamEndTimeout, func() { cancel(errStreamIdle) })
 			_, err := events.Next()
 			end.Stop()
 			r := Result{Outcome: decide.Served, Report: rep, FinishReason: ev.Details.FinishReason, Tokens: tokens}
 			if err == nil {
-				r.Err = fmt.Errorf("%w: more came after the end", errMalformedResponse)
+				r.Err = fmt.Errorf("%w: data follows the last event", errMalformedResponse)
 			}
 			return r
 		}
@@ -366,13 +371,13 @@
 	}
 }
 
-// Release lets go of a state. It tries again until the time for it is over, since nobody else will.
+// Release releases a KV state. It retries until ReleaseTimeout, because nothing else releases the KV state.
 func (c *Client) Release(ctx context.Context, s *State) error {
 	return c.sendUntilAccepted(ctx, http.MethodPost, s.Addr, StatePath+url.PathEscape(s.Handle)+"/release")
 }
 
-// Renew tells the engine where a state waits that it is still wanted: an attempt at a writer is out, and
-// the writer may not have claimed it.
+// Renew tells the engine that holds a KV state that the state is still needed: an attempt at a writer is in flight, and
+// the writer may not have claimed the state yet.
 func (c *Client) Renew(ctx context.Context, s *State) error {
 	ctx, cancel := context.WithTimeout(ctx, c.opts.ReleaseTimeout)
 	defer cancel()
@@ -384,22 +389,24 @@
 	return nil
 }
 
-// CancelRead ends a read whose answer will not be taken, and lets go of the state that it may have left.
+// CancelRead ends a read whose result is no longer needed and releases the KV state that it may have left.
 func (c *Client) CancelRead(ctx context.Context, addr, request string) error {
 	return c.sendUntilAccepted(ctx, http.MethodDelete, addr, ReadPath+url.PathEscape(request))
 }
 
-// EngineListed does nothing: what is held is let go where it is.
+// EngineListed does nothing: in this protocol a hold is released at the engine that has it.
 func (c *Client) EngineListed(string) {}
 
-// CancelReadLater does nothing: CancelRead names the read, and is made when it is given up.
+// CancelReadLater does nothing: CancelRead, which is called when a read is cancelled, names the read and ends it.
 func (c *Client) CancelReadLater(context.Context, string, string) error { return nil }
 
-// CancelReservation lets go of a place held ahead.
+// CancelReservation cancels a reservation at a writer.
 func (c *Client) CancelReservation(ctx context.Context, addr, request string) error {
 	return c.sendUntilAccepted(ctx, http.MethodDelete, addr, ReservationPath+url.PathEscape(request))
 }
 
+// sendUntilAccepted retries a request with exponential backoff until the engine responds with a status below 500 or
+// ReleaseTimeout is over.
 func (c *Client) sendUntilAccepted(ctx context.Context, method, addr, path string) error {
 	ctx, cancel := context.WithTimeout(ctx, c.opts.ReleaseTimeout)
 	defer cancel()
@@ -409,7 +416,7 @@
 		if x.err == nil {
 			code := x.resp.StatusCode
 			drainAndClose(x.resp.Body)
-			if code < 500 { // 404: it is gone already
+			if code < 500 { // 404: there is nothing left to release
 				return nil
 			}
 			x.err = fmt.Errorf("status %d", code)
@@ -422,7 +429,7 @@
 	}
 }
 
-// Reserve asks for a place ahead and tells whether it is held.
+// Reserve requests a reservation at a writer and reports whether the writer granted it.
 func (c *Client) Reserve(ctx context.Context, addr string, p *ReservationRequest) (bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.opts.ProbeTimeout)
 	defer cancel()
@@ -443,8 +450,8 @@
 	return answer.Held && err == nil, err
 }
 
-// Probe asks for a load report. A connection that stands will do, whatever is asked: engines hold states under leases that
-// the router renews, so no time runs that hangs on whether they are reached.
+// Probe requests a load report. It ignores the request for a new connection and may use a kept one: engines hold KV states
+// under leases that the router renews, so no timer depends on whether an engine is reachable.
 func (c *Client) Probe(ctx context.Context, addr string, _ bool) Result {
 	ctx, cancel := context.WithTimeoutCause(ctx, c.opts.ProbeTimeout, ErrTimedOut)
 	defer cancel()
@@ -463,22 +470,26 @@
 	return Result{Outcome: decide.Served, Report: l.Report()}
 }
 
-// Role asks an engine for its role.
+// Role requests an engine's current role.
 func (c *Client) Role(ctx context.Context, addr string) (Role, error) {
 	r, _, err := c.callRole(ctx, http.MethodGet, addr, RolePath, nil)
 	return r, err
 }
 
-// ChangeRole asks an engine to change, and tells whether it grants that, with what it is now.
+// ChangeRole asks an engine to change its role. It returns the engine's current role and whether the engine granted the
+// change.
 func (c *Client) ChangeRole(ctx context.Context, addr string, q *RoleChange) (Role, bool, error) {
 	return c.callRole(ctx, http.MethodPost, addr, RolePath, q)
 }
 
-// CancelRoleChange asks an engine to take a change back, and tells whether it does.
+// CancelRoleChange asks an engine to cancel a change of its role. It returns the engine's current role and whether the
+// engine cancelled the change.
 func (c *Client) CancelRoleChange(ctx context.Context, addr string, q *RoleChangeCancel) (Role, bool, error) {
 	return c.callRole(ctx, http.MethodPost, addr, RolePath+"/stay", q)
 }
 
+// callRole makes a call under RolePath and decodes the role in the response. granted is false if the engine refused with
+// status 409.
 func (c *Client) callRole(ctx context.Context, method, addr, path string, q any) (r Role, granted bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, c.opts.ProbeTimeout)
 	defer cancel()
--- a/internal/engine/client_test.go
+++ b/internal/engine/client_test.go
@@ -34,7 +34,7 @@
 				return
 			}
 			r := bufio.NewReader(c)
-			for { // the head; the body is small and comes with it
+			for { // read the head; the body is small and arrives with it
 				line, err := r.ReadString('\n')
 				if err != nil || line == "\r\n" {
 					break
@@ -62,18 +62,20 @@
 	return c
 }
 
+// okResponse returns a 200 response with a body.
 func okResponse(body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
+// refusal returns a 503 response that names the reason of a refusal.
 func refusal(reason string) string {
 	return "HTTP/1.1 503 Service Unavailable\r\nKv-Refused: " + reason + "\r\nContent-Length: 0\r\n\r\n"
 }
 
 const readResponse = `{"id":"a","parameters":{"kv_handle":"h","kv_source":"x:1","kv_tokens":9,"kept_tokens":4}}`
 
-// What an engine does tells the outcome: only its own word, or a connection that never stood, proves that
-// nothing ran.
+// An engine's behavior determines the outcome of an attempt: only its own statement, or a connection that never came up,
+// proves that nothing was executed.
 func TestOutcomesOfReads(t *testing.T) {
 	for _, c := range []struct {
 		name, answer string
@@ -84,16 +86,16 @@
 		{"full", refusal(RefusedFull), decide.Full, false},
 		{"draining", refusal(RefusedDraining), decide.Full, false},
 		{"no state", refusal(RefusedNoState), decide.Full, true},
-		{"503 of somebody between", "HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n", decide.Error, false},
-		{"503 with another word", refusal("tired"), decide.Error, false},
-		{"500 with the word", strings.Replace(refusal(RefusedFull), "503", "500", 1), decide.Error, false},
+		{"503 from an intermediary", "HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n", decide.Error, false},
+		{"503 with an unknown reason", refusal("tired"), decide.Error, false},
+		{"500 with a reason", strings.Replace(refusal(RefusedFull), "503", "500", 1), decide.Error, false},
 		{"wrong id", okResponse(strings.Replace(readResponse, `"a"`, `"b"`, 1)), decide.Error, false},
 		{"no handle", okResponse(`{"id":"a","parameters":{}}`), decide.Error, false},
 		{"two answers", okResponse(readResponse + readResponse), decide.Error, false},
 		{"no JSON", okResponse("<html>"), decide.Error, false},
 		{"half an answer", "HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n{\"id\":", decide.Reset, false},
 		{"closed", "", decide.Reset, false},
-		{"no HTTP", "hello\r\n\r\n", decide.Reset, false},
+		{"not HTTP", "hello\r\n\r\n", decide.Reset, false},
 		{"endless headers", "HTTP/1.1 200 OK\r\n" + strings.Repeat("X: "+strings.Repeat("y", 1000)+"\r\n", 100), decide.Reset, false},
 	} {
 		res := newClient(t, nil).Prefill(t.Context(), startFakeEngine(t, c.answer, false), &Call{ID: "a", Model: "m", Prompt: "x"})
@@ -117,11 +119,11 @@
 		tokens       int
 	}{
 		{"served", head + token + token + end, false, decide.Served, 2},
-		{"served, and the connection stays open", head + token + end, true, decide.Served, 1},
-		{"two ends", head + token + end + end, false, decide.Served, 1},
-		{"no end", head + token, false, decide.Reset, 1},
+		{"served, connection stays open", head + token + end, true, decide.Served, 1},
+		{"two final events", head + token + end + end, false, decide.Served, 1},
+		{"no final event", head + token, false, decide.Reset, 1},
 		{"half an event", head + token + "data: {", false, decide.Reset, 1},
-		{"silent in the middle", head + token, true, decide.Reset, 1},
+		{"no further event", head + token, true, decide.Reset, 1},
 		{"no JSON", head + "data: x\n\n", false, decide.Error, 0},
 		{"wrong id", head + strings.Replace(token, `"a"`, `"b"`, 1), false, decide.Error, 0},
 		{"an error event", head + token + `data: {"id":"a","error":"out of memory"}` + "\n\n", false, decide.Error, 1},
@@ -141,7 +143,8 @@
 	}
 }
 
-// How an attempt's owner ends it is its outcome; before a connection stood nothing can have run.
+// The cause with which the caller cancels an attempt determines its outcome. Before a connection is established nothing
+// can have been executed.
 func TestOutcomesOfCancelledAttempts(t *testing.T) {
 	addr := startFakeEngine(t, "", true)
 	for cause, want := range map[error]decide.Outcome{ErrTimedOut: decide.TimedOut, ErrCancelled: decide.Cancelled} {
@@ -163,7 +166,7 @@
 	ctx, cancel := context.WithCancelCause(t.Context())
 	cancel(ErrTimedOut)
 	if res := newClient(t, nil).Prefill(ctx, closed, &Call{ID: "a", Model: "m"}); res.Outcome != decide.ConnectFailed {
-		t.Errorf("timed out before a connection: %d (%v)", res.Outcome, res.Err)
+		t.Errorf("timed out before a connection was established: %d (%v)", res.Outcome, res.Err)
 	}
 	c := newClient(t, func(o *Options) { o.MaxConns = 1 })
 	busy, stop := context.WithCancelCause(t.Context())
@@ -175,7 +178,7 @@
 		c.mu.Unlock()
 	}
 	if res := c.Prefill(t.Context(), addr, &Call{ID: "b", Model: "m"}); res.Outcome != decide.ConnectFailed || !errors.Is(res.Err, errLimit) {
-		t.Errorf("over the limit of connections: %d (%v)", res.Outcome, res.Err)
+		t.Errorf("over the connection limit: %d (%v)", res.Outcome, res.Err)
 	}
 	stop(ErrCancelled)
 	<-done
@@ -183,14 +186,14 @@
 
 func TestReleaseIsRetried(t *testing.T) {
 	if err := newClient(t, nil).Release(t.Context(), &State{Addr: startFakeEngine(t, "HTTP/1.1 404 x\r\nContent-Length: 0\r\n\r\n", false), Handle: "h"}); err != nil {
-		t.Errorf("a state that is gone: %v", err)
+		t.Errorf("release of a KV state that is gone: %v", err)
 	}
 	began := time.Now()
 	if err := newClient(t, nil).Release(t.Context(), &State{Addr: startFakeEngine(t, "HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n", false), Handle: "h"}); err == nil {
-		t.Error("an engine that fails took a release")
+		t.Error("a release succeeded at an engine that fails")
 	}
 	if time.Since(began) < 50*time.Millisecond {
-		t.Error("it did not try again")
+		t.Error("the release was not retried")
 	}
 }
 
--- a/internal/engine/wire.go
+++ b/internal/engine/wire.go
@@ -1,7 +1,9 @@
-// Package engine is the client of the engines: the two stages of a request, what is held between them,
-// probes and load reports, over KServe V2 with the conventions that docs/engine-protocol.md documents.
-// It tells truly how an attempt ended: only what the engine said, or the transport proves, counts as
-// never run. It decides nothing.
+// Package engine is the client of engines that speak KServe V2 with the extensions that docs/engine-protocol.md describes:
+// the two stages of a request (read and write), the KV states and reservations between them, load probes and load
+// reports.
+//
+// The package reports exactly how an attempt ended: an attempt counts as never executed only if the engine said so or
+// the transport proves it. The package makes no routing decisions.
 package engine
 
 import (
@@ -15,25 +17,26 @@
 	"mintdoor/internal/http1"
 )
 
-// The paths and headers of the protocol beside KServe's own.
+// The paths and headers that the protocol adds to KServe's own.
 const (
 	LoadPath        = "/v2/load"      // GET: the load report
 	StatePath       = "/v2/kv/state/" // GET: fetch; POST .../release, .../renew, .../claim
-	ReservationPath = "/v2/kv/place/" // PUT: hold; DELETE: give up; POST .../state: the state moves there
-	RolePath        = "/v2/role"      // GET: Role; POST: RoleChange; POST .../stay: RoleStay
-	ReadPath        = "/v2/kv/read/"  // DELETE: call a read off, or its state; POST .../place: where it is to go
+	ReservationPath = "/v2/kv/place/" // PUT: reserve; DELETE: cancel; POST .../state: push the KV state to the reservation
+	RolePath        = "/v2/role"      // GET: Role; POST: RoleChange; POST .../stay: RoleChangeCancel
+	ReadPath        = "/v2/kv/read/"  // DELETE: cancel a read or release its KV state; POST .../place: ReservationNotice
 
-	// RefusedHeader says why an engine has not run a request at all.
+	// RefusedHeader says why an engine has not executed any part of a request.
 	RefusedHeader = "Kv-Refused"
 	// LoadHeader carries a load report as text (ORCA, the open request cost aggregation format).
 	LoadHeader = "Endpoint-Load-Metrics"
-	// TokensHeader and SumHeader describe a state that is fetched; the sum is its xxhash64 in hex.
+	// TokensHeader, ChecksumHeader and InfoHeader describe a KV state that is fetched or pushed: its number of prompt
+	// tokens, its xxhash64 in hex, and the number of tokens of the answer.
 	TokensHeader   = "Kv-Tokens"
 	ChecksumHeader = "Kv-Sum"
 	InfoHeader     = "Kv-Info"
 )
 
-// The reasons in RefusedHeader. Each proves that nothing ran.
+// The reasons in RefusedHeader. Each of them proves that nothing was executed.
 const (
 	RefusedFull     = "full"
 	RefusedNoState  = "no-state"
@@ -50,8 +53,8 @@
 // Params are the request parameters that the router sends to an engine.
 type Params struct {
 	Stage        string  `json:"stage"`
-	Request      string  `json:"request"`          // the request over all its attempts; names its place
-	Client       string  `json:"client,omitempty"` // the id that the client gave
+	Request      string  `json:"request"`          // id of the request, the same in all its attempts; names its reservation
+	Client       string  `json:"client,omitempty"` // the id that the client sent
 	Class        string  `json:"class,omitempty"`
 	Tenant       string  `json:"tenant,omitempty"`
 	Session      string  `json:"session,omitempty"`
@@ -64,25 +67,25 @@
 	HoldMillis   float64 `json:"kv_hold_ms,omitempty"`
 }
 
-// ReservationRequest asks for a place ahead.
+// ReservationRequest asks a writer to reserve memory for a KV state before the read has ended.
 type ReservationRequest struct {
 	Request    string  `json:"request"`
 	Tokens     float64 `json:"tokens"`
-	Source     string  `json:"source"` // the engine that reads
+	Source     string  `json:"source"` // the engine that reads the prompt
 	HoldMillis float64 `json:"hold_ms"`
 }
 
-// ReservationResponse answers it.
+// ReservationResponse is the answer to a ReservationRequest.
 type ReservationResponse struct {
 	Held bool `json:"held"`
 }
 
-// ReservationNotice tells a reading engine where the state is to go.
+// ReservationNotice tells a reader the address of the writer to which the KV state is to be pushed.
 type ReservationNotice struct {
 	WriterAddr string `json:"place"`
 }
 
-// ReadParams are the parameters of a finished read.
+// ReadParams are the response parameters of a finished read.
 type ReadParams struct {
 	Handle       string  `json:"kv_handle"`
 	Source       string  `json:"kv_source"`
@@ -90,53 +93,53 @@
 	CachedTokens float64 `json:"kept_tokens"`
 }
 
-// The phases of an engine on its way from one role to another.
+// The phases of an engine's change from one role to another.
 const (
 	PhaseSteady   = "steady"
-	PhaseEmptying = "emptying" // it takes nothing new, and what runs there ends
-	PhaseChanging = "changing" // it does nothing
+	PhaseEmptying = "emptying" // it accepts no new requests and finishes the running ones
+	PhaseChanging = "changing" // it processes nothing
 )
 
-// Role is what an engine says of its role. Its own word, with its epoch, is the truth.
+// Role is the role that an engine reports. The engine's own report, with its epoch, is authoritative.
 type Role struct {
 	Role      string    `json:"role"` // StagePrefill, StageDecode or "both"
 	Epoch     uint64    `json:"epoch"`
 	Phase     string    `json:"phase"`
-	To        string    `json:"to,omitempty"`    // while it changes
-	Since     time.Time `json:"since,omitzero"`  // its last start or change; zero: long ago
-	CanChange bool      `json:"other,omitempty"` // it can change
+	To        string    `json:"to,omitempty"`    // target role while the engine changes
+	Since     time.Time `json:"since,omitzero"`  // last start or change; zero: long ago
+	CanChange bool      `json:"other,omitempty"` // the engine can change to the other role
 }
 
-// RoleChange asks for a change from an epoch. The engine grants it (200) only if it is steady at that epoch;
-// else it answers 409. Either way the body is its Role.
+// RoleChange asks an engine to change its role. The engine grants the change (200) only if it is in PhaseSteady at the
+// given epoch, otherwise it answers 409. In both cases the body of the response is its Role.
 type RoleChange struct {
 	To     string `json:"to"`
 	Epoch  uint64 `json:"epoch"`
-	Router string `json:"router"` // who asks, for the log
-	// NoticeMillis is how long the engine takes nothing new before it changes, so that every router can have
-	// seen it on its way; from 0 to MaxNoticeMillis.
+	Router string `json:"router"` // the router that asks, for the log
+	// NoticeMillis is how long the engine accepts no new requests before it changes, so that every router has time to
+	// see that it is about to change. It is from 0 to MaxNoticeMillis.
 	NoticeMillis float64 `json:"notice_ms"`
 }
 
-// MaxNoticeMillis bounds what a router may ask an engine to wait for.
+// MaxNoticeMillis is the longest notice, in milliseconds, that a router may request.
 const MaxNoticeMillis = 600_000
 
-// RoleChangeCancel takes a change back while the engine is still emptying: 200, else 409.
+// RoleChangeCancel cancels a role change. The engine answers 200 if it is still in PhaseEmptying, otherwise 409.
 type RoleChangeCancel struct {
 	Epoch uint64 `json:"epoch"`
 }
 
-// LoadReport is a load report on the wire; a field that is not told is nil.
+// LoadReport is a load report on the wire. A value that is not reported is nil.
 type LoadReport struct {
 	MemoryUse     *float64 `json:"kv_cache_utilization,omitempty"`
 	QueuedTokens  *float64 `json:"waiting_prompt_tokens,omitempty"`
 	LatencyMillis *float64 `json:"latency_ms,omitempty"`
 }
 
-// NoReport is a report that tells nothing.
+// NoReport returns a report without any value.
 func NoReport() decide.Report { return decide.Report{MemoryUse: -1, QueuedKTokens: -1, Latency: -1} }
 
-// Report turns a wire report into the module's.
+// Report converts a wire report into the decision module's form. A nil report has no value.
 func (l *LoadReport) Report() decide.Report {
 	r := NoReport()
 	if l == nil {
@@ -156,7 +159,7 @@
 
 const metricPrefix = "named_metrics."
 
-// Header writes a report as the value of LoadHeader: ORCA's text form, names under named_metrics.
+// Header returns the report as the value of LoadHeader: ORCA's text form with the names under named_metrics.
 func (l *LoadReport) Header() string {
 	var b strings.Builder
 	b.WriteString("TEXT ")
@@ -177,8 +180,8 @@
 	return b.String()
 }
 
-// ParseLoadHeader reads ORCA's TEXT and JSON forms; what it does not know it passes over, and a value
-// that is malformed or out of range counts as not told.
+// ParseLoadHeader parses ORCA's TEXT and JSON forms. It ignores unknown forms and names, and a value that is malformed or
+// out of range counts as not reported.
 func ParseLoadHeader(value string) decide.Report {
 	form, rest, _ := strings.Cut(strings.TrimSpace(value), " ")
 	var l LoadReport
@@ -215,67 +218,68 @@
 	return l.Report()
 }
 
-// State names a read state that waits at an engine. Addr is where it is fetched.
+// State identifies the KV state of a read that an engine holds. Addr is the address at which it is fetched.
 type State struct {
 	Addr   string
 	Handle string
 	Tokens float64
 }
 
-// Message is a client's request as it came, for engines that get it unchanged.
+// Message is a client's request as received, for engines that get it unchanged.
 type Message struct {
 	Target string        // path and query
 	Fields []http1.Field // end-to-end header fields
 	Body   []byte
 }
 
-// Gate has the last word on an attempt. What writes the attempt's request asks it immediately before the last byte, and
-// tells it immediately after, both with the time that the engine is told; 0 where it is told none. Connected tells it of the
-// connection, and of how many exchanges that has carried before.
+// Gate decides at the last moment whether an attempt's request may be sent. The writer of the request calls MaySend
+// immediately before the last byte and Sent immediately after it, both with the time left that the engine is told, or 0
+// if it is told none. Connected reports that a connection has been obtained and how many exchanges it has carried before.
 type Gate interface {
 	Connected(uses int)
 	MaySend(told time.Duration) error
 	Sent(told time.Duration)
 }
 
-// Call is what an attempt carries.
+// Call is the request of one attempt.
 type Call struct {
-	ID     string // of the attempt; the engine's answer has to echo it
+	ID     string // id of the attempt; the engine's response has to echo it
 	Model  string
 	Prompt string
 	Params Params
 
 	Message          *Message  // nil: the engine gets Prompt and Params
-	ResponseDeadline time.Time // the router waits no longer for the first sign
-	NonIdempotent    bool      // it may not be sent again if it may have run
-	// LastResponseWithin: a kept connection may carry it only if an answer has come on that so recently; 0: any may.
+	ResponseDeadline time.Time // until when the router waits for the first response
+	NonIdempotent    bool      // the request must not be sent again if it may have executed
+	// LastResponseWithin is the maximum age of the last response on a kept connection that may carry the request. 0 allows
+	// any kept connection.
 	LastResponseWithin time.Duration
-	Gate               Gate // nil: nobody is asked
+	Gate               Gate // nil: the request is sent without asking
 }
 
-// Result is how an attempt ended.
+// Result describes how an attempt ended.
 type Result struct {
 	Outcome      decide.Outcome
-	NoState      bool
-	CachedTokens float64
+	NoState      bool    // the engine refused because the KV state is gone
+	CachedTokens float64 // prompt tokens found in the prefix cache
 	Report       decide.Report
 	State        *State // of a finished read
-	FinishReason string // why the answer ended, as the engine said
-	Tokens       int    // of the answer that were handed on
-	Err          error  // what went wrong, for the log; nil when served or read
+	FinishReason string // why the answer ended, as reported by the engine
+	Tokens       int    // tokens of the answer passed to sink
+	Err          error  // what went wrong, for the log; nil if the attempt succeeded
 }
 
-// The causes by which the owner of an attempt ends it before its time. They are given to the attempt's
-// context and come back as the outcome.
+// ErrTimedOut and ErrCancelled are the causes with which the caller cancels an attempt's context. They determine the
+// attempt's outcome.
 var (
-	ErrTimedOut          = errors.New("time-out of the attempt")
-	ErrCancelled         = errors.New("attempt called off")
-	errStreamIdle        = errors.New("no token for too long")
-	errLimit             = errors.New("connection limit of the engine is reached")
-	errMalformedResponse = errors.New("malformed answer")
+	ErrTimedOut          = errors.New("the attempt has timed out")
+	ErrCancelled         = errors.New("the attempt was cancelled")
+	errStreamIdle        = errors.New("no token within the idle time-out of the stream")
+	errLimit             = errors.New("the engine's connection limit is reached")
+	errMalformedResponse = errors.New("malformed response")
 )
 
-// Options bound what the client does.
+// Options are the limits and time-outs of a Client.
 type Options struct {
 	DialTimeout       time.Duration
 	IdleConnTimeout   time.Duration
