--- a/internal/engine/chat/chat_test.go
+++ b/internal/engine/chat/chat_test.go
@@ -164,7 +164,7 @@
 		{"500 with X-Unprocessed", response("500 x", "", unprocessedHeader), decide.Error, false},
 		{"X-Unprocessed has another value", response("503 x", "", "X-Unprocessed: 0"), decide.Error, false},
 		{"closed", "", decide.Reset, false},
-		{"random bytes", "\x00\x01\x02noise\r\n\r\n", decide.Reset, false},
+		{"noise", "\x00\x01\x02noise\r\n\r\n", decide.Reset, false},
 		{"endless head", "HTTP/1.1 202 OK\r\n" + strings.Repeat("X: "+strings.Repeat("y", 1000)+"\r\n", 100), decide.Reset, false},
 		{"endless 1xx responses", strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 100) + response("202 x", "{}"), decide.Reset, false},
 		{"half a body", "HTTP/1.1 202 x\r\nContent-Length: 500\r\n\r\n{", decide.Reset, false},
--- a/internal/engine/chat/crossings_test.go
+++ b/internal/engine/chat/crossings_test.go
@@ -321,7 +321,7 @@
 // The same holds for an attempt whose response is malformed, or stops in a refusal, while its connection stays open.
 func TestMalformedResponseOutcomeWaitsForConnectionClose(t *testing.T) {
 	for name, answer := range map[string]string{
-		"random bytes": "\x00noise\r\n\r\n", "a read without its body": "HTTP/1.1 202 x\r\nContent-Length: 999999\r\n\r\n{",
+		"noise": "\x00noise\r\n\r\n", "a read without its body": "HTTP/1.1 202 x\r\nContent-Length: 999999\r\n\r\n{",
 		"an error with a malformed length": "HTTP/1.1 500 x\r\nContent-Length: x\r\n\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
