--- a/internal/front/chat/answer.go
+++ b/internal/front/chat/answer.go
@@ -16,7 +16,7 @@
 	408: "Request Timeout", 413: "Content Too Large", 429: "Too Many Requests", 500: "Internal Server Error",
 	503: "Service Unavailable", 504: "Gateway Timeout"}
 
-// statusCode maps trouble to a status. Only 429 and 503 say that trying again is harmless.
+// statusCode returns the HTTP status for a kind of error. Only 429 and 503 tell the client that a retry is safe.
 func statusCode(t front.ErrorKind) int {
 	switch t {
 	case front.BadRequest:
@@ -35,7 +35,7 @@
 	return 500
 }
 
-// response makes a whole answer.
+// response returns a complete HTTP response. closes adds Connection: close.
 func (f *Front) response(code int, contentType string, body []byte, retryAfter time.Duration, closes bool) []byte {
 	b := make([]byte, 0, 192+len(body))
 	b = append(b, "HTTP/1.1 "...)
@@ -53,7 +53,7 @@
 	return append(b, body...)
 }
 
-// respond answers with a short text and reports whether the connection can take another request.
+// respond sends a response with a short text and reports whether the connection can take another request.
 func (c *conn) respond(code int, text string, retryAfter time.Duration, closes bool) bool {
 	f := c.front
 	closes = closes || f.closing.Load()
@@ -70,13 +70,15 @@
 	return c.complete && !closes
 }
 
+// respondError responds with an error and reports whether the connection can take another request.
 func (c *conn) respondError(e *front.Error, closes bool) bool {
 	return c.respond(statusCode(e.Kind), e.Text, e.RetryAfter, closes)
 }
 
-// streamAnswer hands a request's events on to its client, each as it comes, and its ending.
+// streamAnswer forwards a request's events to its client, each as soon as it arrives, followed by the request's ending. It
+// reports whether the connection can take another request.
 func (c *conn) streamAnswer(ctx context.Context, q *router.Request, closes bool) bool {
-	defer q.Abandon() // of no effect after the ending
+	defer q.Abandon() // has no effect after the ending
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	watcher := c.watchClient(func() {
@@ -113,10 +115,10 @@
 		switch {
 		case end.Kind == router.Gone && (begun || !watcher.stop(c)):
 			return false
-		case end.Kind == router.Gone: // the front has ended before the core
+		case end.Kind == router.Gone: // the core has stopped without an answer
 			return c.respond(500, "the router has stopped", 0, true)
 		case e != nil && begun:
-			return false // ends without the last chunk
+			return false // the stream ends without its last chunk, so the client sees that it is incomplete
 		case !watcher.stop(c):
 			return false
 		case e != nil:
@@ -131,14 +133,15 @@
 	}
 }
 
-// clientWatcher notices that a client has left while its request is open.
+// clientWatcher notices when a client leaves while its request is open.
 type clientWatcher struct {
 	done chan struct{}
 	left bool
 }
 
-// watchClient reads ahead on the connection: the client's leaving may stand behind what it has sent before its answer.
-// Past the bounds of that it shows only when the client is written to.
+// watchClient starts a goroutine that reads ahead on the connection and calls onLeave when the client has closed it: the
+// close may come after further data that the client has sent before its answer. Beyond the limits of the read-ahead the
+// close is noticed only when the router writes to the client.
 func (c *conn) watchClient(onLeave func()) *clientWatcher {
 	w := &clientWatcher{done: make(chan struct{})}
 	c.SetReadDeadline(time.Time{})
@@ -165,7 +168,8 @@
 	return w
 }
 
-// readAhead reads what br has no room for.
+// readAhead reads data for which br has no room into readAheadData. It fails with errNoBodyMemory if its own limit or the
+// common limit on memory for bodies is reached.
 func (c *conn) readAhead() error {
 	if n := len(c.readAheadData); n == cap(c.readAheadData) {
 		grown := min(max(2*n, readBufferSize), maxReadAhead)
@@ -177,7 +181,7 @@
 			c.front.bodyMemory.Add(-more)
 			return errNoBodyMemory
 		}
-		c.readAheadMemory = int64(grown) // dropAhead gives it back
+		c.readAheadMemory = int64(grown) // dropReadAhead returns it
 		c.readAheadData = append(make([]byte, 0, grown), c.readAheadData...)
 	}
 	n, err := c.Conn.Read(c.readAheadData[len(c.readAheadData):cap(c.readAheadData)])
@@ -187,7 +191,7 @@
 
 func isTimeout(err error) bool { return os.IsTimeout(err) }
 
-// stop ends the watch and reports whether the client is still there.
+// stop ends the watch and reports whether the client is still connected.
 func (w *clientWatcher) stop(c *conn) bool {
 	c.SetReadDeadline(pastTime)
 	<-w.done
--- a/internal/front/chat/chat.go
+++ b/internal/front/chat/chat.go
@@ -1,6 +1,7 @@
-// Package chat is the platform's front: chat completions over HTTP/1.1, with what the router has to know in
-// headers. It stands on net and http1, since net/http drops what matters here: a second length header, the
-// end of a head that never comes, the moment at which a connection may be closed. Encoding only.
+// Package chat is the front that speaks the platform's protocol: chat completions over HTTP/1.1, with the information for
+// the router in headers. It is built on net and http1, because net/http hides details that matter here: a second length
+// header, a head without an end, and the moment at which a connection may be closed. The package only translates between
+// the protocol and the router's core; it makes no decisions about requests.
 package chat
 
 import (
@@ -14,7 +15,7 @@
 	"mintdoor/internal/guard"
 )
 
-// Bounds of what a client may send.
+// Limits on client requests and connections. Sizes are in bytes.
 const (
 	MaxBody        = 256 << 10
 	maxHeadSize    = 16 << 10
@@ -22,53 +23,54 @@
 	maxNameLen     = 256
 	maxTokens      = 1e7
 	readBufferSize = 4096
-	maxReadAhead   = maxHeadSize + MaxBody // read of a next request while one is open
-	// lingerTimeout and lingerBytes bound what is still read, and thrown away, after a connection's last answer.
+	maxReadAhead   = maxHeadSize + MaxBody // read of further requests while one is open
+	// lingerTimeout and maxLingerBytes limit what is still read, and discarded, after the last answer on a connection.
 	lingerTimeout  = 500 * time.Millisecond
 	maxLingerBytes = MaxBody
-	// finalAnswerTimeout is how long the core has for its last answers when the front ends at once, and a client to take them.
+	// finalAnswerTimeout is how long the core has for its last answers when the front stops at once, and then how long the
+	// clients have to receive them.
 	finalAnswerTimeout = 500 * time.Millisecond
-	// refusalWriteTimeout bounds the writing of a refusal by the goroutine that accepts.
+	// refusalWriteTimeout limits the time that the accepting goroutine may take to write a refusal.
 	refusalWriteTimeout = time.Millisecond
-	// finalAcceptTime is how long connections in the kernel's queue are taken before the listener closes.
+	// finalAcceptTime is how long connections in the kernel's queue are accepted before the listener closes.
 	finalAcceptTime = 20 * time.Millisecond
-	bytesPerToken   = 4.0 // four characters make a token (PROTOCOL)
+	bytesPerToken   = 4.0 // the protocol assumes four characters per token
 )
 
-// Options are what the front is made of.
+// Options configure a Front.
 type Options struct {
-	Classes         []string // names of the settings' classes
-	SendRetryAfter  bool     // refusals may name a time
-	Tenants         []string // names of the settings' tenants
+	Classes         []string // names of the request classes in the settings
+	SendRetryAfter  bool     // refusals may have a Retry-After header
+	Tenants         []string // names of the tenants in the settings
 	MaxConns        int
-	MaxRefusedConns int           // connections beside MaxConns that are kept for a moment so that a refusal arrives
-	MaxBodyMemory   int64         // of all bodies together
-	RequestTimeout  time.Duration // for a request from its connection's or its first byte's time to its last
-	IdleTimeout     time.Duration // a connection between requests is closed after this
-	WriteTimeout    time.Duration // a client that takes nothing for so long has left
+	MaxRefusedConns int           // connections beyond MaxConns that are kept briefly so that a refusal is delivered
+	MaxBodyMemory   int64         // bytes of memory for all request bodies together
+	RequestTimeout  time.Duration // from the accept of the connection, or a request's first byte, to its last byte
+	IdleTimeout     time.Duration // a connection between requests is closed after this time
+	WriteTimeout    time.Duration // a client that accepts no data for this long counts as having left
 	Log             *slog.Logger
-	Guard           *guard.Guard // of all requests of the process; nil: one of the front's own
+	Guard           *guard.Guard // shared by all requests of the process; nil: the front creates its own
 }
 
-// Front serves clients. Make it with New.
+// Front serves clients of the platform's protocol. Create it with New.
 type Front struct {
 	opts       Options
 	core       front.Core
 	log        *slog.Logger
 	conns      conns
 	bodyMemory atomic.Int64
-	closing    atomic.Bool // every answer is the last on its connection
+	closing    atomic.Bool // the next answer on each connection is its last
 
-	lingerTimeout, finalAnswerTimeout time.Duration // the constants; tests change them
+	lingerTimeout, finalAnswerTimeout time.Duration // set from the constants; tests change them
 
 	mu              sync.Mutex
 	listener        net.Listener
-	stopRequested   bool          // StopListening was called
-	listenerStopped chan struct{} // closed when no connection is accepted any more
-	timers          []*time.Timer // of the end; Serve stops them
+	stopRequested   bool          // StopListening has been called
+	listenerStopped chan struct{} // closed when no further connection will be accepted
+	timers          []*time.Timer // started by stop; Serve stops them
 }
 
-// New returns a front that hands requests to core.
+// New returns a front that submits requests to core.
 func New(opts Options, core front.Core) *Front {
 	if opts.Guard == nil {
 		opts.Guard = guard.New(opts.Log)
@@ -78,19 +80,19 @@
 	return f
 }
 
-// BeginShutdown makes every answer from now on the last of its connection: clients are to go elsewhere. New connections are
-// still taken.
+// BeginShutdown makes every answer from now on the last on its connection, so that clients move to other routers. New
+// connections are still accepted.
 func (f *Front) BeginShutdown() { f.closing.Store(true) }
 
-// CloseIdle closes the connections that have been between two requests for a time: their clients have read the last
-// answer. What crosses the close stays unread.
+// CloseIdle closes connections that have been between two requests for at least idleFor: their clients have read the last
+// answer. A request that arrives while its connection is closed stays unread.
 func (f *Front) CloseIdle(idleFor time.Duration) { f.conns.closeIdle(idleFor) }
 
-// RefuseUnused refuses connections that have brought no request yet.
+// RefuseUnused refuses connections on which no request has arrived yet.
 func (f *Front) RefuseUnused() { f.conns.expireDeadlines(stateNew) }
 
-// RefuseIncomplete refuses requests that have begun to come and are not complete.
+// RefuseIncomplete refuses requests that have been received only in part.
 func (f *Front) RefuseIncomplete() { f.conns.expireDeadlines(stateReceiving) }
 
-// OpenConns tells how many connections are open.
+// OpenConns returns the number of open connections.
 func (f *Front) OpenConns() int { return f.conns.count() }
--- a/internal/front/chat/conn.go
+++ b/internal/front/chat/conn.go
@@ -21,22 +21,22 @@
 	"golang.org/x/sys/unix"
 )
 
-// conn is a client's connection. Its fields are its goroutine's, but for those of conns.
+// conn is a client's connection. Its fields belong to the goroutine that serves it, except entry, which belongs to conns.
 type conn struct {
 	net.Conn
 	front           *Front
 	accepted        time.Time // when it was accepted
 	br              *bufio.Reader
-	readAheadData   []byte // what br had no room for while a request was open
-	readAheadMemory int64  // that ahead takes of the room for bodies
-	entry           entry  // of conns
-	complete        bool   // the last answer was written to its end
+	readAheadData   []byte // data read while a request was open for which br had no room
+	readAheadMemory int64  // bytes of the memory for bodies that readAheadData takes
+	entry           entry  // guarded by conns.mu
+	complete        bool   // the last answer was written completely
 
-	request   *guard.Request // the one that is open; nil between requests
-	endReason string         // why its goroutine ends
+	request   *guard.Request // the open request; nil between requests
+	endReason string         // why the serving goroutine ends
 }
 
-// Read is br's source: first what was read ahead.
+// Read is the source of br. It returns the data that was read ahead first.
 func (c *conn) Read(p []byte) (int, error) {
 	if len(c.readAheadData) == 0 {
 		return c.Conn.Read(p)
@@ -48,6 +48,7 @@
 	return n, nil
 }
 
+// serve reads requests from the connection and answers them, until the connection ends.
 func (c *conn) serve(ctx context.Context) {
 	f := c.front
 	c.br = bufio.NewReaderSize(c, readBufferSize)
@@ -63,13 +64,13 @@
 			if c.complete = false; first {
 				c.respondUnreadable(err)
 			}
-			return // it has left, or rested for long: nothing can be lost any more
+			return // the client has left or was idle for too long: no request can be lost
 		}
 		if !f.conns.transition(c, stateReceiving) {
 			return
 		}
 		within := time.Now().Add(f.opts.RequestTimeout)
-		if first { // what was waited for counts, but bytes that have come get time to be read
+		if first { // the time since the accept counts, but data that has arrived gets time to be read
 			within = latest(c.accepted.Add(f.opts.RequestTimeout), time.Now().Add(f.opts.RequestTimeout/4))
 		}
 		c.SetReadDeadline(within)
@@ -83,7 +84,7 @@
 	}
 }
 
-// recoverPanic answers a request whose handling has panicked; other connections go on.
+// recoverPanic answers a request whose handling has panicked. Other connections are not affected.
 func (c *conn) recoverPanic() {
 	p := recover()
 	if p == nil {
@@ -99,14 +100,15 @@
 	c.request.Closed("panic")
 }
 
-// beginIdle begins the wait for a further request; false if the connection is to end now. In a shutdown it rests too: a
-// request that comes is refused, where an end of sending would cross it, and what is read and thrown away is lost.
+// beginIdle begins the wait for another request. It returns false if the connection is to end now. A connection becomes
+// idle during a shutdown as well, so that a request that still arrives gets a response. If the router closed the
+// connection for sending instead, a request could cross this close, be read and discarded, and so be lost.
 func (c *conn) beginIdle() bool {
 	c.SetReadDeadline(time.Now().Add(c.front.opts.IdleTimeout))
 	return c.front.conns.transition(c, stateIdle)
 }
 
-// awaitRequest waits until something can be read, and reads nothing: see conns.
+// awaitRequest waits until data can be read, without reading it. The type conns says why.
 func (c *conn) awaitRequest() error {
 	if c.br.Buffered() > 0 || len(c.readAheadData) > 0 {
 		return nil
@@ -126,8 +128,8 @@
 	})
 }
 
-// clientGone asks the connection whether its client has ended it, also while another goroutine reads from it. It does not
-// block. An end may stand behind bytes that nobody has read yet.
+// clientGone reports whether the client has closed the connection. It does not block and may be called while another
+// goroutine reads from the connection. The close may come after data that has not been read yet.
 func (c *conn) clientGone() bool {
 	socket, ok := c.Conn.(syscall.Conn)
 	if !ok {
@@ -138,7 +140,7 @@
 		return false
 	}
 	gone := false
-	raw.Control(func(fd uintptr) { // with an error the connection is closed on this side
+	raw.Control(func(fd uintptr) { // an error means that the connection is closed on this side
 		var b [1]byte
 		n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		switch {
@@ -153,13 +155,14 @@
 	return gone
 }
 
-// peerClosed tells whether the peer's end stands behind bytes that wait to be read.
+// peerClosed reports whether the peer has closed the connection after data that is still unread.
 func peerClosed(fd int) bool {
 	poll := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
 	n, err := unix.Poll(poll, 0)
 	return err == nil && n > 0 && poll[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
 }
 
+// latest returns the later of two times.
 func latest(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
@@ -167,21 +170,21 @@
 	return b
 }
 
-// dropReadAhead gives back the room of what was read ahead.
+// dropReadAhead discards the data that was read ahead and returns its memory to the common limit.
 func (c *conn) dropReadAhead() {
 	c.front.bodyMemory.Add(-c.readAheadMemory)
 	c.readAheadData, c.readAheadMemory = nil, 0
 }
 
-// linger ends a connection after an answer.
+// linger ends a connection after a complete answer without resetting it.
 func (c *conn) linger() {
 	if c.complete && c.front.conns.transition(c, stateLingering) {
 		c.front.discard(c.Conn, c.br)
 	}
 }
 
-// discard ends a connection for sending; what still comes is read by r and thrown away, for a close over unread bytes
-// resets the connection, and an answer that its client has not read goes with it.
+// discard closes a connection for sending, then reads and discards what still arrives through r: closing a connection with
+// unread data resets it, and an answer that the client has not read yet would be lost.
 func (f *Front) discard(nc net.Conn, r io.Reader) {
 	tcp, ok := nc.(*net.TCPConn)
 	if !ok || tcp.CloseWrite() != nil {
@@ -191,18 +194,18 @@
 	io.CopyN(io.Discard, r, maxLingerBytes)
 }
 
-// describeEnd says how a request has ended for its connection.
+// describeEnd returns what the end of a request means for its connection; more tells whether it can take another request.
 func (c *conn) describeEnd(more bool) string {
 	switch {
 	case more:
-		return "the connection rests"
+		return "the connection is idle"
 	case c.complete:
 		return "last answer on the connection"
 	}
-	return "the answer is not whole"
+	return "the answer is incomplete"
 }
 
-// takeRequest takes one request and answers it. It reports whether the connection can take another.
+// takeRequest reads one request and answers it. It reports whether the connection can take another request.
 func (c *conn) takeRequest(ctx context.Context) bool {
 	f := c.front
 	c.complete = false
@@ -255,8 +258,8 @@
 	return c.streamAnswer(ctx, q, closes)
 }
 
-// respondUnreadable answers what can't be read and has the connection closed: nobody knows where a next request
-// would begin.
+// respondUnreadable answers a request that can't be read, after which the connection is closed because it is unknown
+// where the next request would begin. It returns false, since the connection can't take another request.
 func (c *conn) respondUnreadable(err error) bool {
 	code, text := 400, err.Error()
 	var late net.Error
@@ -274,7 +277,7 @@
 		code = 413
 	case errors.As(err, &late) && late.Timeout():
 		code, text = 408, "the request did not end in time"
-		if c.front.closing.Load() { // a client that has sent it meanwhile may send it elsewhere
+		if c.front.closing.Load() { // the client may have sent the rest meanwhile and may retry elsewhere
 			code, text = 503, "the router is stopping"
 		}
 	}
@@ -284,8 +287,8 @@
 
 var errNoBodyMemory = errors.New("no room for a body")
 
-// readBody reads a body. What it takes is counted among the bodies of all; the caller counts it off. The room
-// grows as bytes come, whatever length is claimed.
+// readBody reads a request body. Its memory counts towards the common limit, and the caller subtracts it afterwards. The
+// buffer grows as data arrives, whatever length the client has announced.
 func (c *conn) readBody(h *http1.Head) ([]byte, error) {
 	length, chunked, err := h.Framing()
 	if err != nil {
@@ -318,7 +321,7 @@
 		if len(b) == cap(b) {
 			grown := min(max(2*int64(cap(b)), 8<<10), most)
 			if grown == int64(cap(b)) {
-				break // as much as there may be
+				break // the maximum size is reached
 			}
 			if c.front.bodyMemory.Add(grown-int64(cap(b))) > c.front.opts.MaxBodyMemory {
 				c.front.bodyMemory.Add(int64(cap(b)) - grown)
--- a/internal/front/chat/conns.go
+++ b/internal/front/chat/conns.go
@@ -11,44 +11,47 @@
 type connState uint8
 
 const (
-	stateNew       connState = iota // no byte of its first request has been read
+	stateNew       connState = iota // no byte of the first request has been read
 	stateIdle                       // between requests
-	stateReceiving                  // a request is coming
+	stateReceiving                  // a request is being received
 	stateOpen                       // a request is open
-	stateLingering                  // it has had its last answer, and what still comes is thrown away
+	stateLingering                  // the last answer was sent, and data that still arrives is discarded
 	stateClosed
 )
 
+// String returns the name of a state for the log.
 func (s connState) String() string {
 	return [...]string{"fresh", "resting", "receiving", "open", "lingering", "closed"}[s]
 }
 
-// conns is all connections of clients. When there is no room, one on which nothing is owed is closed: a lingering one,
-// else the one that has waited for a request for longest (PROTOCOL: a connection between requests may be closed).
-// A connection leaves the states fresh and resting before the first byte of its request is read, under the same lock
-// as it is closed. So no request is read from a connection that is closed for room, or in a drain: the client sends
-// it once more.
+// conns keeps all client connections. When their limit is reached, it closes a connection on which no answer is due: a
+// lingering one, otherwise the one that has waited longest for a request (the protocol allows closing a connection
+// between requests).
+//
+// A connection leaves stateNew and stateIdle before the first byte of its request is read, under the same lock under
+// which connections are closed. Therefore no request is ever read from a connection that is closed to make room or during
+// a shutdown, and the client can safely send it again.
 type conns struct {
 	maxConns       int
-	maxRefused     int // connections that may linger after a refusal for want of room, beside limit
+	maxRefused     int // connections beyond maxConns that may linger after they were refused
 	tasks          sync.WaitGroup
-	readsWhileOpen atomic.Int64 // times that bytes came while a request was open
+	readsWhileOpen atomic.Int64 // number of reads that returned data while a request was open
 
 	mu           sync.Mutex
 	all          map[*conn]struct{}
-	evictable    list.List // of *conn: lingering, then fresh and resting, longest in front
-	receiving    list.List // of *conn, longest in front
-	refusedCount int       // connections that linger after a refusal
+	evictable    list.List // of *conn: lingering ones, then new and idle ones by waiting time, longest first
+	receiving    list.List // of *conn, by time in the state, longest first
+	refusedCount int       // connections that linger after they were refused
 }
 
-// entry is a connection's place in conns.
+// entry is what conns stores for a connection.
 type entry struct {
 	state   connState
 	since   time.Time     // when the state began
-	element *list.Element // in waiting or receiving, as the state says; else nil
+	element *list.Element // in evictable or receiving, depending on the state; otherwise nil
 }
 
-// add takes a new connection in; false if there is no room for it.
+// add adds a new connection. It returns false if the limit is reached and no other connection can be closed.
 func (s *conns) add(c *conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -64,7 +67,7 @@
 	return true
 }
 
-// setState moves a connection to a state. mu is held.
+// setState sets the state of a connection. The caller holds mu.
 func (s *conns) setState(c *conn, state connState) {
 	switch {
 	case c.entry.element == nil:
@@ -84,7 +87,7 @@
 	}
 }
 
-// transition moves a connection to a state; false if it is closed.
+// transition sets the state of a connection unless it is closed, in which case it returns false.
 func (s *conns) transition(c *conn, state connState) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -95,11 +98,12 @@
 	return true
 }
 
-// evict closes the connection that has waited for longest. Where all are busy with requests, those that have sent for
-// long without an end are to be answered as late, which makes room for others that come. mu is held.
+// evict closes the connection that has waited longest and reports whether there was one. If all connections are busy with
+// requests, those that have been sending a request for more than half of RequestTimeout get a time-out response, which
+// makes room for later connections. The caller holds mu.
 func (s *conns) evict() bool {
 	if e := s.evictable.Front(); e != nil {
-		s.closeConn(e.Value.(*conn), "room is needed")
+		s.closeConn(e.Value.(*conn), "closed to make room")
 		return true
 	}
 	for e := s.receiving.Front(); e != nil; e = e.Next() {
@@ -112,10 +116,10 @@
 	return false
 }
 
-// pastTime is a deadline that is over.
+// pastTime is a deadline in the past, which interrupts a read at once.
 var pastTime = time.Unix(1, 0)
 
-// closeConn closes a connection; its goroutine ends by itself. mu is held.
+// closeConn closes a connection, which makes its goroutine end. The caller holds mu.
 func (s *conns) closeConn(c *conn, reason string) {
 	if c.entry.state == stateClosed {
 		return
@@ -126,13 +130,14 @@
 	c.Conn.Close()
 }
 
+// makeRoom closes a connection if one can be closed.
 func (s *conns) makeRoom() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.evict()
 }
 
-// remove: the connection's goroutine ends.
+// remove closes a connection whose goroutine ends and stops counting it.
 func (s *conns) remove(c *conn) {
 	s.mu.Lock()
 	s.closeConn(c, c.endReason)
@@ -140,7 +145,7 @@
 	s.tasks.Done()
 }
 
-// addRefused counts one more connection that lingers after a refusal; false if there are enough of them.
+// addRefused counts one more connection that lingers after it was refused. It returns false if their limit is reached.
 func (s *conns) addRefused() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -152,7 +157,7 @@
 	return true
 }
 
-// removeRefused counts one that refuse has counted off.
+// removeRefused stops counting a connection that addRefused has counted.
 func (s *conns) removeRefused() {
 	s.mu.Lock()
 	s.refusedCount--
@@ -160,7 +165,8 @@
 	s.tasks.Done()
 }
 
-// closeIdle closes those that have been between requests for a time. One that has had none yet brings its first.
+// closeIdle closes connections that have been between requests for at least idleFor. Connections without any request so
+// far stay open, because their first request is about to arrive.
 func (s *conns) closeIdle(idleFor time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -173,7 +179,7 @@
 	}
 }
 
-// expireDeadlines lets what connections in a state are waiting for be late now.
+// expireDeadlines makes the reads of all connections in a state time out at once. The state is stateNew or stateReceiving.
 func (s *conns) expireDeadlines(state connState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -188,18 +194,21 @@
 	}
 }
 
+// closeAll closes all connections.
 func (s *conns) closeAll() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.all {
-		s.closeConn(c, "the router stops at once")
+		s.closeConn(c, "immediate stop of the router")
 	}
 }
 
+// count returns the number of open connections, including refused ones that linger.
 func (s *conns) count() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.all) + s.refusedCount
 }
 
+// wait waits until the goroutines of all connections have ended.
 func (s *conns) wait() { s.tasks.Wait() }
--- a/internal/front/chat/job.go
+++ b/internal/front/chat/job.go
@@ -16,7 +16,7 @@
 	"mintdoor/internal/settings"
 )
 
-// job is a request's meaning. now is when its last byte had come.
+// job converts a request to a job for the router. now is the time at which its last byte was received.
 func (f *Front) job(h *http1.Head, target string, body []byte, now time.Time) (*router.Job, *front.Error) {
 	header := func(name string) (string, *front.Error) {
 		v, n := h.Get(name)
@@ -46,7 +46,7 @@
 	switch {
 	case firstErr != nil:
 		return nil, firstErr
-	case !http1.IsToken(id): // it becomes part of a path
+	case !http1.IsToken(id): // the id becomes part of a path
 		return nil, front.BadRequestf("%s %.40q is no id", platform.IDHeader, id)
 	case !json.Valid(body):
 		return nil, front.BadRequestf("the body is not JSON")
@@ -71,8 +71,9 @@
 	return j, nil
 }
 
-// forwardedFields returns the fields of a client's message that engines get as they are: what they mean is between the two (an
-// idempotency key, say). The router tells the time and the id itself, and reads the stream, so it can't be encoded.
+// forwardedFields returns the header fields of a client's message that engines get unchanged, such as an idempotency key,
+// which concerns only the client and the engine. The time left and the id are left out because the router sends its own,
+// and Accept-Encoding because the router reads the stream, which therefore must not be encoded.
 func forwardedFields(h *http1.Head) []http1.Field {
 	return slices.DeleteFunc(h.EndToEnd(), func(f http1.Field) bool {
 		return strings.EqualFold(f.Name, platform.TimeLeftHeader) || strings.EqualFold(f.Name, platform.IDHeader) ||
@@ -80,7 +81,7 @@
 	})
 }
 
-// parseFacts takes in the facts of a prompt.
+// parseFacts stores the values of the facts header, which describes the prompt, in a job. It ignores unknown names.
 func parseFacts(j *router.Job, facts string) *front.Error {
 	if facts == "" {
 		return nil
--- a/internal/front/chat/listen.go
+++ b/internal/front/chat/listen.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Serve takes connections until ctx ends, or until StopListening; it returns when all of them are closed. When ctx ends,
-// what is open gets the answer that the core has for it then, or a word of the front.
+// Serve accepts connections until ctx ends or StopListening is called, and returns when all connections are closed. When
+// ctx ends, each open request gets the answer that the core has for it by then, or an error response of the front.
 func (f *Front) Serve(ctx context.Context, l net.Listener) error {
 	requestCtx, cancelRequests := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancelRequests()
@@ -34,13 +34,14 @@
 		case errors.Is(err, net.ErrClosed):
 			return fmt.Errorf("front: %w", err)
 		}
-		f.log.Warn("accept", "err", err) // out of descriptors, or the connection is gone already
+		f.log.Warn("accept", "err", err) // out of file descriptors, or the connection is already gone
 		f.conns.makeRoom()
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// stop ends all connections: at once where no request is open, else after its answer.
+// stop ends all connections: at once if no request is open, otherwise after the request's answer. finalAnswerTimeout
+// limits the wait for answers.
 func (f *Front) stop(l net.Listener, cancelRequests func()) {
 	l.Close()
 	f.BeginShutdown()
@@ -52,6 +53,7 @@
 	f.timers = append(f.timers, time.AfterFunc(f.finalAnswerTimeout, cancelRequests), time.AfterFunc(2*f.finalAnswerTimeout, f.conns.closeAll))
 }
 
+// stopTimers stops the timers that stop has started.
 func (f *Front) stopTimers() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -60,7 +62,7 @@
 	}
 }
 
-// serveConn serves a new connection, or refuses it.
+// serveConn serves a new connection in a goroutine of its own, or refuses it if there are too many.
 func (f *Front) serveConn(ctx context.Context, nc net.Conn) {
 	c := &conn{Conn: nc, front: f, accepted: time.Now()}
 	c.SetReadDeadline(c.accepted.Add(f.opts.RequestTimeout))
@@ -74,8 +76,9 @@
 	}()
 }
 
-// refuse tells a client that there is no room for its connection. The connection is kept for a moment, as a close over
-// unread bytes would reset it, and the answer might go with it; beyond MaxRefused at a time it is closed at once.
+// refuse answers a connection with 503 because there are too many. It keeps the connection open briefly, because closing
+// it with unread data would reset it, and the response might be lost. If MaxRefusedConns connections are kept already, it
+// closes the connection at once.
 func (f *Front) refuse(nc net.Conn) {
 	nc.SetWriteDeadline(time.Now().Add(refusalWriteTimeout))
 	nc.Write(f.response(503, "text/plain", []byte("too many connections\n"), 0, true))
@@ -90,8 +93,8 @@
 	}()
 }
 
-// StopListening takes the connections that wait in the kernel's queue and closes the listener; then the channel that it
-// returns is closed.
+// StopListening accepts the connections that wait in the kernel's queue and then closes the listener. The returned channel
+// is closed when this is done.
 func (f *Front) StopListening() <-chan struct{} {
 	f.mu.Lock()
 	f.stopRequested = true
@@ -103,7 +106,7 @@
 	return f.listenerStopped
 }
 
-// setListener notes the listener, which may have to stop already.
+// setListener stores the listener. If StopListening has been called already, it limits the time for accepting.
 func (f *Front) setListener(l net.Listener) {
 	f.mu.Lock()
 	f.listener = l
@@ -114,13 +117,15 @@
 	}
 }
 
-// limitAccept lets a listener take what waits in the kernel's queue and no more.
+// limitAccept makes a listener time out after finalAcceptTime, which suffices to accept the connections in the kernel's
+// queue.
 func limitAccept(l net.Listener) {
 	if d, ok := l.(interface{ SetDeadline(time.Time) error }); ok {
 		d.SetDeadline(time.Now().Add(finalAcceptTime))
 	}
 }
 
+// isStopping reports whether StopListening has been called.
 func (f *Front) isStopping() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
