--- a/internal/front/chat/chat_test.go
+++ b/internal/front/chat/chat_test.go
@@ -26,7 +26,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// fakeEngines read at once and write what write says.
+// fakeEngines read every prompt at once and write answers with the function write.
 type fakeEngines struct {
 	mu    sync.Mutex
 	calls []*engine.Call
@@ -71,17 +71,20 @@
 	eventEnd = "data: [DONE]\n\n"
 )
 
+// writeAnswer writes a complete answer of two events.
 func writeAnswer(_ context.Context, sink func(string) error) engine.Result {
 	sink(eventA)
 	sink(eventEnd)
 	return engine.Result{Outcome: decide.Served, Report: engine.NoReport(), Tokens: 2}
 }
 
+// hang writes nothing until its attempt is cancelled.
 func hang(ctx context.Context, _ func(string) error) engine.Result {
 	<-ctx.Done()
 	return engine.Result{Outcome: decide.Cancelled, Report: engine.NoReport(), Err: context.Cause(ctx)}
 }
 
+// testFront is a front with a router and fake engines behind it.
 type testFront struct {
 	t       *testing.T
 	front   *Front
@@ -90,9 +93,10 @@
 	addr    string
 
 	stopFront, stopCore context.CancelFunc
-	served              chan struct{} // closed when the front has ended
+	served              chan struct{} // closed when Serve has returned
 }
 
+// startFront starts a front whose engines write answers with write. change may be nil.
 func startFront(t *testing.T, write func(context.Context, func(string) error) engine.Result, change func(*Options)) *testFront {
 	t.Helper()
 	set := &decide.Settings{Routers: 1, MaxAttempts: 6, MayCancel: true, AnswerGrace: 16e6, DrainGrace: 1e9,
@@ -154,6 +158,7 @@
 
 const body = `{"model":"chat","stream":true}`
 
+// message returns a valid request with the given id; change holds pairs of old and new texts to replace in it.
 func message(id string, change ...string) string {
 	m := "POST /v1/chat/completions HTTP/1.1\r\nHost: origin.svc\r\nX-Correlation-Id: " + id + "\r\nX-Service-Class: chat\r\n" +
 		"X-Session-Key: 7f3a\r\nX-Time-Left-Ms: 4800\r\nX-Facts: prefix=5c0f,prompt_len=5120,prefix_len=2048,max_out=800\r\n" +
@@ -161,7 +166,7 @@
 	return strings.NewReplacer(change...).Replace(m)
 }
 
-// readAnswer reads an answer whole; its body's error says whether it was.
+// readAnswer reads a whole response. The error is that of reading the body.
 func readAnswer(t *testing.T, br *bufio.Reader) (*http.Response, string, error) {
 	t.Helper()
 	resp, err := http.ReadResponse(br, nil)
@@ -172,8 +177,8 @@
 	return resp, string(b), err
 }
 
-// A request's way: its meaning, the client's message unchanged to the engine, the events unchanged back, and
-// the next on the same connection.
+// A request is decoded, its message reaches the engine unchanged, the events reach the client unchanged, and the next
+// request is served on the same connection.
 func TestServed(t *testing.T) {
 	w := startFront(t, writeAnswer, nil)
 	c, br := w.dial()
@@ -192,7 +197,7 @@
 	}
 }
 
-// What a client gets that sends what it should not; nothing of it reaches an engine.
+// Malformed requests get the right status, and none of them reaches an engine.
 func TestBadRequests(t *testing.T) {
 	length := fmt.Sprintf("Content-Length: %d", len(body))
 	w := startFront(t, writeAnswer, func(o *Options) { o.MaxBodyMemory = 1 << 20 })
@@ -208,11 +213,11 @@
 		{"a length twice", message("x", length, length+"\r\n"+length), 400},
 		{"negative length", message("x", length, "Content-Length: -1"), 400},
 		{"huge length", message("x", length, "Content-Length: 99999999999999999999"), 413},
-		{"60 MB said", message("x", length, "Content-Length: 60000000"), 413},
+		{"60 MB announced", message("x", length, "Content-Length: 60000000"), 413},
 		{"60 MB in chunks", message("x", length, "Transfer-Encoding: chunked", body,
 			strings.Repeat("8000\r\n"+strings.Repeat("x", 0x8000)+"\r\n", 20)), 413},
 		{"one chunk of 3 GB", message("x", length, "Transfer-Encoding: chunked", body, "c0000000\r\nxx"), 413},
-		{"chunk size is noise", message("x", length, "Transfer-Encoding: chunked", body, "zz\r\n"), 400},
+		{"malformed chunk size", message("x", length, "Transfer-Encoding: chunked", body, "zz\r\n"), 400},
 		{"no id", message("x", "X-Correlation-Id: x\r\n", ""), 400},
 		{"id with a path in it", message("x/../y"), 400},
 		{"id too long", message(strings.Repeat("x", 100)), 400},
@@ -220,12 +225,12 @@
 		{"no class", message("x", "X-Service-Class: chat\r\n", ""), 400},
 		{"unknown class", message("x", "Class: chat", "Class: chess"), 400},
 		{"no deadline", message("x", "X-Time-Left-Ms: 4800\r\n", ""), 400},
-		{"deadline is no number", message("x", "4800", "soon"), 400},
-		{"deadline is not whole", message("x", "4800", "1e3"), 400},
+		{"deadline is not a number", message("x", "4800", "soon"), 400},
+		{"deadline is not an integer", message("x", "4800", "1e3"), 400},
 		{"negative deadline", message("x", "4800", "-5"), 400},
 		{"huge deadline", message("x", "4800", "99999999999999999999"), 400},
 		{"facts without values", message("x", "max_out=800", "max_out"), 400},
-		{"facts that are no lengths", message("x", "prompt_len=5120", "prompt_len=NaN"), 400},
+		{"facts that are not lengths", message("x", "prompt_len=5120", "prompt_len=NaN"), 400},
 		{"negative facts", message("x", "prefix_len=2048", "prefix_len=-1"), 400},
 		{"huge facts", message("x", "max_out=800", "max_out=1e300"), 400},
 		{"no JSON", message("x", body, strings.Repeat("{", len(body))), 400},
@@ -235,11 +240,11 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			conn, br := w.dial()
-			go func() { // the answer may come before all is sent
+			go func() { // the response may arrive before everything is sent
 				io.WriteString(conn, c.in)
 			}()
 			resp, err := http.ReadResponse(br, nil)
-			if err != nil { // closed with what was sent unread: a reset may overtake the answer
+			if err != nil { // the connection was closed with unread data: a reset may overtake the response
 				if c.code == 413 {
 					return
 				}
@@ -256,10 +261,10 @@
 	if n := w.engines.sent(); n != 0 {
 		t.Errorf("%d requests reached an engine", n)
 	}
-	w.eventually("no body is counted any more", func() bool { return w.front.bodyMemory.Load() == 0 })
+	w.eventually("no body counts towards the memory limit", func() bool { return w.front.bodyMemory.Load() == 0 })
 }
 
-// What waits behind a message that can't be read is not taken for a request.
+// Data after a malformed request is not taken for another request.
 func TestNoRequestIsReadAfterMalformedOne(t *testing.T) {
 	w := startFront(t, writeAnswer, nil)
 	c, br := w.dial()
@@ -269,14 +274,14 @@
 		t.Errorf("status %d", resp.StatusCode)
 	}
 	if b, _ := io.ReadAll(br); len(b) > 0 {
-		t.Errorf("more came: %q", b)
+		t.Errorf("data after the response: %q", b)
 	}
 	if w.engines.sent() != 0 {
 		t.Error("the hidden request reached an engine")
 	}
 }
 
-// Half a request, or none, is closed in time.
+// A connection with an incomplete request, or none, is closed after RequestTimeout.
 func TestIncompleteRequestsTimeOut(t *testing.T) {
 	for _, in := range []string{"", "POST /v1", "POST / HTTP/1.1\r\nHost: x\r\n", message("x")[:250]} {
 		w := startFront(t, writeAnswer, func(o *Options) { o.RequestTimeout = 20 * time.Millisecond })
@@ -285,12 +290,12 @@
 		if resp, err := http.ReadResponse(br, nil); err == nil && resp.StatusCode != 408 {
 			t.Errorf("%q: %d", in, resp.StatusCode)
 		}
-		io.Copy(io.Discard, br) // to its end
+		io.Copy(io.Discard, br) // until the connection ends
 		w.eventually("closed", func() bool { return w.front.OpenConns() == 0 })
 	}
 }
 
-// The id of an open request is refused, and the open one goes on.
+// A request with the id of an open request is refused, and the open request continues.
 func TestIDOfAnOpenRequest(t *testing.T) {
 	proceed := make(chan bool)
 	w := startFront(t, func(ctx context.Context, sink func(string) error) engine.Result {
@@ -309,21 +314,21 @@
 	c2, br2 := w.dial()
 	io.WriteString(c2, message("same"))
 	if resp, _, _ := readAnswer(t, br2); resp.StatusCode != 400 {
-		t.Errorf("the second: %d", resp.StatusCode)
+		t.Errorf("second request: status %d", resp.StatusCode)
 	}
 	close(proceed)
 	if b, err := io.ReadAll(resp.Body); string(b) != eventEnd || err != nil {
-		t.Errorf("the first: %q %v", b, err)
+		t.Errorf("first request: %q %v", b, err)
 	}
-	c3, br3 := w.dial() // over, so the id is anybody's
-	w.eventually("it is over", func() bool { return w.router.Stats().Open == 0 })
+	c3, br3 := w.dial() // the first request has ended, so its id may be used again
+	w.eventually("the first request has ended", func() bool { return w.router.Stats().Open == 0 })
 	io.WriteString(c3, message("same"))
 	if resp, _, _ := readAnswer(t, br3); resp.StatusCode != 200 {
-		t.Errorf("the third: %d", resp.StatusCode)
+		t.Errorf("third request: status %d", resp.StatusCode)
 	}
 }
 
-// A stream that breaks ends without the last chunk, at once.
+// When an engine's stream breaks, the client's stream ends at once and without the last chunk.
 func TestBrokenStream(t *testing.T) {
 	w := startFront(t, func(_ context.Context, sink func(string) error) engine.Result {
 		sink(eventA)
@@ -336,7 +341,7 @@
 	}
 }
 
-// A client that leaves takes its request with it, before and in its stream.
+// When a client leaves, its request ends.
 func TestClientLeaves(t *testing.T) {
 	w := startFront(t, hang, nil)
 	c, _ := w.dial()
@@ -346,7 +351,7 @@
 	w.eventually("gone", func() bool { return w.router.Stats().Gone == 1 && w.router.Stats().Open == 0 })
 }
 
-// Requests sent at once are answered in their order.
+// Pipelined requests are answered in order.
 func TestPipelined(t *testing.T) {
 	w := startFront(t, writeAnswer, nil)
 	c, br := w.dial()
@@ -361,7 +366,8 @@
 	}
 }
 
-// Silent connections beyond the bound make room for others, longest silent first; requests that are open stay.
+// When the connection limit is reached, idle connections are closed to make room, those idle for longest first. Open
+// requests are not affected.
 func TestIdleConnectionsMakeRoom(t *testing.T) {
 	proceed := make(chan bool)
 	w := startFront(t, func(ctx context.Context, sink func(string) error) engine.Result {
@@ -378,15 +384,15 @@
 	late, lateBr := w.dial()
 	io.WriteString(late, "GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
 	if resp, _, _ := readAnswer(t, lateBr); resp.StatusCode != 200 {
-		t.Errorf("a late one: %d", resp.StatusCode)
+		t.Errorf("late connection: status %d", resp.StatusCode)
 	}
 	close(proceed)
 	if resp, got, err := readAnswer(t, br); resp.StatusCode != 200 || got != eventA+eventEnd || err != nil {
-		t.Errorf("the open one: %q %v", got, err)
+		t.Errorf("open request: %q %v", got, err)
 	}
 }
 
-// Bodies are bounded together: what is over gets a 503, not memory.
+// All bodies together have a memory limit: a request beyond it gets a 503 and no memory.
 func TestBodyMemoryLimit(t *testing.T) {
 	w := startFront(t, writeAnswer, func(o *Options) { o.MaxBodyMemory = 20 << 10 })
 	c, br := w.dial()
@@ -395,10 +401,10 @@
 	if resp, err := http.ReadResponse(br, nil); err == nil && resp.StatusCode != 503 {
 		t.Errorf("status %d", resp.StatusCode)
 	}
-	w.eventually("counted off", func() bool { return w.front.bodyMemory.Load() == 0 })
+	w.eventually("memory returned", func() bool { return w.front.bodyMemory.Load() == 0 })
 }
 
-// Refusals name a time; where the settings do not allow it, none.
+// Refusals have a Retry-After header only if the settings allow it.
 func TestRefusalRetryAfter(t *testing.T) {
 	for _, allowed := range []bool{true, false} {
 		w := startFront(t, func(context.Context, func(string) error) engine.Result {
@@ -417,16 +423,16 @@
 	}
 }
 
-// Before the end, answers close their connections, and connections between requests are closed; new ones are
-// still answered.
+// During a shutdown answers close their connections and idle connections are closed. Requests on new connections are still
+// answered.
 func TestBeginShutdown(t *testing.T) {
 	w := startFront(t, writeAnswer, nil)
 	idle, idleBr := w.dial()
 	io.WriteString(idle, message("a"))
 	readAnswer(t, idleBr)
 	fresh, freshBr := w.dial()
-	w.eventually("both are there", func() bool { return w.front.OpenConns() == 2 })
-	w.eventually("one is between requests", func() bool {
+	w.eventually("both are connected", func() bool { return w.front.OpenConns() == 2 })
+	w.eventually("one is idle", func() bool {
 		w.front.conns.mu.Lock()
 		defer w.front.conns.mu.Unlock()
 		for e := w.front.conns.evictable.Front(); e != nil; e = e.Next() {
@@ -439,12 +445,12 @@
 	w.front.BeginShutdown()
 	w.front.CloseIdle(0)
 	if _, err := idleBr.ReadByte(); err != io.EOF {
-		t.Errorf("the idle one: %v", err)
+		t.Errorf("idle connection: %v", err)
 	}
 	io.WriteString(fresh, message("b"))
 	resp, got, err := readAnswer(t, freshBr)
 	if resp.StatusCode != 200 || !resp.Close || got != eventA+eventEnd || err != nil {
-		t.Errorf("the fresh one: %+v %q %v", resp, got, err)
+		t.Errorf("new connection: %+v %q %v", resp, got, err)
 	}
 	c, br := w.dial()
 	io.WriteString(c, "GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
@@ -454,7 +460,7 @@
 	w.eventually("all are closed", func() bool { return w.front.OpenConns() == 0 })
 }
 
-// Each event goes out as it comes.
+// Each event is forwarded as soon as it arrives.
 func TestEventsAreForwardedImmediately(t *testing.T) {
 	proceed := make(chan bool)
 	w := startFront(t, func(_ context.Context, sink func(string) error) engine.Result {
--- a/internal/front/chat/crossings_test.go
+++ b/internal/front/chat/crossings_test.go
@@ -17,7 +17,7 @@
 	"mintdoor/internal/http1"
 )
 
-// waitForState waits until some connection is in a state, and returns it.
+// waitForState waits until some connection is in a state and returns that connection.
 func (w *testFront) waitForState(state connState) *conn {
 	w.t.Helper()
 	var found *conn
@@ -36,7 +36,7 @@
 	return found
 }
 
-// readToEnd reads until a connection ends; it returns what came.
+// readToEnd reads until a connection ends and returns the data.
 func readToEnd(t *testing.T, br *bufio.Reader) string {
 	t.Helper()
 	b, err := io.ReadAll(br)
@@ -46,12 +46,12 @@
 	return string(b)
 }
 
-// A request arrives on a resting connection in the moment in which that is closed, for room or in the drain: it is not
-// read, so its client may send it once more, and nothing of it is sent on.
+// A request arrives on an idle connection at the moment when the connection is closed, to make room or for a shutdown. The
+// request is not read, so the client can safely send it again, and it does not reach an engine.
 func TestRequestArrivesWhileConnectionCloses(t *testing.T) {
 	for name, closeIt := range map[string]func(*conns, *conn){
-		"in the drain": func(s *conns, c *conn) { s.closeConn(c, "shutdown") },
-		"for room":     func(s *conns, _ *conn) { s.evict() },
+		"for the shutdown": func(s *conns, c *conn) { s.closeConn(c, "shutdown") },
+		"to make room":     func(s *conns, _ *conn) { s.evict() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := startFront(t, writeAnswer, nil)
@@ -62,23 +62,23 @@
 			}
 			c := w.waitForState(stateIdle)
 			s := &w.front.conns
-			s.mu.Lock() // what has come is waited for, and can't be read
+			s.mu.Lock() // the front sees that data has arrived but can't read it
 			io.WriteString(client, message("b"))
 			closeIt(s, c)
 			s.mu.Unlock()
-			// A close over unread bytes resets the connection; an end would say that they were read.
+			// Closing with unread data resets the connection; a normal end would mean that the data was read.
 			if b, err := br.ReadByte(); !errors.Is(err, syscall.ECONNRESET) {
 				t.Errorf("got %q, %v, want a reset", b, err)
 			}
 			w.eventually("closed", func() bool { return w.front.OpenConns() == 0 })
 			if n := w.engines.sent(); n != 1 {
-				t.Errorf("%d requests were sent on, want the first alone", n)
+				t.Errorf("%d requests reached an engine, want only the first", n)
 			}
 		})
 	}
 }
 
-// A request that has begun to come when the drain begins is read to its end and answered, as the last on its
+// A request that is partly received when the shutdown begins is read to its end and answered as the last one on its
 // connection.
 func TestRequestInPiecesDuringShutdown(t *testing.T) {
 	whole := message("b")
@@ -103,14 +103,14 @@
 				t.Errorf("%+v %q %v", resp, got, err)
 			}
 			if got := readToEnd(t, br); got != "" {
-				t.Errorf("more came: %q", got)
+				t.Errorf("data after the response: %q", got)
 			}
 		})
 	}
 }
 
-// Connections that wait in the kernel's queue when the listener is to close are taken: one that has brought a request
-// gets its answer, one that brings it later too, and whoever comes after that is refused by the kernel.
+// Connections that wait in the kernel's queue when the listener is to close are accepted. A request that was sent already
+// gets its answer, and so does one that is sent later. Later connections are refused by the kernel.
 func TestStopListeningServesQueuedConnections(t *testing.T) {
 	w := startFront(t, writeAnswer, nil)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -136,7 +136,7 @@
 	<-stopped
 	if c, err := net.Dial("tcp", l.Addr().String()); err == nil {
 		c.Close()
-		t.Error("a connection was taken after the listener's end")
+		t.Error("a connection was accepted after the listener was closed")
 	}
 	io.WriteString(late, message("b"))
 	for name, br := range map[string]*bufio.Reader{"early": earlyBr, "late": lateBr} {
@@ -151,8 +151,8 @@
 	}
 }
 
-// A connection that has brought nothing when new ones come no more is told to go elsewhere. Its client may have written
-// a request in that moment: the refusal arrives all the same.
+// A connection without any request when no new connections are accepted gets a refusal, so that its client moves to
+// another router. The client may have written a request at that moment, and the refusal still arrives.
 func TestUnusedConnectionsAreRefusedAtShutdown(t *testing.T) {
 	w := startFront(t, writeAnswer, nil)
 	_, silentBr := w.dial()
@@ -163,12 +163,12 @@
 		t.Errorf("%+v %v", resp, err)
 	}
 	if w.engines.sent() != 0 {
-		t.Error("a request was sent on")
+		t.Error("a request reached an engine")
 	}
 }
 
-// An answer that began before the shutdown did not say that its connection closes. A request that its client sends right
-// behind it is answered, and not read and thrown away; when the connection has rested it is closed without a word.
+// An answer that began before the shutdown has no Connection: close. A request that the client sends right after it is
+// answered rather than read and discarded. Once the connection has been idle for a while it is closed without a response.
 func TestRequestAfterAnswerFromBeforeShutdown(t *testing.T) {
 	gate := make(chan bool)
 	w := startFront(t, writeAfter(gate), nil)
@@ -185,15 +185,16 @@
 		t.Fatal(err)
 	}
 	w.waitForState(stateIdle)
-	w.front.CloseIdle(time.Hour) // it has not rested for so long
+	w.front.CloseIdle(time.Hour) // the connection has not been idle for that long
 	io.WriteString(c, message("b"))
 	if resp, got, err := readAnswer(t, br); resp.StatusCode != 200 || !resp.Close || got != eventA+eventEnd || err != nil {
 		t.Errorf("%+v %q %v", resp, got, err)
 	}
-	w.eventually("it is closed", func() bool { return w.front.OpenConns() == 0 })
+	w.eventually("the connection is closed", func() bool { return w.front.OpenConns() == 0 })
 }
 
-// A request that has not come to its end when the router gives up is refused: its last byte may come in that moment.
+// A request that is still incomplete when the router stops waiting for it is refused, even if its last byte arrives at
+// that moment.
 func TestIncompleteRequestsAreRefusedAtShutdown(t *testing.T) {
 	w := startFront(t, writeAnswer, nil)
 	c, br := w.dial()
@@ -201,22 +202,22 @@
 	io.WriteString(c, whole[:len(whole)-1])
 	w.waitForState(stateReceiving)
 	w.front.BeginShutdown()
-	w.front.RefuseUnused() // is none of its business
+	w.front.RefuseUnused() // does not affect a connection that is receiving a request
 	w.front.RefuseIncomplete()
 	if resp, _, err := readAnswer(t, br); resp.StatusCode != 503 || !resp.Close || err != nil {
 		t.Errorf("%+v %v", resp, err)
 	}
 	io.WriteString(c, whole[len(whole)-1:])
 	if b, err := io.ReadAll(br); len(b) > 0 || err != nil {
-		t.Errorf("behind the refusal: %q, %v", b, err)
+		t.Errorf("data after the refusal: %q, %v", b, err)
 	}
 	if w.engines.sent() != 0 {
-		t.Error("a request was sent on")
+		t.Error("a request reached an engine")
 	}
 }
 
-// A refusal for want of room arrives although the request was never read: the connection is not closed over unread
-// bytes. The connections kept for that are few.
+// A refusal because of too many connections arrives although the request is never read: the connection is not closed with
+// unread data. Only a limited number of connections is kept for this.
 func TestConnectionRefusalIsDelivered(t *testing.T) {
 	gate := make(chan bool)
 	w := startFront(t, writeAfter(gate), func(o *Options) { o.MaxConns, o.MaxRefusedConns = 1, 1 })
@@ -225,7 +226,7 @@
 	io.WriteString(open, message("a"))
 	w.eventually("taken", func() bool { return w.router.Stats().Sends == 2 })
 	s := &w.front.conns
-	s.mu.Lock() // the next connection is not judged before all is written
+	s.mu.Lock() // the next connection is not refused before everything is written
 	second, br := w.dial()
 	io.WriteString(second, bigMessage("b"))
 	s.mu.Unlock()
@@ -235,22 +236,22 @@
 	if _, err := br.ReadByte(); err != io.EOF {
 		t.Errorf("after the refusal: %v", err)
 	}
-	w.eventually("it lingers", func() bool { return w.front.OpenConns() == 2 })
-	_, thirdBr := w.dial() // beyond the few: closed at once
+	w.eventually("the refused connection lingers", func() bool { return w.front.OpenConns() == 2 })
+	_, thirdBr := w.dial() // beyond MaxRefusedConns: closed at once
 	readToEnd(t, thirdBr)
 	if n := w.front.OpenConns(); n > 2 {
 		t.Errorf("%d connections", n)
 	}
 	second.Close()
-	w.eventually("room again", func() bool { return w.front.OpenConns() == 1 })
+	w.eventually("one connection is left", func() bool { return w.front.OpenConns() == 1 })
 	close(gate)
 	if resp, _, err := readAnswer(t, openBr); resp.StatusCode != 200 || err != nil {
-		t.Errorf("the open one: %+v %v", resp, err)
+		t.Errorf("open request: %+v %v", resp, err)
 	}
 }
 
-// A request that is coming is not cut off for room: whoever finds none is refused, and only a client that has sent for
-// long without an end is answered as late.
+// A connection that is receiving a request is not closed to make room; a new connection is refused instead. Only a client
+// that has been sending a request for long gets a time-out response.
 func TestIncomingRequestsAreNotEvicted(t *testing.T) {
 	w := startFront(t, writeAnswer, func(o *Options) { o.MaxConns, o.MaxRefusedConns = 1, 4 })
 	slow, slowBr := w.dial()
@@ -260,30 +261,30 @@
 	other, otherBr := w.dial()
 	io.WriteString(other, message("b"))
 	if resp, _, _ := readAnswer(t, otherBr); resp.StatusCode != 503 {
-		t.Errorf("the other: status %d", resp.StatusCode)
+		t.Errorf("new connection: status %d", resp.StatusCode)
 	}
 	io.WriteString(slow, m[100:])
 	if resp, got, err := readAnswer(t, slowBr); resp.StatusCode != 200 || got != eventA+eventEnd || err != nil {
-		t.Fatalf("the slow one: %+v %q %v", resp, got, err)
+		t.Fatalf("slow client: %+v %q %v", resp, got, err)
 	}
 	w.waitForState(stateIdle)
 	io.WriteString(slow, m[:100])
 	w.waitForState(stateReceiving)
 	s := &w.front.conns
 	s.mu.Lock()
-	c.entry.since = time.Now().Add(-w.front.opts.RequestTimeout) // it has sent for long
+	c.entry.since = time.Now().Add(-w.front.opts.RequestTimeout) // the client has been sending for long
 	s.mu.Unlock()
 	third, _ := w.dial()
 	io.WriteString(third, message("c"))
 	if resp, _, err := readAnswer(t, slowBr); resp.StatusCode != 408 || err != nil {
-		t.Errorf("one without an end: %+v %v", resp, err)
+		t.Errorf("endless request: %+v %v", resp, err)
 	}
 }
 
-// A client that leaves while its body is read, by an end or by a reset: nothing of its request begins.
+// A client leaves while its request's body is read, with a close or a reset. Its request is not started.
 func TestClientLeavesDuringBody(t *testing.T) {
 	for name, leave := range map[string]func(*net.TCPConn){
-		"by an end":   func(c *net.TCPConn) { c.Close() },
+		"by a close":  func(c *net.TCPConn) { c.Close() },
 		"half closed": func(c *net.TCPConn) { c.CloseWrite() },
 		"by a reset":  func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
 	} {
@@ -296,14 +297,14 @@
 			leave(c.(*net.TCPConn))
 			w.eventually("closed", func() bool { return w.front.OpenConns() == 0 })
 			if n := w.engines.sent(); n != 0 {
-				t.Errorf("%d requests were sent on", n)
+				t.Errorf("%d requests reached an engine", n)
 			}
 		})
 	}
 }
 
-// A client that leaves while its request is open, by an end, by a reset, or in the moment of its first event: the
-// attempt is given up and nothing more begins.
+// A client leaves while its request is open, with a close or a reset, before or at the moment of the first event. The
+// attempt is cancelled and no further attempt starts.
 func TestClientLeavesDuringOpenRequest(t *testing.T) {
 	for name, leave := range map[string]func(*net.TCPConn){
 		"half closed": func(c *net.TCPConn) { c.CloseWrite() },
@@ -337,7 +338,7 @@
 	}
 }
 
-// Legal forms of a message, in pieces of every size: served as whole ones are.
+// Valid forms of a request are served like the plain form, also when they arrive in small pieces.
 func TestValidMessageFormsInPieces(t *testing.T) {
 	w := startFront(t, writeAnswer, nil)
 	plain := message("ID")
@@ -345,7 +346,7 @@
 		"plain":                plain,
 		"lower case names":     strings.NewReplacer("X-Correlation-Id", "x-correlation-id", "Content-Length", "content-length").Replace(plain),
 		"no space, two spaces": strings.NewReplacer("Class: chat", "Class:chat", "Host: ", "Host:  \t ").Replace(plain),
-		"blank line in front":  "\r\n" + plain,
+		"blank line before":    "\r\n" + plain,
 		"bare line feeds":      strings.ReplaceAll(plain, "\r\n", "\n"),
 		"chunks": strings.Replace(strings.Replace(plain, "Content-Length: 30", "Transfer-Encoding: chunked", 1), body,
 			"5;x=y\r\n"+body[:5]+"\r\n019\r\n"+body[5:]+"\r\n0\r\nTrailer: x\r\n\r\n", 1),
@@ -371,7 +372,7 @@
 	}
 }
 
-// Every Connection header counts, wherever its 'close' stands.
+// The option "close" counts in every Connection header and at every position.
 func TestCloseInASecondHeader(t *testing.T) {
 	w := startFront(t, writeAnswer, nil)
 	c, br := w.dial()
@@ -381,7 +382,7 @@
 	}
 }
 
-// The tenant that a client names is the settings' one; one that they do not know has no share.
+// A tenant that a client names is looked up in the settings. An unknown tenant has no quota.
 func TestTenants(t *testing.T) {
 	f := New(Options{Classes: []string{"chat"}, Tenants: []string{"", "stall-a", "stall-b"}, Log: slog.New(slog.DiscardHandler)}, nil)
 	for header, want := range map[string]int{"X-Account: stall-b\r\n": 2, "X-Account: other\r\n": -1, "": -1} {
@@ -404,7 +405,7 @@
 	}
 }
 
-// Settings have '_' for a space or a comma in a name, clients the name itself.
+// Settings replace spaces and commas in names by '_', while clients send the original names.
 func TestNamesAreNormalizedAsInSettings(t *testing.T) {
 	f := New(Options{Classes: []string{"chat", "price_ask"}, Tenants: []string{"stall__a"}, Log: slog.New(slog.DiscardHandler)}, nil)
 	m := message("a", "Class: chat", "Class: price ask\r\nX-Account: stall, a")
@@ -418,8 +419,8 @@
 	}
 }
 
-// What a client's header says to its engine is passed on, as an idempotency key; what belongs to the connection, to the
-// framing or to the router is not.
+// Header fields for the engine, such as an idempotency key, are forwarded. Fields of the connection, of the message framing
+// and of the router are not.
 func TestForwardedHeaderFields(t *testing.T) {
 	w := startFront(t, writeAnswer, nil)
 	c, br := w.dial()
@@ -435,12 +436,12 @@
 	want := "Idempotency-Key: ff4d, X-Own: a, X-Own: b, X-Service-Class: chat, X-Session-Key: 7f3a, " +
 		"X-Facts: prefix=5c0f,prompt_len=5120,prefix_len=2048,max_out=800"
 	if strings.Join(got, ", ") != want {
-		t.Errorf("passed on %q, want %q", got, want)
+		t.Errorf("forwarded %q, want %q", got, want)
 	}
 }
 
-// The context ends while requests are open, are coming and rest: who has sent a request gets its answer, who is sending one
-// a word, and nobody is closed on without one.
+// Serve's context ends while one request is open, one is partly received and one connection is new. The open request gets
+// its answer, the others get a refusal, and no connection is closed without a response.
 func TestAnswersWhenContextEnds(t *testing.T) {
 	for name, coreEnds := range map[string]bool{"with the core": true, "before the core": false} {
 		t.Run(name, func(t *testing.T) {
@@ -466,7 +467,7 @@
 					t.Errorf("%s: %+v %v", what, resp, err)
 				}
 				if got := readToEnd(t, want.br); got != "" {
-					t.Errorf("%s: %q behind the answer", what, got)
+					t.Errorf("%s: %q after the response", what, got)
 				}
 			}
 			<-w.served
--- a/internal/front/chat/leave_test.go
+++ b/internal/front/chat/leave_test.go
@@ -12,13 +12,13 @@
 	"mintdoor/internal/engine"
 )
 
-// bigMessage is a message with a body of many bytes, more than the connection's buffer takes.
+// bigMessage returns a request with a body that is larger than the connection's buffer.
 func bigMessage(id string) string {
 	text := `{"model":"chat","x":"` + strings.Repeat("y", 5*readBufferSize) + `"}`
 	return message(id, fmt.Sprintf("Content-Length: %d", len(body)), fmt.Sprintf("Content-Length: %d", len(text)), body, text)
 }
 
-// writeAfter is a writer that waits for the gate.
+// writeAfter returns a write function that writes its answer after a value arrives from gate.
 func writeAfter(gate chan bool) func(context.Context, func(string) error) engine.Result {
 	return func(ctx context.Context, sink func(string) error) engine.Result {
 		select {
@@ -30,8 +30,8 @@
 	}
 }
 
-// A client's leaving stands behind whatever it has sent before, in one piece or in several: it ends the request
-// that is open, and nothing of what stands in front of it is begun.
+// A client leaves after it has sent further data, in one piece or in several. The open request ends, and none of the
+// requests in that data is started.
 func TestClientLeavesAfterFurtherData(t *testing.T) {
 	for name, pieces := range map[string][]string{
 		"half a line":             {"PO"},
@@ -57,13 +57,13 @@
 				t.Errorf("%d attempts, want the read and the write of the first request", n)
 			}
 			if n := w.front.bodyMemory.Load(); n != 0 {
-				t.Errorf("%d bytes are still counted", n)
+				t.Errorf("%d bytes still count towards the memory limit", n)
 			}
 		})
 	}
 }
 
-// What was read ahead is served in its order once the request before it is over.
+// Requests that were read ahead are served in order once the request before them has ended.
 func TestPipelinedPastTheBuffer(t *testing.T) {
 	gate := make(chan bool)
 	w := startFront(t, writeAfter(gate), nil)
@@ -76,11 +76,11 @@
 			t.Fatalf("status %d, %v; want %d", resp.StatusCode, err, want)
 		}
 	}
-	w.eventually("counted off", func() bool { return w.front.bodyMemory.Load() == 0 })
+	w.eventually("memory returned", func() bool { return w.front.bodyMemory.Load() == 0 })
 }
 
-// A close over bytes that nobody has read resets the connection, and the answer may go with it: the last answer's
-// connection is ended for sending first, and what still comes is read and not served.
+// Closing a connection with unread data resets it, and the answer may be lost. After the last answer the connection is
+// therefore first closed for sending, and data that still arrives is read but not served.
 func TestLastAnswerIsNotReset(t *testing.T) {
 	gate := make(chan bool)
 	w := startFront(t, writeAfter(gate), func(o *Options) { o.MaxBodyMemory = 3 * readBufferSize })
@@ -88,23 +88,23 @@
 	io.WriteString(c, message("a"))
 	w.eventually("taken", func() bool { return w.router.Stats().Sends == 2 })
 	w.front.BeginShutdown()
-	io.WriteString(c, bigMessage("b")) // more than is read ahead: some of it stays unread
+	io.WriteString(c, bigMessage("b")) // larger than the read-ahead: some of it stays unread
 	close(gate)
 	resp, got, err := readAnswer(t, br)
 	if resp.StatusCode != 200 || got != eventA+eventEnd || err != nil {
 		t.Fatalf("%+v %q %v", resp, got, err)
 	}
 	if n, err := io.Copy(io.Discard, br); n != 0 || err != nil {
-		t.Errorf("after the answer %d bytes and %v, want the end", n, err)
+		t.Errorf("after the answer %d bytes and %v, want EOF", n, err)
 	}
 	c.Close()
 	w.eventually("closed", func() bool { return w.front.OpenConns() == 0 })
 	if n := w.router.Stats().Sends; n != 2 {
-		t.Errorf("%d attempts: what was read after the end was sent on", n)
+		t.Errorf("%d attempts: a request read after the last answer was served", n)
 	}
 }
 
-// A connection that lingers is the first to make room.
+// A lingering connection is the first one that is closed to make room.
 func TestLingeringConnectionIsEvictedFirst(t *testing.T) {
 	w := startFront(t, writeAnswer, func(o *Options) { o.MaxConns = 1 })
 	c, br := w.dial()
@@ -112,7 +112,7 @@
 	if resp, _, err := readAnswer(t, br); resp.StatusCode != 200 || err != nil {
 		t.Fatalf("%d %v", resp.StatusCode, err)
 	}
-	next, nextBr := w.dial() // the first client has not closed
+	next, nextBr := w.dial() // the first client has not closed its connection
 	io.WriteString(next, message("b"))
 	resp, err := http.ReadResponse(nextBr, nil)
 	if err != nil || resp.StatusCode != 200 {
@@ -120,7 +120,7 @@
 	}
 }
 
-// Where the bodies have no room left nothing is read ahead, and nothing is counted for it.
+// If the memory for bodies is used up, nothing is read ahead and no memory is counted for it.
 func TestReadAheadWithoutBodyMemory(t *testing.T) {
 	f := New(Options{MaxBodyMemory: readBufferSize - 1}, nil)
 	c := &conn{front: f}
