--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -1,5 +1,5 @@
-// Package front holds what all fronts share: what a request means, its bounds, and what an ending is to a
-// client. A front itself is left with its encoding.
+// Package front has what all fronts share: converting a decoded request to a job, checking its limits, and translating the
+// ending of a request to an error for the client. A front itself only encodes and decodes its protocol.
 package front
 
 import (
@@ -13,54 +13,54 @@
 	"mintdoor/internal/router"
 )
 
-// Core is the router's core as fronts use it.
+// Core is the part of the router's core that fronts use.
 type Core interface {
 	Submit(job *router.Job) (*router.Request, error)
 	Ready() bool
 }
 
-// ErrorKind is the kind of an answer that is no success; each front maps it to its protocol's status.
+// ErrorKind is the kind of an error response. Each front maps it to a status of its protocol.
 type ErrorKind uint8
 
-// The kinds of trouble.
+// The kinds of error responses.
 const (
-	BadRequest  ErrorKind = iota + 1 // the request itself is wrong
+	BadRequest  ErrorKind = iota + 1 // the request is invalid
 	NotFound                         // no such model, version or path
-	TooLarge                         // body over the limit
-	Busy                             // refused: come again later
-	Unavailable                      // the router takes nothing now
-	Failed                           // failed, no word on the effect
-	TimedOut                         // failed for want of time
-	ClientLeft                       // nobody is there to read it
+	TooLarge                         // the body exceeds the limit
+	Busy                             // refused; the client may retry later
+	Unavailable                      // the router accepts no requests now
+	Failed                           // failed; it is unknown whether the request had an effect
+	TimedOut                         // failed because its time was over
+	ClientLeft                       // the client has left, so nobody reads the response
 )
 
-// Error is an answer that is no success. RetryAfter is advice with Busy and Unavailable; 0 is none.
+// Error is an error response to a client. RetryAfter is the suggested retry delay with Busy and Unavailable; 0 means none.
 type Error struct {
 	Kind       ErrorKind
 	Text       string
 	RetryAfter time.Duration
 }
 
+// Error returns the text of the response.
 func (e *Error) Error() string { return e.Text }
 
-// BadRequestf says what is wrong with a request.
+// BadRequestf returns an error of kind BadRequest whose formatted text says what is wrong with the request.
 func BadRequestf(format string, args ...any) *Error {
 	return &Error{Kind: BadRequest, Text: fmt.Sprintf(format, args...)}
 }
 
-// DecodedRequest is a request as a front has decoded it.
+// DecodedRequest is a request that a front has decoded from its protocol.
 type DecodedRequest struct {
 	ID      string
 	Model   string
-	Version string // "" any
+	Version string // "": any version
 	Prompt  string
 	Params  kserve.Parameters
-	// Timeout is the client's own bound where the transport tells one; 0 is none.
+	// Timeout is the client's own time-out if the transport carries one; 0 means none.
 	Timeout time.Duration
 }
 
-// The request parameters that have a meaning to the router. All others are passed over, as the protocol
-// asks.
+// The names of the request parameters that the router interprets. It ignores all others, as the protocol requires.
 const (
 	ParamClass        = "class"
 	ParamTenant       = "tenant"
@@ -75,20 +75,20 @@
 	ParamResume       = "resume"
 )
 
-// Bounds of what a client may name.
+// Limits on what a client may send.
 const (
 	maxNameLen = 256 // bytes of an id or a name
 	// MaxDeadline is the longest that a client may wait.
 	MaxDeadline = 10 * time.Minute
 )
 
-// JobBuilder turns inputs into jobs by the settings. It is safe for concurrent use.
+// JobBuilder converts decoded requests to jobs according to the settings. It is safe for concurrent use.
 type JobBuilder struct{ set *config.Settings }
 
-// NewJobBuilder returns the meaning of requests under some settings.
+// NewJobBuilder returns a JobBuilder with the given settings.
 func NewJobBuilder(set *config.Settings) *JobBuilder { return &JobBuilder{set: set} }
 
-// CheckModel checks a model's name and version; the empty version is any.
+// CheckModel checks the name and version of a model. The empty version stands for any version.
 func (m *JobBuilder) CheckModel(name, version string) *Error {
 	if name != m.set.Model {
 		return &Error{Kind: NotFound, Text: fmt.Sprintf("unknown model %q", truncate(name))}
@@ -99,12 +99,13 @@
 	return nil
 }
 
-// paramReader collects the first error of a request's parameters.
+// paramReader reads a request's parameters and keeps the first error.
 type paramReader struct {
 	p   kserve.Parameters
 	err error
 }
 
+// text returns a string parameter, or "" if it is absent or invalid.
 func (r *paramReader) text(name string) string {
 	s, err := r.p.Text(name)
 	if err == nil && len(s) > maxNameLen {
@@ -114,6 +115,7 @@
 	return s
 }
 
+// number returns a numeric parameter, or fallback if it is absent or invalid.
 func (r *paramReader) number(name string, fallback float64) float64 {
 	f, ok, err := r.p.Number(name)
 	r.noteError(err)
@@ -123,19 +125,21 @@
 	return f
 }
 
+// flag returns a boolean parameter, or false if it is absent or invalid.
 func (r *paramReader) flag(name string) bool {
 	b, err := r.p.Bool(name)
 	r.noteError(err)
 	return b
 }
 
+// noteError keeps err unless an earlier error is kept already.
 func (r *paramReader) noteError(err error) {
 	if r.err == nil {
 		r.err = err
 	}
 }
 
-// Job returns what an input asks for, or what is wrong with it. now is when it arrived.
+// Job converts a decoded request to a job, or returns what is wrong with it. now is the time at which the request arrived.
 func (m *JobBuilder) Job(in *DecodedRequest, now time.Time) (*router.Job, *Error) {
 	if e := m.CheckModel(in.Model, in.Version); e != nil {
 		return nil, e
@@ -191,7 +195,8 @@
 			j.PromptTokens, out, m.set.MaxContext)
 	}
 	j.LengthHint = time.Duration(hint * float64(c.TokenIntervalTarget))
-	// Without a word of the client the class's deadline holds, and long prompts get twice what their aim gets.
+	// If the client sets no deadline, the deadline of the class applies, plus twice the first-token target's share for the
+	// prompt's length.
 	patience := time.Duration(float64(c.Deadline) + 2*float64(c.FirstTokenTargetPerK)*j.PromptTokens/1000)
 	if within > 0 {
 		patience = time.Duration(min(within*1e6, float64(MaxDeadline)))
@@ -203,7 +208,7 @@
 	return j, nil
 }
 
-// SubmitError tells what an error of Submit is to a client.
+// SubmitError returns the error response for an error of Submit.
 func SubmitError(err error) *Error {
 	switch {
 	case errors.Is(err, router.ErrDeadlinePassed):
@@ -215,7 +220,7 @@
 	}
 }
 
-// EndingError tells what an ending is to a client; nil for one that was served.
+// EndingError returns the error response for the ending of a request, or nil if it was served.
 func EndingError(e *router.Ending) *Error {
 	switch e.Kind {
 	case router.Served:
@@ -234,7 +239,7 @@
 	return &Error{Kind: t, Text: "failed: " + e.Reason}
 }
 
-// truncate shortens what a client sent to what an error may repeat.
+// truncate shortens a text that a client has sent to the length that an error may repeat, and makes it valid UTF-8.
 func truncate(s string) string {
 	const most = 60
 	s = strings.ToValidUTF8(s, "?")
--- a/internal/front/rest/rest.go
+++ b/internal/front/rest/rest.go
@@ -1,5 +1,5 @@
-// Package rest is the KServe V2 front over HTTP: health, metadata, infer and the generate extension of
-// the Open Inference Protocol's HTTP/REST specification. docs/kserve.md has the table of what is done.
+// Package rest is the KServe V2 front over HTTP: health, metadata, inference and the generate extension of the Open
+// Inference Protocol's HTTP/REST specification. docs/kserve.md lists what is implemented.
 package rest
 
 import (
@@ -24,10 +24,10 @@
 )
 
 const (
-	maxElements = 1 << 16 // of an input tensor
+	maxElements = 1 << 16 // maximum number of elements of an input tensor
 	textInput   = "text_input"
 	textOutput  = "text_output"
-	idleTimeout = 5 * time.Minute // a connection without a request is closed after this
+	idleTimeout = 5 * time.Minute // a connection without a request is closed after this time
 )
 
 // Front serves the protocol for one model.
@@ -40,7 +40,7 @@
 	mux     *http.ServeMux
 }
 
-// New returns a front over a core. version is the server's, for its metadata.
+// New returns a front that submits requests to core. version is the server's version in its metadata.
 func New(set *config.Settings, core front.Core, log *slog.Logger, version string) *Front {
 	f := &Front{set: set, core: core, jobs: front.NewJobBuilder(set), log: log, version: version,
 		mux: http.NewServeMux()}
@@ -60,7 +60,7 @@
 	return f
 }
 
-// route serves a path by one method; by any other it answers 405 in the protocol's form.
+// route serves a path with one HTTP method. All other methods get a 405 in the protocol's form.
 func (f *Front) route(method, path string, h http.HandlerFunc) {
 	f.mux.HandleFunc(method+" "+path, h)
 	f.mux.HandleFunc(path, func(w http.ResponseWriter, r *http.Request) {
@@ -69,9 +69,10 @@
 	})
 }
 
+// ServeHTTP implements http.Handler.
 func (f *Front) ServeHTTP(w http.ResponseWriter, r *http.Request) { f.mux.ServeHTTP(w, r) }
 
-// Serve serves a listener until ctx ends; then it waits, at most within, for answers under way.
+// Serve accepts connections until ctx ends. Then it waits for unfinished answers, at most for timeout.
 func (f *Front) Serve(ctx context.Context, l net.Listener, timeout time.Duration) error {
 	s := &http.Server{
 		Handler:           f,
@@ -96,7 +97,7 @@
 	return nil
 }
 
-// statusCodes is the HTTP status of each kind of trouble.
+// statusCodes has the HTTP status of each kind of error.
 var statusCodes = map[front.ErrorKind]int{
 	front.BadRequest:  http.StatusBadRequest,
 	front.NotFound:    http.StatusNotFound,
@@ -108,10 +109,10 @@
 	front.ClientLeft:  http.StatusBadGateway,
 }
 
-// fail answers with the specification's error object.
+// fail responds with the specification's error object.
 func (f *Front) fail(w http.ResponseWriter, r *http.Request, e *front.Error) {
 	if e.RetryAfter > 0 {
-		// RFC 9110, section 10.2.3, knows whole seconds only; the exact time stands beside it.
+		// RFC 9110, section 10.2.3, allows whole seconds only; Retry-After-Ms has the exact time.
 		w.Header().Set("Retry-After", strconv.Itoa(int(math.Ceil(e.RetryAfter.Seconds()))))
 		w.Header().Set("Retry-After-Ms", strconv.FormatInt(e.RetryAfter.Milliseconds(), 10))
 	}
@@ -121,6 +122,7 @@
 	f.write(w, statusCodes[e.Kind], kserve.ErrorResponse{Error: e.Text})
 }
 
+// write responds with v as JSON.
 func (f *Front) write(w http.ResponseWriter, code int, v any) {
 	body, err := json.Marshal(v)
 	if err != nil {
@@ -131,10 +133,12 @@
 	w.Write(body)
 }
 
+// live answers the liveness check of the server.
 func (f *Front) live(w http.ResponseWriter, r *http.Request) {
 	f.write(w, http.StatusOK, map[string]bool{"live": true})
 }
 
+// ready answers the readiness check of the server.
 func (f *Front) ready(w http.ResponseWriter, r *http.Request) {
 	if !f.core.Ready() {
 		f.fail(w, r, &front.Error{Kind: front.Unavailable, Text: "not ready"})
@@ -143,11 +147,13 @@
 	f.write(w, http.StatusOK, map[string]bool{"ready": true})
 }
 
+// serverMetadata answers a request for the metadata of the server.
 func (f *Front) serverMetadata(w http.ResponseWriter, r *http.Request) {
 	f.write(w, http.StatusOK, kserve.ServerMetadata{Name: "mintdoor", Version: f.version,
 		Extensions: []string{"generate"}})
 }
 
+// modelMetadata answers a request for the metadata of the model.
 func (f *Front) modelMetadata(w http.ResponseWriter, r *http.Request) {
 	if e := f.jobs.CheckModel(r.PathValue("model"), r.PathValue("version")); e != nil {
 		f.fail(w, r, e)
@@ -161,6 +167,7 @@
 		Outputs: []kserve.TensorMetadata{{Name: textOutput, Datatype: "BYTES", Shape: one}}})
 }
 
+// modelReady answers the readiness check of the model.
 func (f *Front) modelReady(w http.ResponseWriter, r *http.Request) {
 	if e := f.jobs.CheckModel(r.PathValue("model"), r.PathValue("version")); e != nil {
 		f.fail(w, r, e)
@@ -173,7 +180,7 @@
 	f.write(w, http.StatusOK, map[string]any{"name": f.set.Model, "ready": true})
 }
 
-// decodeBody decodes a request's body within its bounds of bytes and time.
+// decodeBody decodes a request's body into v, within the limits on its size and time.
 func (f *Front) decodeBody(w http.ResponseWriter, r *http.Request, v any) *front.Error {
 	if r.ContentLength > f.set.MaxBody {
 		w.Header().Set("Connection", "close")
@@ -185,10 +192,10 @@
 	var large *http.MaxBytesError
 	switch {
 	case err == nil:
-		control.SetReadDeadline(time.Time{}) // from here on reading only tells whether the client is there
+		control.SetReadDeadline(time.Time{}) // from here on reading only shows whether the client is still connected
 		return nil
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		// The deadline stays: the server would else wait for the rest of the body before it answers.
+		// The deadline is not reset, or else the server would wait for the rest of the body before it responds.
 		w.Header().Set("Connection", "close")
 		return &front.Error{Kind: front.BadRequest, Text: fmt.Sprintf("the body did not come within %v", f.set.HeaderTimeout)}
 	case errors.As(err, &large):
@@ -198,11 +205,13 @@
 	}
 }
 
+// tooLarge returns the error for a body over the limit.
 func (f *Front) tooLarge() *front.Error {
 	return &front.Error{Kind: front.TooLarge, Text: fmt.Sprintf("the body is larger than %d bytes", f.set.MaxBody)}
 }
 
-// submit decodes nothing more: it hands an input to the core.
+// submit converts a decoded request to a job and submits it to the core. If that fails, it responds with the error and
+// returns nil.
 func (f *Front) submit(w http.ResponseWriter, r *http.Request, in *front.DecodedRequest) *router.Request {
 	in.Model, in.Version = r.PathValue("model"), r.PathValue("version")
 	job, e := f.jobs.Job(in, time.Now())
@@ -217,6 +226,7 @@
 	return nil
 }
 
+// infer answers an infer request with the whole answer.
 func (f *Front) infer(w http.ResponseWriter, r *http.Request) {
 	var body kserve.InferRequest
 	if e := f.decodeBody(w, r, &body); e != nil {
@@ -242,7 +252,7 @@
 		Outputs: []kserve.Tensor{kserve.TextTensor(textOutput, text)}})
 }
 
-// inferInput finds the prompt among the tensors and checks all of them.
+// inferInput checks all tensors of an infer request and returns it decoded, with the prompt from the tensor text_input.
 func inferInput(body *kserve.InferRequest) (*front.DecodedRequest, *front.Error) {
 	badRequest := func(err error) (*front.DecodedRequest, *front.Error) {
 		return nil, &front.Error{Kind: front.BadRequest, Text: err.Error()}
@@ -291,7 +301,7 @@
 	return in, nil
 }
 
-// collect reads a request to its end.
+// collect reads a request's answer to its end and returns its whole text.
 func collect(ctx context.Context, q *router.Request) (string, *router.Ending) {
 	var text []byte
 	for {
@@ -303,7 +313,7 @@
 	}
 }
 
-// submitGenerate takes a generate request; when it returns nil, all is said already.
+// submitGenerate decodes a generate request and submits it. If q is nil, the error response has been sent already.
 func (f *Front) submitGenerate(w http.ResponseWriter, r *http.Request) (id string, q *router.Request) {
 	var body kserve.GenerateRequest
 	if e := f.decodeBody(w, r, &body); e != nil {
@@ -313,6 +323,7 @@
 	return body.ID, f.submit(w, r, &front.DecodedRequest{ID: body.ID, Prompt: body.TextInput, Params: body.Parameters})
 }
 
+// generate answers a generate request with the whole answer.
 func (f *Front) generate(w http.ResponseWriter, r *http.Request) {
 	id, q := f.submitGenerate(w, r)
 	if q == nil {
@@ -327,16 +338,16 @@
 		ID: id, TextOutput: text, Details: &kserve.Details{FinishReason: end.FinishReason}})
 }
 
-// generateStream streams an answer as server-sent events, one a token and one for the end. Before the
-// first token an error is an HTTP status; after it, an event with the error, and the stream ends.
+// generateStream streams an answer as server-sent events: one for each token and one for the end. An error before the
+// first token is reported with an HTTP status. A later error is reported with an event that ends the stream.
 func (f *Front) generateStream(w http.ResponseWriter, r *http.Request) {
 	id, q := f.submitGenerate(w, r)
 	if q == nil {
 		return
 	}
-	defer q.Abandon() // of no effect after the ending
+	defer q.Abandon() // has no effect after the ending
 	out := f.newStream(w, id)
-	defer out.control.SetWriteDeadline(time.Time{}) // the connection may serve others after this
+	defer out.control.SetWriteDeadline(time.Time{}) // the connection may serve further requests
 	for {
 		text, end := q.Next(r.Context())
 		if end == nil {
@@ -359,16 +370,17 @@
 	}
 }
 
-// stream writes events. Every write has a deadline, so that a client that does not read is noticed.
+// stream writes server-sent events. Every write has a deadline, so that a client that does not read is noticed.
 type stream struct {
 	w       http.ResponseWriter
 	control *http.ResponseController
 	stall   time.Duration
 	begun   bool
-	head    []byte // of a token's event, up to its text
+	head    []byte // start of a token's event, up to its text
 	buf     []byte
 }
 
+// newStream returns a stream of events for the request with the given id.
 func (f *Front) newStream(w http.ResponseWriter, id string) *stream {
 	head, _ := json.Marshal(struct {
 		Name    string `json:"model_name"`
@@ -380,6 +392,7 @@
 	return s
 }
 
+// token writes the event of one token.
 func (s *stream) token(text string, flush bool) error {
 	quoted, err := json.Marshal(text)
 	if err != nil {
@@ -390,6 +403,7 @@
 	return s.send(flush)
 }
 
+// event writes an event with v as its data.
 func (s *stream) event(v *kserve.GenerateResponse) error {
 	data, err := json.Marshal(v)
 	if err != nil {
@@ -399,6 +413,7 @@
 	return s.send(true)
 }
 
+// send writes the event in buf, preceded by the response header if it is the first one.
 func (s *stream) send(flush bool) error {
 	if !s.begun {
 		s.begun = true
