--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -1,5 +1,5 @@
-// Package discovery tells a router which engines there are. A Source hands on what it learns as Updates;
-// the list file is the first, others join by the same interface.
+// Package discovery provides a router with the list of engines. A Source reports the list and its changes as Updates. The
+// package has a source that reads a list file; other sources implement the same interface.
 package discovery
 
 import (
@@ -13,25 +13,25 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Engine is one entry of a list.
+// Engine is one entry of the server list.
 type Engine struct {
-	Name  string // names the engine; the same for a process restarted under its name
-	Addr  string // host:port of its KServe front
-	Kind  string // a kind of the settings
+	Name  string // identifies the engine; a restarted process keeps it
+	Addr  string // host:port at which the engine accepts requests
+	Kind  string // name of an engine kind in the settings
 	Zone  string
 	Cell  string
 	State decide.Condition
-	// Weight compares engines of one role; 1 when not told.
+	// Weight is the engine's relative capacity among the engines of its role; 1 if it is not specified.
 	Weight float64
-	// StartedAt is the last start; the zero time is long ago.
+	// StartedAt is the time of the last start. The zero time means long ago.
 	StartedAt time.Time
 }
 
-// ID is the engine's number towards the decision module: the same at every router, and of no meaning.
+// ID returns the engine's identifier in the decision module, a hash of its name, which is the same at every router.
 func (e *Engine) ID() decide.ServerID { return decide.ServerID(xxhash.Sum64String(e.Name)) }
 
-// LocationNumber maps a name of a zone or cell to the number by which the module compares them. It hangs on the
-// name alone, so nothing has to be kept, and the empty name is 0.
+// LocationNumber maps the name of a zone or cell to the number by which the decision module compares them. The number
+// depends only on the name, so that no table has to be stored. The empty name has the number 0.
 func LocationNumber(name string) int {
 	if name == "" {
 		return 0
@@ -39,21 +39,21 @@
 	return int(xxhash.Sum64String(name) >> 1)
 }
 
-// Update is what a source has learnt: a whole list, or that an asking failed.
+// Update is a report of a source: a whole list, or a failure to get one.
 type Update struct {
-	Engines []Engine // all that there are, sorted by name; those gone are left out
-	Err     error    // the asking failed; the list before stays
+	Engines []Engine // all current engines, sorted by name, without those that were removed
+	Err     error    // the list could not be obtained; the previous one stays valid
 	At      time.Time
 }
 
-// Source tells of the engines until ctx ends. It calls tell from one goroutine, first with what there is
-// at the start, then at each change; tell does not block for long. A source returns nil when ctx ends.
+// Source reports the engines until ctx ends. Run calls notify from one goroutine, first with the list at the start, then
+// after each change. notify must not block for long. Run returns nil when ctx ends.
 type Source interface {
-	Run(ctx context.Context, tell func(Update)) error
+	Run(ctx context.Context, notify func(Update)) error
 }
 
-// SortAndCheck sorts a list by name and returns its first fault: a double name or address. Two entries of one
-// address would let a router send to one engine as if it were two.
+// SortAndCheck sorts a list by name and returns its first error: a duplicate name, number or address. With two entries of
+// one address a router would send to one engine as if it were two.
 func SortAndCheck(list []Engine) error {
 	slices.SortFunc(list, func(a, b Engine) int {
 		switch {
@@ -82,8 +82,8 @@
 	return nil
 }
 
-// Diff returns what to tell of the way from one list to another: entries new or changed, and those
-// gone, with State Gone. Both lists are sorted by name.
+// Diff returns the changes from one list to another: the entries that are new or changed, and the removed ones with the
+// state Gone. Both lists must be sorted by name.
 func Diff(old, now []Engine) []Engine {
 	var out []Engine
 	i, j := 0, 0
--- a/internal/discovery/file.go
+++ b/internal/discovery/file.go
@@ -13,22 +13,22 @@
 	"mintdoor/internal/config"
 )
 
-// File is a source that reads a list from a file, again whenever the file changes. A list that can't be
-// read, or that has an error, leaves the one before in force.
+// File is a source that reads the list from a file and reads it again whenever the file changes. If the file can't be read
+// or has an error, the previous list stays valid.
 //
 // Each line is
 //
 //	engine NAME ADDRESS kind KIND [cell CELL] [zone ZONE] [state ready|draining] [weight N] [since TIME]
 //
-// An engine that is gone has no line. A list without a single line is taken at its word only if it says
-// so with the line 'empty', lest a truncated file empty the router.
+// An engine that was removed has no line. A list without any engine is accepted only if it has the line 'empty', so that a
+// truncated file does not remove all engines.
 type File struct {
 	Path     string
-	Interval time.Duration // how often the file is looked at
-	Kinds    []string      // kinds that are known; nil: all are
+	Interval time.Duration // time between two checks of the file
+	Kinds    []string      // known engine kinds; nil: any kind is accepted
 }
 
-// Run reads the file until ctx ends.
+// Run implements Source: it reads the file at the start and after each change, until ctx ends.
 func (f *File) Run(ctx context.Context, notify func(Update)) error {
 	tick := time.NewTicker(f.Interval)
 	defer tick.Stop()
@@ -44,7 +44,7 @@
 				notify(Update{Engines: list, At: time.Now()})
 			}
 		}
-		if err != nil && err.Error() != reported { // once, not at each look
+		if err != nil && err.Error() != reported { // report an error once, not at each check
 			reported = err.Error()
 			notify(Update{Err: fmt.Errorf("list of engines: %w", err), At: time.Now()})
 		}
@@ -56,7 +56,7 @@
 	}
 }
 
-// ParseList reads the text of a list. All errors come at once.
+// ParseList parses the text of a list. The error names all faulty lines; file is the name that it uses.
 func ParseList(file, text string, kinds []string) ([]Engine, error) {
 	lines, errs := config.ParseLines(file, text)
 	var list []Engine
@@ -87,6 +87,7 @@
 	return list, nil
 }
 
+// parseEngine parses a line that describes an engine. It adds errors to errs and reports whether the line has none.
 func parseEngine(l *config.Line, kinds []string, errs *config.Errors) (Engine, bool) {
 	e := Engine{State: decide.Ready, Weight: 1}
 	if len(l.Words) < 3 {
@@ -142,7 +143,7 @@
 	return e, len(*errs) == before
 }
 
-// FormatList writes a list as ParseList reads it.
+// FormatList returns a list as text that ParseList accepts.
 func FormatList(list []Engine) string {
 	if len(list) == 0 {
 		return "empty\n"
@@ -170,7 +171,7 @@
 	return b.String()
 }
 
-// WriteList replaces a list file in one step, so that no reader sees half of it.
+// WriteList replaces a list file atomically, so that no reader sees a part of it.
 func WriteList(path string, list []Engine) error {
 	tmp, err := os.CreateTemp(filepath.Dir(path), ".list-*")
 	if err != nil {
--- a/internal/discovery/watch/members.go
+++ b/internal/discovery/watch/members.go
@@ -16,14 +16,14 @@
 	"mintdoor/internal/settings"
 )
 
-// Bounds of a list.
+// Limits on a list.
 const (
 	maxMembers      = 10_000
-	maxNameLen      = 256
-	maxLoggedErrors = 5 // named in one log line
+	maxNameLen      = 256 // bytes of an id or an address
+	maxLoggedErrors = 5   // problems named in one log line
 )
 
-// Member is one entry on the wire.
+// Member is one entry of the server list on the wire.
 type Member struct {
 	ID      string  `json:"id"`
 	Addr    string  `json:"host_port"`
@@ -35,29 +35,30 @@
 	SinceMS int64   `json:"up_since_ms"`
 }
 
-// The phases.
+// The phases of a member.
 const (
 	Up       = "up"
 	Draining = "draining"
 	Removed  = "removed"
 )
 
-// List is an answer: all members, or those that changed.
+// List is a response of the agent: all members, or those that have changed.
 type List struct {
 	Revision int64    `json:"revision"`
 	Complete bool     `json:"complete"`
 	Members  []Member `json:"members"`
 }
 
-// response is a list as it came. Its members are decoded one by one, so that a broken one spoils no other.
+// response is a List whose members are not decoded yet. They are decoded one by one, so that an invalid member does not
+// affect the others.
 type response struct {
 	Revision int64             `json:"revision"`
 	Complete bool              `json:"complete"`
 	Members  []json.RawMessage `json:"members"`
-	agent    string            // address of the agent that gave it
+	agent    string            // address of the agent that sent it
 }
 
-// decodeList reads a list as discovery tells it.
+// decodeList decodes a list in discovery's format.
 func decodeList(b []byte) (*response, error) {
 	l := &response{Revision: -1}
 	if err := json.Unmarshal(b, l); err != nil {
@@ -69,16 +70,17 @@
 	return l, nil
 }
 
-// members is the list as discovery told it last.
+// members is the server list as last reported by discovery.
 type members struct {
 	kinds      []string
 	log        *slog.Logger
 	list       []discovery.Engine // sorted by name
-	lastLogged string             // what was last logged as wrong with it
+	lastLogged string             // the problems that were logged last
 }
 
-// apply puts a sound answer into the list and reports whether one of its members was broken. A broken member never
-// keeps the others from being taken: if its phase can be read it is honoured, else what was known of the member stays.
+// apply applies a response to the list and reports whether one of its members was invalid. An invalid member does not
+// prevent the others from being applied. If its phase can be read, the phase is applied, otherwise the member stays as it
+// was known before.
 func (m *members) apply(l *response) (invalid bool) {
 	before := make(map[string]discovery.Engine, len(m.list))
 	for _, e := range m.list {
@@ -104,7 +106,7 @@
 		old, known := before[member.ID]
 		if seen[member.ID] {
 			problems = append(problems, fmt.Sprintf("member %q stands twice", member.ID))
-			old, known = next[member.ID] // of two contradicting entries the one that asks for less is right
+			old, known = next[member.ID] // of two contradicting entries the one that allows fewer requests applies
 			if member.Phase == Up {
 				continue
 			}
@@ -124,7 +126,7 @@
 		}
 		switch {
 		case errors.Is(err, errUnknownKind):
-			delete(next, member.ID) // nobody could say what it can do
+			delete(next, member.ID) // it is unknown what the engine can do
 		case known && member.Phase != Up:
 			old.State = decide.Draining
 			next[member.ID] = old
@@ -138,16 +140,16 @@
 	return len(problems) > 0
 }
 
-// logProblems logs what is wrong with a list, once a change.
+// logProblems logs what is wrong with a list, and logs the same problems only once in a row.
 func (m *members) logProblems(problems []string) {
 	text := strings.Join(problems[:min(len(problems), maxLoggedErrors)], "; ")
 	if text != "" && text != m.lastLogged {
-		m.log.Warn("broken members in discovery's list; the sound ones are taken", "count", len(problems), "first", text)
+		m.log.Warn("invalid members in discovery's list; the valid ones are used", "count", len(problems), "first", text)
 	}
 	m.lastLogged = text
 }
 
-// decodeMember reads one member. With an error what could be read of it is returned.
+// decodeMember decodes one member. If it returns an error, the member has the id and the phase if these could be read.
 func decodeMember(raw json.RawMessage) (Member, error) {
 	var m Member
 	err := json.Unmarshal(raw, &m)
@@ -157,15 +159,15 @@
 	var fields map[string]json.RawMessage
 	if json.Unmarshal(raw, &fields) == nil {
 		m = Member{}
-		json.Unmarshal(fields["id"], &m.ID) // what fails stays empty
+		json.Unmarshal(fields["id"], &m.ID) // a field that can't be decoded stays empty
 		json.Unmarshal(fields["phase"], &m.Phase)
 	}
 	return m, fmt.Errorf("member %.40q: %w", m.ID, err)
 }
 
-var errUnknownKind = errors.New("the settings do not know its kind")
+var errUnknownKind = errors.New("the settings do not have its kind")
 
-// toEngine makes an engine of a member.
+// toEngine converts a member to an engine.
 func (m *members) toEngine(w *Member) (discovery.Engine, error) {
 	e := discovery.Engine{Name: w.ID, Addr: w.Addr, Kind: settings.NormalizeName(w.Kind), Zone: settings.NormalizeName(w.Zone),
 		Cell: strconv.Itoa(w.Cell), Weight: w.Size}
@@ -191,8 +193,9 @@
 	return e, nil
 }
 
-// dropSharedAddresses leaves one engine at each address, for two would let the router send to one process as if it
-// were two: the one that started last, else the one that was not known before.
+// dropSharedAddresses keeps only one engine for each address, because with two the router would send to one process as if
+// it were two. It keeps the engine that started last, otherwise the one that is ready, otherwise the one that was not
+// known before.
 func dropSharedAddresses(engines, before map[string]discovery.Engine) (problems []string) {
 	owner := make(map[string]string, len(engines))
 	for _, name := range slices.Sorted(maps.Keys(engines)) {
@@ -212,7 +215,7 @@
 	return problems
 }
 
-// supersedes tells whether a is the process that took over the address of b.
+// supersedes reports whether a is the process that has taken over the address of b.
 func supersedes(a, b discovery.Engine, before map[string]discovery.Engine) bool {
 	if !a.StartedAt.Equal(b.StartedAt) {
 		return a.StartedAt.After(b.StartedAt)
--- a/internal/discovery/watch/watch.go
+++ b/internal/discovery/watch/watch.go
@@ -1,5 +1,5 @@
-// Package watch is a discovery.Source over the platform's discovery: the whole list by HTTP, then its
-// changes by calls that wait for them.
+// Package watch is a discovery.Source that gets the server list from the platform's discovery agent: first the whole list
+// over HTTP, then its changes by long polling.
 package watch
 
 import (
@@ -19,55 +19,56 @@
 	"mintdoor/internal/discovery"
 )
 
-// ListPath is where the list is asked for.
+// ListPath is the HTTP path of the server list.
 const ListPath = "/discovery/hosts"
 
-// Bounds of a call.
+// Limits on calls to the agent and on its responses.
 const (
-	watchTimeout = time.Second             // a watch waits so long for a change; one that fell silent shows soon after
-	watchSlack   = time.Second             // beyond that it is given up
-	listTimeout  = 1500 * time.Millisecond // for the whole list, which need not wait
-	// hedgeInterval is how long a call for the whole list may be silent before another is made beside it. An agent may drop
-	// the calls that come while discovery is down, and what it gets at the return counts as told at once.
+	watchTimeout = time.Second             // a watch waits this long for a change, so that an unresponsive one is noticed soon
+	watchSlack   = time.Second             // a watch is given up this long after watchTimeout
+	listTimeout  = 1500 * time.Millisecond // for the whole list, which the agent sends at once
+	// hedgeInterval is how long a call for the whole list may get no response before another one is made in parallel. An
+	// agent may drop calls that arrive while discovery is down, and what the agent learns when discovery returns counts as
+	// reported to the router at that moment.
 	hedgeInterval   = 250 * time.Millisecond
 	maxHedgedCalls  = int(listTimeout/hedgeInterval) + 1
-	firstPause      = 50 * time.Millisecond  // before a call that failed is made again, doubled each time ...
+	firstPause      = 50 * time.Millisecond  // before a failed call is retried; doubled after each failure ...
 	maxPause        = 250 * time.Millisecond // ... up to this
-	jitter          = 0.2                    // of pauses and hedges is added by chance, so that routers do not ask in step
-	maxResponseSize = 4 << 20
-	// startTimeout is how long the first call may take before the cached list is used. The agent is on the router's
-	// own machine and answers at once while discovery is up.
+	jitter          = 0.2                    // random fraction added to pauses and hedge intervals, so that routers do not call in step
+	maxResponseSize = 4 << 20                // bytes
+	// startTimeout is how long the first call may take before the cached list is used. The agent runs on the router's
+	// machine and responds at once while discovery is up.
 	startTimeout = 500 * time.Millisecond
-	// regressionWindow is how long an agent has to repeat a revision older than the one it told before, until it is
-	// believed to have started anew.
+	// regressionWindow is how long an agent must keep reporting an older revision than before, until its revisions are
+	// assumed to have restarted.
 	regressionWindow = 2 * time.Second
 )
 
-// Source watches a list. Make it with New.
+// Source watches the server list of an agent. Create it with New.
 type Source struct {
-	cached []byte // the list as held before the start, in discovery's form; empty: none
+	cached []byte // the list from before the start, in discovery's format; empty: none
 	log    *slog.Logger
 	http   http.Client
 
-	// The bounds named like the constants; tests shorten them.
+	// Set from the constants of the same names; tests shorten them.
 	watchTimeout, watchSlack, listTimeout, startTimeout, hedgeInterval, regressionWindow time.Duration
 
 	mu         sync.Mutex
 	addr       string
-	cancelCall context.CancelFunc // ends the call under way
+	cancelCall context.CancelFunc // cancels the call in flight
 
-	// What follows belongs to Run.
+	// The following fields belong to Run.
 	members        members
-	revision       int64     // of members, as counted by the agent at listedAt
-	listAgent      string    // the agent that told members; "" before the first answer
-	regressedSince time.Time // since when that agent tells older revisions; zero: it does not
+	revision       int64     // revision of members, as counted by listAgent
+	listAgent      string    // address of the agent that reported members; "" before the first response
+	regressedSince time.Time // since when listAgent has reported older revisions; zero: it does not
 }
 
-// New returns a source that asks at addr. kinds are the settings' kinds; cached is the list as this router last
-// held it, in discovery's form.
+// New returns a source that calls the agent at addr. kinds are the engine kinds in the settings. cached is the list that
+// this router had last, in discovery's format.
 func New(addr string, kinds []string, cached []byte, log *slog.Logger) *Source {
-	// A dial outlives the call that asked for it, so it has a bound of its own: dials that never come up would
-	// otherwise use up MaxConnsPerHost for minutes.
+	// A dial may outlive the call that started it, so it has its own time-out. Otherwise dials that never complete would
+	// use up MaxConnsPerHost for minutes.
 	dialer := &net.Dialer{Timeout: listTimeout}
 	return &Source{addr: addr, watchTimeout: watchTimeout, watchSlack: watchSlack, listTimeout: listTimeout, startTimeout: startTimeout,
 		hedgeInterval: hedgeInterval, regressionWindow: regressionWindow,
@@ -77,7 +78,7 @@
 			MaxResponseHeaderBytes: 16 << 10, ReadBufferSize: 4096, WriteBufferSize: 1024}}}
 }
 
-// SetAddr asks at another address from now on.
+// SetAddr makes the source call the agent at another address from now on. It cancels the call in flight.
 func (s *Source) SetAddr(addr string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -91,10 +92,10 @@
 	}
 }
 
-var errAddrChanged = errors.New("discovery is asked elsewhere")
+var errAddrChanged = errors.New("the address of discovery has changed")
 
-// Run implements discovery.Source. The cached list is used only when the first call fails: what the agent has counts
-// as told from the process's first moment, and the cached list may be older.
+// Run implements discovery.Source. It uses the cached list only if the first call fails: the agent's list counts as
+// reported from the start of the process, and the cached list may be older.
 func (s *Source) Run(ctx context.Context, notify func(discovery.Update)) error {
 	defer s.http.CloseIdleConnections()
 	pause := firstPause
@@ -106,12 +107,12 @@
 		if err == nil {
 			s.report(notify)
 			pause = firstPause
-			continue // at once: a watch that pauses is a new one
+			continue // watch again at once, without a pause
 		}
 		if ctx.Err() != nil {
 			return nil
 		}
-		whole = true // nobody knows what was missed
+		whole = true // it is unknown which changes were missed
 		if errors.Is(err, errAddrChanged) {
 			s.http.CloseIdleConnections()
 			pause = firstPause
@@ -128,7 +129,7 @@
 	return nil
 }
 
-// reportCached tells of the cached list if no agent has answered yet, once.
+// reportCached reports the cached list, once, if no agent has responded yet.
 func (s *Source) reportCached(notify func(discovery.Update)) {
 	cached := s.cached
 	s.cached = nil
@@ -144,7 +145,7 @@
 	s.report(notify)
 }
 
-// call makes one call and reads its answer.
+// call makes one call to the agent and reads its response. whole requests the whole list instead of its changes.
 func (s *Source) call(ctx context.Context, whole bool) (*response, error) {
 	s.mu.Lock()
 	addr := s.addr
@@ -153,7 +154,7 @@
 	switch {
 	case s.listAgent == "":
 		within = s.startTimeout
-	case !whole && addr == s.listAgent: // another agent counts revisions of its own
+	case !whole && addr == s.listAgent: // another agent has its own revisions
 		within, ask = s.watchTimeout+s.watchSlack, s.get
 		url += "?since=" + strconv.FormatInt(s.revision, 10) + "&timeout_ms=" + strconv.FormatInt(s.watchTimeout.Milliseconds(), 10)
 	}
@@ -173,7 +174,8 @@
 	return l, err
 }
 
-// getHedged makes a call, and another beside it as long as none is answered; the first word counts.
+// getHedged makes a call and adds another one in parallel after each hedgeInterval without a response, up to
+// maxHedgedCalls. It returns the result of the first call that ends.
 func (s *Source) getHedged(ctx context.Context, url string) (*response, error) {
 	type result struct {
 		list *response
@@ -197,7 +199,7 @@
 			return r.list, r.err
 		case <-next.C:
 			if calls == maxHedgedCalls {
-				continue // the oldest is given up soon
+				continue // the oldest call will time out soon
 			}
 			calls++
 			go func() {
@@ -209,13 +211,13 @@
 	}
 }
 
-// withJitter makes a time longer by chance.
+// withJitter lengthens a duration by a random fraction, up to jitter.
 func withJitter(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (1 + jitter*rand.Float64()))
 }
 
-// apply puts an answer into the list and reports whether the whole list has to be asked for next. With an error the
-// list stays as it was.
+// apply applies a response to the list and reports whether the whole list has to be requested next. If it returns an
+// error, the list is unchanged.
 func (s *Source) apply(l *response) (whole bool, err error) {
 	if l.agent == s.listAgent && l.Revision < s.revision {
 		if s.regressedSince.IsZero() {
@@ -224,10 +226,10 @@
 		if !l.Complete || time.Since(s.regressedSince) < s.regressionWindow {
 			return true, fmt.Errorf("discovery's revision %d is older than %d", l.Revision, s.revision)
 		}
-		s.log.Warn("discovery counts its revisions anew", "from", s.revision, "to", l.Revision)
+		s.log.Warn("the discovery agent's revisions restarted", "from", s.revision, "to", l.Revision)
 	}
 	if l.agent != s.listAgent && !l.Complete {
-		return true, errors.New("discovery tells changes of a list that it has not told")
+		return true, errors.New("discovery reports changes to a list that it has not reported")
 	}
 	if len(l.Members) > maxMembers {
 		return true, fmt.Errorf("discovery lists %d members", len(l.Members))
@@ -237,6 +239,7 @@
 	return faulty && !l.Complete, nil
 }
 
+// get makes one call and decodes its response.
 func (s *Source) get(ctx context.Context, url string) (*response, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -259,6 +262,7 @@
 	return decodeList(b)
 }
 
+// report passes the current list to notify.
 func (s *Source) report(tell func(discovery.Update)) {
 	tell(discovery.Update{Engines: s.members.list, At: time.Now()})
 }
--- a/internal/discovery/watch/watch_test.go
+++ b/internal/discovery/watch/watch_test.go
@@ -246,7 +246,7 @@
 	if got := a.requests()[1]; got != ListPath+"?since=41&timeout_ms=1000" {
 		t.Errorf("asked %s", got)
 	}
-	if n := strings.Count(log.String(), "broken members"); n != 2 { // 41 and, after a sound answer, 43; 44 is the same
+	if n := strings.Count(log.String(), "invalid members"); n != 2 { // 41 and, after a sound answer, 43; 44 is the same
 		t.Errorf("logged %d times:\n%s", n, log.String())
 	}
 }
