--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -65,12 +65,12 @@
 
 func TestLocationNumber(t *testing.T) {
 	if LocationNumber("") != 0 || LocationNumber("a") == LocationNumber("b") || LocationNumber("a") <= 0 {
-		t.Error("zones and cells are not told apart")
+		t.Error("zones and cells are not distinguished")
 	}
 }
 
-// The file is read again when it changes; a list with an error, a truncated or a missing one leaves the
-// list before in force and is told once.
+// The file is read again when it changes. A list with an error, a truncated or a missing one leaves the previous list
+// valid, and the error is reported once.
 func TestFileFollowsChanges(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "engines.list")
 	if err := WriteList(path, sample()); err != nil {
@@ -98,13 +98,13 @@
 		t.Fatal(err)
 	}
 	if u := next(); u.Err == nil {
-		t.Fatalf("a truncated list was taken: %+v", u)
+		t.Fatalf("a truncated list was accepted: %+v", u)
 	}
 	if err := os.Remove(path); err != nil {
 		t.Fatal(err)
 	}
 	if u := next(); u.Err == nil {
-		t.Fatalf("a missing list was taken: %+v", u)
+		t.Fatalf("a missing list was accepted: %+v", u)
 	}
 	if err := WriteList(path, sample()[:1]); err != nil {
 		t.Fatal(err)
@@ -117,6 +117,6 @@
 		t.Fatal(err)
 	}
 	if len(updates) != 0 {
-		t.Errorf("an error is told more than once: %+v", <-updates)
+		t.Errorf("an error is reported more than once: %+v", <-updates)
 	}
 }
--- a/internal/discovery/watch/watch_test.go
+++ b/internal/discovery/watch/watch_test.go
@@ -22,7 +22,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// agent answers with the texts it is given, in order; after the last it is silent.
+// agent answers requests with the given texts in order. After the last one, and for an empty text, it does not respond.
 type agent struct {
 	*httptest.Server
 	mu      sync.Mutex
@@ -63,16 +63,18 @@
 	return append([]string(nil), a.asked...)
 }
 
+// list returns a list in discovery's format.
 func list(revision int64, complete bool, members ...string) string {
 	return fmt.Sprintf(`{"revision":%d,"complete":%v,"members":[%s]}`, revision, complete, strings.Join(members, ","))
 }
 
+// member returns a member of a list in discovery's format.
 func member(id, addr, phase string, since int64) string {
 	return fmt.Sprintf(`{"id":%q,"host_port":%q,"locality":"a","flavor":"m2","cell":3,"phase":%q,"size":1.0,"up_since_ms":%d}`,
 		id, addr, phase, since)
 }
 
-// runSource starts a source and hands on what it tells.
+// runSource runs a source until the test ends and returns a channel with its updates.
 func runSource(t *testing.T, s *Source) chan discovery.Update {
 	ctx, cancel := context.WithCancel(context.Background())
 	told := make(chan discovery.Update, 100)
@@ -87,6 +89,7 @@
 	return told
 }
 
+// nextUpdate waits for the next update and returns it as text: the engines, or "failed".
 func nextUpdate(t *testing.T, told chan discovery.Update) string {
 	t.Helper()
 	select {
@@ -105,14 +108,14 @@
 		}
 		return strings.Join(out, ", ")
 	case <-time.After(20 * time.Second):
-		t.Fatal("nothing was told")
+		t.Fatal("no update was reported")
 		return ""
 	}
 }
 
 func discardLogger() *slog.Logger { return slog.New(slog.DiscardHandler) }
 
-// First the whole list, then the changes, each asked for from the last revision.
+// The source requests the whole list first and then the changes, each time since the last revision.
 func TestListAndChanges(t *testing.T) {
 	a := startAgent(t,
 		list(41, true, member("s1", "h:1", "up", 0), member("s2", "h:2", "up", 0)),
@@ -129,7 +132,7 @@
 		"s9 h:1 up 0",
 	} {
 		if got := nextUpdate(t, told); got != want {
-			t.Errorf("told %q, want %q", got, want)
+			t.Errorf("reported %q, want %q", got, want)
 		}
 	}
 	asked := a.requests()
@@ -141,7 +144,7 @@
 	}
 }
 
-// An unsound answer is a failed call: the last sound list stays, and is asked for whole again.
+// A malformed response counts as a failed call: the last valid list stays, and the whole list is requested next.
 func TestMalformedResponses(t *testing.T) {
 	sound := list(41, true, member("s1", "h:1", "up", 0))
 	for name, bad := range map[string]string{
@@ -159,18 +162,18 @@
 			told := runSource(t, New(a.addr(), []string{"m2"}, nil, discardLogger()))
 			for _, want := range []string{"s1 h:1 up 0", "failed", "s1 h:1 draining 0"} {
 				if got := nextUpdate(t, told); got != want {
-					t.Errorf("told %q, want %q", got, want)
+					t.Errorf("reported %q, want %q", got, want)
 				}
 			}
 			if got := a.requests()[2]; got != ListPath {
-				t.Errorf("asked %s", got)
+				t.Errorf("requested %s", got)
 			}
 		})
 	}
 }
 
-// A broken member spoils no other one: a drain that stands beside it is told with the same answer, the member itself
-// gets nothing new that its entry might forbid, and the whole list is asked for next.
+// An invalid member does not affect the others: a drain in the same response is reported. The invalid member's own engine
+// is not made available beyond what its entry may allow, and the whole list is requested next.
 func TestInvalidMembers(t *testing.T) {
 	const others = "s1 h:1 draining 0, s2 h:2 up 0"
 	ofKind := func(member, kind string) string { return strings.Replace(member, `"m2"`, `"`+kind+`"`, 1) }
@@ -209,28 +212,29 @@
 			told := runSource(t, New(a.addr(), []string{"m2"}, nil, discardLogger()))
 			nextUpdate(t, told)
 			if got := nextUpdate(t, told); got != c.want {
-				t.Errorf("told %q, want %q", got, c.want)
+				t.Errorf("reported %q, want %q", got, c.want)
 			}
 			if got := nextUpdate(t, told); got != "s2 h:2 up 0" {
-				t.Errorf("then told %q", got)
+				t.Errorf("then reported %q", got)
 			}
 			if got := a.requests()[2]; got != ListPath {
-				t.Errorf("asked %s", got)
+				t.Errorf("requested %s", got)
 			}
 		})
 	}
 }
 
-// Settings have '_' for a space or a comma in a name, discovery the name itself: the kind is known all the same.
+// Settings replace spaces and commas in names by '_', while discovery sends the original names. The kind is recognized
+// nevertheless.
 func TestKindsAreNormalizedAsInSettings(t *testing.T) {
 	a := startAgent(t, list(41, true, strings.Replace(member("s1", "h:1", "up", 0), `"m2"`, `"m 2,big"`, 1)))
 	told := runSource(t, New(a.addr(), []string{"m_2_big"}, nil, discardLogger()))
 	if got := nextUpdate(t, told); got != "s1 h:1 up 0" {
-		t.Errorf("told %q", got)
+		t.Errorf("reported %q", got)
 	}
 }
 
-// A whole list with a broken member is watched like any other, and what is wrong with it is logged once.
+// A complete list with an invalid member is watched like any other list, and its problems are logged once.
 func TestCompleteListWithInvalidMember(t *testing.T) {
 	broken := strings.Replace(member("s9", "h:9", "up", 0), "m2", "m9", 1)
 	a := startAgent(t, list(41, true, member("s1", "h:1", "up", 0), broken), list(42, false, member("s1", "h:1", "draining", 0)),
@@ -240,19 +244,19 @@
 	told := runSource(t, New(a.addr(), []string{"m2"}, nil, slog.New(slog.NewTextHandler(&log, nil))))
 	for i, want := range []string{"s1 h:1 up 0", "s1 h:1 draining 0", "s1 h:1 draining 0", "s1 h:1 draining 0", ""} {
 		if got := nextUpdate(t, told); got != want {
-			t.Errorf("word %d: %q, want %q", i, got, want)
+			t.Errorf("update %d: %q, want %q", i, got, want)
 		}
 	}
 	if got := a.requests()[1]; got != ListPath+"?since=41&timeout_ms=1000" {
-		t.Errorf("asked %s", got)
+		t.Errorf("requested %s", got)
 	}
-	if n := strings.Count(log.String(), "invalid members"); n != 2 { // 41 and, after a sound answer, 43; 44 is the same
+	if n := strings.Count(log.String(), "invalid members"); n != 2 { // for 41 and, after a valid response, for 43; 44 has the same problem
 		t.Errorf("logged %d times:\n%s", n, log.String())
 	}
 }
 
-// The cached list is used only when the agent does not answer: what the agent has counts as told from the start, and
-// a drain in it must not come after requests that were sent by the cached list.
+// The cached list is used only if the agent does not respond. The agent's list counts as reported from the start, and no
+// request may be sent according to the cached list to an engine that drains in the agent's list.
 func TestCachedList(t *testing.T) {
 	cached := list(99, true, member("s0", "h:0", "up", 0))
 	fresh := list(41, true, member("s1", "h:1", "up", 0))
@@ -283,29 +287,30 @@
 			told := runSource(t, s)
 			for i, want := range c.want {
 				if got := nextUpdate(t, told); got != want {
-					t.Errorf("word %d: %q, want %q", i, got, want)
+					t.Errorf("update %d: %q, want %q", i, got, want)
 				}
 			}
 		})
 	}
 }
 
-// An agent that tells a lower revision for long has started anew; one that gives an old list once has not (see
-// 'older and whole' above).
+// An agent that reports a lower revision for a while has restarted its revisions. One that sends an old list once has not
+// (see 'older and whole' above).
 func TestAgentRevisionsRestart(t *testing.T) {
 	old := list(7, true, member("s1", "h:1", "draining", 0))
 	a := startAgent(t, list(41, true, member("s1", "h:1", "up", 0)), old, old, list(8, false, member("s1", "h:1", "removed", 0)))
 	s := New(a.addr(), []string{"m2"}, nil, discardLogger())
-	s.regressionWindow = firstPause // over when the second comes, which is asked for after that pause
+	s.regressionWindow = firstPause // over when the second response arrives, which is requested after that pause
 	told := runSource(t, s)
 	for i, want := range []string{"s1 h:1 up 0", "failed", "s1 h:1 draining 0", ""} {
 		if got := nextUpdate(t, told); got != want {
-			t.Errorf("word %d: %q, want %q", i, got, want)
+			t.Errorf("update %d: %q, want %q", i, got, want)
 		}
 	}
 }
 
-// A move to an agent that counts lower takes its list at once, also when it comes between two calls.
+// After a change to the address of an agent with lower revisions, that agent's list is used at once, also if the change is
+// made between two calls.
 func TestSetAddrWithLowerRevision(t *testing.T) {
 	a := startAgent(t, list(41, true, member("s1", "h:1", "up", 0)))
 	b := startAgent(t, list(3, true, member("s2", "h:2", "up", 0)), list(4, false, member("s2", "h:2", "draining", 0)))
@@ -318,7 +323,7 @@
 		defer close(done)
 		s.Run(ctx, func(u discovery.Update) {
 			told <- u
-			if first { // no call is out now
+			if first { // no call is in flight now
 				first = false
 				s.SetAddr(b.addr())
 			}
@@ -327,25 +332,25 @@
 	defer func() { cancel(); <-done }()
 	for i, want := range []string{"s1 h:1 up 0", "s2 h:2 up 0", "s2 h:2 draining 0"} {
 		if got := nextUpdate(t, told); got != want {
-			t.Errorf("word %d: %q, want %q", i, got, want)
+			t.Errorf("update %d: %q, want %q", i, got, want)
 		}
 	}
 	if got := b.requests()[:2]; got[0] != ListPath || got[1] != ListPath+"?since=3&timeout_ms=1000" {
-		t.Errorf("asked %q", got)
+		t.Errorf("requested %q", got)
 	}
 	if got := a.requests(); len(got) != 1 {
-		t.Errorf("the old one was asked %q", got)
+		t.Errorf("the old agent got the requests %q", got)
 	}
 }
 
-// A dial that never comes up ends with its own bound, or two of them would hold up all calls for minutes.
+// A dial that never completes ends with its own time-out, or else two of them would block all calls for minutes.
 func TestDialsAreBounded(t *testing.T) {
 	s := New("h:1", nil, nil, discardLogger())
 	transport := s.http.Transport.(*http.Transport)
 	if transport.DialContext == nil {
-		t.Fatal("dials have no bound")
+		t.Fatal("dials have no time-out")
 	}
-	// A listener that accepts nothing, with a queue of none, leaves dials unanswered once the queue is full.
+	// A listener that accepts nothing and has the shortest queue leaves dials unanswered once the queue is full.
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	if err != nil {
 		t.Fatal(err)
@@ -378,7 +383,8 @@
 	t.Error("no dial was left unanswered")
 }
 
-// A move ends the call under way and asks for the whole list elsewhere, without a word of failure.
+// A change of the address cancels the call in flight and requests the whole list at the new address. No failure is
+// reported.
 func TestSetAddr(t *testing.T) {
 	a := startAgent(t, list(41, true, member("s1", "h:1", "up", 0)))
 	b := startAgent(t, list(42, true, member("s2", "h:2", "up", 0)))
@@ -388,17 +394,17 @@
 	if got := nextUpdate(t, told); got != "s1 h:1 up 0" {
 		t.Fatal(got)
 	}
-	for len(a.requests()) < 2 { // the watch is out
+	for len(a.requests()) < 2 { // wait until the watch is in flight
 		time.Sleep(time.Millisecond)
 	}
 	s.SetAddr(b.addr())
 	if got := nextUpdate(t, told); got != "s2 h:2 up 0" {
-		t.Errorf("told %q", got)
+		t.Errorf("reported %q", got)
 	}
-	s.SetAddr(b.addr()) // nothing to do
+	s.SetAddr(b.addr()) // has no effect
 }
 
-// A watch that falls silent is a failed asking, soon; the whole list is asked for, and watched again.
+// A watch without a response soon counts as failed. The whole list is requested, and then its changes again.
 func TestUnresponsiveWatch(t *testing.T) {
 	a := startAgent(t, list(41, true, member("s1", "h:1", "up", 0)), "", list(42, true, member("s1", "h:1", "draining", 0)),
 		list(43, false, member("s1", "h:1", "removed", 0)))
@@ -407,7 +413,7 @@
 	told := runSource(t, s)
 	for _, want := range []string{"s1 h:1 up 0", "failed", "s1 h:1 draining 0", ""} {
 		if got := nextUpdate(t, told); got != want {
-			t.Errorf("told %q, want %q", got, want)
+			t.Errorf("reported %q, want %q", got, want)
 		}
 	}
 	for i, want := range []string{ListPath, ListPath + "?since=41&timeout_ms=20", ListPath, ListPath + "?since=42&timeout_ms=20"} {
@@ -417,28 +423,28 @@
 	}
 }
 
-// What a silent watch costs is bounded: its list is old by no more than the wait and the time for an answer. And the
-// clock of the standing test: whatever the router believes is at most 6 s old, though after a watch that fell silent
-// two more calls in a row are silent or refused, at the longest pause.
+// The age of the list is limited. If a watch gets no response, the list is no older than the watch's time-out and the time
+// for a response. The router's list is at most 6 s old even if the next two calls, after the longest pauses, get no
+// response or are refused as well.
 func TestTimeLimits(t *testing.T) {
 	if most := 2 * time.Second; watchTimeout+watchSlack > most {
-		t.Errorf("a silent watch is noticed after %v", watchTimeout+watchSlack)
+		t.Errorf("an unresponsive watch is noticed after %v", watchTimeout+watchSlack)
 	}
-	// What an agent gets when discovery returns counts as told at once; a drain in it has to be known within its grace of
-	// a second, less what a process may be held up.
+	// What the agent learns when discovery returns counts as reported at that moment. A drain must reach the router within
+	// its grace of one second, less the longest pause of a process.
 	longest := time.Duration(float64(hedgeInterval+maxPause) * (1 + jitter))
 	if most := time.Second - time.Duration(decide.MaxPause); longest > most {
-		t.Errorf("a list is asked for %v after the last time", longest)
+		t.Errorf("a list is requested %v after the previous request", longest)
 	}
-	if most := time.Second; startTimeout > most { // a router has 6 s to be ready without discovery, some of a core at that
+	if most := time.Second; startTimeout > most { // a router must be ready within 6 s without discovery, with only a part of a CPU core
 		t.Errorf("the cached list is used after %v", startTimeout)
 	}
 	if most := 6 * time.Second; watchTimeout+watchSlack+2*(maxPause+listTimeout) > most {
-		t.Errorf("a change may be told after %v", watchTimeout+watchSlack+2*(maxPause+listTimeout))
+		t.Errorf("a change may be reported after %v", watchTimeout+watchSlack+2*(maxPause+listTimeout))
 	}
 }
 
-// However many calls fail, the next comes after the longest pause, and the whole list is asked for.
+// However many calls fail, the next one follows after at most the longest pause and requests the whole list.
 func TestFailedCallsAreRetried(t *testing.T) {
 	answers := []string{list(41, true, member("s1", "h:1", "up", 0))}
 	for range 6 {
@@ -454,7 +460,7 @@
 			want = "s1 h:1 draining 0"
 		}
 		if got := nextUpdate(t, told); got != want {
-			t.Fatalf("word %d: %q, want %q", i, got, want)
+			t.Fatalf("update %d: %q, want %q", i, got, want)
 		}
 	}
 	for i, got := range a.requests()[2:8] {
@@ -464,7 +470,7 @@
 	}
 }
 
-// Calls that come while discovery is down stay silent for good; the next one is answered, and comes soon.
+// Calls made while discovery is down never get a response. A hedged call that follows soon is answered.
 func TestUnresponsiveCallsAreHedged(t *testing.T) {
 	a := startAgent(t, list(41, true, member("s1", "h:1", "up", 0)), "", "", "", list(42, true, member("s1", "h:1", "draining", 0)),
 		list(43, false, member("s1", "h:1", "removed", 0)))
@@ -473,7 +479,7 @@
 	told := runSource(t, s)
 	for _, want := range []string{"s1 h:1 up 0", "failed", "s1 h:1 draining 0", ""} {
 		if got := nextUpdate(t, told); got != want {
-			t.Errorf("told %q, want %q", got, want)
+			t.Errorf("reported %q, want %q", got, want)
 		}
 	}
 	for i, want := range []string{ListPath, ListPath + "?since=41&timeout_ms=20", ListPath, ListPath, ListPath,
@@ -484,16 +490,16 @@
 	}
 }
 
-// However long discovery is silent, no more than a bounded number of calls is out.
+// However long discovery is unresponsive, the number of calls in flight is limited.
 func TestHedgedCallsAreBounded(t *testing.T) {
 	a := startAgent(t)
 	s := New(a.addr(), []string{"m2"}, nil, discardLogger())
 	s.startTimeout, s.hedgeInterval = 300*time.Millisecond, time.Millisecond
 	told := runSource(t, s)
 	if got := nextUpdate(t, told); got != "failed" {
-		t.Errorf("told %q", got)
+		t.Errorf("reported %q", got)
 	}
 	if n := len(a.requests()); n > maxHedgedCalls {
-		t.Errorf("%d calls, at most %d may be out", n, maxHedgedCalls)
+		t.Errorf("%d calls, at most %d may be in flight", n, maxHedgedCalls)
 	}
 }
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -1,6 +1,7 @@
-// Package http1 reads HTTP/1.1 messages (RFC 9112) from a connection, within bounds. It stands beneath the
-// platform's front and its engines' client, which have to see what net/http hides: both length headers of a
-// message, the moment at which a request was written, a head without end. It knows no meaning of a message.
+// Package http1 reads HTTP/1.1 messages (RFC 9112) from a connection, within limits. The front of the platform's protocol
+// and the client of its engines are built on it, because they need details that net/http hides: both length headers of a
+// message, the moment at which a request was written, and a head without an end. The package does not interpret messages
+// beyond their framing.
 package http1
 
 import (
@@ -13,32 +14,33 @@
 	"strings"
 )
 
-// The errors of reading. ErrMalformed and ErrTooLarge are wrapped with what is wrong.
+// The errors of reading a message. They are wrapped with a description of what is wrong.
 var (
 	ErrMalformed = errors.New("malformed message")
 	ErrTooLarge  = errors.New("message over its limit")
 )
 
+// malformed returns ErrMalformed wrapped with a formatted description.
 func malformed(format string, args ...any) error {
 	return fmt.Errorf("%w: %s", ErrMalformed, fmt.Sprintf(format, args...))
 }
 
-// Field is one header field, its value without the space around it.
+// Field is one header field. Its value has no surrounding white space.
 type Field struct{ Name, Value string }
 
-// Head is the start line of a message and its header.
+// Head is the start line and the header of a message.
 type Head struct {
 	Line   string
 	Fields []Field
 }
 
-// Bounds of a head beside its bytes.
+// Limits on a head besides its size in bytes.
 const (
 	maxFields     = 64
 	maxBlankLines = 2 // empty lines before a start line (RFC 9112, 2.2)
 )
 
-// Get returns the value of a field and how often it stands there; the value is that of the first.
+// Get returns the value of the first field with a name and the number of fields with that name.
 func (h *Head) Get(name string) (value string, n int) {
 	for i := range h.Fields {
 		if strings.EqualFold(h.Fields[i].Name, name) {
@@ -50,7 +52,7 @@
 	return value, n
 }
 
-// readLine reads a line without its end. A line has to fit into br's buffer.
+// readLine reads a line and returns it without its line end. A line has to fit into br's buffer.
 func readLine(br *bufio.Reader) ([]byte, error) {
 	b, err := br.ReadSlice('\n')
 	switch {
@@ -69,7 +71,7 @@
 	return b, nil
 }
 
-// ReadHead reads a head of at most max bytes. io.EOF means that nothing came at all.
+// ReadHead reads a head of at most max bytes. It returns io.EOF if the connection ends before the start line.
 func ReadHead(br *bufio.Reader, max int) (*Head, error) {
 	h := &Head{}
 	first := true
@@ -111,9 +113,10 @@
 	}
 }
 
+// parseField parses a header line.
 func parseField(b []byte) (Field, error) {
 	name, value, ok := strings.Cut(string(b), ":")
-	if !ok || !IsToken(name) { // a folded line and a space before the colon end here too
+	if !ok || !IsToken(name) { // also rejects a folded line and a space before the colon
 		return Field{}, malformed("header line %.40q", b)
 	}
 	value = strings.Trim(value, " \t")
@@ -125,7 +128,7 @@
 	return Field{name, value}, nil
 }
 
-// IsToken tells whether s is a token of RFC 9110, 5.6.2.
+// IsToken reports whether s is a token as defined in RFC 9110, section 5.6.2.
 func IsToken(s string) bool {
 	for i := 0; i < len(s); i++ {
 		c := s[i]
@@ -137,7 +140,7 @@
 	return s != ""
 }
 
-// RequestLine returns the parts of a request's start line. old is HTTP/1.0.
+// RequestLine returns the parts of a request's start line. http10 is true for HTTP/1.0.
 func (h *Head) RequestLine() (method, target string, http10 bool, err error) {
 	method, rest, _ := strings.Cut(h.Line, " ")
 	target, version, ok := strings.Cut(rest, " ")
@@ -149,8 +152,8 @@
 	return method, target, version == "HTTP/1.0", nil
 }
 
-// originForm returns the path and query of a target in absolute form, which a server has to take too (RFC 9112, 3.2.2);
-// any other target is returned as it is.
+// originForm returns the path and query of a target in absolute form, which a server has to accept as well (RFC 9112,
+// section 3.2.2). It returns any other target unchanged.
 func originForm(target string) string {
 	const scheme = "http://"
 	if len(target) < len(scheme) || !strings.EqualFold(target[:len(scheme)], scheme) {
@@ -163,7 +166,7 @@
 	return "/" + path
 }
 
-// Status returns the status of an answer.
+// Status returns the status code of a response.
 func (h *Head) Status() (int, error) {
 	version, rest, _ := strings.Cut(h.Line, " ")
 	code, _, _ := strings.Cut(rest, " ")
@@ -174,7 +177,7 @@
 	return n, nil
 }
 
-// WantsClose tells whether the sender closes the connection after this message.
+// WantsClose reports whether the sender closes the connection after this message.
 func (h *Head) WantsClose() bool {
 	for i := range h.Fields {
 		if !strings.EqualFold(h.Fields[i].Name, "Connection") {
@@ -189,12 +192,13 @@
 	return false
 }
 
-// hopByHop are the fields that belong to one connection (RFC 9110, 7.6.1) or to the framing of a message on it.
+// hopByHop has the names of the fields that belong to one connection (RFC 9110, section 7.6.1) or to the framing of a
+// message on it.
 var hopByHop = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authorization", "TE", "Trailer",
 	"Transfer-Encoding", "Content-Length", "Upgrade", "Expect", "Host"}
 
-// EndToEnd returns the fields that an intermediary passes on: all but those of the connection and those that the
-// Connection field names.
+// EndToEnd returns the fields that an intermediary forwards: all except those in hopByHop and those named in a Connection
+// field.
 func (h *Head) EndToEnd() []Field {
 	var options []string
 	for _, f := range h.Fields {
@@ -214,12 +218,12 @@
 	return out
 }
 
-// UnknownLength is the length of a body about which a head says nothing.
+// UnknownLength is the length of a body if the head does not announce one.
 const UnknownLength = -1
 
-// Framing tells how a body is framed: in chunks, or length bytes of it. A message that has both lengths, or
-// one of them twice, may be read in two ways, and the other reader would see another request in its body
-// (RFC 9112, 11.2): it is malformed here whatever the values are.
+// Framing returns how a body is framed: in chunks, or as length bytes. A message with both length headers, or with one of
+// them twice, can be read in two ways, and another reader could see a different request in its body (request smuggling,
+// RFC 9112, section 11.2). Framing rejects such a message as malformed, whatever the values are.
 func (h *Head) Framing() (length int64, chunked bool, err error) {
 	cl, lengths := h.Get("Content-Length")
 	te, codings := h.Get("Transfer-Encoding")
@@ -246,22 +250,22 @@
 	return length, false, nil
 }
 
-// ChunkedReader reads a body in chunks.
+// ChunkedReader reads a body in chunked transfer coding.
 type ChunkedReader struct {
 	br        *bufio.Reader
-	max       int64 // bytes of one chunk
-	remaining int64 // of the chunk under way
-	inChunk   bool  // in a chunk
-	done      bool
+	max       int64 // maximum size of a chunk in bytes
+	remaining int64 // unread bytes of the current chunk
+	inChunk   bool  // a chunk is being read
+	done      bool  // the last chunk and the trailer were read
 }
 
-// NewChunkedReader returns a reader of the chunks in br, none of them over max bytes.
+// NewChunkedReader returns a reader of the chunked body in br. A chunk of more than max bytes is an error.
 func NewChunkedReader(br *bufio.Reader, max int64) *ChunkedReader {
 	return &ChunkedReader{br: br, max: max}
 }
 
-// Read implements io.Reader. It never crosses from one chunk into the next, and returns io.EOF only after
-// the last chunk and its trailer.
+// Read implements io.Reader. One call never returns data of two chunks. Read returns io.EOF only after the last chunk and
+// the trailer.
 func (c *ChunkedReader) Read(p []byte) (int, error) {
 	if c.done {
 		return 0, io.EOF
@@ -290,7 +294,7 @@
 	return n, unexpectedEOF(err)
 }
 
-// unexpectedEOF: a body in chunks that ends before its last chunk is not whole.
+// unexpectedEOF replaces io.EOF by io.ErrUnexpectedEOF, because a chunked body that ends before its last chunk is incomplete.
 func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
@@ -298,6 +302,7 @@
 	return err
 }
 
+// nextChunk reads the size line of the next chunk, and the trailer after the last chunk.
 func (c *ChunkedReader) nextChunk() error {
 	b, err := readLine(c.br)
 	if err != nil {
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -17,8 +17,8 @@
 		want     error
 	}{
 		{"whole", "GET / HTTP/1.1\r\nHost: a\r\nX-Y:  b c \r\n\r\n", nil},
-		{"bare line ends", "GET / HTTP/1.1\nHost: a\nX-Y: b c\n\n", nil},
-		{"empty lines in front", "\r\n\r\nGET / HTTP/1.1\r\nHost: a\r\nX-Y: b c\r\n\r\n", nil},
+		{"bare line feeds", "GET / HTTP/1.1\nHost: a\nX-Y: b c\n\n", nil},
+		{"empty lines first", "\r\n\r\nGET / HTTP/1.1\r\nHost: a\r\nX-Y: b c\r\n\r\n", nil},
 		{"nothing", "", io.EOF},
 		{"only empty lines", "\r\n\r\n\r\n\r\n", ErrMalformed},
 		{"cut off", "GET / HTTP/1.1\r\nHost: a\r\n", io.ErrUnexpectedEOF},
@@ -107,13 +107,13 @@
 		{"no last chunk", "3\r\nabc\r\n", "abc", io.ErrUnexpectedEOF},
 		{"cut off in a chunk", "5\r\nabc", "abc", io.ErrUnexpectedEOF},
 		{"cut off in the trailer", "0\r\n", "", io.ErrUnexpectedEOF},
-		{"size is noise", "3\r\nabc\r\nzz\r\n", "abc", ErrMalformed},
+		{"size is malformed", "3\r\nabc\r\nzz\r\n", "abc", ErrMalformed},
 		{"size is negative", "-3\r\nabc\r\n", "", ErrMalformed},
 		{"size is empty", "\r\nabc\r\n", "", ErrMalformed},
 		{"size is huge", "C0000000\r\nabc", "", ErrTooLarge},
-		{"size is beyond any", "fffffffffffffffffff\r\nabc", "", ErrTooLarge},
-		{"longer than it says", "2\r\nabc\r\n0\r\n\r\n", "ab", ErrMalformed},
-		{"trailer without end", "0\r\n" + strings.Repeat("a: b\r\n", maxFields+1), "", ErrTooLarge},
+		{"size exceeds 64 bits", "fffffffffffffffffff\r\nabc", "", ErrTooLarge},
+		{"longer than its size", "2\r\nabc\r\n0\r\n\r\n", "ab", ErrMalformed},
+		{"endless trailer", "0\r\n" + strings.Repeat("a: b\r\n", maxFields+1), "", ErrTooLarge},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			got, err := io.ReadAll(NewChunkedReader(newReader(c.in), 100))
--- a/internal/kserve/kserve.go
+++ b/internal/kserve/kserve.go
@@ -1,7 +1,7 @@
-// Package kserve holds the messages of the KServe V2 protocol (Open Inference Protocol) in its JSON
-// encoding, with the checks that the specification asks of them. Names and fields follow the public
-// specification: "Open Inference Protocol, HTTP/REST" for health, metadata and inference, and its
-// generate extension for generate and generate_stream. Front, engines' client and stand-ins share it.
+// Package kserve has the messages of the KServe V2 protocol (Open Inference Protocol) in their JSON encoding, with the
+// checks that the specification requires. Names and fields follow the public specification: "Open Inference Protocol,
+// HTTP/REST" for health, metadata and inference, and its generate extension for generate and generate_stream. The front,
+// the client of the engines and the stand-ins share the package.
 package kserve
 
 import (
@@ -16,11 +16,11 @@
 	"strconv"
 )
 
-// Parameters are the protocol's open key/value pairs. The specification allows strings, numbers and
-// booleans as values; Check refuses all else.
+// Parameters are the protocol's free key/value pairs. The specification allows strings, numbers and booleans as values;
+// Check rejects all others.
 type Parameters map[string]any
 
-// Check reports the first value that the specification does not allow.
+// Check returns an error for the first value that the specification does not allow.
 func (p Parameters) Check() error {
 	for _, k := range slices.Sorted(maps.Keys(p)) {
 		switch p[k].(type) {
@@ -32,8 +32,8 @@
 	return nil
 }
 
-// Text returns a string parameter; absent is "". A number is taken by its digits, so that ids may be
-// given either way.
+// Text returns a string parameter, or "" if it is absent. It converts a number to its digits, so that ids may be given as
+// strings or as numbers.
 func (p Parameters) Text(name string) (string, error) {
 	switch v := p[name].(type) {
 	case nil:
@@ -48,7 +48,7 @@
 	return "", fmt.Errorf("parameter %q must be a string", name)
 }
 
-// Number returns a number parameter and whether it is there; it is finite and not negative.
+// Number returns a numeric parameter and whether it is present. The number must be finite and not negative.
 func (p Parameters) Number(name string) (float64, bool, error) {
 	var f float64
 	var err error
@@ -68,7 +68,7 @@
 	return f, true, nil
 }
 
-// Bool returns a boolean parameter; absent is false.
+// Bool returns a boolean parameter, or false if it is absent.
 func (p Parameters) Bool(name string) (bool, error) {
 	switch v := p[name].(type) {
 	case nil:
@@ -79,7 +79,7 @@
 	return false, fmt.Errorf("parameter %q must be true or false", name)
 }
 
-// Tensor is an input or output tensor; Data holds its elements in row-major order, nested or flat.
+// Tensor is an input or output tensor. Data has its elements in row-major order, nested or flat.
 type Tensor struct {
 	Name       string          `json:"name"`
 	Shape      []int64         `json:"shape"`
@@ -88,7 +88,7 @@
 	Data       json.RawMessage `json:"data,omitempty"`
 }
 
-// RequestedOutput names an output that the client wants.
+// RequestedOutput names an output that the client requests.
 type RequestedOutput struct {
 	Name       string     `json:"name"`
 	Parameters Parameters `json:"parameters,omitempty"`
@@ -102,7 +102,7 @@
 	Outputs    []RequestedOutput `json:"outputs,omitempty"`
 }
 
-// InferResponse answers an InferRequest.
+// InferResponse is the body of the response to an InferRequest.
 type InferResponse struct {
 	ModelName    string     `json:"model_name"`
 	ModelVersion string     `json:"model_version,omitempty"`
@@ -111,20 +111,20 @@
 	Outputs      []Tensor   `json:"outputs"`
 }
 
-// GenerateRequest is the body of generate and generate_stream.
+// GenerateRequest is the body of the requests generate and generate_stream.
 type GenerateRequest struct {
 	ID         string     `json:"id,omitempty"`
 	TextInput  string     `json:"text_input"`
 	Parameters Parameters `json:"parameters,omitempty"`
 }
 
-// Details close an answer.
+// Details has additional information about a finished answer.
 type Details struct {
 	FinishReason string `json:"finish_reason,omitempty"`
 }
 
-// GenerateResponse is the answer of generate and the data of each event of generate_stream. An event
-// that reports a failure carries Error and nothing else of the answer.
+// GenerateResponse is the response of generate and the data of each event of generate_stream. An event that reports a
+// failure has Error and no part of the answer.
 type GenerateResponse struct {
 	ModelName    string     `json:"model_name,omitempty"`
 	ModelVersion string     `json:"model_version,omitempty"`
@@ -135,26 +135,26 @@
 	Error        string     `json:"error,omitempty"`
 }
 
-// ErrorResponse is the body of every error.
+// ErrorResponse is the body of every error response.
 type ErrorResponse struct {
 	Error string `json:"error"`
 }
 
-// ServerMetadata answers GET v2.
+// ServerMetadata is the response to GET v2.
 type ServerMetadata struct {
 	Name       string   `json:"name"`
 	Version    string   `json:"version"`
 	Extensions []string `json:"extensions"`
 }
 
-// TensorMetadata describes an input or output in a model's metadata; -1 is a variable dimension.
+// TensorMetadata describes an input or output in a model's metadata. -1 in Shape stands for a variable dimension.
 type TensorMetadata struct {
 	Name     string  `json:"name"`
 	Datatype string  `json:"datatype"`
 	Shape    []int64 `json:"shape"`
 }
 
-// ModelMetadata answers GET v2/models/{model}.
+// ModelMetadata is the response to GET v2/models/{model}.
 type ModelMetadata struct {
 	Name     string           `json:"name"`
 	Versions []string         `json:"versions,omitempty"`
@@ -163,7 +163,7 @@
 	Outputs  []TensorMetadata `json:"outputs"`
 }
 
-// elementKind tells how the elements of a datatype look in JSON.
+// elementKind is the form that the elements of a datatype have in JSON.
 type elementKind uint8
 
 const (
@@ -174,7 +174,7 @@
 	kindBytes
 )
 
-// datatypes are those of the specification's table "Tensor Data Types", with their bits.
+// datatypes are those of the specification's table "Tensor Data Types", with their sizes in bits.
 var datatypes = map[string]struct {
 	kind elementKind
 	bits int
@@ -185,8 +185,7 @@
 	"FP16": {kindFloat, 16}, "FP32": {kindFloat, 32}, "FP64": {kindFloat, 64}, "BF16": {kindFloat, 16},
 }
 
-// ElementCount is the product of a shape's dimensions. A negative dimension, or a product over limit, is
-// an error.
+// ElementCount returns the product of a shape's dimensions. A negative dimension, or a product over limit, is an error.
 func ElementCount(shape []int64, limit int64) (int64, error) {
 	n := int64(1)
 	for _, d := range shape {
@@ -201,8 +200,8 @@
 	return n, nil
 }
 
-// Check verifies a tensor's datatype, its shape and that its data has as many elements of that type.
-// Every error names the tensor.
+// Check verifies a tensor's datatype and shape, and that its data has the right number of elements of that datatype. Every
+// error names the tensor, unless it has no name.
 func (t *Tensor) Check(limit int64) error {
 	if t.Name == "" {
 		return errors.New("a tensor has no name")
@@ -251,7 +250,7 @@
 	return out, nil
 }
 
-// eachElement calls f for every element of the data, whether nested or flat, and counts them.
+// eachElement calls f for every element of the data, nested or flat, and returns their number.
 func (t *Tensor) eachElement(f func(json.Token) error) (int64, error) {
 	dec := json.NewDecoder(bytes.NewReader(t.Data))
 	dec.UseNumber()
@@ -286,6 +285,7 @@
 	return n, nil
 }
 
+// checkElement verifies that a JSON value is an element of the given kind and size.
 func checkElement(tok json.Token, k elementKind, bits int) error {
 	switch k {
 	case kindBool:
@@ -318,10 +318,10 @@
 	return fmt.Errorf("element %v does not fit the datatype", tok)
 }
 
-// ErrTrailingData is returned for a body in which something follows its one value.
+// ErrTrailingData is returned by Decode if further data follows the JSON value.
 var ErrTrailingData = errors.New("more than one JSON value")
 
-// Decode reads exactly one JSON value from r into v; what follows it is an error.
+// Decode reads exactly one JSON value from r into v. Further data after it is an error.
 func Decode(r io.Reader, v any) error {
 	dec := json.NewDecoder(r)
 	dec.UseNumber()
@@ -337,7 +337,7 @@
 	return nil
 }
 
-// TextTensor makes a BYTES tensor of the given strings.
+// TextTensor returns a BYTES tensor with the given strings as its elements.
 func TextTensor(name string, texts ...string) Tensor {
 	data, err := json.Marshal(texts)
 	if err != nil { // a slice of strings always encodes
--- a/internal/kserve/kserve_test.go
+++ b/internal/kserve/kserve_test.go
@@ -58,16 +58,16 @@
 		t.Error("absent", ok, err)
 	}
 	if _, _, err := p.Number("neg"); err == nil {
-		t.Error("a negative number was taken")
+		t.Error("a negative number was accepted")
 	}
 	if _, err := p.Bool("s"); err == nil {
-		t.Error("a string was taken for a flag")
+		t.Error("a string was accepted as a boolean")
 	}
 	if err := p.Check(); err == nil || !strings.Contains(err.Error(), `"o"`) {
 		t.Errorf("an object as a value: %v", err)
 	}
 	if err := Decode(strings.NewReader(`{} {}`), &p); err == nil {
-		t.Error("two values were taken for one")
+		t.Error("two values were accepted as one")
 	}
 }
 
--- a/internal/kserve/sse.go
+++ b/internal/kserve/sse.go
@@ -8,24 +8,24 @@
 	"io"
 )
 
-// EventReader reads server-sent events (WHATWG HTML, section 9.2 "Server-sent events") and yields the data
-// of each. Only the data field is meant here; comments and other fields are passed over.
+// EventReader reads server-sent events (WHATWG HTML, section 9.2 "Server-sent events") and returns the data of each. It
+// ignores comments and all fields other than data.
 type EventReader struct {
 	r     *bufio.Reader
 	limit int
 	data  []byte
 }
 
-// ErrEventTooLong is returned for an event whose data or line is over the limit.
+// ErrEventTooLong is returned for an event whose data, or one of whose lines, exceeds the limit.
 var ErrEventTooLong = errors.New("event is too long")
 
-// NewEventReader reads from r; no event may be longer than limit bytes.
+// NewEventReader returns a reader of the events in r. An event of more than limit bytes is an error.
 func NewEventReader(r io.Reader, limit int) *EventReader {
 	return &EventReader{r: bufio.NewReaderSize(r, 4096), limit: limit}
 }
 
-// Next returns the data of the next event; it is valid until the next call. The end of the stream is
-// io.EOF between events, and io.ErrUnexpectedEOF within one.
+// Next returns the data of the next event, which is valid until the next call. At the end of the stream it returns io.EOF
+// between events and io.ErrUnexpectedEOF within one.
 func (e *EventReader) Next() ([]byte, error) {
 	e.data = e.data[:0]
 	seen := false
@@ -58,7 +58,7 @@
 	}
 }
 
-// readLine returns one line without its end.
+// readLine reads a line and returns it without its line end.
 func (e *EventReader) readLine() ([]byte, error) {
 	line, err := e.r.ReadSlice('\n')
 	if err == nil {
