--- a/internal/discovery/watch/watch.go
+++ b/internal/discovery/watch/watch.go
@@ -99,10 +99,10 @@
 func (s *Source) Run(ctx context.Context, notify func(discovery.Update)) error {
 	defer s.http.CloseIdleConnections()
 	pause := firstPause
-	for whole := true; ctx.Err() == nil; {
-		l, err := s.call(ctx, whole)
+	for complete := true; ctx.Err() == nil; {
+		l, err := s.call(ctx, complete)
 		if err == nil {
-			whole, err = s.apply(l)
+			complete, err = s.apply(l)
 		}
 		if err == nil {
 			s.report(notify)
@@ -112,7 +112,7 @@
 		if ctx.Err() != nil {
 			return nil
 		}
-		whole = true // it is unknown which changes were missed
+		complete = true // it is unknown which changes were missed
 		if errors.Is(err, errAddrChanged) {
 			s.http.CloseIdleConnections()
 			pause = firstPause
@@ -145,24 +145,24 @@
 	s.report(notify)
 }
 
-// call makes one call to the agent and reads its response. whole requests the whole list instead of its changes.
-func (s *Source) call(ctx context.Context, whole bool) (*response, error) {
+// call makes one call to the agent and reads its response. complete requests the whole list instead of its changes.
+func (s *Source) call(ctx context.Context, complete bool) (*response, error) {
 	s.mu.Lock()
 	addr := s.addr
-	within, ask := s.listTimeout, s.getHedged
+	timeout, get := s.listTimeout, s.getHedged
 	url := "http://" + addr + ListPath
 	switch {
 	case s.listAgent == "":
-		within = s.startTimeout
-	case !whole && addr == s.listAgent: // another agent has its own revisions
-		within, ask = s.watchTimeout+s.watchSlack, s.get
+		timeout = s.startTimeout
+	case !complete && addr == s.listAgent: // another agent has its own revisions
+		timeout, get = s.watchTimeout+s.watchSlack, s.get
 		url += "?since=" + strconv.FormatInt(s.revision, 10) + "&timeout_ms=" + strconv.FormatInt(s.watchTimeout.Milliseconds(), 10)
 	}
-	ctx, cancel := context.WithTimeout(ctx, within)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	s.cancelCall = cancel
 	s.mu.Unlock()
-	l, err := ask(ctx, url)
+	l, err := get(ctx, url)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.cancelCall = nil; s.addr != addr {
@@ -218,7 +218,7 @@
 
 // apply applies a response to the list and reports whether the whole list has to be requested next. If it returns an
 // error, the list is unchanged.
-func (s *Source) apply(l *response) (whole bool, err error) {
+func (s *Source) apply(l *response) (needComplete bool, err error) {
 	if l.agent == s.listAgent && l.Revision < s.revision {
 		if s.regressedSince.IsZero() {
 			s.regressedSince = time.Now()
--- a/internal/discovery/watch/watch_test.go
+++ b/internal/discovery/watch/watch_test.go
@@ -25,16 +25,16 @@
 // agent answers requests with the given texts in order. After the last one, and for an empty text, it does not respond.
 type agent struct {
 	*httptest.Server
-	mu      sync.Mutex
-	answers []string
-	asked   []string
+	mu       sync.Mutex
+	answers  []string
+	received []string
 }
 
 func startAgent(t *testing.T, answers ...string) *agent {
 	a := &agent{answers: answers}
 	a.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		a.mu.Lock()
-		a.asked = append(a.asked, r.URL.RequestURI())
+		a.received = append(a.received, r.URL.RequestURI())
 		answer := ""
 		if len(a.answers) > 0 {
 			answer, a.answers = a.answers[0], a.answers[1:]
@@ -60,7 +60,7 @@
 func (a *agent) requests() []string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return append([]string(nil), a.asked...)
+	return append([]string(nil), a.received...)
 }
 
 // list returns a list in discovery's format.
@@ -77,23 +77,23 @@
 // runSource runs a source until the test ends and returns a channel with its updates.
 func runSource(t *testing.T, s *Source) chan discovery.Update {
 	ctx, cancel := context.WithCancel(context.Background())
-	told := make(chan discovery.Update, 100)
+	updates := make(chan discovery.Update, 100)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		if err := s.Run(ctx, func(u discovery.Update) { told <- u }); err != nil {
+		if err := s.Run(ctx, func(u discovery.Update) { updates <- u }); err != nil {
 			t.Errorf("Run: %v", err)
 		}
 	}()
 	t.Cleanup(func() { cancel(); <-done })
-	return told
+	return updates
 }
 
 // nextUpdate waits for the next update and returns it as text: the engines, or "failed".
-func nextUpdate(t *testing.T, told chan discovery.Update) string {
+func nextUpdate(t *testing.T, updates chan discovery.Update) string {
 	t.Helper()
 	select {
-	case u := <-told:
+	case u := <-updates:
 		if u.Err != nil {
 			return "failed"
 		}
@@ -123,7 +123,7 @@
 		list(43, false, member("s1", "h:1", "draining", 0), member("s3", "h:3", "up", 7)),
 		list(44, false, member("s1", "h:1", "removed", 0), member("s2", "h:9", "up", 5)),
 		list(50, true, member("s9", "h:1", "up", 0)))
-	told := runSource(t, New(a.addr(), []string{"m1", "m2"}, nil, discardLogger()))
+	updates := runSource(t, New(a.addr(), []string{"m1", "m2"}, nil, discardLogger()))
 	for _, want := range []string{
 		"s1 h:1 up 0, s2 h:2 up 0",
 		"s1 h:1 up 0, s2 h:2 up 0",
@@ -131,22 +131,22 @@
 		"s2 h:9 up 5, s3 h:3 up 7",
 		"s9 h:1 up 0",
 	} {
-		if got := nextUpdate(t, told); got != want {
+		if got := nextUpdate(t, updates); got != want {
 			t.Errorf("reported %q, want %q", got, want)
 		}
 	}
-	asked := a.requests()
+	requests := a.requests()
 	for i, want := range []string{ListPath, ListPath + "?since=41&timeout_ms=1000", ListPath + "?since=42&timeout_ms=1000",
 		ListPath + "?since=43&timeout_ms=1000", ListPath + "?since=44&timeout_ms=1000"} {
-		if asked[i] != want {
-			t.Errorf("call %d: %s, want %s", i, asked[i], want)
+		if requests[i] != want {
+			t.Errorf("call %d: %s, want %s", i, requests[i], want)
 		}
 	}
 }
 
 // A malformed response counts as a failed call: the last valid list stays, and the whole list is requested next.
 func TestMalformedResponses(t *testing.T) {
-	sound := list(41, true, member("s1", "h:1", "up", 0))
+	valid := list(41, true, member("s1", "h:1", "up", 0))
 	for name, bad := range map[string]string{
 		"no JSON":                 `{"revision":42,`,
 		"no revision":             `{"members":[]}`,
@@ -158,10 +158,10 @@
 		"more members than bound": list(42, true, slices.Repeat([]string{"{}"}, maxMembers+1)...),
 	} {
 		t.Run(name, func(t *testing.T) {
-			a := startAgent(t, sound, bad, list(43, true, member("s1", "h:1", "draining", 0)))
-			told := runSource(t, New(a.addr(), []string{"m2"}, nil, discardLogger()))
+			a := startAgent(t, valid, bad, list(43, true, member("s1", "h:1", "draining", 0)))
+			updates := runSource(t, New(a.addr(), []string{"m2"}, nil, discardLogger()))
 			for _, want := range []string{"s1 h:1 up 0", "failed", "s1 h:1 draining 0"} {
-				if got := nextUpdate(t, told); got != want {
+				if got := nextUpdate(t, updates); got != want {
 					t.Errorf("reported %q, want %q", got, want)
 				}
 			}
@@ -178,8 +178,8 @@
 	const others = "s1 h:1 draining 0, s2 h:2 up 0"
 	ofKind := func(member, kind string) string { return strings.Replace(member, `"m2"`, `"`+kind+`"`, 1) }
 	for name, c := range map[string]struct {
-		broken []string
-		want   string
+		invalid []string
+		want    string
 	}{
 		"unknown phase":              {[]string{member("s3", "h:3", "asleep", 0)}, others + ", s3 h:3 draining 0"},
 		"unknown phase of a new one": {[]string{member("s4", "h:4", "asleep", 0)}, others + ", s3 h:3 up 0"},
@@ -206,15 +206,15 @@
 		"the same, and removed": {[]string{`{"id":"s3","cell":"x","phase":"removed"}`}, others},
 	} {
 		t.Run(name, func(t *testing.T) {
-			changes := append(c.broken, member("s1", "h:1", "draining", 0))
+			changes := append(c.invalid, member("s1", "h:1", "draining", 0))
 			a := startAgent(t, list(41, true, member("s1", "h:1", "up", 0), member("s2", "h:2", "up", 0), member("s3", "h:3", "up", 0)),
 				list(42, false, changes...), list(43, true, member("s2", "h:2", "up", 0)))
-			told := runSource(t, New(a.addr(), []string{"m2"}, nil, discardLogger()))
-			nextUpdate(t, told)
-			if got := nextUpdate(t, told); got != c.want {
+			updates := runSource(t, New(a.addr(), []string{"m2"}, nil, discardLogger()))
+			nextUpdate(t, updates)
+			if got := nextUpdate(t, updates); got != c.want {
 				t.Errorf("reported %q, want %q", got, c.want)
 			}
-			if got := nextUpdate(t, told); got != "s2 h:2 up 0" {
+			if got := nextUpdate(t, updates); got != "s2 h:2 up 0" {
 				t.Errorf("then reported %q", got)
 			}
 			if got := a.requests()[2]; got != ListPath {
@@ -228,8 +228,8 @@
 // nevertheless.
 func TestKindsAreNormalizedAsInSettings(t *testing.T) {
 	a := startAgent(t, list(41, true, strings.Replace(member("s1", "h:1", "up", 0), `"m2"`, `"m 2,big"`, 1)))
-	told := runSource(t, New(a.addr(), []string{"m_2_big"}, nil, discardLogger()))
-	if got := nextUpdate(t, told); got != "s1 h:1 up 0" {
+	updates := runSource(t, New(a.addr(), []string{"m_2_big"}, nil, discardLogger()))
+	if got := nextUpdate(t, updates); got != "s1 h:1 up 0" {
 		t.Errorf("reported %q", got)
 	}
 }
@@ -241,9 +241,9 @@
 		list(43, true, member("s1", "h:1", "draining", 0), broken), list(44, true, member("s1", "h:1", "draining", 0), broken),
 		list(45, true))
 	var log strings.Builder
-	told := runSource(t, New(a.addr(), []string{"m2"}, nil, slog.New(slog.NewTextHandler(&log, nil))))
+	updates := runSource(t, New(a.addr(), []string{"m2"}, nil, slog.New(slog.NewTextHandler(&log, nil))))
 	for i, want := range []string{"s1 h:1 up 0", "s1 h:1 draining 0", "s1 h:1 draining 0", "s1 h:1 draining 0", ""} {
-		if got := nextUpdate(t, told); got != want {
+		if got := nextUpdate(t, updates); got != want {
 			t.Errorf("update %d: %q, want %q", i, got, want)
 		}
 	}
@@ -284,9 +284,9 @@
 			if c.answers == nil {
 				s.startTimeout, s.listTimeout, s.watchSlack = 50*time.Millisecond, 50*time.Millisecond, 50*time.Millisecond
 			}
-			told := runSource(t, s)
+			updates := runSource(t, s)
 			for i, want := range c.want {
-				if got := nextUpdate(t, told); got != want {
+				if got := nextUpdate(t, updates); got != want {
 					t.Errorf("update %d: %q, want %q", i, got, want)
 				}
 			}
@@ -301,9 +301,9 @@
 	a := startAgent(t, list(41, true, member("s1", "h:1", "up", 0)), old, old, list(8, false, member("s1", "h:1", "removed", 0)))
 	s := New(a.addr(), []string{"m2"}, nil, discardLogger())
 	s.regressionWindow = firstPause // over when the second response arrives, which is requested after that pause
-	told := runSource(t, s)
+	updates := runSource(t, s)
 	for i, want := range []string{"s1 h:1 up 0", "failed", "s1 h:1 draining 0", ""} {
-		if got := nextUpdate(t, told); got != want {
+		if got := nextUpdate(t, updates); got != want {
 			t.Errorf("update %d: %q, want %q", i, got, want)
 		}
 	}
@@ -315,14 +315,14 @@
 	a := startAgent(t, list(41, true, member("s1", "h:1", "up", 0)))
 	b := startAgent(t, list(3, true, member("s2", "h:2", "up", 0)), list(4, false, member("s2", "h:2", "draining", 0)))
 	s := New(a.addr(), []string{"m2"}, nil, discardLogger())
-	told := make(chan discovery.Update, 10)
+	updates := make(chan discovery.Update, 10)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	first := true
 	go func() {
 		defer close(done)
 		s.Run(ctx, func(u discovery.Update) {
-			told <- u
+			updates <- u
 			if first { // no call is in flight now
 				first = false
 				s.SetAddr(b.addr())
@@ -331,7 +331,7 @@
 	}()
 	defer func() { cancel(); <-done }()
 	for i, want := range []string{"s1 h:1 up 0", "s2 h:2 up 0", "s2 h:2 draining 0"} {
-		if got := nextUpdate(t, told); got != want {
+		if got := nextUpdate(t, updates); got != want {
 			t.Errorf("update %d: %q, want %q", i, got, want)
 		}
 	}
@@ -390,15 +390,15 @@
 	b := startAgent(t, list(42, true, member("s2", "h:2", "up", 0)))
 	s := New(a.addr(), []string{"m2"}, nil, discardLogger())
 	s.watchTimeout = time.Hour
-	told := runSource(t, s)
-	if got := nextUpdate(t, told); got != "s1 h:1 up 0" {
+	updates := runSource(t, s)
+	if got := nextUpdate(t, updates); got != "s1 h:1 up 0" {
 		t.Fatal(got)
 	}
 	for len(a.requests()) < 2 { // wait until the watch is in flight
 		time.Sleep(time.Millisecond)
 	}
 	s.SetAddr(b.addr())
-	if got := nextUpdate(t, told); got != "s2 h:2 up 0" {
+	if got := nextUpdate(t, updates); got != "s2 h:2 up 0" {
 		t.Errorf("reported %q", got)
 	}
 	s.SetAddr(b.addr()) // has no effect
@@ -410,9 +410,9 @@
 		list(43, false, member("s1", "h:1", "removed", 0)))
 	s := New(a.addr(), []string{"m2"}, nil, discardLogger())
 	s.watchTimeout, s.watchSlack, s.listTimeout = 20*time.Millisecond, 200*time.Millisecond, 200*time.Millisecond
-	told := runSource(t, s)
+	updates := runSource(t, s)
 	for _, want := range []string{"s1 h:1 up 0", "failed", "s1 h:1 draining 0", ""} {
-		if got := nextUpdate(t, told); got != want {
+		if got := nextUpdate(t, updates); got != want {
 			t.Errorf("reported %q, want %q", got, want)
 		}
 	}
@@ -427,19 +427,19 @@
 // for a response. The router's list is at most 6 s old even if the next two calls, after the longest pauses, get no
 // response or are refused as well.
 func TestTimeLimits(t *testing.T) {
-	if most := 2 * time.Second; watchTimeout+watchSlack > most {
+	if limit := 2 * time.Second; watchTimeout+watchSlack > limit {
 		t.Errorf("an unresponsive watch is noticed after %v", watchTimeout+watchSlack)
 	}
 	// What the agent learns when discovery returns counts as reported at that moment. A drain must reach the router within
 	// its grace of one second, less the longest pause of a process.
 	longest := time.Duration(float64(hedgeInterval+maxPause) * (1 + jitter))
-	if most := time.Second - time.Duration(decide.MaxPause); longest > most {
+	if limit := time.Second - time.Duration(decide.MaxPause); longest > limit {
 		t.Errorf("a list is requested %v after the previous request", longest)
 	}
-	if most := time.Second; startTimeout > most { // a router must be ready within 6 s without discovery, with only a part of a CPU core
+	if limit := time.Second; startTimeout > limit { // a router must be ready within 6 s without discovery, with only a part of a CPU core
 		t.Errorf("the cached list is used after %v", startTimeout)
 	}
-	if most := 6 * time.Second; watchTimeout+watchSlack+2*(maxPause+listTimeout) > most {
+	if limit := 6 * time.Second; watchTimeout+watchSlack+2*(maxPause+listTimeout) > limit {
 		t.Errorf("a change may be reported after %v", watchTimeout+watchSlack+2*(maxPause+listTimeout))
 	}
 }
@@ -451,7 +451,7 @@
 		answers = append(answers, "status 503")
 	}
 	a := startAgent(t, append(answers, list(42, true, member("s1", "h:1", "draining", 0)))...)
-	told := runSource(t, New(a.addr(), []string{"m2"}, nil, discardLogger()))
+	updates := runSource(t, New(a.addr(), []string{"m2"}, nil, discardLogger()))
 	for i := range 8 {
 		want := "failed"
 		if i == 0 {
@@ -459,7 +459,7 @@
 		} else if i == 7 {
 			want = "s1 h:1 draining 0"
 		}
-		if got := nextUpdate(t, told); got != want {
+		if got := nextUpdate(t, updates); got != want {
 			t.Fatalf("update %d: %q, want %q", i, got, want)
 		}
 	}
@@ -476,9 +476,9 @@
 		list(43, false, member("s1", "h:1", "removed", 0)))
 	s := New(a.addr(), []string{"m2"}, nil, discardLogger())
 	s.watchTimeout, s.watchSlack, s.listTimeout, s.hedgeInterval = 20*time.Millisecond, 20*time.Millisecond, time.Hour, 20*time.Millisecond
-	told := runSource(t, s)
+	updates := runSource(t, s)
 	for _, want := range []string{"s1 h:1 up 0", "failed", "s1 h:1 draining 0", ""} {
-		if got := nextUpdate(t, told); got != want {
+		if got := nextUpdate(t, updates); got != want {
 			t.Errorf("reported %q, want %q", got, want)
 		}
 	}
@@ -495,8 +495,8 @@
 	a := startAgent(t)
 	s := New(a.addr(), []string{"m2"}, nil, discardLogger())
 	s.startTimeout, s.hedgeInterval = 300*time.Millisecond, time.Millisecond
-	told := runSource(t, s)
-	if got := nextUpdate(t, told); got != "failed" {
+	updates := runSource(t, s)
+	if got := nextUpdate(t, updates); got != "failed" {
 		t.Errorf("reported %q", got)
 	}
 	if n := len(a.requests()); n > maxHedgedCalls {
--- a/internal/engine/chat/chat_test.go
+++ b/internal/engine/chat/chat_test.go
@@ -45,7 +45,7 @@
 	var work sync.WaitGroup
 	var mu sync.Mutex
 	open := map[net.Conn]bool{}
-	ended := false
+	stopped := false
 	work.Add(1)
 	go func() {
 		defer work.Done()
@@ -55,7 +55,7 @@
 				return
 			}
 			mu.Lock()
-			if ended {
+			if stopped {
 				c.Close()
 			}
 			open[c] = true
@@ -91,7 +91,7 @@
 	t.Cleanup(func() {
 		l.Close()
 		mu.Lock()
-		ended = true
+		stopped = true
 		for c := range open {
 			c.Close()
 		}
@@ -301,7 +301,7 @@
 func TestConnectionReuse(t *testing.T) {
 	for _, c := range []struct {
 		name, answer string
-		stay         bool
+		keepOpen     bool
 		conns        int64
 	}{
 		{"kept", response("202 x", `{}`), true, 1},
@@ -313,11 +313,11 @@
 		{"an error", response("500 x", "oh"), true, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			p := startFakeEngine(t, c.stay, alwaysRespond(c.answer))
+			p := startFakeEngine(t, c.keepOpen, alwaysRespond(c.answer))
 			cl := newClient(t, nil)
 			for range 3 {
 				cl.Prefill(t.Context(), p.addr, request())
-				if !c.stay { // wait until the close has arrived
+				if !c.keepOpen { // wait until the close has arrived
 					for deadline := time.Now().Add(5 * time.Second); time.Now().Before(deadline); {
 						conn := cl.pool.takeIdle(p.addr, 0)
 						if conn == nil {
@@ -623,12 +623,12 @@
 
 // The holds at an engine that is gone are released at another engine in the server list, even if none has ever responded.
 func TestReleaseAtListedEngineWithoutResponses(t *testing.T) {
-	gone, err := net.Listen("tcp", "127.0.0.1:0")
+	closed, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	addr := gone.Addr().String()
-	gone.Close() // nothing listens there
+	addr := closed.Addr().String()
+	closed.Close() // nothing listens there
 	p := startFakeEngine(t, true, alwaysRespond("HTTP/1.1 204 x\r\n\r\n"))
 	c := newClient(t, nil)
 	c.EngineListed(addr)
--- a/internal/engine/chat/crossings_test.go
+++ b/internal/engine/chat/crossings_test.go
@@ -127,12 +127,12 @@
 		return response("202 x", `{"cached_tokens":3}`)
 	})
 	c := newClient(t, nil)
-	ended := make(chan engine.Result)
-	go func() { ended <- c.Prefill(t.Context(), p.addr, request()) }()
+	result := make(chan engine.Result)
+	go func() { result <- c.Prefill(t.Context(), p.addr, request()) }()
 	<-reading
 	c.ForgetEngine(p.addr)
 	goOn <- true
-	if res := <-ended; res.Outcome != decide.ReadDone || res.CachedTokens != 3 {
+	if res := <-result; res.Outcome != decide.ReadDone || res.CachedTokens != 3 {
 		t.Errorf("%+v", res)
 	}
 	if n := c.pool.idle.Len(); n != 0 || c.pool.total != 0 || len(c.pool.inUse) != 0 {
@@ -146,9 +146,9 @@
 // An endless response, whichever part of it is endless, ends with the attempt's time-out, and its connection is not kept.
 func TestEndlessResponsesTimeOut(t *testing.T) {
 	for name, c := range map[string]struct {
-		start, more string
-		stream      bool
-		want        decide.Outcome
+		start, repeat string
+		stream        bool
+		want          decide.Outcome
 	}{
 		"in the status line":  {"HTTP/1.1 202 ", "x", false, decide.TimedOut},
 		"in the head":         {"HTTP/1.1 202 x\r\nX: ", "y", false, decide.TimedOut},
@@ -161,20 +161,20 @@
 		"in 1xx answers":      {"", "HTTP/1.1 100 x\r\n\r\n", false, decide.Reset}, // ended by the limit on their number
 	} {
 		t.Run(name, func(t *testing.T) {
-			asked := make(chan bool)
+			requested := make(chan bool)
 			addr := startScriptedEngine(t, func(_ int, conn net.Conn, br *bufio.Reader) {
 				readRequest(br)
 				_, err := io.WriteString(conn, c.start)
-				close(asked)
+				close(requested)
 				for err == nil { // until the client closes the connection
 					time.Sleep(time.Millisecond)
-					_, err = io.WriteString(conn, c.more)
+					_, err = io.WriteString(conn, c.repeat)
 				}
 			})
 			ctx, cancel := context.WithCancelCause(t.Context())
 			defer cancel(nil)
 			go func() {
-				<-asked
+				<-requested
 				time.Sleep(20 * time.Millisecond) // let some of the response arrive first
 				cancel(engine.ErrTimedOut)
 			}()
@@ -271,12 +271,12 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := startFakeEngine(t, true, alwaysRespond("HTTP/1.1 204 x\r\n\r\n"))
-			gone, err := net.Listen("tcp", "127.0.0.1:0")
+			closed, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
 			}
-			addr := gone.Addr().String()
-			gone.Close() // nothing listens there
+			addr := closed.Addr().String()
+			closed.Close() // nothing listens there
 			c := newClient(t, func(o *Options) { o.CancelRetryDelay = time.Millisecond })
 			c.lastResponse[p.addr], c.lastResponse[addr] = time.Now(), time.Now().Add(time.Hour)
 			if err := callOff(c, t.Context(), addr); err != nil {
@@ -294,10 +294,10 @@
 // an attempt that may have executed.
 func TestOutcomeWaitsForConnectionClose(t *testing.T) {
 	for cause, want := range map[error]decide.Outcome{engine.ErrTimedOut: decide.TimedOut, engine.ErrCancelled: decide.Cancelled} {
-		asked, closed := make(chan bool), make(chan bool, 1)
+		requested, closed := make(chan bool), make(chan bool, 1)
 		addr := startScriptedEngine(t, func(_ int, _ net.Conn, br *bufio.Reader) {
 			readRequest(br)
-			close(asked)
+			close(requested)
 			br.ReadByte()
 			closed <- true
 		})
@@ -306,7 +306,7 @@
 		ctx, cancel := context.WithCancelCause(t.Context())
 		given := make(chan time.Time, 1)
 		go func() {
-			<-asked
+			<-requested
 			given <- time.Now()
 			cancel(cause)
 		}()
--- a/internal/engine/chat/events.go
+++ b/internal/engine/chat/events.go
@@ -47,8 +47,8 @@
 		}
 		if err := e.fill(); err != nil {
 			if err == io.EOF && len(bytes.TrimSpace(e.buf)) > 0 {
-				if _, bad := e.checkEvent(e.buf); bad != nil {
-					return "", bad
+				if _, invalid := e.checkEvent(e.buf); invalid != nil {
+					return "", invalid
 				}
 				e.buf = nil // the stream may end with a comment that lacks its blank line
 			}
--- a/internal/engine/client_test.go
+++ b/internal/engine/client_test.go
@@ -114,7 +114,7 @@
 	end := `data: {"id":"a","text_output":"","details":{"finish_reason":"stop"},"parameters":{"kv_cache_utilization":0.5}}` + "\n\n"
 	for _, c := range []struct {
 		name, answer string
-		stay         bool
+		keepOpen     bool
 		want         decide.Outcome
 		tokens       int
 	}{
@@ -132,7 +132,7 @@
 		{"full", refusal(RefusedFull), false, decide.Full, 0},
 	} {
 		n := 0
-		res := newClient(t, nil).Decode(t.Context(), startFakeEngine(t, c.answer, c.stay), &Call{ID: "a", Model: "m"},
+		res := newClient(t, nil).Decode(t.Context(), startFakeEngine(t, c.answer, c.keepOpen), &Call{ID: "a", Model: "m"},
 			func(string) error { n++; return nil })
 		if res.Outcome != c.want || res.Tokens != c.tokens || n != c.tokens {
 			t.Errorf("%s: outcome %d, %d tokens, err %v; want %d and %d", c.name, res.Outcome, n, res.Err, c.want, c.tokens)
@@ -188,11 +188,11 @@
 	if err := newClient(t, nil).Release(t.Context(), &State{Addr: startFakeEngine(t, "HTTP/1.1 404 x\r\nContent-Length: 0\r\n\r\n", false), Handle: "h"}); err != nil {
 		t.Errorf("release of a KV state that is gone: %v", err)
 	}
-	began := time.Now()
+	start := time.Now()
 	if err := newClient(t, nil).Release(t.Context(), &State{Addr: startFakeEngine(t, "HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n", false), Handle: "h"}); err == nil {
 		t.Error("a release succeeded at an engine that fails")
 	}
-	if time.Since(began) < 50*time.Millisecond {
+	if time.Since(start) < 50*time.Millisecond {
 		t.Error("the release was not retried")
 	}
 }
--- a/internal/engine/wire.go
+++ b/internal/engine/wire.go
@@ -237,8 +237,8 @@
 // if it is told none. Connected reports that a connection has been obtained and how many exchanges it has carried before.
 type Gate interface {
 	Connected(uses int)
-	MaySend(told time.Duration) error
-	Sent(told time.Duration)
+	MaySend(timeLeft time.Duration) error
+	Sent(timeLeft time.Duration)
 }
 
 // Call is the request of one attempt.
--- a/internal/front/chat/answer.go
+++ b/internal/front/chat/answer.go
@@ -35,8 +35,8 @@
 	return 500
 }
 
-// response returns a complete HTTP response. closes adds Connection: close.
-func (f *Front) response(code int, contentType string, body []byte, retryAfter time.Duration, closes bool) []byte {
+// response returns a complete HTTP response. closeAfter adds Connection: close.
+func (f *Front) response(code int, contentType string, body []byte, retryAfter time.Duration, closeAfter bool) []byte {
 	b := make([]byte, 0, 192+len(body))
 	b = append(b, "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(code), 10)
@@ -46,7 +46,7 @@
 		b = append(b, "\r\nRetry-After: "...)
 		b = strconv.AppendFloat(b, retryAfter.Seconds(), 'f', 3, 64)
 	}
-	if closes {
+	if closeAfter {
 		b = append(b, "\r\nConnection: close"...)
 	}
 	b = append(b, "\r\n\r\n"...)
@@ -54,9 +54,9 @@
 }
 
 // respond sends a response with a short text and reports whether the connection can take another request.
-func (c *conn) respond(code int, text string, retryAfter time.Duration, closes bool) bool {
+func (c *conn) respond(code int, text string, retryAfter time.Duration, closeAfter bool) bool {
 	f := c.front
-	closes = closes || f.closing.Load()
+	closeAfter = closeAfter || f.closing.Load()
 	var body []byte
 	if text != "" {
 		body = []byte(text + "\n")
@@ -65,19 +65,19 @@
 		return false
 	}
 	c.SetWriteDeadline(time.Now().Add(f.opts.WriteTimeout))
-	_, err := c.Write(f.response(code, "text/plain", body, retryAfter, closes))
+	_, err := c.Write(f.response(code, "text/plain", body, retryAfter, closeAfter))
 	c.complete = err == nil
-	return c.complete && !closes
+	return c.complete && !closeAfter
 }
 
 // respondError responds with an error and reports whether the connection can take another request.
-func (c *conn) respondError(e *front.Error, closes bool) bool {
-	return c.respond(statusCode(e.Kind), e.Text, e.RetryAfter, closes)
+func (c *conn) respondError(e *front.Error, closeAfter bool) bool {
+	return c.respond(statusCode(e.Kind), e.Text, e.RetryAfter, closeAfter)
 }
 
 // streamAnswer forwards a request's events to its client, each as soon as it arrives, followed by the request's ending. It
 // reports whether the connection can take another request.
-func (c *conn) streamAnswer(ctx context.Context, q *router.Request, closes bool) bool {
+func (c *conn) streamAnswer(ctx context.Context, q *router.Request, closeAfter bool) bool {
 	defer q.Abandon() // has no effect after the ending
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -86,19 +86,19 @@
 		cancel()
 	})
 	defer watcher.stop(c)
-	begun := false
+	started := false
 	var buf []byte
 	for {
 		event, end := q.Next(ctx)
 		if end == nil {
 			buf = buf[:0]
-			if !begun {
-				if begun = c.request.BeginAnswer("200"); !begun {
+			if !started {
+				if started = c.request.BeginAnswer("200"); !started {
 					return false
 				}
-				closes = closes || c.front.closing.Load()
+				closeAfter = closeAfter || c.front.closing.Load()
 				buf = append(buf, "HTTP/1.1 200 OK\r\nContent-Type: "+platform.EventStreamType+"\r\nCache-Control: no-store\r\n"...)
-				if closes {
+				if closeAfter {
 					buf = append(buf, "Connection: close\r\n"...)
 				}
 				buf = append(buf, "Transfer-Encoding: chunked\r\n\r\n"...)
@@ -113,23 +113,23 @@
 		}
 		e := front.EndingError(end)
 		switch {
-		case end.Kind == router.Gone && (begun || !watcher.stop(c)):
+		case end.Kind == router.Gone && (started || !watcher.stop(c)):
 			return false
 		case end.Kind == router.Gone: // the core has stopped without an answer
 			return c.respond(500, "the router has stopped", 0, true)
-		case e != nil && begun:
+		case e != nil && started:
 			return false // the stream ends without its last chunk, so the client sees that it is incomplete
 		case !watcher.stop(c):
 			return false
 		case e != nil:
-			return c.respondError(e, closes)
-		case !begun:
+			return c.respondError(e, closeAfter)
+		case !started:
 			return c.respond(500, "an answer without an event", 0, true)
 		}
 		c.SetWriteDeadline(time.Now().Add(c.front.opts.WriteTimeout))
 		_, err := c.Write([]byte("0\r\n\r\n"))
 		c.complete = err == nil
-		return c.complete && !closes
+		return c.complete && !closeAfter
 	}
 }
 
@@ -172,17 +172,17 @@
 // common limit on memory for bodies is reached.
 func (c *conn) readAhead() error {
 	if n := len(c.readAheadData); n == cap(c.readAheadData) {
-		grown := min(max(2*n, readBufferSize), maxReadAhead)
-		if n >= grown {
+		newCap := min(max(2*n, readBufferSize), maxReadAhead)
+		if n >= newCap {
 			return errNoBodyMemory
 		}
-		more := int64(grown) - c.readAheadMemory
-		if c.front.bodyMemory.Add(more) > c.front.opts.MaxBodyMemory {
-			c.front.bodyMemory.Add(-more)
+		growth := int64(newCap) - c.readAheadMemory
+		if c.front.bodyMemory.Add(growth) > c.front.opts.MaxBodyMemory {
+			c.front.bodyMemory.Add(-growth)
 			return errNoBodyMemory
 		}
-		c.readAheadMemory = int64(grown) // dropReadAhead returns it
-		c.readAheadData = append(make([]byte, 0, grown), c.readAheadData...)
+		c.readAheadMemory = int64(newCap) // dropReadAhead returns it
+		c.readAheadData = append(make([]byte, 0, newCap), c.readAheadData...)
 	}
 	n, err := c.Conn.Read(c.readAheadData[len(c.readAheadData):cap(c.readAheadData)])
 	c.readAheadData = c.readAheadData[:len(c.readAheadData)+n]
--- a/internal/front/chat/conn.go
+++ b/internal/front/chat/conn.go
@@ -69,16 +69,16 @@
 		if !f.conns.transition(c, stateReceiving) {
 			return
 		}
-		within := time.Now().Add(f.opts.RequestTimeout)
+		deadline := time.Now().Add(f.opts.RequestTimeout)
 		if first { // the time since the accept counts, but data that has arrived gets time to be read
-			within = latest(c.accepted.Add(f.opts.RequestTimeout), time.Now().Add(f.opts.RequestTimeout/4))
+			deadline = latest(c.accepted.Add(f.opts.RequestTimeout), time.Now().Add(f.opts.RequestTimeout/4))
 		}
-		c.SetReadDeadline(within)
+		c.SetReadDeadline(deadline)
 		c.request = f.opts.Guard.Receive()
-		more := c.takeRequest(ctx)
-		c.endReason = c.describeEnd(more)
+		reusable := c.takeRequest(ctx)
+		c.endReason = c.describeEnd(reusable)
 		c.request.Closed(c.endReason)
-		if c.request = nil; !more {
+		if c.request = nil; !reusable {
 			return
 		}
 	}
@@ -194,10 +194,10 @@
 	io.CopyN(io.Discard, r, maxLingerBytes)
 }
 
-// describeEnd returns what the end of a request means for its connection; more tells whether it can take another request.
-func (c *conn) describeEnd(more bool) string {
+// describeEnd returns what the end of a request means for its connection; reusable tells whether it can take another request.
+func (c *conn) describeEnd(reusable bool) string {
 	switch {
-	case more:
+	case reusable:
 		return "the connection is idle"
 	case c.complete:
 		return "last answer on the connection"
@@ -213,11 +213,11 @@
 	if err != nil {
 		return c.respondUnreadable(err)
 	}
-	method, target, old, err := head.RequestLine()
+	method, target, http10, err := head.RequestLine()
 	if err != nil {
 		return c.respondUnreadable(err)
 	}
-	closes := old || head.WantsClose()
+	closeAfter := http10 || head.WantsClose()
 	body, err := c.readBody(head)
 	defer f.bodyMemory.Add(-int64(cap(body)))
 	if err != nil {
@@ -230,20 +230,20 @@
 	switch {
 	case path == platform.ReadyPath && method == "GET":
 		if f.core.Ready() && !f.closing.Load() {
-			return c.respond(200, "", 0, closes)
+			return c.respond(200, "", 0, closeAfter)
 		}
-		return c.respond(503, "not ready", 0, closes)
+		return c.respond(503, "not ready", 0, closeAfter)
 	case path != platform.ChatPath:
-		return c.respond(404, "no such path", 0, closes)
+		return c.respond(404, "no such path", 0, closeAfter)
 	case method != "POST":
-		return c.respond(405, "POST only", 0, closes)
+		return c.respond(405, "POST only", 0, closeAfter)
 	}
-	job, bad := f.job(head, target, body, time.Now())
-	if bad != nil {
-		if bad.Kind == front.BadRequest {
-			f.log.Info("bad request", "client", c.RemoteAddr().String(), "reason", bad.Text)
+	job, jobErr := f.job(head, target, body, time.Now())
+	if jobErr != nil {
+		if jobErr.Kind == front.BadRequest {
+			f.log.Info("bad request", "client", c.RemoteAddr().String(), "reason", jobErr.Text)
 		}
-		return c.respondError(bad, true)
+		return c.respondError(jobErr, true)
 	}
 	job.Guard = c.request
 	c.request.SetClientCheck(c.clientGone)
@@ -253,16 +253,16 @@
 		if errors.Is(err, router.ErrDuplicateName) {
 			return c.respondError(&front.Error{Kind: front.BadRequest, Text: err.Error()}, true)
 		}
-		return c.respondError(front.SubmitError(err), closes)
+		return c.respondError(front.SubmitError(err), closeAfter)
 	}
-	return c.streamAnswer(ctx, q, closes)
+	return c.streamAnswer(ctx, q, closeAfter)
 }
 
 // respondUnreadable answers a request that can't be read, after which the connection is closed because it is unknown
 // where the next request would begin. It returns false, since the connection can't take another request.
 func (c *conn) respondUnreadable(err error) bool {
 	code, text := 400, err.Error()
-	var late net.Error
+	var netErr net.Error
 	switch {
 	case errors.Is(err, io.EOF):
 		if c.request != nil {
@@ -275,7 +275,7 @@
 		code = 503
 	case errors.Is(err, http1.ErrTooLarge):
 		code = 413
-	case errors.As(err, &late) && late.Timeout():
+	case errors.As(err, &netErr) && netErr.Timeout():
 		code, text = 408, "the request did not end in time"
 		if c.front.closing.Load() { // the client may have sent the rest meanwhile and may retry elsewhere
 			code, text = 503, "the router is stopping"
@@ -309,25 +309,25 @@
 		}
 	}
 	var r io.Reader
-	most := int64(MaxBody) + 1
+	maxLen := int64(MaxBody) + 1
 	if chunked {
 		r = http1.NewChunkedReader(c.br, MaxBody)
 	} else {
 		r = io.LimitReader(c.br, length)
-		most = length
+		maxLen = length
 	}
 	var b []byte
 	for {
 		if len(b) == cap(b) {
-			grown := min(max(2*int64(cap(b)), 8<<10), most)
-			if grown == int64(cap(b)) {
+			newCap := min(max(2*int64(cap(b)), 8<<10), maxLen)
+			if newCap == int64(cap(b)) {
 				break // the maximum size is reached
 			}
-			if c.front.bodyMemory.Add(grown-int64(cap(b))) > c.front.opts.MaxBodyMemory {
-				c.front.bodyMemory.Add(int64(cap(b)) - grown)
+			if c.front.bodyMemory.Add(newCap-int64(cap(b))) > c.front.opts.MaxBodyMemory {
+				c.front.bodyMemory.Add(int64(cap(b)) - newCap)
 				return b, errNoBodyMemory
 			}
-			b = append(make([]byte, 0, grown), b...)
+			b = append(make([]byte, 0, newCap), b...)
 		}
 		n, err := r.Read(b[len(b):cap(b)])
 		b = b[:len(b)+n]
--- a/internal/front/chat/crossings_test.go
+++ b/internal/front/chat/crossings_test.go
@@ -81,9 +81,9 @@
 // A request that is partly received when the shutdown begins is read to its end and answered as the last one on its
 // connection.
 func TestRequestInPiecesDuringShutdown(t *testing.T) {
-	whole := message("b")
+	request := message("b")
 	for name, cut := range map[string]int{
-		"one byte": 1, "half a head": 80, "all but the last byte": len(whole) - 1, "head without body": strings.Index(whole, "\r\n\r\n") + 4,
+		"one byte": 1, "half a head": 80, "all but the last byte": len(request) - 1, "head without body": strings.Index(request, "\r\n\r\n") + 4,
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := startFront(t, writeAnswer, nil)
@@ -91,13 +91,13 @@
 			io.WriteString(client, message("a"))
 			readAnswer(t, br)
 			w.waitForState(stateIdle)
-			io.WriteString(client, whole[:cut])
+			io.WriteString(client, request[:cut])
 			w.waitForState(stateReceiving)
 			w.front.BeginShutdown()
 			w.front.CloseIdle(0)
 			w.front.RefuseUnused()
 			w.front.CloseIdle(0)
-			io.WriteString(client, whole[cut:])
+			io.WriteString(client, request[cut:])
 			resp, got, err := readAnswer(t, br)
 			if resp.StatusCode != 200 || !resp.Close || got != eventA+eventEnd || err != nil {
 				t.Errorf("%+v %q %v", resp, got, err)
@@ -198,8 +198,8 @@
 func TestIncompleteRequestsAreRefusedAtShutdown(t *testing.T) {
 	w := startFront(t, writeAnswer, nil)
 	c, br := w.dial()
-	whole := message("a")
-	io.WriteString(c, whole[:len(whole)-1])
+	request := message("a")
+	io.WriteString(c, request[:len(request)-1])
 	w.waitForState(stateReceiving)
 	w.front.BeginShutdown()
 	w.front.RefuseUnused() // does not affect a connection that is receiving a request
@@ -207,7 +207,7 @@
 	if resp, _, err := readAnswer(t, br); resp.StatusCode != 503 || !resp.Close || err != nil {
 		t.Errorf("%+v %v", resp, err)
 	}
-	io.WriteString(c, whole[len(whole)-1:])
+	io.WriteString(c, request[len(request)-1:])
 	if b, err := io.ReadAll(br); len(b) > 0 || err != nil {
 		t.Errorf("data after the refusal: %q, %v", b, err)
 	}
@@ -447,11 +447,11 @@
 		t.Run(name, func(t *testing.T) {
 			w := startFront(t, hang, nil)
 			w.front.finalAnswerTimeout = 50 * time.Millisecond
-			asked, openBr := w.dial()
-			io.WriteString(asked, message("a"))
+			openConn, openBr := w.dial()
+			io.WriteString(openConn, message("a"))
 			w.waitForState(stateOpen)
-			coming, comingBr := w.dial()
-			io.WriteString(coming, message("b")[:40])
+			partial, partialBr := w.dial()
+			io.WriteString(partial, message("b")[:40])
 			w.waitForState(stateReceiving)
 			_, freshBr := w.dial()
 			w.waitForState(stateNew)
@@ -462,7 +462,7 @@
 			for what, want := range map[string]struct {
 				br   *bufio.Reader
 				code int
-			}{"open": {openBr, 500}, "coming": {comingBr, 503}, "fresh": {freshBr, 503}} {
+			}{"open": {openBr, 500}, "coming": {partialBr, 503}, "fresh": {freshBr, 503}} {
 				if resp, _, err := readAnswer(t, want.br); resp.StatusCode != want.code || err != nil {
 					t.Errorf("%s: %+v %v", what, resp, err)
 				}
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -160,7 +160,7 @@
 	guess := float64(len(in.Prompt)) / m.set.BytesPerToken
 	j.PromptTokens = max(r.number(ParamPromptTokens, guess), 1)
 	j.PrefixTokens = min(r.number(ParamSharedTokens, 0), j.PromptTokens)
-	hint, within := r.number(ParamLengthHint, 0), r.number(ParamDeadline, 0)
+	hint, deadline := r.number(ParamLengthHint, 0), r.number(ParamDeadline, 0)
 	j.Class = 0
 	if class == "" {
 		class = m.set.DefaultClass
@@ -182,29 +182,29 @@
 		}
 		j.TenantName = tenant
 	}
-	out := r.number(ParamMaxTokens, float64(c.MaxTokens))
+	maxTokens := r.number(ParamMaxTokens, float64(c.MaxTokens))
 	if r.err != nil {
 		return nil, BadRequestf("%v", r.err)
 	}
-	if out < 1 || out != float64(int(out)) {
+	if maxTokens < 1 || maxTokens != float64(int(maxTokens)) {
 		return nil, BadRequestf("parameter %q must be a whole number from 1", ParamMaxTokens)
 	}
-	j.MaxTokens = int(out)
-	if j.PromptTokens+out > m.set.MaxContext {
+	j.MaxTokens = int(maxTokens)
+	if j.PromptTokens+maxTokens > m.set.MaxContext {
 		return nil, BadRequestf("prompt of %.0f tokens and answer of up to %.0f are more than the engines' context of %.0f",
-			j.PromptTokens, out, m.set.MaxContext)
+			j.PromptTokens, maxTokens, m.set.MaxContext)
 	}
 	j.LengthHint = time.Duration(hint * float64(c.TokenIntervalTarget))
 	// If the client sets no deadline, the deadline of the class applies, plus twice the first-token target's share for the
 	// prompt's length.
-	patience := time.Duration(float64(c.Deadline) + 2*float64(c.FirstTokenTargetPerK)*j.PromptTokens/1000)
-	if within > 0 {
-		patience = time.Duration(min(within*1e6, float64(MaxDeadline)))
+	timeout := time.Duration(float64(c.Deadline) + 2*float64(c.FirstTokenTargetPerK)*j.PromptTokens/1000)
+	if deadline > 0 {
+		timeout = time.Duration(min(deadline*1e6, float64(MaxDeadline)))
 	}
 	if in.Timeout > 0 {
-		patience = min(patience, in.Timeout)
+		timeout = min(timeout, in.Timeout)
 	}
-	j.Deadline = now.Add(patience)
+	j.Deadline = now.Add(timeout)
 	return j, nil
 }
 
@@ -241,10 +241,10 @@
 
 // truncate shortens a text that a client has sent to the length that an error may repeat, and makes it valid UTF-8.
 func truncate(s string) string {
-	const most = 60
+	const maxLen = 60
 	s = strings.ToValidUTF8(s, "?")
-	if len(s) > most {
-		return s[:most] + "..."
+	if len(s) > maxLen {
+		return s[:maxLen] + "..."
 	}
 	return s
 }
--- a/internal/front/rest/rest.go
+++ b/internal/front/rest/rest.go
@@ -358,7 +358,7 @@
 		}
 		e := front.EndingError(end)
 		switch {
-		case e != nil && !out.begun:
+		case e != nil && !out.started:
 			f.fail(w, r, e)
 		case e != nil:
 			out.event(&kserve.GenerateResponse{ID: id, Error: e.Text})
@@ -375,7 +375,7 @@
 	w       http.ResponseWriter
 	control *http.ResponseController
 	stall   time.Duration
-	begun   bool
+	started bool
 	head    []byte // start of a token's event, up to its text
 	buf     []byte
 }
@@ -415,8 +415,8 @@
 
 // send writes the event in buf, preceded by the response header if it is the first one.
 func (s *stream) send(flush bool) error {
-	if !s.begun {
-		s.begun = true
+	if !s.started {
+		s.started = true
 		s.w.Header().Set("Content-Type", "text/event-stream")
 		s.w.Header().Set("Cache-Control", "no-store")
 		s.w.WriteHeader(http.StatusOK)
