--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -1,5 +1,5 @@
-// Package discovery provides a router with the list of engines. A Source reports the list and its changes as Updates. The
-// package has a source that reads a list file; other sources implement the same interface.
+// Package discovery provides a router with the list of engines. A Source reports the list and its changes as Updates.
+// The package has a source that reads a list file; other sources implement the same interface.
 package discovery
 
 import (
@@ -46,14 +46,14 @@
 	At      time.Time
 }
 
-// Source reports the engines until ctx ends. Run calls notify from one goroutine, first with the list at the start, then
-// after each change. notify must not block for long. Run returns nil when ctx ends.
+// Source reports the engines until ctx ends. Run calls notify from one goroutine, first with the list at the start,
+// then after each change. notify must not block for long. Run returns nil when ctx ends.
 type Source interface {
 	Run(ctx context.Context, notify func(Update)) error
 }
 
-// SortAndCheck sorts a list by name and returns its first error: a duplicate name, number or address. With two entries of
-// one address a router would send to one engine as if it were two.
+// SortAndCheck sorts a list by name and returns its first error: a duplicate name, number or address. With two
+// entries of one address a router would send to one engine as if it were two.
 func SortAndCheck(list []Engine) error {
 	slices.SortFunc(list, func(a, b Engine) int {
 		switch {
@@ -82,8 +82,8 @@
 	return nil
 }
 
-// Diff returns the changes from one list to another: the entries that are new or changed, and the removed ones with the
-// state Gone. Both lists must be sorted by name.
+// Diff returns the changes from one list to another: the entries that are new or changed, and the removed ones with
+// the state Gone. Both lists must be sorted by name.
 func Diff(old, now []Engine) []Engine {
 	var out []Engine
 	i, j := 0, 0
--- a/internal/discovery/file.go
+++ b/internal/discovery/file.go
@@ -13,15 +13,15 @@
 	"mintdoor/internal/config"
 )
 
-// File is a source that reads the list from a file and reads it again whenever the file changes. If the file can't be read
-// or has an error, the previous list stays valid.
+// File is a source that reads the list from a file and reads it again whenever the file changes. If the file can't be
+// read or has an error, the previous list stays valid.
 //
 // Each line is
 //
 //	engine NAME ADDRESS kind KIND [cell CELL] [zone ZONE] [state ready|draining] [weight N] [since TIME]
 //
-// An engine that was removed has no line. A list without any engine is accepted only if it has the line 'empty', so that a
-// truncated file does not remove all engines.
+// An engine that was removed has no line. A list without any engine is accepted only if it has the line 'empty', so
+// that a truncated file does not remove all engines.
 type File struct {
 	Path     string
 	Interval time.Duration // time between two checks of the file
--- a/internal/discovery/watch/members.go
+++ b/internal/discovery/watch/members.go
@@ -49,8 +49,8 @@
 	Members  []Member `json:"members"`
 }
 
-// response is a List whose members are not decoded yet. They are decoded one by one, so that an invalid member does not
-// affect the others.
+// response is a List whose members are not decoded yet. They are decoded one by one, so that an invalid member does
+// not affect the others.
 type response struct {
 	Revision int64             `json:"revision"`
 	Complete bool              `json:"complete"`
@@ -79,8 +79,8 @@
 }
 
 // apply applies a response to the list and reports whether one of its members was invalid. An invalid member does not
-// prevent the others from being applied. If its phase can be read, the phase is applied, otherwise the member stays as it
-// was known before.
+// prevent the others from being applied. If its phase can be read, the phase is applied, otherwise the member stays
+// as it was known before.
 func (m *members) apply(l *response) (invalid bool) {
 	before := make(map[string]discovery.Engine, len(m.list))
 	for _, e := range m.list {
@@ -149,7 +149,8 @@
 	m.lastLogged = text
 }
 
-// decodeMember decodes one member. If it returns an error, the member has the id and the phase if these could be read.
+// decodeMember decodes one member. If it returns an error, the member has the id and the phase if these could be
+// read.
 func decodeMember(raw json.RawMessage) (Member, error) {
 	var m Member
 	err := json.Unmarshal(raw, &m)
@@ -193,9 +194,9 @@
 	return e, nil
 }
 
-// dropSharedAddresses keeps only one engine for each address, because with two the router would send to one process as if
-// it were two. It keeps the engine that started last, otherwise the one that is ready, otherwise the one that was not
-// known before.
+// dropSharedAddresses keeps only one engine for each address, because with two the router would send to one process
+// as if it were two. It keeps the engine that started last, otherwise the one that is ready, otherwise the one that
+// was not known before.
 func dropSharedAddresses(engines, before map[string]discovery.Engine) (problems []string) {
 	owner := make(map[string]string, len(engines))
 	for _, name := range slices.Sorted(maps.Keys(engines)) {
--- a/internal/discovery/watch/watch.go
+++ b/internal/discovery/watch/watch.go
@@ -1,5 +1,5 @@
-// Package watch is a discovery.Source that gets the server list from the platform's discovery agent: first the whole list
-// over HTTP, then its changes by long polling.
+// Package watch is a discovery.Source that gets the server list from the platform's discovery agent: first the whole
+// list over HTTP, then its changes by long polling.
 package watch
 
 import (
@@ -24,23 +24,23 @@
 
 // Limits on calls to the agent and on its responses.
 const (
-	watchTimeout = time.Second             // a watch waits this long for a change, so that an unresponsive one is noticed soon
+	watchTimeout = time.Second             // a watch waits this long for a change, so a dead one is noticed soon
 	watchSlack   = time.Second             // a watch is given up this long after watchTimeout
 	listTimeout  = 1500 * time.Millisecond // for the whole list, which the agent sends at once
-	// hedgeInterval is how long a call for the whole list may get no response before another one is made in parallel. An
-	// agent may drop calls that arrive while discovery is down, and what the agent learns when discovery returns counts as
-	// reported to the router at that moment.
+	// hedgeInterval is how long a call for the whole list may get no response before another one is made in parallel.
+	// An agent may drop calls that arrive while discovery is down, and what the agent learns when discovery returns
+	// counts as reported to the router at that moment.
 	hedgeInterval   = 250 * time.Millisecond
 	maxHedgedCalls  = int(listTimeout/hedgeInterval) + 1
 	firstPause      = 50 * time.Millisecond  // before a failed call is retried; doubled after each failure ...
 	maxPause        = 250 * time.Millisecond // ... up to this
-	jitter          = 0.2                    // random fraction added to pauses and hedge intervals, so that routers do not call in step
+	jitter          = 0.2                    // random fraction added to pauses, so that routers don't call in step
 	maxResponseSize = 4 << 20                // bytes
 	// startTimeout is how long the first call may take before the cached list is used. The agent runs on the router's
 	// machine and responds at once while discovery is up.
 	startTimeout = 500 * time.Millisecond
-	// regressionWindow is how long an agent must keep reporting an older revision than before, until its revisions are
-	// assumed to have restarted.
+	// regressionWindow is how long an agent must keep reporting an older revision than before, until its revisions
+	// are assumed to have restarted.
 	regressionWindow = 2 * time.Second
 )
 
@@ -64,11 +64,11 @@
 	regressedSince time.Time // since when listAgent has reported older revisions; zero: it does not
 }
 
-// New returns a source that calls the agent at addr. kinds are the engine kinds in the settings. cached is the list that
-// this router had last, in discovery's format.
+// New returns a source that calls the agent at addr. kinds are the engine kinds in the settings. cached is the list
+// that this router had last, in discovery's format.
 func New(addr string, kinds []string, cached []byte, log *slog.Logger) *Source {
-	// A dial may outlive the call that started it, so it has its own time-out. Otherwise dials that never complete would
-	// use up MaxConnsPerHost for minutes.
+	// A dial may outlive the call that started it, so it has its own time-out. Otherwise dials that never complete
+	// would use up MaxConnsPerHost for minutes.
 	dialer := &net.Dialer{Timeout: listTimeout}
 	return &Source{addr: addr, watchTimeout: watchTimeout, watchSlack: watchSlack, listTimeout: listTimeout, startTimeout: startTimeout,
 		hedgeInterval: hedgeInterval, regressionWindow: regressionWindow,
--- a/internal/discovery/watch/watch_test.go
+++ b/internal/discovery/watch/watch_test.go
@@ -22,7 +22,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// agent answers requests with the given texts in order. After the last one, and for an empty text, it does not respond.
+// agent answers requests with the given texts in order. After the last one, and for an empty text, it does not
+// respond.
 type agent struct {
 	*httptest.Server
 	mu       sync.Mutex
@@ -172,8 +173,8 @@
 	}
 }
 
-// An invalid member does not affect the others: a drain in the same response is reported. The invalid member's own engine
-// is not made available beyond what its entry may allow, and the whole list is requested next.
+// An invalid member does not affect the others: a drain in the same response is reported. The invalid member's own
+// engine is not made available beyond what its entry may allow, and the whole list is requested next.
 func TestInvalidMembers(t *testing.T) {
 	const others = "s1 h:1 draining 0, s2 h:2 up 0"
 	ofKind := func(member, kind string) string { return strings.Replace(member, `"m2"`, `"`+kind+`"`, 1) }
@@ -224,8 +225,8 @@
 	}
 }
 
-// Settings replace spaces and commas in names by '_', while discovery sends the original names. The kind is recognized
-// nevertheless.
+// Settings replace spaces and commas in names by '_', while discovery sends the original names. The kind is
+// recognized nevertheless.
 func TestKindsAreNormalizedAsInSettings(t *testing.T) {
 	a := startAgent(t, list(41, true, strings.Replace(member("s1", "h:1", "up", 0), `"m2"`, `"m 2,big"`, 1)))
 	updates := runSource(t, New(a.addr(), []string{"m_2_big"}, nil, discardLogger()))
@@ -250,13 +251,13 @@
 	if got := a.requests()[1]; got != ListPath+"?since=41&timeout_ms=1000" {
 		t.Errorf("requested %s", got)
 	}
-	if n := strings.Count(log.String(), "invalid members"); n != 2 { // for 41 and, after a valid response, for 43; 44 has the same problem
+	if n := strings.Count(log.String(), "invalid members"); n != 2 { // for 41 and 43; 42 is valid, 44 is like 43
 		t.Errorf("logged %d times:\n%s", n, log.String())
 	}
 }
 
-// The cached list is used only if the agent does not respond. The agent's list counts as reported from the start, and no
-// request may be sent according to the cached list to an engine that drains in the agent's list.
+// The cached list is used only if the agent does not respond. The agent's list counts as reported from the start, and
+// no request may be sent according to the cached list to an engine that drains in the agent's list.
 func TestCachedList(t *testing.T) {
 	cached := list(99, true, member("s0", "h:0", "up", 0))
 	fresh := list(41, true, member("s1", "h:1", "up", 0))
@@ -294,8 +295,8 @@
 	}
 }
 
-// An agent that reports a lower revision for a while has restarted its revisions. One that sends an old list once has not
-// (see 'older and whole' above).
+// An agent that reports a lower revision for a while has restarted its revisions. One that sends an old list once has
+// not (see 'older and whole' above).
 func TestAgentRevisionsRestart(t *testing.T) {
 	old := list(7, true, member("s1", "h:1", "draining", 0))
 	a := startAgent(t, list(41, true, member("s1", "h:1", "up", 0)), old, old, list(8, false, member("s1", "h:1", "removed", 0)))
@@ -309,8 +310,8 @@
 	}
 }
 
-// After a change to the address of an agent with lower revisions, that agent's list is used at once, also if the change is
-// made between two calls.
+// After a change to the address of an agent with lower revisions, that agent's list is used at once, also if the
+// change is made between two calls.
 func TestSetAddrWithLowerRevision(t *testing.T) {
 	a := startAgent(t, list(41, true, member("s1", "h:1", "up", 0)))
 	b := startAgent(t, list(3, true, member("s2", "h:2", "up", 0)), list(4, false, member("s2", "h:2", "draining", 0)))
@@ -423,20 +424,21 @@
 	}
 }
 
-// The age of the list is limited. If a watch gets no response, the list is no older than the watch's time-out and the time
-// for a response. The router's list is at most 6 s old even if the next two calls, after the longest pauses, get no
-// response or are refused as well.
+// The age of the list is limited. If a watch gets no response, the list is no older than the watch's time-out and the
+// time for a response. The router's list is at most 6 s old even if the next two calls, after the longest pauses, get
+// no response or are refused as well.
 func TestTimeLimits(t *testing.T) {
 	if limit := 2 * time.Second; watchTimeout+watchSlack > limit {
 		t.Errorf("an unresponsive watch is noticed after %v", watchTimeout+watchSlack)
 	}
-	// What the agent learns when discovery returns counts as reported at that moment. A drain must reach the router within
-	// its grace of one second, less the longest pause of a process.
+	// What the agent learns when discovery returns counts as reported at that moment. A drain must reach the router
+	// within its grace of one second, less the longest pause of a process.
 	longest := time.Duration(float64(hedgeInterval+maxPause) * (1 + jitter))
 	if limit := time.Second - time.Duration(decide.MaxPause); longest > limit {
 		t.Errorf("a list is requested %v after the previous request", longest)
 	}
-	if limit := time.Second; startTimeout > limit { // a router must be ready within 6 s without discovery, with only a part of a CPU core
+	// A router must be ready within 6 s without discovery, with only a part of a CPU core.
+	if limit := time.Second; startTimeout > limit {
 		t.Errorf("the cached list is used after %v", startTimeout)
 	}
 	if limit := 6 * time.Second; watchTimeout+watchSlack+2*(maxPause+listTimeout) > limit {
--- a/internal/engine/chat/chat.go
+++ b/internal/engine/chat/chat.go
@@ -1,6 +1,6 @@
-// Package chat is the client of engines that speak the platform's protocol. A client's request is forwarded unchanged,
-// first to an engine that reads the prompt, then to one that streams the answer's events. What engines hold for a
-// request between its stages is named by the request's id.
+// Package chat is the client of engines that speak the platform's protocol. A client's request is forwarded
+// unchanged, first to an engine that reads the prompt, then to one that streams the answer's events. What engines
+// hold for a request between its stages is named by the request's id.
 //
 // The package reports exactly how an attempt ended: an attempt counts as never executed only if the engine said so or
 // if its last byte was never written. The package delivers an attempt's request at most once and makes no routing
@@ -39,19 +39,19 @@
 	maxInterimResponses = 8                      // 1xx responses before the final one
 	releaseCallTimeout  = 150 * time.Millisecond // of one release call to one engine
 	// hedgeDelay is how long an engine may take to accept a release before another engine is called as well.
-	// maxHedgesPerRelease is the number of calls in flight at a time for one release, and hedgeRoundPause is the pause
-	// between two rounds over all engines.
+	// maxHedgesPerRelease is the number of calls in flight at a time for one release, and hedgeRoundPause is the
+	// pause between two rounds over all engines.
 	hedgeDelay          = 30 * time.Millisecond
 	hedgeRoundPause     = 15 * time.Millisecond
 	maxHedgesPerRelease = 6
-	maxHedgesTotal      = 32                    // for all releases together; each release may always have one call in flight
+	maxHedgesTotal      = 32                    // for all releases together; each may always have one call in flight
 	readEndDelay        = 30 * time.Millisecond // a cancelled read ends within this time, or has already succeeded
 	maxCancelCalls      = 10                    // release calls for one cancelled read
 	expireInterval      = time.Second
 	lastByteDelay       = 2 * time.Millisecond // the last byte of a request is held back for this long
-	maxConnTries        = 3                    // connections tried for one attempt while none has delivered the request
+	maxConnTries        = 3                    // connections tried for an attempt until one has delivered its request
 	lastResponseTTL     = time.Minute          // an engine counts as running for this long after a response
-	distrustDuration    = 10 * time.Second     // for this long after a reset, each connection to the engine is used once
+	distrustDuration    = 10 * time.Second     // after a reset, connections to the engine are used once for this long
 	// connReuseDelay is how long a connection stays unused after an attempt's response. A faulty engine may send a
 	// second response some milliseconds after the first, and on a reused connection it would be taken for the
 	// response to the next request.
@@ -84,7 +84,8 @@
 	listed       map[string]struct{}  // addresses of the engines in the server list
 	activeHedges atomic.Int32         // release calls in flight
 
-	readEndDelay, connReuseDelay, releaseCallTimeout, closeDelay time.Duration // set from the constants; tests change them
+	// The values of the constants with these names; tests change them.
+	readEndDelay, connReuseDelay, releaseCallTimeout, closeDelay time.Duration
 }
 
 // New returns a client. Run closes its idle connections in time.
@@ -132,8 +133,8 @@
 	c.pool.closeConns(addr)
 }
 
-// expire drops engines that have not responded for lastResponseTTL. A late response may be recorded after ForgetEngine,
-// and since new engines keep coming with new addresses, such entries would otherwise pile up.
+// expire drops engines that have not responded for lastResponseTTL. A late response may be recorded after
+// ForgetEngine, and since new engines keep coming with new addresses, such entries would otherwise pile up.
 func (c *Client) expire(now time.Time) {
 	c.pool.closeExpired()
 	c.mu.Lock()
--- a/internal/engine/chat/chat_test.go
+++ b/internal/engine/chat/chat_test.go
@@ -24,7 +24,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// fakeEngine is an engine that answers requests with given responses and records request heads, bodies and connections.
+// fakeEngine is an engine that answers requests with given responses and records request heads, bodies and
+// connections.
 type fakeEngine struct {
 	addr   string
 	conns  atomic.Int64
@@ -33,8 +34,9 @@
 	bodies []string
 }
 
-// startFakeEngine starts an engine that answers each request with what answer returns; n is the request's number over all
-// connections. With keepOpen a connection stays open for more requests, otherwise it is closed after one response.
+// startFakeEngine starts an engine that answers each request with what answer returns; n is the request's number over
+// all connections. With keepOpen a connection stays open for more requests, otherwise it is closed after one
+// response.
 func startFakeEngine(t *testing.T, keepOpen bool, answer func(n int, h *http1.Head) string) *fakeEngine {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -296,8 +298,8 @@
 	}
 }
 
-// A connection is kept only after a complete response. A connection that its engine has closed, or on which unexpected
-// data has arrived, gets no request.
+// A connection is kept only after a complete response. A connection that its engine has closed, or on which
+// unexpected data has arrived, gets no request.
 func TestConnectionReuse(t *testing.T) {
 	for _, c := range []struct {
 		name, answer string
@@ -341,8 +343,8 @@
 	}
 }
 
-// After an engine has reset one kept connection, its other kept connections are not reused. A request that must not be
-// sent twice never goes on a kept connection.
+// After an engine has reset one kept connection, its other kept connections are not reused. A request that must not
+// be sent twice never goes on a kept connection.
 func TestResetOfKeptConnectionDistrustsTheOthers(t *testing.T) {
 	p := startFakeEngine(t, true, alwaysRespond(response("202 x", "{}")))
 	c := newClient(t, nil)
@@ -379,8 +381,8 @@
 	}
 }
 
-// A connection that breaks before the request's last byte has delivered no request: another connection carries it, and
-// the engine gets it once. A break after the last byte is a reset.
+// A connection that breaks before the request's last byte has delivered no request: another connection carries it,
+// and the engine gets it once. A break after the last byte is a reset.
 func TestConnectionBrokenBeforeLastByteIsReplaced(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -490,8 +492,8 @@
 	}
 }
 
-// The limit holds for all engines together: the connection unused for longest is closed to make room, and a release gets
-// a connection even when attempts use all others.
+// The limit holds for all engines together: the connection unused for longest is closed to make room, and a release
+// gets a connection even when attempts use all others.
 func TestConnectionLimit(t *testing.T) {
 	c := newClient(t, func(o *Options) { o.MaxConns, o.ReleaseConns = 2, 1 })
 	answer := alwaysRespond(response("202 x", "{}"))
@@ -621,7 +623,8 @@
 	}
 }
 
-// The holds at an engine that is gone are released at another engine in the server list, even if none has ever responded.
+// The holds at an engine that is gone are released at another engine in the server list, even if none has ever
+// responded.
 func TestReleaseAtListedEngineWithoutResponses(t *testing.T) {
 	closed, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/engine/chat/crossings_test.go
+++ b/internal/engine/chat/crossings_test.go
@@ -18,8 +18,8 @@
 	"mintdoor/internal/http1"
 )
 
-// startScriptedEngine starts an engine that serves each connection with the test's own function; n is the connection's
-// number.
+// startScriptedEngine starts an engine that serves each connection with the test's own function; n is the
+// connection's number.
 func startScriptedEngine(t *testing.T, serve func(n int, c net.Conn, br *bufio.Reader)) (addr string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -69,7 +69,8 @@
 		}
 		readRequest(br)
 		io.WriteString(c, response("202 x", `{"cached_tokens":1}`))
-		if _, err := http1.ReadHead(br, 1<<16); err != nil { // the next request's head has arrived, its last byte has not
+		// The head of the next request has arrived, its last byte has not.
+		if _, err := http1.ReadHead(br, 1<<16); err != nil {
 			t.Error(err)
 			return
 		}
@@ -90,9 +91,9 @@
 	}
 }
 
-// A second response may also arrive just after the next request's last byte, when it can't be told from the request's own
-// response. A connection is therefore not reused after an attempt for longer than such responses take. The connection of
-// a probe needs no such delay.
+// A second response may also arrive just after the next request's last byte, when it can't be told from the request's
+// own response. A connection is therefore not reused after an attempt for longer than such responses take. The
+// connection of a probe needs no such delay.
 func TestConnectionIsReusedOnlyAfterDelay(t *testing.T) {
 	p := startFakeEngine(t, true, alwaysRespond(response("202 x", `{"x0":0.5}`)))
 	c := newClient(t, nil)
@@ -115,8 +116,8 @@
 	}
 }
 
-// An engine leaves, or restarts at its address, while an attempt uses a connection to it. The attempt completes normally,
-// and no other attempt uses the connection.
+// An engine leaves, or restarts at its address, while an attempt uses a connection to it. The attempt completes
+// normally, and no other attempt uses the connection.
 func TestEngineForgottenDuringAttempt(t *testing.T) {
 	reading, goOn := make(chan bool), make(chan bool)
 	p := startFakeEngine(t, true, func(n int, _ *http1.Head) string {
@@ -143,7 +144,8 @@
 	}
 }
 
-// An endless response, whichever part of it is endless, ends with the attempt's time-out, and its connection is not kept.
+// An endless response, whichever part of it is endless, ends with the attempt's time-out, and its connection is not
+// kept.
 func TestEndlessResponsesTimeOut(t *testing.T) {
 	for name, c := range map[string]struct {
 		start, repeat string
@@ -158,7 +160,7 @@
 		"in a chunk":          {streamHead + "ffff\r\ndata: ", "x", true, decide.TimedOut},
 		"in comments":         {streamHead, chunk(": x\n\n"), true, decide.TimedOut},
 		"in an event":         {streamHead, chunk("data: 1\n"), true, decide.TimedOut},
-		"in 1xx answers":      {"", "HTTP/1.1 100 x\r\n\r\n", false, decide.Reset}, // ended by the limit on their number
+		"in 1xx answers":      {"", "HTTP/1.1 100 x\r\n\r\n", false, decide.Reset}, // by the limit on their number
 	} {
 		t.Run(name, func(t *testing.T) {
 			requested := make(chan bool)
@@ -192,9 +194,9 @@
 	}
 }
 
-// A zone is cut off: the engine that holds a KV state and those with the latest responses are unresponsive, and calling
-// them one after the other would take longer than the KV state may be held. The running engine is called in time, and no
-// call stays in flight.
+// A zone is cut off: the engine that holds a KV state and those with the latest responses are unresponsive, and
+// calling them one after the other would take longer than the KV state may be held. The running engine is called in
+// time, and no call stays in flight.
 func TestReleaseWithManyUnresponsiveEngines(t *testing.T) {
 	var silent []string
 	for range 5 {
@@ -259,9 +261,10 @@
 	}
 }
 
-// A read was cancelled at an engine that is cut off by the network or hangs: the close of its connection has not arrived,
-// and the read may end at any time. Its holds are released repeatedly, at an engine that can be reached. The calls go on
-// after the read's engine has responded to others, because it may respond to them while the read still hangs.
+// A read was cancelled at an engine that is cut off by the network or hangs: the close of its connection has not
+// arrived, and the read may end at any time. Its holds are released repeatedly, at an engine that can be reached. The
+// calls go on after the read's engine has responded to others, because it may respond to them while the read still
+// hangs.
 func TestCancelReadIsRepeated(t *testing.T) {
 	for name, callOff := range map[string]func(c *Client, ctx context.Context, addr string) error{
 		"request is over": func(c *Client, ctx context.Context, addr string) error { return c.CancelRead(ctx, addr, "id1") },
@@ -289,9 +292,9 @@
 	}
 }
 
-// A cancelled attempt is in flight until its engine has seen the connection close, which takes the network's latency. Its
-// outcome must come later than that, or else a refusal to the client, which has a shorter way, would overtake the end of
-// an attempt that may have executed.
+// A cancelled attempt is in flight until its engine has seen the connection close, which takes the network's latency.
+// Its outcome must come later than that, or else a refusal to the client, which has a shorter way, would overtake the
+// end of an attempt that may have executed.
 func TestOutcomeWaitsForConnectionClose(t *testing.T) {
 	for cause, want := range map[error]decide.Outcome{engine.ErrTimedOut: decide.TimedOut, engine.ErrCancelled: decide.Cancelled} {
 		requested, closed := make(chan bool), make(chan bool, 1)
@@ -345,7 +348,8 @@
 }
 
 // A kept connection is reset. Before the request's last byte nothing was executed, and another connection carries the
-// request. At the last byte, or long after it, the request may have executed, and it is not sent on another connection.
+// request. At the last byte, or long after it, the request may have executed, and it is not sent on another
+// connection.
 func TestResetOfKeptConnection(t *testing.T) {
 	for name, c := range map[string]struct {
 		bytes   int64 // of the second request's body that are read before the reset
@@ -443,7 +447,7 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	l.(*net.TCPListener).SetDeadline(time.Now().Add(3 * time.Second)) // the kernel first retries a connection after a second
+	l.(*net.TCPListener).SetDeadline(time.Now().Add(3 * time.Second)) // the kernel retries after a second
 	for {
 		conn, err := l.Accept()
 		if err != nil {
--- a/internal/engine/chat/events.go
+++ b/internal/engine/chat/events.go
@@ -13,8 +13,8 @@
 	"mintdoor/internal/platform"
 )
 
-// eventStream splits a stream of server-sent events into events and validates them, so that no corrupted event reaches a
-// client.
+// eventStream splits a stream of server-sent events into events and validates them, so that no corrupted event
+// reaches a client.
 type eventStream struct {
 	x      *exchange
 	chunks *http1.ChunkedReader
--- a/internal/engine/chat/exchange.go
+++ b/internal/engine/chat/exchange.go
@@ -100,26 +100,27 @@
 	return x, nil
 }
 
-// errUnexpectedData is returned when an engine sends data on a kept connection before it has the whole request. The data
-// belongs to no request or to the previous one, and so may everything that follows on this connection.
+// errUnexpectedData is returned when an engine sends data on a kept connection before it has the whole request. The
+// data belongs to no request or to the previous one, and so may everything that follows on this connection.
 var errUnexpectedData = errors.New("the engine sent a response before it had the request")
 
-// connUnusable reports whether an error of write means that the connection was broken before it delivered the request.
+// connUnusable reports whether an error of write means that the connection was broken before it delivered the
+// request.
 func connUnusable(err error) bool {
 	return errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE) || errors.Is(err, io.EOF) ||
 		errors.Is(err, errUnexpectedData) || errors.Is(err, guard.Stale)
 }
 
-// distrustConn handles a connection that broke before its response. If it was a kept one, other kept connections to the
-// engine may be dead as well, so the pool stops reusing them for a while.
+// distrustConn handles a connection that broke before its response. If it was a kept one, other kept connections to
+// the engine may be dead as well, so the pool stops reusing them for a while.
 func (x *exchange) distrustConn() {
 	if x.conn.uses > 0 && x.ctx.Err() == nil {
 		x.client.pool.distrust(x.conn.addr)
 	}
 }
 
-// write writes a request on a connection that has proved to be open: it holds the last byte back for lastByteDelay, so
-// that the reset of an engine that has closed the connection, or closes it when a request arrives, is seen first.
+// write writes a request on a connection that has proved to be open: it holds the last byte back for lastByteDelay,
+// so that the reset of an engine that has closed the connection, or closes it when a request arrives, is seen first.
 // Without this delay the whole request would be in the kernel's send buffer before the reset arrives, and it would be
 // unknown whether the request was executed.
 func (x *exchange) write(addr string, q *call) error {
@@ -131,7 +132,7 @@
 	if q.gate != nil {
 		q.gate.Connected(conn.uses)
 	}
-	x.stopWatch = context.AfterFunc(x.ctx, func() { conn.Close() }) // an attempt is cancelled by closing its connection
+	x.stopWatch = context.AfterFunc(x.ctx, func() { conn.Close() }) // this is how an attempt is cancelled
 	head := make([]byte, 0, 256)
 	head = append(head, q.method+" "+q.target+" HTTP/1.1\r\nHost: "+addr+"\r\n"...)
 	if q.requestID != "" {
@@ -187,8 +188,8 @@
 	return nil
 }
 
-// done returns the connection to the pool after a complete response and closes it otherwise. Data that arrives after the
-// response is noticed when the connection is taken from the pool again.
+// done returns the connection to the pool after a complete response and closes it otherwise. Data that arrives after
+// the response is noticed when the connection is taken from the pool again.
 func (x *exchange) done() {
 	if x.conn == nil {
 		return
@@ -233,9 +234,9 @@
 	return errors.Is(err, syscall.ECONNRESET) || errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF)
 }
 
-// abandon closes the connection of an attempt that is no longer waited for and returns after closeDelay, when the engine
-// should have seen the close. Until then the attempt is still in flight: a refusal sent to the client, or another
-// attempt, would overtake its end.
+// abandon closes the connection of an attempt that is no longer waited for and returns after closeDelay, when the
+// engine should have seen the close. Until then the attempt is still in flight: a refusal sent to the client, or
+// another attempt, would overtake its end.
 func (x *exchange) abandon() {
 	x.conn.Close()
 	time.Sleep(x.client.closeDelay)
@@ -265,8 +266,8 @@
 	return r
 }
 
-// refusalResult returns the result for a response that is neither a finished read nor a stream. Only the X-Unprocessed
-// header proves that nothing was executed.
+// refusalResult returns the result for a response that is neither a finished read nor a stream. Only the
+// X-Unprocessed header proves that nothing was executed.
 func (x *exchange) refusalResult() engine.Result {
 	r := engine.Result{Outcome: decide.Error, Report: x.report()}
 	text, _ := x.body()
--- a/internal/engine/chat/pool.go
+++ b/internal/engine/chat/pool.go
@@ -182,8 +182,8 @@
 	p.closeConns(addr)
 }
 
-// closeConns closes the idle connections to an address, or to all addresses if addr is "". Connections in use are closed
-// after their exchange, because whatever listens at the address now, if anything, is another process.
+// closeConns closes the idle connections to an address, or to all addresses if addr is "". Connections in use are
+// closed after their exchange, because whatever listens at the address now, if anything, is another process.
 func (p *pool) closeConns(addr string) {
 	p.mu.Lock()
 	for c := range p.inUse {
@@ -193,7 +193,8 @@
 	p.closeIdleIf(func(c *conn) bool { return addr == "" || c.addr == addr })
 }
 
-// closeExpired closes idle connections that their engines may close soon and drops outdated entries of distrustedUntil.
+// closeExpired closes idle connections that their engines may close soon and drops outdated entries of
+// distrustedUntil.
 func (p *pool) closeExpired() {
 	p.closeIdleIf(func(c *conn) bool { return time.Since(c.lastUsed) >= p.idleTimeout })
 	p.mu.Lock()
@@ -223,8 +224,8 @@
 	}
 }
 
-// usable reports whether an idle connection is still open and has no unread data. A request written to a connection that
-// its engine has closed would end in a reset, and it would be unknown whether the request was executed.
+// usable reports whether an idle connection is still open and has no unread data. A request written to a connection
+// that its engine has closed would end in a reset, and it would be unknown whether the request was executed.
 func (c *conn) usable() bool {
 	if c.br.Buffered() > 0 {
 		return false // data arrived after the end of the last response
--- a/internal/engine/chat/release.go
+++ b/internal/engine/chat/release.go
@@ -10,23 +10,23 @@
 	"mintdoor/internal/platform"
 )
 
-// Release releases all holds of a request. Any running engine accepts the call on behalf of all engines, so other engines
-// are called when the one that holds the KV state does not respond.
+// Release releases all holds of a request. Any running engine accepts the call on behalf of all engines, so other
+// engines are called when the one that holds the KV state does not respond.
 func (c *Client) Release(ctx context.Context, s *engine.State) error {
 	return c.releaseHolds(ctx, s.Addr, s.Handle, hedgeDelay)
 }
 
-// CancelRead releases the KV state that a cancelled read may have left. It first waits until the read should have ended:
-// a release that overtakes the close of the read's connection would find nothing, and the KV state with which the read
-// then ends would stay behind. If the network keeps the close from the engine, or the engine hangs, the read continues
-// and ends later, and responses of the engine to other requests don't show that it has ended. The release is therefore
-// repeated maxCancelCalls times.
+// CancelRead releases the KV state that a cancelled read may have left. It first waits until the read should have
+// ended: a release that overtakes the close of the read's connection would find nothing, and the KV state with which
+// the read then ends would stay behind. If the network keeps the close from the engine, or the engine hangs, the read
+// continues and ends later, and responses of the engine to other requests don't show that it has ended. The release
+// is therefore repeated maxCancelCalls times.
 func (c *Client) CancelRead(ctx context.Context, addr, request string) error {
 	return c.cancelRead(ctx, addr, request, c.readEndDelay)
 }
 
-// CancelReadLater does the same as CancelRead for a read whose request already has an answer that has begun. The holds
-// that are known are released already, so the first call is made only after CancelRetryDelay.
+// CancelReadLater does the same as CancelRead for a read whose request already has an answer that has begun. The
+// holds that are known are released already, so the first call is made only after CancelRetryDelay.
 func (c *Client) CancelReadLater(ctx context.Context, addr, request string) error {
 	return c.cancelRead(ctx, addr, request, c.opts.CancelRetryDelay)
 }
@@ -38,11 +38,11 @@
 	for range maxCancelCalls {
 		select {
 		case <-ctx.Done():
-			return errors.Join(err, c.releaseHolds(ctx, addr, request, after)) // the error names what was not released
+			return errors.Join(err, c.releaseHolds(ctx, addr, request, after)) // names what was not released
 		case <-time.After(wait):
 		}
 		err = c.releaseHolds(ctx, addr, request, after)
-		wait, after = c.opts.CancelRetryDelay, c.releaseCallTimeout // hedge later: there may be many such calls, and most find nothing
+		wait, after = c.opts.CancelRetryDelay, c.releaseCallTimeout // there may be many calls; most find nothing
 	}
 	return err
 }
@@ -62,8 +62,8 @@
 // Renew does nothing: engines of this protocol hold a KV state until it is released.
 func (c *Client) Renew(context.Context, *engine.State) error { return nil }
 
-// maxKeptConnTries is how many engines a release tries on kept connections. Further ones are tried on new connections,
-// because all kept ones may have become unresponsive.
+// maxKeptConnTries is how many engines a release tries on kept connections. Further ones are tried on new
+// connections, because all kept ones may have become unresponsive.
 const maxKeptConnTries = 2
 
 // releaseHolds releases the holds of a request. It calls one engine, and as long as none has accepted the release it
@@ -72,8 +72,8 @@
 //
 // The first call goes to the engine at addr if it has responded recently, otherwise to one that has. Then follow the
 // other engines, those with the latest responses first, and last any engine in the server list, since most may be
-// unresponsive. The calls are hedged because holds must be released within a time that a few unresponsive engines, called
-// one after the other, would use up, for example when a zone is cut off.
+// unresponsive. The calls are hedged because holds must be released within a time that a few unresponsive engines,
+// called one after the other, would use up, for example when a zone is cut off.
 func (c *Client) releaseHolds(ctx context.Context, addr, request string, hedgeDelay time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, c.opts.ReleaseTimeout)
 	start := time.Now()
@@ -120,7 +120,8 @@
 				continue // the first call that ends triggers the next
 			}
 			target := next()
-			// An engine that has responded since the start is called in any case, as it will accept the release at once.
+			// An engine that has responded since the start is called in any case, as it will accept the release at
+			// once.
 			if pending > 0 && c.activeHedges.Load() >= maxHedgesTotal && !c.respondedSince(target, start) {
 				hedge.Reset(hedgeDelay)
 				continue
@@ -162,8 +163,8 @@
 	return nil
 }
 
-// nextEngine returns the engine with the latest response among those not tried yet, or else any engine in the server list
-// that was not tried yet. It returns "" if there is none.
+// nextEngine returns the engine with the latest response among those not tried yet, or else any engine in the server
+// list that was not tried yet. It returns "" if there is none.
 func (c *Client) nextEngine(tried map[string]bool) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -30,7 +30,8 @@
 	streamEndTimeout = 100 * time.Millisecond // wait for the end of a stream after its last event
 )
 
-// Client talks to all engines over HTTP. Create it with New; the zero value is not usable. It is safe for concurrent use.
+// Client talks to all engines over HTTP. Create it with New; the zero value is not usable. It is safe for concurrent
+// use.
 type Client struct {
 	opts      Options
 	http      *http.Client
@@ -112,8 +113,8 @@
 	err       error
 }
 
-// DenialOutcome returns the outcome of an attempt whose last byte the gate did not allow to be sent, and whether err is
-// such a denial. The denial is not the engine's doing, unless the engine accepts no new requests.
+// DenialOutcome returns the outcome of an attempt whose last byte the gate did not allow to be sent, and whether err
+// is such a denial. The denial is not the engine's doing, unless the engine accepts no new requests.
 func DenialOutcome(err error) (decide.Outcome, bool) {
 	var denial guard.Denial
 	switch {
@@ -125,8 +126,8 @@
 	return decide.NotStarted, true
 }
 
-// gatedBody is a request body that is sent only if the gate allows it. It can be read only once, so that the HTTP client
-// can't send it again.
+// gatedBody is a request body that is sent only if the gate allows it. It can be read only once, so that the HTTP
+// client can't send it again.
 type gatedBody struct {
 	*bytes.Reader
 	gate    Gate
@@ -198,8 +199,8 @@
 	return r
 }
 
-// refusalResult returns the result for a response with a status other than 200. Only a refusal whose reason the engine
-// names in RefusedHeader proves that nothing was executed.
+// refusalResult returns the result for a response with a status other than 200. Only a refusal whose reason the
+// engine names in RefusedHeader proves that nothing was executed.
 func refusalResult(resp *http.Response) Result {
 	r := Result{Outcome: decide.Error, Report: loadReport(resp)}
 	reason := resp.Header.Get(RefusedHeader)
@@ -228,7 +229,8 @@
 	return NoReport()
 }
 
-// drainAndClose reads what is left of a body, up to maxErrorSize, so that its connection can be reused, and closes it.
+// drainAndClose reads what is left of a body, up to maxErrorSize, so that its connection can be reused, and closes
+// it.
 func drainAndClose(body io.ReadCloser) {
 	io.CopyN(io.Discard, body, maxErrorSize)
 	body.Close()
@@ -376,8 +378,8 @@
 	return c.sendUntilAccepted(ctx, http.MethodPost, s.Addr, StatePath+url.PathEscape(s.Handle)+"/release")
 }
 
-// Renew tells the engine that holds a KV state that the state is still needed: an attempt at a writer is in flight, and
-// the writer may not have claimed the state yet.
+// Renew tells the engine that holds a KV state that the state is still needed: an attempt at a writer is in flight,
+// and the writer may not have claimed the state yet.
 func (c *Client) Renew(ctx context.Context, s *State) error {
 	ctx, cancel := context.WithTimeout(ctx, c.opts.ReleaseTimeout)
 	defer cancel()
@@ -450,8 +452,8 @@
 	return answer.Held && err == nil, err
 }
 
-// Probe requests a load report. It ignores the request for a new connection and may use a kept one: engines hold KV states
-// under leases that the router renews, so no timer depends on whether an engine is reachable.
+// Probe requests a load report. It ignores the request for a new connection and may use a kept one: engines hold KV
+// states under leases that the router renews, so no timer depends on whether an engine is reachable.
 func (c *Client) Probe(ctx context.Context, addr string, _ bool) Result {
 	ctx, cancel := context.WithTimeoutCause(ctx, c.opts.ProbeTimeout, ErrTimedOut)
 	defer cancel()
@@ -476,20 +478,20 @@
 	return r, err
 }
 
-// ChangeRole asks an engine to change its role. It returns the engine's current role and whether the engine granted the
-// change.
+// ChangeRole asks an engine to change its role. It returns the engine's current role and whether the engine granted
+// the change.
 func (c *Client) ChangeRole(ctx context.Context, addr string, q *RoleChange) (Role, bool, error) {
 	return c.callRole(ctx, http.MethodPost, addr, RolePath, q)
 }
 
-// CancelRoleChange asks an engine to cancel a change of its role. It returns the engine's current role and whether the
-// engine cancelled the change.
+// CancelRoleChange asks an engine to cancel a change of its role. It returns the engine's current role and whether
+// the engine cancelled the change.
 func (c *Client) CancelRoleChange(ctx context.Context, addr string, q *RoleChangeCancel) (Role, bool, error) {
 	return c.callRole(ctx, http.MethodPost, addr, RolePath+"/stay", q)
 }
 
-// callRole makes a call under RolePath and decodes the role in the response. granted is false if the engine refused with
-// status 409.
+// callRole makes a call under RolePath and decodes the role in the response. granted is false if the engine refused
+// with status 409.
 func (c *Client) callRole(ctx context.Context, method, addr, path string, q any) (r Role, granted bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, c.opts.ProbeTimeout)
 	defer cancel()
--- a/internal/engine/client_test.go
+++ b/internal/engine/client_test.go
@@ -74,8 +74,8 @@
 
 const readResponse = `{"id":"a","parameters":{"kv_handle":"h","kv_source":"x:1","kv_tokens":9,"kept_tokens":4}}`
 
-// An engine's behavior determines the outcome of an attempt: only its own statement, or a connection that never came up,
-// proves that nothing was executed.
+// An engine's behavior determines the outcome of an attempt: only its own statement, or a connection that never came
+// up, proves that nothing was executed.
 func TestOutcomesOfReads(t *testing.T) {
 	for _, c := range []struct {
 		name, answer string
@@ -143,8 +143,8 @@
 	}
 }
 
-// The cause with which the caller cancels an attempt determines its outcome. Before a connection is established nothing
-// can have been executed.
+// The cause with which the caller cancels an attempt determines its outcome. Before a connection is established
+// nothing can have been executed.
 func TestOutcomesOfCancelledAttempts(t *testing.T) {
 	addr := startFakeEngine(t, "", true)
 	for cause, want := range map[error]decide.Outcome{ErrTimedOut: decide.TimedOut, ErrCancelled: decide.Cancelled} {
--- a/internal/engine/wire.go
+++ b/internal/engine/wire.go
@@ -1,6 +1,6 @@
-// Package engine is the client of engines that speak KServe V2 with the extensions that docs/engine-protocol.md describes:
-// the two stages of a request (read and write), the KV states and reservations between them, load probes and load
-// reports.
+// Package engine is the client of engines that speak KServe V2 with the extensions that docs/engine-protocol.md
+// describes: the two stages of a request (read and write), the KV states and reservations between them, load probes
+// and load reports.
 //
 // The package reports exactly how an attempt ended: an attempt counts as never executed only if the engine said so or
 // the transport proves it. The package makes no routing decisions.
@@ -21,9 +21,9 @@
 const (
 	LoadPath        = "/v2/load"      // GET: the load report
 	StatePath       = "/v2/kv/state/" // GET: fetch; POST .../release, .../renew, .../claim
-	ReservationPath = "/v2/kv/place/" // PUT: reserve; DELETE: cancel; POST .../state: push the KV state to the reservation
+	ReservationPath = "/v2/kv/place/" // PUT: reserve; DELETE: cancel; POST .../state: push the KV state there
 	RolePath        = "/v2/role"      // GET: Role; POST: RoleChange; POST .../stay: RoleChangeCancel
-	ReadPath        = "/v2/kv/read/"  // DELETE: cancel a read or release its KV state; POST .../place: ReservationNotice
+	ReadPath        = "/v2/kv/read/"  // DELETE: cancel a read and its KV state; POST .../place: ReservationNotice
 
 	// RefusedHeader says why an engine has not executed any part of a request.
 	RefusedHeader = "Kv-Refused"
@@ -53,7 +53,7 @@
 // Params are the request parameters that the router sends to an engine.
 type Params struct {
 	Stage        string  `json:"stage"`
-	Request      string  `json:"request"`          // id of the request, the same in all its attempts; names its reservation
+	Request      string  `json:"request"`          // id of the request in all its attempts; names its reservation
 	Client       string  `json:"client,omitempty"` // the id that the client sent
 	Class        string  `json:"class,omitempty"`
 	Tenant       string  `json:"tenant,omitempty"`
@@ -110,8 +110,8 @@
 	CanChange bool      `json:"other,omitempty"` // the engine can change to the other role
 }
 
-// RoleChange asks an engine to change its role. The engine grants the change (200) only if it is in PhaseSteady at the
-// given epoch, otherwise it answers 409. In both cases the body of the response is its Role.
+// RoleChange asks an engine to change its role. The engine grants the change (200) only if it is in PhaseSteady at
+// the given epoch, otherwise it answers 409. In both cases the body of the response is its Role.
 type RoleChange struct {
 	To     string `json:"to"`
 	Epoch  uint64 `json:"epoch"`
@@ -180,8 +180,8 @@
 	return b.String()
 }
 
-// ParseLoadHeader parses ORCA's TEXT and JSON forms. It ignores unknown forms and names, and a value that is malformed or
-// out of range counts as not reported.
+// ParseLoadHeader parses ORCA's TEXT and JSON forms. It ignores unknown forms and names, and a value that is
+// malformed or out of range counts as not reported.
 func ParseLoadHeader(value string) decide.Report {
 	form, rest, _ := strings.Cut(strings.TrimSpace(value), " ")
 	var l LoadReport
@@ -233,8 +233,9 @@
 }
 
 // Gate decides at the last moment whether an attempt's request may be sent. The writer of the request calls MaySend
-// immediately before the last byte and Sent immediately after it, both with the time left that the engine is told, or 0
-// if it is told none. Connected reports that a connection has been obtained and how many exchanges it has carried before.
+// immediately before the last byte and Sent immediately after it, both with the time left that the engine is told, or
+// 0 if it is told none. Connected reports that a connection has been obtained and how many exchanges it has carried
+// before.
 type Gate interface {
 	Connected(uses int)
 	MaySend(timeLeft time.Duration) error
@@ -251,8 +252,8 @@
 	Message          *Message  // nil: the engine gets Prompt and Params
 	ResponseDeadline time.Time // until when the router waits for the first response
 	NonIdempotent    bool      // the request must not be sent again if it may have executed
-	// LastResponseWithin is the maximum age of the last response on a kept connection that may carry the request. 0 allows
-	// any kept connection.
+	// LastResponseWithin is the maximum age of the last response on a kept connection that may carry the request. 0
+	// allows any kept connection.
 	LastResponseWithin time.Duration
 	Gate               Gate // nil: the request is sent without asking
 }
--- a/internal/front/chat/answer.go
+++ b/internal/front/chat/answer.go
@@ -75,8 +75,8 @@
 	return c.respond(statusCode(e.Kind), e.Text, e.RetryAfter, closeAfter)
 }
 
-// streamAnswer forwards a request's events to its client, each as soon as it arrives, followed by the request's ending. It
-// reports whether the connection can take another request.
+// streamAnswer forwards a request's events to its client, each as soon as it arrives, followed by the request's
+// ending. It reports whether the connection can take another request.
 func (c *conn) streamAnswer(ctx context.Context, q *router.Request, closeAfter bool) bool {
 	defer q.Abandon() // has no effect after the ending
 	ctx, cancel := context.WithCancel(ctx)
@@ -139,9 +139,9 @@
 	left bool
 }
 
-// watchClient starts a goroutine that reads ahead on the connection and calls onLeave when the client has closed it: the
-// close may come after further data that the client has sent before its answer. Beyond the limits of the read-ahead the
-// close is noticed only when the router writes to the client.
+// watchClient starts a goroutine that reads ahead on the connection and calls onLeave when the client has closed it:
+// the close may come after further data that the client has sent before its answer. Beyond the limits of the
+// read-ahead the close is noticed only when the router writes to the client.
 func (c *conn) watchClient(onLeave func()) *clientWatcher {
 	w := &clientWatcher{done: make(chan struct{})}
 	c.SetReadDeadline(time.Time{})
@@ -168,8 +168,8 @@
 	return w
 }
 
-// readAhead reads data for which br has no room into readAheadData. It fails with errNoBodyMemory if its own limit or the
-// common limit on memory for bodies is reached.
+// readAhead reads data for which br has no room into readAheadData. It fails with errNoBodyMemory if its own limit or
+// the common limit on memory for bodies is reached.
 func (c *conn) readAhead() error {
 	if n := len(c.readAheadData); n == cap(c.readAheadData) {
 		newCap := min(max(2*n, readBufferSize), maxReadAhead)
--- a/internal/front/chat/chat.go
+++ b/internal/front/chat/chat.go
@@ -1,7 +1,7 @@
-// Package chat is the front that speaks the platform's protocol: chat completions over HTTP/1.1, with the information for
-// the router in headers. It is built on net and http1, because net/http hides details that matter here: a second length
-// header, a head without an end, and the moment at which a connection may be closed. The package only translates between
-// the protocol and the router's core; it makes no decisions about requests.
+// Package chat is the front that speaks the platform's protocol: chat completions over HTTP/1.1, with the information
+// for the router in headers. It is built on net and http1, because net/http hides details that matter here: a second
+// length header, a head without an end, and the moment at which a connection may be closed. The package only
+// translates between the protocol and the router's core; it makes no decisions about requests.
 package chat
 
 import (
@@ -24,11 +24,12 @@
 	maxTokens      = 1e7
 	readBufferSize = 4096
 	maxReadAhead   = maxHeadSize + MaxBody // read of further requests while one is open
-	// lingerTimeout and maxLingerBytes limit what is still read, and discarded, after the last answer on a connection.
+	// lingerTimeout and maxLingerBytes limit what is still read, and discarded, after the last answer on a
+	// connection.
 	lingerTimeout  = 500 * time.Millisecond
 	maxLingerBytes = MaxBody
-	// finalAnswerTimeout is how long the core has for its last answers when the front stops at once, and then how long the
-	// clients have to receive them.
+	// finalAnswerTimeout is how long the core has for its last answers when the front stops at once, and then how
+	// long the clients have to receive them.
 	finalAnswerTimeout = 500 * time.Millisecond
 	// refusalWriteTimeout limits the time that the accepting goroutine may take to write a refusal.
 	refusalWriteTimeout = time.Millisecond
@@ -84,8 +85,8 @@
 // connections are still accepted.
 func (f *Front) BeginShutdown() { f.closing.Store(true) }
 
-// CloseIdle closes connections that have been between two requests for at least idleFor: their clients have read the last
-// answer. A request that arrives while its connection is closed stays unread.
+// CloseIdle closes connections that have been between two requests for at least idleFor: their clients have read the
+// last answer. A request that arrives while its connection is closed stays unread.
 func (f *Front) CloseIdle(idleFor time.Duration) { f.conns.closeIdle(idleFor) }
 
 // RefuseUnused refuses connections on which no request has arrived yet.
--- a/internal/front/chat/chat_test.go
+++ b/internal/front/chat/chat_test.go
@@ -423,8 +423,8 @@
 	}
 }
 
-// During a shutdown answers close their connections and idle connections are closed. Requests on new connections are still
-// answered.
+// During a shutdown answers close their connections and idle connections are closed. Requests on new connections are
+// still answered.
 func TestBeginShutdown(t *testing.T) {
 	w := startFront(t, writeAnswer, nil)
 	idle, idleBr := w.dial()
--- a/internal/front/chat/conn.go
+++ b/internal/front/chat/conn.go
@@ -21,7 +21,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// conn is a client's connection. Its fields belong to the goroutine that serves it, except entry, which belongs to conns.
+// conn is a client's connection. Its fields belong to the goroutine that serves it, except entry, which belongs to
+// conns.
 type conn struct {
 	net.Conn
 	front           *Front
@@ -100,9 +101,9 @@
 	c.request.Closed("panic")
 }
 
-// beginIdle begins the wait for another request. It returns false if the connection is to end now. A connection becomes
-// idle during a shutdown as well, so that a request that still arrives gets a response. If the router closed the
-// connection for sending instead, a request could cross this close, be read and discarded, and so be lost.
+// beginIdle begins the wait for another request. It returns false if the connection is to end now. A connection
+// becomes idle during a shutdown as well, so that a request that still arrives gets a response. If the router closed
+// the connection for sending instead, a request could cross this close, be read and discarded, and so be lost.
 func (c *conn) beginIdle() bool {
 	c.SetReadDeadline(time.Now().Add(c.front.opts.IdleTimeout))
 	return c.front.conns.transition(c, stateIdle)
@@ -183,8 +184,8 @@
 	}
 }
 
-// discard closes a connection for sending, then reads and discards what still arrives through r: closing a connection with
-// unread data resets it, and an answer that the client has not read yet would be lost.
+// discard closes a connection for sending, then reads and discards what still arrives through r: closing a connection
+// with unread data resets it, and an answer that the client has not read yet would be lost.
 func (f *Front) discard(nc net.Conn, r io.Reader) {
 	tcp, ok := nc.(*net.TCPConn)
 	if !ok || tcp.CloseWrite() != nil {
@@ -194,7 +195,8 @@
 	io.CopyN(io.Discard, r, maxLingerBytes)
 }
 
-// describeEnd returns what the end of a request means for its connection; reusable tells whether it can take another request.
+// describeEnd returns what the end of a request means for its connection; reusable tells whether it can take another
+// request.
 func (c *conn) describeEnd(reusable bool) string {
 	switch {
 	case reusable:
@@ -287,8 +289,8 @@
 
 var errNoBodyMemory = errors.New("no room for a body")
 
-// readBody reads a request body. Its memory counts towards the common limit, and the caller subtracts it afterwards. The
-// buffer grows as data arrives, whatever length the client has announced.
+// readBody reads a request body. Its memory counts towards the common limit, and the caller subtracts it afterwards.
+// The buffer grows as data arrives, whatever length the client has announced.
 func (c *conn) readBody(h *http1.Head) ([]byte, error) {
 	length, chunked, err := h.Framing()
 	if err != nil {
--- a/internal/front/chat/conns.go
+++ b/internal/front/chat/conns.go
@@ -24,13 +24,13 @@
 	return [...]string{"fresh", "resting", "receiving", "open", "lingering", "closed"}[s]
 }
 
-// conns keeps all client connections. When their limit is reached, it closes a connection on which no answer is due: a
-// lingering one, otherwise the one that has waited longest for a request (the protocol allows closing a connection
+// conns keeps all client connections. When their limit is reached, it closes a connection on which no answer is due:
+// a lingering one, otherwise the one that has waited longest for a request (the protocol allows closing a connection
 // between requests).
 //
 // A connection leaves stateNew and stateIdle before the first byte of its request is read, under the same lock under
-// which connections are closed. Therefore no request is ever read from a connection that is closed to make room or during
-// a shutdown, and the client can safely send it again.
+// which connections are closed. Therefore no request is ever read from a connection that is closed to make room or
+// during a shutdown, and the client can safely send it again.
 type conns struct {
 	maxConns       int
 	maxRefused     int // connections beyond maxConns that may linger after they were refused
@@ -98,9 +98,9 @@
 	return true
 }
 
-// evict closes the connection that has waited longest and reports whether there was one. If all connections are busy with
-// requests, those that have been sending a request for more than half of RequestTimeout get a time-out response, which
-// makes room for later connections. The caller holds mu.
+// evict closes the connection that has waited longest and reports whether there was one. If all connections are busy
+// with requests, those that have been sending a request for more than half of RequestTimeout get a time-out response,
+// which makes room for later connections. The caller holds mu.
 func (s *conns) evict() bool {
 	if e := s.evictable.Front(); e != nil {
 		s.closeConn(e.Value.(*conn), "closed to make room")
@@ -145,7 +145,8 @@
 	s.tasks.Done()
 }
 
-// addRefused counts one more connection that lingers after it was refused. It returns false if their limit is reached.
+// addRefused counts one more connection that lingers after it was refused. It returns false if their limit is
+// reached.
 func (s *conns) addRefused() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -165,8 +166,8 @@
 	s.tasks.Done()
 }
 
-// closeIdle closes connections that have been between requests for at least idleFor. Connections without any request so
-// far stay open, because their first request is about to arrive.
+// closeIdle closes connections that have been between requests for at least idleFor. Connections without any request
+// so far stay open, because their first request is about to arrive.
 func (s *conns) closeIdle(idleFor time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -179,7 +180,8 @@
 	}
 }
 
-// expireDeadlines makes the reads of all connections in a state time out at once. The state is stateNew or stateReceiving.
+// expireDeadlines makes the reads of all connections in a state time out at once. The state is stateNew or
+// stateReceiving.
 func (s *conns) expireDeadlines(state connState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/front/chat/crossings_test.go
+++ b/internal/front/chat/crossings_test.go
@@ -46,8 +46,8 @@
 	return string(b)
 }
 
-// A request arrives on an idle connection at the moment when the connection is closed, to make room or for a shutdown. The
-// request is not read, so the client can safely send it again, and it does not reach an engine.
+// A request arrives on an idle connection at the moment when the connection is closed, to make room or for a
+// shutdown. The request is not read, so the client can safely send it again, and it does not reach an engine.
 func TestRequestArrivesWhileConnectionCloses(t *testing.T) {
 	for name, closeIt := range map[string]func(*conns, *conn){
 		"for the shutdown": func(s *conns, c *conn) { s.closeConn(c, "shutdown") },
@@ -109,8 +109,8 @@
 	}
 }
 
-// Connections that wait in the kernel's queue when the listener is to close are accepted. A request that was sent already
-// gets its answer, and so does one that is sent later. Later connections are refused by the kernel.
+// Connections that wait in the kernel's queue when the listener is to close are accepted. A request that was sent
+// already gets its answer, and so does one that is sent later. Later connections are refused by the kernel.
 func TestStopListeningServesQueuedConnections(t *testing.T) {
 	w := startFront(t, writeAnswer, nil)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -167,8 +167,9 @@
 	}
 }
 
-// An answer that began before the shutdown has no Connection: close. A request that the client sends right after it is
-// answered rather than read and discarded. Once the connection has been idle for a while it is closed without a response.
+// An answer that began before the shutdown has no Connection: close. A request that the client sends right after it
+// is answered rather than read and discarded. Once the connection has been idle for a while it is closed without a
+// response.
 func TestRequestAfterAnswerFromBeforeShutdown(t *testing.T) {
 	gate := make(chan bool)
 	w := startFront(t, writeAfter(gate), nil)
@@ -193,8 +194,8 @@
 	w.eventually("the connection is closed", func() bool { return w.front.OpenConns() == 0 })
 }
 
-// A request that is still incomplete when the router stops waiting for it is refused, even if its last byte arrives at
-// that moment.
+// A request that is still incomplete when the router stops waiting for it is refused, even if its last byte arrives
+// at that moment.
 func TestIncompleteRequestsAreRefusedAtShutdown(t *testing.T) {
 	w := startFront(t, writeAnswer, nil)
 	c, br := w.dial()
@@ -216,8 +217,8 @@
 	}
 }
 
-// A refusal because of too many connections arrives although the request is never read: the connection is not closed with
-// unread data. Only a limited number of connections is kept for this.
+// A refusal because of too many connections arrives although the request is never read: the connection is not closed
+// with unread data. Only a limited number of connections is kept for this.
 func TestConnectionRefusalIsDelivered(t *testing.T) {
 	gate := make(chan bool)
 	w := startFront(t, writeAfter(gate), func(o *Options) { o.MaxConns, o.MaxRefusedConns = 1, 1 })
@@ -250,8 +251,8 @@
 	}
 }
 
-// A connection that is receiving a request is not closed to make room; a new connection is refused instead. Only a client
-// that has been sending a request for long gets a time-out response.
+// A connection that is receiving a request is not closed to make room; a new connection is refused instead. Only a
+// client that has been sending a request for long gets a time-out response.
 func TestIncomingRequestsAreNotEvicted(t *testing.T) {
 	w := startFront(t, writeAnswer, func(o *Options) { o.MaxConns, o.MaxRefusedConns = 1, 4 })
 	slow, slowBr := w.dial()
@@ -419,8 +420,8 @@
 	}
 }
 
-// Header fields for the engine, such as an idempotency key, are forwarded. Fields of the connection, of the message framing
-// and of the router are not.
+// Header fields for the engine, such as an idempotency key, are forwarded. Fields of the connection, of the message
+// framing and of the router are not.
 func TestForwardedHeaderFields(t *testing.T) {
 	w := startFront(t, writeAnswer, nil)
 	c, br := w.dial()
@@ -440,8 +441,8 @@
 	}
 }
 
-// Serve's context ends while one request is open, one is partly received and one connection is new. The open request gets
-// its answer, the others get a refusal, and no connection is closed without a response.
+// Serve's context ends while one request is open, one is partly received and one connection is new. The open request
+// gets its answer, the others get a refusal, and no connection is closed without a response.
 func TestAnswersWhenContextEnds(t *testing.T) {
 	for name, coreEnds := range map[string]bool{"with the core": true, "before the core": false} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/front/chat/job.go
+++ b/internal/front/chat/job.go
@@ -71,9 +71,9 @@
 	return j, nil
 }
 
-// forwardedFields returns the header fields of a client's message that engines get unchanged, such as an idempotency key,
-// which concerns only the client and the engine. The time left and the id are left out because the router sends its own,
-// and Accept-Encoding because the router reads the stream, which therefore must not be encoded.
+// forwardedFields returns the header fields of a client's message that engines get unchanged, such as an idempotency
+// key, which concerns only the client and the engine. The time left and the id are left out because the router sends
+// its own, and Accept-Encoding because the router reads the stream, which therefore must not be encoded.
 func forwardedFields(h *http1.Head) []http1.Field {
 	return slices.DeleteFunc(h.EndToEnd(), func(f http1.Field) bool {
 		return strings.EqualFold(f.Name, platform.TimeLeftHeader) || strings.EqualFold(f.Name, platform.IDHeader) ||
--- a/internal/front/chat/leave_test.go
+++ b/internal/front/chat/leave_test.go
@@ -79,8 +79,8 @@
 	w.eventually("memory returned", func() bool { return w.front.bodyMemory.Load() == 0 })
 }
 
-// Closing a connection with unread data resets it, and the answer may be lost. After the last answer the connection is
-// therefore first closed for sending, and data that still arrives is read but not served.
+// Closing a connection with unread data resets it, and the answer may be lost. After the last answer the connection
+// is therefore first closed for sending, and data that still arrives is read but not served.
 func TestLastAnswerIsNotReset(t *testing.T) {
 	gate := make(chan bool)
 	w := startFront(t, writeAfter(gate), func(o *Options) { o.MaxBodyMemory = 3 * readBufferSize })
--- a/internal/front/chat/listen.go
+++ b/internal/front/chat/listen.go
@@ -8,8 +8,9 @@
 	"time"
 )
 
-// Serve accepts connections until ctx ends or StopListening is called, and returns when all connections are closed. When
-// ctx ends, each open request gets the answer that the core has for it by then, or an error response of the front.
+// Serve accepts connections until ctx ends or StopListening is called, and returns when all connections are closed.
+// When ctx ends, each open request gets the answer that the core has for it by then, or an error response of the
+// front.
 func (f *Front) Serve(ctx context.Context, l net.Listener) error {
 	requestCtx, cancelRequests := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancelRequests()
@@ -76,9 +77,9 @@
 	}()
 }
 
-// refuse answers a connection with 503 because there are too many. It keeps the connection open briefly, because closing
-// it with unread data would reset it, and the response might be lost. If MaxRefusedConns connections are kept already, it
-// closes the connection at once.
+// refuse answers a connection with 503 because there are too many. It keeps the connection open briefly, because
+// closing it with unread data would reset it, and the response might be lost. If MaxRefusedConns connections are kept
+// already, it closes the connection at once.
 func (f *Front) refuse(nc net.Conn) {
 	nc.SetWriteDeadline(time.Now().Add(refusalWriteTimeout))
 	nc.Write(f.response(503, "text/plain", []byte("too many connections\n"), 0, true))
@@ -93,8 +94,8 @@
 	}()
 }
 
-// StopListening accepts the connections that wait in the kernel's queue and then closes the listener. The returned channel
-// is closed when this is done.
+// StopListening accepts the connections that wait in the kernel's queue and then closes the listener. The returned
+// channel is closed when this is done.
 func (f *Front) StopListening() <-chan struct{} {
 	f.mu.Lock()
 	f.stopRequested = true
@@ -117,8 +118,8 @@
 	}
 }
 
-// limitAccept makes a listener time out after finalAcceptTime, which suffices to accept the connections in the kernel's
-// queue.
+// limitAccept makes a listener time out after finalAcceptTime, which suffices to accept the connections in the
+// kernel's queue.
 func limitAccept(l net.Listener) {
 	if d, ok := l.(interface{ SetDeadline(time.Time) error }); ok {
 		d.SetDeadline(time.Now().Add(finalAcceptTime))
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -1,5 +1,6 @@
-// Package front has what all fronts share: converting a decoded request to a job, checking its limits, and translating the
-// ending of a request to an error for the client. A front itself only encodes and decodes its protocol.
+// Package front has what all fronts share: converting a decoded request to a job, checking its limits, and
+// translating the ending of a request to an error for the client. A front itself only encodes and decodes its
+// protocol.
 package front
 
 import (
@@ -34,7 +35,8 @@
 	ClientLeft                       // the client has left, so nobody reads the response
 )
 
-// Error is an error response to a client. RetryAfter is the suggested retry delay with Busy and Unavailable; 0 means none.
+// Error is an error response to a client. RetryAfter is the suggested retry delay with Busy and Unavailable; 0 means
+// none.
 type Error struct {
 	Kind       ErrorKind
 	Text       string
@@ -139,7 +141,8 @@
 	}
 }
 
-// Job converts a decoded request to a job, or returns what is wrong with it. now is the time at which the request arrived.
+// Job converts a decoded request to a job, or returns what is wrong with it. now is the time at which the request
+// arrived.
 func (m *JobBuilder) Job(in *DecodedRequest, now time.Time) (*router.Job, *Error) {
 	if e := m.CheckModel(in.Model, in.Version); e != nil {
 		return nil, e
@@ -195,8 +198,8 @@
 			j.PromptTokens, maxTokens, m.set.MaxContext)
 	}
 	j.LengthHint = time.Duration(hint * float64(c.TokenIntervalTarget))
-	// If the client sets no deadline, the deadline of the class applies, plus twice the first-token target's share for the
-	// prompt's length.
+	// If the client sets no deadline, the deadline of the class applies, plus twice the first-token target's share
+	// for the prompt's length.
 	timeout := time.Duration(float64(c.Deadline) + 2*float64(c.FirstTokenTargetPerK)*j.PromptTokens/1000)
 	if deadline > 0 {
 		timeout = time.Duration(min(deadline*1e6, float64(MaxDeadline)))
--- a/internal/front/rest/rest.go
+++ b/internal/front/rest/rest.go
@@ -210,8 +210,8 @@
 	return &front.Error{Kind: front.TooLarge, Text: fmt.Sprintf("the body is larger than %d bytes", f.set.MaxBody)}
 }
 
-// submit converts a decoded request to a job and submits it to the core. If that fails, it responds with the error and
-// returns nil.
+// submit converts a decoded request to a job and submits it to the core. If that fails, it responds with the error
+// and returns nil.
 func (f *Front) submit(w http.ResponseWriter, r *http.Request, in *front.DecodedRequest) *router.Request {
 	in.Model, in.Version = r.PathValue("model"), r.PathValue("version")
 	job, e := f.jobs.Job(in, time.Now())
@@ -252,7 +252,8 @@
 		Outputs: []kserve.Tensor{kserve.TextTensor(textOutput, text)}})
 }
 
-// inferInput checks all tensors of an infer request and returns it decoded, with the prompt from the tensor text_input.
+// inferInput checks all tensors of an infer request and returns it decoded, with the prompt from the tensor
+// text_input.
 func inferInput(body *kserve.InferRequest) (*front.DecodedRequest, *front.Error) {
 	badRequest := func(err error) (*front.DecodedRequest, *front.Error) {
 		return nil, &front.Error{Kind: front.BadRequest, Text: err.Error()}
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -1,7 +1,7 @@
-// Package http1 reads HTTP/1.1 messages (RFC 9112) from a connection, within limits. The front of the platform's protocol
-// and the client of its engines are built on it, because they need details that net/http hides: both length headers of a
-// message, the moment at which a request was written, and a head without an end. The package does not interpret messages
-// beyond their framing.
+// Package http1 reads HTTP/1.1 messages (RFC 9112) from a connection, within limits. The front of the platform's
+// protocol and the client of its engines are built on it, because they need details that net/http hides: both length
+// headers of a message, the moment at which a request was written, and a head without an end. The package does not
+// interpret messages beyond their framing.
 package http1
 
 import (
@@ -197,8 +197,8 @@
 var hopByHop = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authorization", "TE", "Trailer",
 	"Transfer-Encoding", "Content-Length", "Upgrade", "Expect", "Host"}
 
-// EndToEnd returns the fields that an intermediary forwards: all except those in hopByHop and those named in a Connection
-// field.
+// EndToEnd returns the fields that an intermediary forwards: all except those in hopByHop and those named in a
+// Connection field.
 func (h *Head) EndToEnd() []Field {
 	var options []string
 	for _, f := range h.Fields {
@@ -221,9 +221,9 @@
 // UnknownLength is the length of a body if the head does not announce one.
 const UnknownLength = -1
 
-// Framing returns how a body is framed: in chunks, or as length bytes. A message with both length headers, or with one of
-// them twice, can be read in two ways, and another reader could see a different request in its body (request smuggling,
-// RFC 9112, section 11.2). Framing rejects such a message as malformed, whatever the values are.
+// Framing returns how a body is framed: in chunks, or as length bytes. A message with both length headers, or with
+// one of them twice, can be read in two ways, and another reader could see a different request in its body (request
+// smuggling, RFC 9112, section 11.2). Framing rejects such a message as malformed, whatever the values are.
 func (h *Head) Framing() (length int64, chunked bool, err error) {
 	cl, lengths := h.Get("Content-Length")
 	te, codings := h.Get("Transfer-Encoding")
@@ -264,8 +264,8 @@
 	return &ChunkedReader{br: br, max: max}
 }
 
-// Read implements io.Reader. One call never returns data of two chunks. Read returns io.EOF only after the last chunk and
-// the trailer.
+// Read implements io.Reader. One call never returns data of two chunks. Read returns io.EOF only after the last chunk
+// and the trailer.
 func (c *ChunkedReader) Read(p []byte) (int, error) {
 	if c.done {
 		return 0, io.EOF
@@ -294,7 +294,8 @@
 	return n, unexpectedEOF(err)
 }
 
-// unexpectedEOF replaces io.EOF by io.ErrUnexpectedEOF, because a chunked body that ends before its last chunk is incomplete.
+// unexpectedEOF replaces io.EOF by io.ErrUnexpectedEOF, because a chunked body that ends before its last chunk is
+// incomplete.
 func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
--- a/internal/kserve/kserve.go
+++ b/internal/kserve/kserve.go
@@ -1,7 +1,7 @@
-// Package kserve has the messages of the KServe V2 protocol (Open Inference Protocol) in their JSON encoding, with the
-// checks that the specification requires. Names and fields follow the public specification: "Open Inference Protocol,
-// HTTP/REST" for health, metadata and inference, and its generate extension for generate and generate_stream. The front,
-// the client of the engines and the stand-ins share the package.
+// Package kserve has the messages of the KServe V2 protocol (Open Inference Protocol) in their JSON encoding, with
+// the checks that the specification requires. Names and fields follow the public specification: "Open Inference
+// Protocol, HTTP/REST" for health, metadata and inference, and its generate extension for generate and
+// generate_stream. The front, the client of the engines and the stand-ins share the package.
 package kserve
 
 import (
@@ -16,8 +16,8 @@
 	"strconv"
 )
 
-// Parameters are the protocol's free key/value pairs. The specification allows strings, numbers and booleans as values;
-// Check rejects all others.
+// Parameters are the protocol's free key/value pairs. The specification allows strings, numbers and booleans as
+// values; Check rejects all others.
 type Parameters map[string]any
 
 // Check returns an error for the first value that the specification does not allow.
@@ -32,8 +32,8 @@
 	return nil
 }
 
-// Text returns a string parameter, or "" if it is absent. It converts a number to its digits, so that ids may be given as
-// strings or as numbers.
+// Text returns a string parameter, or "" if it is absent. It converts a number to its digits, so that ids may be
+// given as strings or as numbers.
 func (p Parameters) Text(name string) (string, error) {
 	switch v := p[name].(type) {
 	case nil:
@@ -185,7 +185,8 @@
 	"FP16": {kindFloat, 16}, "FP32": {kindFloat, 32}, "FP64": {kindFloat, 64}, "BF16": {kindFloat, 16},
 }
 
-// ElementCount returns the product of a shape's dimensions. A negative dimension, or a product over limit, is an error.
+// ElementCount returns the product of a shape's dimensions. A negative dimension, or a product over limit, is an
+// error.
 func ElementCount(shape []int64, limit int64) (int64, error) {
 	n := int64(1)
 	for _, d := range shape {
@@ -200,8 +201,8 @@
 	return n, nil
 }
 
-// Check verifies a tensor's datatype and shape, and that its data has the right number of elements of that datatype. Every
-// error names the tensor, unless it has no name.
+// Check verifies a tensor's datatype and shape, and that its data has the right number of elements of that datatype.
+// Every error names the tensor, unless it has no name.
 func (t *Tensor) Check(limit int64) error {
 	if t.Name == "" {
 		return errors.New("a tensor has no name")
--- a/internal/kserve/sse.go
+++ b/internal/kserve/sse.go
@@ -8,8 +8,8 @@
 	"io"
 )
 
-// EventReader reads server-sent events (WHATWG HTML, section 9.2 "Server-sent events") and returns the data of each. It
-// ignores comments and all fields other than data.
+// EventReader reads server-sent events (WHATWG HTML, section 9.2 "Server-sent events") and returns the data of each.
+// It ignores comments and all fields other than data.
 type EventReader struct {
 	r     *bufio.Reader
 	limit int
@@ -24,8 +24,8 @@
 	return &EventReader{r: bufio.NewReaderSize(r, 4096), limit: limit}
 }
 
-// Next returns the data of the next event, which is valid until the next call. At the end of the stream it returns io.EOF
-// between events and io.ErrUnexpectedEOF within one.
+// Next returns the data of the next event, which is valid until the next call. At the end of the stream it returns
+// io.EOF between events and io.ErrUnexpectedEOF within one.
 func (e *EventReader) Next() ([]byte, error) {
 	e.data = e.data[:0]
 	seen := false
