--- a/internal/engine/chat/chat.go
+++ b/internal/engine/chat/chat.go
@@ -1,7 +1,10 @@
-// Package chat is the client of engines that speak the platform's protocol: the client's own request passed
-// on unchanged, first to an engine that reads it, then to one that streams the answer's events; what is held
-// for it stands under its id. It tells truly how an attempt ended: only what the engine said, or what was
-// never written, counts as never run. It sends nothing twice and decides nothing.
+// Package chat is the client of engines that speak the platform's protocol. A client's request is forwarded
+// unchanged, first to an engine that reads the prompt, then to one that streams the answer's events. What engines
+// hold for a request between its stages is named by the request's id.
+//
+// The package reports exactly how an attempt ended: an attempt counts as never executed only if the engine said so or
+// if its last byte was never written. The package delivers an attempt's request at most once and makes no routing
+// decisions.
 package chat
 
 import (
@@ -22,80 +25,84 @@
 )
 
 const (
-	loadComment  = ": " + platform.LoadHeader + ":"
-	doneSentinel = "[DONE]"
+	loadCommentPrefix = ": " + platform.LoadHeader + ":"
+	doneSentinel      = "[DONE]"
 )
 
-// Bounds of what an engine may send.
+// Limits on engine responses, connections and calls. Sizes are in bytes.
 const (
-	readBuffer = 4096
-	maxHead    = 16 << 10
-	maxBody    = 64 << 10 // of an answer that is no stream
-	maxChunk   = 64 << 10
-	maxEvent   = 64 << 10
-	maxInterim = 8                      // 1xx answers in front of one
-	firstTry   = 150 * time.Millisecond // of a call that must be heard, at one engine
-	// hedgeAfter is how long an engine has to take a release before another is asked too, maxHedged how many are asked at
-	// a time, and hedgePause lies between two rounds over all engines.
-	hedgeAfter  = 30 * time.Millisecond
-	hedgePause  = 15 * time.Millisecond
-	maxHedged   = 6
-	maxHedges   = 32                    // of all releases together; one of each may always be under way
-	readEnds    = 30 * time.Millisecond // a read that was given up ends within this time, or has ended well
-	maxCallOffs = 10                    // calls for one read that was given up
-	expireEvery = time.Second
-	standsAfter = 2 * time.Millisecond // the last byte of a request is held back for so long
-	connTries   = 3                    // connections for one attempt, while none has brought the request
-	heardFor    = time.Minute          // an engine that answered is known for so long as one that runs
-	doubtFor    = 10 * time.Second     // an engine's connections are used once for so long after one was reset
-	// restFor is how long a connection rests after an attempt's answer: a second answer may come some milliseconds
-	// behind it (FLEET, join), and on a connection used again it would be taken for the next request's.
-	restFor = 50 * time.Millisecond
-	// closeArrives is how long the closing of a connection may take to its engine: some times the way between zones.
-	closeArrives = 5 * time.Millisecond
+	readBufferSize      = 4096
+	maxHeadSize         = 16 << 10
+	maxBodySize         = 64 << 10 // of a response that is not a stream
+	maxChunkSize        = 64 << 10
+	maxEventSize        = 64 << 10
+	maxInterimResponses = 8                      // 1xx responses before the final one
+	releaseCallTimeout  = 150 * time.Millisecond // of one release call to one engine
+	// hedgeDelay is how long an engine may take to accept a release before another engine is called as well.
+	// maxHedgesPerRelease is the number of calls in flight at a time for one release, and hedgeRoundPause is the
+	// pause between two rounds over all engines.
+	hedgeDelay          = 30 * time.Millisecond
+	hedgeRoundPause     = 15 * time.Millisecond
+	maxHedgesPerRelease = 6
+	maxHedgesTotal      = 32                    // for all releases together; each may always have one call in flight
+	readEndDelay        = 30 * time.Millisecond // a cancelled read ends within this time, or has already succeeded
+	maxCancelCalls      = 10                    // release calls for one cancelled read
+	expireInterval      = time.Second
+	lastByteDelay       = 2 * time.Millisecond // the last byte of a request is held back for this long
+	maxConnTries        = 3                    // connections tried for an attempt until one has delivered its request
+	lastResponseTTL     = time.Minute          // an engine counts as running for this long after a response
+	distrustDuration    = 10 * time.Second     // after a reset, connections to the engine are used once for this long
+	// connReuseDelay is how long a connection stays unused after an attempt's response. A faulty engine may send a
+	// second response some milliseconds after the first, and on a reused connection it would be taken for the
+	// response to the next request.
+	connReuseDelay = 50 * time.Millisecond
+	// closeDelay is how long the close of a connection may take to reach its engine: several times the network
+	// latency between zones.
+	closeDelay = 5 * time.Millisecond
 )
 
-// Options bound what the client does.
+// Options are the limits and time-outs of a Client.
 type Options struct {
 	DialTimeout       time.Duration
-	IdleConnTimeout   time.Duration // idle connections are closed after this
-	MaxConns          int           // to all engines
-	ReleaseConns      int           // more for releases
-	StreamIdleTimeout time.Duration // without an event for so long a stream has broken
+	IdleConnTimeout   time.Duration // idle connections are closed after this time
+	MaxConns          int           // to all engines together
+	ReleaseConns      int           // additional connections that only releases may use
+	StreamIdleTimeout time.Duration // a stream without an event for this long is broken
 	ReleaseTimeout    time.Duration
-	CancelRetryDelay  time.Duration // after a read was called off it is called off once more
+	CancelRetryDelay  time.Duration // between repeated release calls for a cancelled read
 	ProbeTimeout      time.Duration
-	Log               *slog.Logger // nil: none
+	Log               *slog.Logger // nil: nothing is logged
 }
 
-// Client speaks to all engines; a router.Engines. It is safe for concurrent use.
+// Client talks to all engines and implements router.Engines. It is safe for concurrent use.
 type Client struct {
 	opts Options
 	pool *pool
 
-	mu     sync.Mutex
-	heard  map[string]time.Time // when an engine answered last
-	listed map[string]struct{}  // engines that are there
-	hedges atomic.Int32         // calls of releases that are under way
+	mu           sync.Mutex
+	lastResponse map[string]time.Time // time of each engine's last response, by address
+	listed       map[string]struct{}  // addresses of the engines in the server list
+	activeHedges atomic.Int32         // release calls in flight
 
-	readEnds, restFor, firstTry, closeArrives time.Duration // the constants; tests change them
+	// The values of the constants with these names; tests change them.
+	readEndDelay, connReuseDelay, releaseCallTimeout, closeDelay time.Duration
 }
 
-// New returns a client. Run looks after its idle connections.
+// New returns a client. Run closes its idle connections in time.
 func New(opts Options) *Client {
 	if opts.Log == nil {
 		opts.Log = slog.New(slog.DiscardHandler)
 	}
-	return &Client{opts: opts, readEnds: readEnds, restFor: restFor, firstTry: firstTry,
-		closeArrives: closeArrives, heard: map[string]time.Time{}, listed: map[string]struct{}{}, pool: &pool{dialTimeout: opts.DialTimeout,
-			keep: opts.IdleConnTimeout, standsAfter: standsAfter, most: opts.MaxConns, spare: opts.ReleaseConns}}
+	return &Client{opts: opts, readEndDelay: readEndDelay, connReuseDelay: connReuseDelay, releaseCallTimeout: releaseCallTimeout,
+		closeDelay: closeDelay, lastResponse: map[string]time.Time{}, listed: map[string]struct{}{}, pool: &pool{dialTimeout: opts.DialTimeout,
+			idleTimeout: opts.IdleConnTimeout, lastByteDelay: lastByteDelay, maxConns: opts.MaxConns, releaseConns: opts.ReleaseConns}}
 }
 
-// Run closes idle connections before their engines do, until ctx ends; then all.
+// Run closes idle connections before their engines do. When ctx ends it closes all idle connections and returns.
 func (c *Client) Run(ctx context.Context) error {
-	t := time.NewTicker(expireEvery)
+	t := time.NewTicker(expireInterval)
 	defer t.Stop()
-	defer c.pool.forget("")
+	defer c.pool.closeConns("")
 	for {
 		select {
 		case <-ctx.Done():
@@ -106,113 +113,115 @@
 	}
 }
 
-// Close closes idle connections.
-func (c *Client) Close() { c.pool.forget("") }
+// Close closes all idle connections.
+func (c *Client) Close() { c.pool.closeConns("") }
 
-// EngineListed notes that an engine is there.
+// EngineListed records that an engine is in the server list.
 func (c *Client) EngineListed(addr string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.listed[addr] = struct{}{}
 }
 
-// ForgetEngine drops what is kept for an engine that is gone, or whose process is another now.
+// ForgetEngine drops everything stored for an engine that has left the server list, or whose process was replaced by
+// another at the same address.
 func (c *Client) ForgetEngine(addr string) {
 	c.mu.Lock()
-	delete(c.heard, addr)
+	delete(c.lastResponse, addr)
 	delete(c.listed, addr)
 	c.mu.Unlock()
-	c.pool.forget(addr)
+	c.pool.closeConns(addr)
 }
 
-// expire forgets engines that have not answered for long: a late answer may come after Forget, and engines are
-// always new ones.
+// expire drops engines that have not responded for lastResponseTTL. A late response may be recorded after
+// ForgetEngine, and since new engines keep coming with new addresses, such entries would otherwise pile up.
 func (c *Client) expire(now time.Time) {
-	c.pool.expire()
+	c.pool.closeExpired()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for addr, at := range c.heard {
-		if now.Sub(at) > heardFor {
-			delete(c.heard, addr)
+	for addr, at := range c.lastResponse {
+		if now.Sub(at) > lastResponseTTL {
+			delete(c.lastResponse, addr)
 		}
 	}
 }
 
-// attempt starts an attempt of a request.
-func (c *Client) attempt(ctx context.Context, addr string, q *engine.Call) (*exchange, error) {
-	x, err := c.start(ctx, addr, &call{method: "POST", target: q.Message.Target, id: q.Params.Request,
-		fields: q.Message.Fields, body: q.Message.Body, until: q.ResponseDeadline, fresh: q.NonIdempotent, heardWithin: q.LastResponseWithin, gate: q.Gate})
-	x.rest = c.restFor
+// startAttempt sends an attempt's request and reads the head of the response.
+func (c *Client) startAttempt(ctx context.Context, addr string, q *engine.Call) (*exchange, error) {
+	x, err := c.start(ctx, addr, &call{method: "POST", target: q.Message.Target, requestID: q.Params.Request,
+		fields: q.Message.Fields, body: q.Message.Body, responseDeadline: q.ResponseDeadline, newConn: q.NonIdempotent, lastResponseWithin: q.LastResponseWithin, gate: q.Gate})
+	x.reuseDelay = c.connReuseDelay
 	return x, err
 }
 
-// Prefill has a prompt read and returns when the state waits, or the attempt has failed.
+// Prefill has an engine read a prompt. It returns when the engine holds the KV state or the attempt has failed.
 func (c *Client) Prefill(ctx context.Context, addr string, q *engine.Call) engine.Result {
-	x, err := c.attempt(ctx, addr, q)
+	x, err := c.startAttempt(ctx, addr, q)
 	defer x.done()
 	if err != nil {
-		return x.failed(err)
+		return x.failureResult(err)
 	}
 	if x.status != 202 {
-		return x.refused()
+		return x.refusalResult()
 	}
 	b, err := x.body()
 	if err != nil {
-		return x.failed(err)
+		return x.failureResult(err)
 	}
 	var v struct {
 		Cached float64 `json:"cached_tokens"`
 	}
 	if err := json.Unmarshal(b, &v); err != nil || v.Cached < 0 {
-		return x.failed(fmt.Errorf("%w: no account of the read: %.60q", http1.ErrMalformed, b))
+		return x.failureResult(fmt.Errorf("%w: no report of cached tokens: %.60q", http1.ErrMalformed, b))
 	}
 	return engine.Result{Outcome: decide.ReadDone, CachedTokens: v.Cached, Report: x.report(),
 		State: &engine.State{Addr: addr, Handle: q.Params.Request, Tokens: q.Params.PromptTokens}}
 }
 
-// Decode has the answer written and hands each event to sink, unchanged. An error of sink ends the attempt as
-// cancelled.
+// Decode has an engine write the answer and passes each event to sink unchanged. An error from sink ends the attempt
+// with the outcome Cancelled, unless the attempt has timed out.
 func (c *Client) Decode(ctx context.Context, addr string, q *engine.Call, sink func(event string) error) engine.Result {
-	x, err := c.attempt(ctx, addr, q)
+	x, err := c.startAttempt(ctx, addr, q)
 	defer x.done()
 	if err != nil {
-		return x.failed(err)
+		return x.failureResult(err)
 	}
 	if x.status != 200 {
-		return x.refused()
+		return x.refusalResult()
 	}
-	return x.stream(sink)
+	return x.readStream(sink)
 }
 
-func (x *exchange) stream(sink func(event string) error) engine.Result {
+// readStream reads a response as a stream of events and passes each of them to sink.
+func (x *exchange) readStream(sink func(event string) error) engine.Result {
 	_, chunked, err := x.head.Framing()
 	if err == nil && !chunked {
-		err = fmt.Errorf("%w: a stream that is not in chunks has no end to be known by", http1.ErrMalformed)
+		err = fmt.Errorf("%w: a stream without chunked encoding has no recognizable end", http1.ErrMalformed)
 	}
-	if v, _ := x.head.Get("Content-Type"); err == nil && !isEvents(v) {
+	if v, _ := x.head.Get("Content-Type"); err == nil && !isEventStream(v) {
 		err = fmt.Errorf("%w: Content-Type %.40q", http1.ErrMalformed, v)
 	}
 	if err != nil {
-		return x.failed(err)
+		return x.failureResult(err)
 	}
-	e := events{x: x, chunks: http1.NewChunkedReader(x.conn.br, maxChunk), report: x.report()}
+	e := eventStream{x: x, chunks: http1.NewChunkedReader(x.conn.br, maxChunkSize), report: x.report()}
 	tokens := 0
 	for {
 		event, err := e.next()
 		switch {
 		case errors.Is(err, io.EOF) && tokens == 0:
-			return x.failed(fmt.Errorf("%w: a stream without an event", http1.ErrMalformed))
+			return x.failureResult(fmt.Errorf("%w: the stream has no event", http1.ErrMalformed))
 		case errors.Is(err, io.EOF):
-			x.whole = true
+			x.complete = true
 			x.conn.SetReadDeadline(time.Time{})
 			return engine.Result{Outcome: decide.Served, Report: e.report, Tokens: tokens}
 		case err != nil:
-			r := x.failed(err)
+			r := x.failureResult(err)
 			r.Tokens, r.Report = tokens, e.report
 			return r
 		}
 		if err := sink(event); err != nil {
-			r := x.failed(err)
+			r := x.failureResult(err)
 			if r.Outcome != decide.TimedOut {
 				r.Outcome = decide.Cancelled
 			}
@@ -223,7 +232,7 @@
 	}
 }
 
-// Reserve asks for a place ahead and tells whether it is known to be held.
+// Reserve requests a reservation at a writer and reports whether the engine has confirmed it.
 func (c *Client) Reserve(ctx context.Context, addr string, p *engine.ReservationRequest) (bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.opts.ProbeTimeout)
 	defer cancel()
@@ -238,25 +247,25 @@
 	return x.status == 200, nil
 }
 
-// Probe asks for a load report; fresh: on a connection that is made for it, which tells whether the engine is reached.
-func (c *Client) Probe(ctx context.Context, addr string, fresh bool) engine.Result {
+// Probe requests a load report. With newConn it opens a new connection, which shows whether the engine is reachable.
+func (c *Client) Probe(ctx context.Context, addr string, newConn bool) engine.Result {
 	ctx, cancel := context.WithTimeoutCause(ctx, c.opts.ProbeTimeout, engine.ErrTimedOut)
 	defer cancel()
-	x, err := c.start(ctx, addr, &call{method: "GET", target: platform.LoadPath, fresh: fresh})
+	x, err := c.start(ctx, addr, &call{method: "GET", target: platform.LoadPath, newConn: newConn})
 	defer x.done()
 	if err != nil {
-		return x.failed(err)
+		return x.failureResult(err)
 	}
 	b, err := x.body()
 	if err != nil {
-		return x.failed(err)
+		return x.failureResult(err)
 	}
 	if x.status != 200 {
 		return engine.Result{Outcome: decide.Error, Report: engine.NoReport(), Err: fmt.Errorf("status %d", x.status)}
 	}
-	r := engine.Result{Outcome: decide.Served, Report: parseLoad(b)}
+	r := engine.Result{Outcome: decide.Served, Report: parseLoadReport(b)}
 	if v, n := x.head.Get(platform.LoadHeader); n > 0 && r.Report == engine.NoReport() {
-		r.Report = parseLoad([]byte(v))
+		r.Report = parseLoadReport([]byte(v))
 	}
 	return r
 }
--- a/internal/engine/chat/crossings_test.go
+++ b/internal/engine/chat/crossings_test.go
@@ -18,8 +18,9 @@
 	"mintdoor/internal/http1"
 )
 
-// scripted is an engine whose every connection is served by the test's own function; the connections are numbered.
-func scripted(t *testing.T, serve func(n int, c net.Conn, br *bufio.Reader)) (addr string) {
+// startScriptedEngine starts an engine that serves each connection with the test's own function; n is the
+// connection's number.
+func startScriptedEngine(t *testing.T, serve func(n int, c net.Conn, br *bufio.Reader)) (addr string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -43,7 +44,7 @@
 	return l.Addr().String()
 }
 
-// readRequest reads a request whole; false at the connection's end.
+// readRequest reads a whole request. It returns false at the end of the connection.
 func readRequest(br *bufio.Reader) bool {
 	h, err := http1.ReadHead(br, 1<<16)
 	if err != nil {
@@ -54,47 +55,49 @@
 	return err == nil
 }
 
-// A second answer that comes while the next request is written, before its last byte: the request has reached nobody,
-// so another connection carries it, and the second answer is not taken for its own.
+// A second response arrives while the next request is being written, before its last byte. The request has reached no
+// engine, so another connection carries it, and the second response is not taken for the request's own.
 func TestSecondAnswerBeforeTheLastByte(t *testing.T) {
 	requests := make(chan int, 10)
-	addr := scripted(t, func(n int, c net.Conn, br *bufio.Reader) {
+	addr := startScriptedEngine(t, func(n int, c net.Conn, br *bufio.Reader) {
 		if n > 0 {
 			for readRequest(br) {
 				requests <- n
-				io.WriteString(c, whole("202 x", `{"cached_tokens":7}`))
+				io.WriteString(c, response("202 x", `{"cached_tokens":7}`))
 			}
 			return
 		}
 		readRequest(br)
-		io.WriteString(c, whole("202 x", `{"cached_tokens":1}`))
-		if _, err := http1.ReadHead(br, 1<<16); err != nil { // the next request's head has come, its last byte not
+		io.WriteString(c, response("202 x", `{"cached_tokens":1}`))
+		// The head of the next request has arrived, its last byte has not.
+		if _, err := http1.ReadHead(br, 1<<16); err != nil {
 			t.Error(err)
 			return
 		}
-		io.WriteString(c, whole("202 x", `{"cached_tokens":99}`))
+		io.WriteString(c, response("202 x", `{"cached_tokens":99}`))
 		io.Copy(io.Discard, br)
 	})
 	c := newClient(t, nil)
 	if res := c.Prefill(t.Context(), addr, request()); res.CachedTokens != 1 {
-		t.Fatalf("the first: %+v", res)
+		t.Fatalf("first request: %+v", res)
 	}
-	c.pool.standsAfter = 2 * time.Second // until the second answer has come
+	c.pool.lastByteDelay = 2 * time.Second // until the second response has arrived
 	res := c.Prefill(t.Context(), addr, request())
 	if res.Outcome != decide.ReadDone || res.CachedTokens != 7 {
-		t.Errorf("the second: outcome %d, %g kept, %v", res.Outcome, res.CachedTokens, res.Err)
+		t.Errorf("second request: outcome %d, %g cached tokens, %v", res.Outcome, res.CachedTokens, res.Err)
 	}
 	if len(requests) != 1 || <-requests != 1 {
-		t.Errorf("the second connection did not carry it once")
+		t.Errorf("the second connection did not carry the request exactly once")
 	}
 }
 
-// A second answer may also come a moment after the request's last byte, and nothing tells it from the request's own.
-// So a connection rests after an attempt for longer than such answers take; a probe's needs no rest.
-func TestConnectionsRest(t *testing.T) {
-	p := play(t, true, always(whole("202 x", `{"x0":0.5}`)))
+// A second response may also arrive just after the next request's last byte, when it can't be told from the request's
+// own response. A connection is therefore not reused after an attempt for longer than such responses take. The
+// connection of a probe needs no such delay.
+func TestConnectionIsReusedOnlyAfterDelay(t *testing.T) {
+	p := startFakeEngine(t, true, alwaysRespond(response("202 x", `{"x0":0.5}`)))
 	c := newClient(t, nil)
-	c.restFor = 20 * time.Second
+	c.connReuseDelay = 20 * time.Second
 	c.Probe(t.Context(), p.addr, false)
 	c.Prefill(t.Context(), p.addr, request())
 	if n := p.conns.Load(); n != 1 {
@@ -105,48 +108,49 @@
 		t.Errorf("%d connections for a further read, %d kept", n, c.pool.idle.Len())
 	}
 	for e := c.pool.idle.Front(); e != nil; e = e.Next() {
-		e.Value.(*conn).used = time.Now().Add(-c.restFor)
+		e.Value.(*conn).lastUsed = time.Now().Add(-c.connReuseDelay)
 	}
 	c.Prefill(t.Context(), p.addr, request())
 	if n := p.conns.Load(); n != 2 {
-		t.Errorf("%d connections: one that has rested was not used again", n)
+		t.Errorf("%d connections: the kept one was not reused after the delay", n)
 	}
 }
 
-// An engine leaves, or starts anew at its address, while an attempt has its connection: that attempt ends as it ends,
-// and the connection is used by no other.
-func TestForgottenWhileOut(t *testing.T) {
+// An engine leaves, or restarts at its address, while an attempt uses a connection to it. The attempt completes
+// normally, and no other attempt uses the connection.
+func TestEngineForgottenDuringAttempt(t *testing.T) {
 	reading, goOn := make(chan bool), make(chan bool)
-	p := play(t, true, func(n int, _ *http1.Head) string {
+	p := startFakeEngine(t, true, func(n int, _ *http1.Head) string {
 		if n == 0 {
 			reading <- true
 			<-goOn
 		}
-		return whole("202 x", `{"cached_tokens":3}`)
+		return response("202 x", `{"cached_tokens":3}`)
 	})
 	c := newClient(t, nil)
-	ended := make(chan engine.Result)
-	go func() { ended <- c.Prefill(t.Context(), p.addr, request()) }()
+	result := make(chan engine.Result)
+	go func() { result <- c.Prefill(t.Context(), p.addr, request()) }()
 	<-reading
 	c.ForgetEngine(p.addr)
 	goOn <- true
-	if res := <-ended; res.Outcome != decide.ReadDone || res.CachedTokens != 3 {
+	if res := <-result; res.Outcome != decide.ReadDone || res.CachedTokens != 3 {
 		t.Errorf("%+v", res)
 	}
-	if n := c.pool.idle.Len(); n != 0 || c.pool.total != 0 || len(c.pool.out) != 0 {
-		t.Errorf("%d kept, %d counted, %d out", n, c.pool.total, len(c.pool.out))
+	if n := c.pool.idle.Len(); n != 0 || c.pool.total != 0 || len(c.pool.inUse) != 0 {
+		t.Errorf("%d kept, %d counted, %d in use", n, c.pool.total, len(c.pool.inUse))
 	}
 	if c.Prefill(t.Context(), p.addr, request()); p.conns.Load() != 2 || c.pool.idle.Len() != 1 {
 		t.Errorf("%d connections, %d kept", p.conns.Load(), c.pool.idle.Len())
 	}
 }
 
-// An answer that does not end, wherever it goes on, ends with the attempt's time; nothing of it is kept.
-func TestAnswersWithoutEnd(t *testing.T) {
+// An endless response, whichever part of it is endless, ends with the attempt's time-out, and its connection is not
+// kept.
+func TestEndlessResponsesTimeOut(t *testing.T) {
 	for name, c := range map[string]struct {
-		start, more string
-		stream      bool
-		want        decide.Outcome
+		start, repeat string
+		stream        bool
+		want          decide.Outcome
 	}{
 		"in the status line":  {"HTTP/1.1 202 ", "x", false, decide.TimedOut},
 		"in the head":         {"HTTP/1.1 202 x\r\nX: ", "y", false, decide.TimedOut},
@@ -156,24 +160,24 @@
 		"in a chunk":          {streamHead + "ffff\r\ndata: ", "x", true, decide.TimedOut},
 		"in comments":         {streamHead, chunk(": x\n\n"), true, decide.TimedOut},
 		"in an event":         {streamHead, chunk("data: 1\n"), true, decide.TimedOut},
-		"in 1xx answers":      {"", "HTTP/1.1 100 x\r\n\r\n", false, decide.Reset}, // by their number
+		"in 1xx answers":      {"", "HTTP/1.1 100 x\r\n\r\n", false, decide.Reset}, // by the limit on their number
 	} {
 		t.Run(name, func(t *testing.T) {
-			asked := make(chan bool)
-			addr := scripted(t, func(_ int, conn net.Conn, br *bufio.Reader) {
+			requested := make(chan bool)
+			addr := startScriptedEngine(t, func(_ int, conn net.Conn, br *bufio.Reader) {
 				readRequest(br)
 				_, err := io.WriteString(conn, c.start)
-				close(asked)
-				for err == nil { // until the client closes
+				close(requested)
+				for err == nil { // until the client closes the connection
 					time.Sleep(time.Millisecond)
-					_, err = io.WriteString(conn, c.more)
+					_, err = io.WriteString(conn, c.repeat)
 				}
 			})
 			ctx, cancel := context.WithCancelCause(t.Context())
 			defer cancel(nil)
 			go func() {
-				<-asked
-				time.Sleep(20 * time.Millisecond) // some of it comes first
+				<-requested
+				time.Sleep(20 * time.Millisecond) // let some of the response arrive first
 				cancel(engine.ErrTimedOut)
 			}()
 			cl := newClient(t, nil)
@@ -190,38 +194,39 @@
 	}
 }
 
-// A zone is cut off: the engine that holds a state and those that answered last are silent, and a call to each in turn
-// would take longer than the state may be held. The one that runs is asked in time, and none is asked without end.
-func TestReleaseWithManySilentEngines(t *testing.T) {
+// A zone is cut off: the engine that holds a KV state and those with the latest responses are unresponsive, and
+// calling them one after the other would take longer than the KV state may be held. The running engine is called in
+// time, and no call stays in flight.
+func TestReleaseWithManyUnresponsiveEngines(t *testing.T) {
 	var silent []string
 	for range 5 {
-		l, err := net.Listen("tcp", "127.0.0.1:0") // connections come up, and nothing answers
+		l, err := net.Listen("tcp", "127.0.0.1:0") // connections are accepted by the kernel, and nothing answers
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer l.Close()
 		silent = append(silent, l.Addr().String())
 	}
-	p := play(t, true, always("HTTP/1.1 204 x\r\n\r\n"))
+	p := startFakeEngine(t, true, alwaysRespond("HTTP/1.1 204 x\r\n\r\n"))
 	c := newClient(t, func(o *Options) { o.ReleaseTimeout = 8 * time.Second })
-	c.firstTry = 2 * time.Second // five in turn would take longer
-	c.heard[p.addr] = time.Now().Add(-time.Second)
+	c.releaseCallTimeout = 2 * time.Second // five calls in a row would take longer
+	c.lastResponse[p.addr] = time.Now().Add(-time.Second)
 	for _, addr := range silent {
-		c.heard[addr] = time.Now()
+		c.lastResponse[addr] = time.Now()
 	}
 	if err := c.Release(t.Context(), &engine.State{Addr: silent[0], Handle: "id1"}); err != nil {
 		t.Error(err)
 	}
 	if n := p.requests(); n != 1 {
-		t.Errorf("%d calls at the engine that runs", n)
+		t.Errorf("%d calls to the running engine, want 1", n)
 	}
-	if c.pool.total > 1 || len(c.pool.out) != 0 {
-		t.Errorf("%d connections are open, %d out", c.pool.total, len(c.pool.out))
+	if c.pool.total > 1 || len(c.pool.inUse) != 0 {
+		t.Errorf("%d connections are open, %d in use", c.pool.total, len(c.pool.inUse))
 	}
 }
 
-// Where no engine takes a release it ends with its time, and leaves nothing behind.
-func TestReleaseThatNobodyTakes(t *testing.T) {
+// A release that no engine accepts ends with its time-out and leaves no connection open.
+func TestReleaseTimesOutWithoutEngines(t *testing.T) {
 	c := newClient(t, func(o *Options) { o.ReleaseTimeout = 100 * time.Millisecond })
 	for _, addr := range []string{"", "127.0.0.1:1"} {
 		if err := c.Release(t.Context(), &engine.State{Addr: addr, Handle: "id1"}); !errors.Is(err, context.DeadlineExceeded) {
@@ -233,16 +238,16 @@
 	}
 }
 
-// The closing of a read's connection may not reach its engine, where the network is cut: the read ends well after the
-// first call that lets go, and what it left is taken by the second.
-func TestReadEndsAfterItWasCalledOff(t *testing.T) {
+// If the network is cut, the close of a read's connection may not reach its engine. The read succeeds after the first
+// release call, and the second call releases the KV state that it left.
+func TestReadThatEndsAfterItsCancellationIsReleased(t *testing.T) {
 	held, calls := false, 0
 	var mu sync.Mutex
-	p := play(t, true, func(_ int, h *http1.Head) string {
+	p := startFakeEngine(t, true, func(_ int, h *http1.Head) string {
 		mu.Lock()
 		defer mu.Unlock()
 		calls++
-		held = calls == 1 // the read ends well right after the first call
+		held = calls == 1 // the read succeeds right after the first call
 		return "HTTP/1.1 204 x\r\n\r\n"
 	})
 	c := newClient(t, func(o *Options) { o.CancelRetryDelay = time.Millisecond })
@@ -251,79 +256,80 @@
 	}
 	mu.Lock()
 	defer mu.Unlock()
-	if held || calls < 2 || calls > maxCallOffs {
+	if held || calls < 2 || calls > maxCancelCalls {
 		t.Errorf("held %v after %d calls", held, calls)
 	}
 }
 
-// A read was given up at an engine that the network has cut off, or that hangs: its connection's end has not come there, and the
-// read may end at any time. It is let go again and again, at an engine that can be reached, also after that one was heard:
-// others may hear an engine while a read hangs there.
-func TestCalledOffAgainAndAgain(t *testing.T) {
+// A read was cancelled at an engine that is cut off by the network or hangs: the close of its connection has not
+// arrived, and the read may end at any time. Its holds are released repeatedly, at an engine that can be reached. The
+// calls go on after the read's engine has responded to others, because it may respond to them while the read still
+// hangs.
+func TestCancelReadIsRepeated(t *testing.T) {
 	for name, callOff := range map[string]func(c *Client, ctx context.Context, addr string) error{
-		"the request is over": func(c *Client, ctx context.Context, addr string) error { return c.CancelRead(ctx, addr, "id1") },
-		"the answer has begun": func(c *Client, ctx context.Context, addr string) error {
+		"request is over": func(c *Client, ctx context.Context, addr string) error { return c.CancelRead(ctx, addr, "id1") },
+		"answer has begun": func(c *Client, ctx context.Context, addr string) error {
 			return c.CancelReadLater(ctx, addr, "id1")
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := play(t, true, always("HTTP/1.1 204 x\r\n\r\n"))
-			gone, err := net.Listen("tcp", "127.0.0.1:0")
+			p := startFakeEngine(t, true, alwaysRespond("HTTP/1.1 204 x\r\n\r\n"))
+			closed, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
 			}
-			addr := gone.Addr().String()
-			gone.Close() // nobody answers there
+			addr := closed.Addr().String()
+			closed.Close() // nothing listens there
 			c := newClient(t, func(o *Options) { o.CancelRetryDelay = time.Millisecond })
-			c.heard[p.addr], c.heard[addr] = time.Now(), time.Now().Add(time.Hour)
+			c.lastResponse[p.addr], c.lastResponse[addr] = time.Now(), time.Now().Add(time.Hour)
 			if err := callOff(c, t.Context(), addr); err != nil {
 				t.Error(err)
 			}
-			if n := p.requests(); n != maxCallOffs {
-				t.Errorf("%d calls, want %d", n, maxCallOffs)
+			if n := p.requests(); n != maxCancelCalls {
+				t.Errorf("%d calls, want %d", n, maxCancelCalls)
 			}
 		})
 	}
 }
 
-// An attempt that is given up is out until its engine has seen the connection closed, which takes the network's time.
-// Its outcome comes later than that: a refusal to the client, on a shorter way, would overtake the end of an attempt
-// that may have run.
-func TestOutcomeDoesNotOvertakeTheClose(t *testing.T) {
+// A cancelled attempt is in flight until its engine has seen the connection close, which takes the network's latency.
+// Its outcome must come later than that, or else a refusal to the client, which has a shorter way, would overtake the
+// end of an attempt that may have executed.
+func TestOutcomeWaitsForConnectionClose(t *testing.T) {
 	for cause, want := range map[error]decide.Outcome{engine.ErrTimedOut: decide.TimedOut, engine.ErrCancelled: decide.Cancelled} {
-		asked, closed := make(chan bool), make(chan bool, 1)
-		addr := scripted(t, func(_ int, _ net.Conn, br *bufio.Reader) {
+		requested, closed := make(chan bool), make(chan bool, 1)
+		addr := startScriptedEngine(t, func(_ int, _ net.Conn, br *bufio.Reader) {
 			readRequest(br)
-			close(asked)
+			close(requested)
 			br.ReadByte()
 			closed <- true
 		})
 		c := newClient(t, nil)
-		c.closeArrives = 100 * time.Millisecond
+		c.closeDelay = 100 * time.Millisecond
 		ctx, cancel := context.WithCancelCause(t.Context())
 		given := make(chan time.Time, 1)
 		go func() {
-			<-asked
+			<-requested
 			given <- time.Now()
 			cancel(cause)
 		}()
 		res := c.Prefill(ctx, addr, request())
-		if waited := time.Since(<-given); res.Outcome != want || waited < c.closeArrives {
-			t.Errorf("outcome %d %v after it was given up, %v", res.Outcome, waited, res.Err)
+		if waited := time.Since(<-given); res.Outcome != want || waited < c.closeDelay {
+			t.Errorf("outcome %d %v after the cancellation, %v", res.Outcome, waited, res.Err)
 		}
 		<-closed
 	}
 }
 
-// The same holds for an attempt whose answer can't be read, or breaks off in a refusal, while its connection stands.
-func TestSpoiltAnswersOutcomeDoesNotOvertakeTheClose(t *testing.T) {
+// The same holds for an attempt whose response is malformed, or stops in a refusal, while its connection stays open.
+func TestMalformedResponseOutcomeWaitsForConnectionClose(t *testing.T) {
 	for name, answer := range map[string]string{
-		"noise": "\x00noise\r\n\r\n", "a read without an account": "HTTP/1.1 202 x\r\nContent-Length: 999999\r\n\r\n{",
-		"an error of a length that is noise": "HTTP/1.1 500 x\r\nContent-Length: x\r\n\r\n",
+		"noise": "\x00noise\r\n\r\n", "a read without its body": "HTTP/1.1 202 x\r\nContent-Length: 999999\r\n\r\n{",
+		"an error with a malformed length": "HTTP/1.1 500 x\r\nContent-Length: x\r\n\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
 			answered, closed := make(chan time.Time, 1), make(chan bool, 1)
-			addr := scripted(t, func(_ int, conn net.Conn, br *bufio.Reader) {
+			addr := startScriptedEngine(t, func(_ int, conn net.Conn, br *bufio.Reader) {
 				readRequest(br)
 				answered <- time.Now()
 				io.WriteString(conn, answer)
@@ -331,24 +337,25 @@
 				closed <- true
 			})
 			c := newClient(t, nil)
-			c.closeArrives = 100 * time.Millisecond
+			c.closeDelay = 100 * time.Millisecond
 			res := c.Prefill(t.Context(), addr, request())
-			if waited := time.Since(<-answered); res.Err == nil || waited < c.closeArrives {
-				t.Errorf("outcome %d %v after the answer, %v", res.Outcome, waited, res.Err)
+			if waited := time.Since(<-answered); res.Err == nil || waited < c.closeDelay {
+				t.Errorf("outcome %d %v after the response, %v", res.Outcome, waited, res.Err)
 			}
 			<-closed
 		})
 	}
 }
 
-// A reset on a kept connection: before the request's last byte nothing ran and another connection carries it; at the
-// last byte, or long after, the request may have run and is sent on no other.
-func TestResetOfAKeptConnection(t *testing.T) {
+// A kept connection is reset. Before the request's last byte nothing was executed, and another connection carries the
+// request. At the last byte, or long after it, the request may have executed, and it is not sent on another
+// connection.
+func TestResetOfKeptConnection(t *testing.T) {
 	for name, c := range map[string]struct {
 		bytes   int64 // of the second request's body that are read before the reset
-		later   bool  // the reset comes after an answer has begun
+		later   bool  // the reset comes after a response has begun
 		want    decide.Outcome
-		carried int // requests that reached the engine whole after the first
+		carried int // complete requests that reached the engine after the first one
 	}{
 		"before the last byte": {6, false, decide.ReadDone, 1},
 		"at the last byte":     {7, false, decide.Reset, 1},
@@ -356,17 +363,17 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			var mu sync.Mutex
-			whole7 := 0
-			addr := scripted(t, func(n int, conn net.Conn, br *bufio.Reader) {
+			received := 0
+			addr := startScriptedEngine(t, func(n int, conn net.Conn, br *bufio.Reader) {
 				if !readRequest(br) {
 					return
 				}
 				if n > 0 {
 					mu.Lock()
-					whole7++
+					received++
 					mu.Unlock()
 				}
-				io.WriteString(conn, whole("202 x", "{}"))
+				io.WriteString(conn, response("202 x", "{}"))
 				if n > 0 {
 					br.ReadByte()
 					return
@@ -377,7 +384,7 @@
 				}
 				if got, _ := io.CopyN(io.Discard, br, c.bytes); got == 7 {
 					mu.Lock()
-					whole7++
+					received++
 					mu.Unlock()
 				}
 				if c.later {
@@ -389,23 +396,23 @@
 			if res := cl.Prefill(t.Context(), addr, request()); res.Outcome != decide.ReadDone {
 				t.Fatalf("%+v", res)
 			}
-			cl.pool.standsAfter = 2 * time.Millisecond
+			cl.pool.lastByteDelay = 2 * time.Millisecond
 			if c.bytes < 7 {
-				cl.pool.standsAfter = 2 * time.Second // until the reset has come
+				cl.pool.lastByteDelay = 2 * time.Second // until the reset has arrived
 			}
 			res := cl.Prefill(t.Context(), addr, request())
 			cl.Close()
 			mu.Lock()
 			defer mu.Unlock()
-			if res.Outcome != c.want || whole7 != c.carried {
-				t.Errorf("outcome %d, %v; it reached the engine %d times", res.Outcome, res.Err, whole7)
+			if res.Outcome != c.want || received != c.carried {
+				t.Errorf("outcome %d, %v; it reached the engine %d times", res.Outcome, res.Err, received)
 			}
 		})
 	}
 }
 
-// A connection that comes up only after its dial was given up carries nothing, and is closed.
-func TestDialThatComesUpLate(t *testing.T) {
+// A connection that comes up only after its dial has timed out carries no request and is closed.
+func TestLateDialCarriesNoRequest(t *testing.T) {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	if err != nil {
 		t.Fatal(err)
@@ -435,12 +442,12 @@
 	if res.Outcome != decide.ConnectFailed || c.pool.total != 0 {
 		t.Fatalf("outcome %d, %v, %d connections", res.Outcome, res.Err, c.pool.total)
 	}
-	l, err := net.FileListener(file) // what waits is taken now
+	l, err := net.FileListener(file) // the waiting connections are accepted now
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	l.(*net.TCPListener).SetDeadline(time.Now().Add(3 * time.Second)) // a connection's first try again is after a second
+	l.(*net.TCPListener).SetDeadline(time.Now().Add(3 * time.Second)) // the kernel retries after a second
 	for {
 		conn, err := l.Accept()
 		if err != nil {
--- a/internal/front/chat/answer.go
+++ b/internal/front/chat/answer.go
@@ -12,12 +12,12 @@
 	"mintdoor/internal/router"
 )
 
-var reasons = map[int]string{200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
+var statusTexts = map[int]string{200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
 	408: "Request Timeout", 413: "Content Too Large", 429: "Too Many Requests", 500: "Internal Server Error",
 	503: "Service Unavailable", 504: "Gateway Timeout"}
 
-// status maps trouble to a status. Only 429 and 503 say that trying again is harmless.
-func status(t front.ErrorKind) int {
+// statusCode returns the HTTP status for a kind of error. Only 429 and 503 tell the client that a retry is safe.
+func statusCode(t front.ErrorKind) int {
 	switch t {
 	case front.BadRequest:
 		return 400
@@ -35,28 +35,28 @@
 	return 500
 }
 
-// answer makes a whole answer.
-func (f *Front) answer(code int, contentType string, body []byte, retryAfter time.Duration, closes bool) []byte {
+// response returns a complete HTTP response. closeAfter adds Connection: close.
+func (f *Front) response(code int, contentType string, body []byte, retryAfter time.Duration, closeAfter bool) []byte {
 	b := make([]byte, 0, 192+len(body))
 	b = append(b, "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(code), 10)
-	b = append(b, " "+reasons[code]+"\r\nContent-Type: "+contentType+"\r\nContent-Length: "...)
+	b = append(b, " "+statusTexts[code]+"\r\nContent-Type: "+contentType+"\r\nContent-Length: "...)
 	b = strconv.AppendInt(b, int64(len(body)), 10)
 	if retryAfter > 0 && f.opts.SendRetryAfter {
 		b = append(b, "\r\nRetry-After: "...)
 		b = strconv.AppendFloat(b, retryAfter.Seconds(), 'f', 3, 64)
 	}
-	if closes {
+	if closeAfter {
 		b = append(b, "\r\nConnection: close"...)
 	}
 	b = append(b, "\r\n\r\n"...)
 	return append(b, body...)
 }
 
-// say answers with a short text and reports whether the connection can take another request.
-func (c *conn) say(code int, text string, retryAfter time.Duration, closes bool) bool {
+// respond sends a response with a short text and reports whether the connection can take another request.
+func (c *conn) respond(code int, text string, retryAfter time.Duration, closeAfter bool) bool {
 	f := c.front
-	closes = closes || f.last.Load()
+	closeAfter = closeAfter || f.closing.Load()
 	var body []byte
 	if text != "" {
 		body = []byte(text + "\n")
@@ -65,38 +65,40 @@
 		return false
 	}
 	c.SetWriteDeadline(time.Now().Add(f.opts.WriteTimeout))
-	_, err := c.Write(f.answer(code, "text/plain", body, retryAfter, closes))
-	c.whole = err == nil
-	return c.whole && !closes
+	_, err := c.Write(f.response(code, "text/plain", body, retryAfter, closeAfter))
+	c.complete = err == nil
+	return c.complete && !closeAfter
 }
 
-func (c *conn) fail(e *front.Error, closes bool) bool {
-	return c.say(status(e.Kind), e.Text, e.RetryAfter, closes)
+// respondError responds with an error and reports whether the connection can take another request.
+func (c *conn) respondError(e *front.Error, closeAfter bool) bool {
+	return c.respond(statusCode(e.Kind), e.Text, e.RetryAfter, closeAfter)
 }
 
-// hand hands a request's events on to its client, each as it comes, and its ending.
-func (c *conn) hand(ctx context.Context, q *router.Request, closes bool) bool {
-	defer q.Abandon() // of no effect after the ending
-	ctx, left := context.WithCancel(ctx)
-	defer left()
-	watching := c.watch(func() {
+// streamAnswer forwards a request's events to its client, each as soon as it arrives, followed by the request's
+// ending. It reports whether the connection can take another request.
+func (c *conn) streamAnswer(ctx context.Context, q *router.Request, closeAfter bool) bool {
+	defer q.Abandon() // has no effect after the ending
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	watcher := c.watchClient(func() {
 		c.request.ClientLeft()
-		left()
+		cancel()
 	})
-	defer watching.stop(c)
-	begun := false
+	defer watcher.stop(c)
+	started := false
 	var buf []byte
 	for {
 		event, end := q.Next(ctx)
 		if end == nil {
 			buf = buf[:0]
-			if !begun {
-				if begun = c.request.BeginAnswer("200"); !begun {
+			if !started {
+				if started = c.request.BeginAnswer("200"); !started {
 					return false
 				}
-				closes = closes || c.front.last.Load()
+				closeAfter = closeAfter || c.front.closing.Load()
 				buf = append(buf, "HTTP/1.1 200 OK\r\nContent-Type: "+platform.EventStreamType+"\r\nCache-Control: no-store\r\n"...)
-				if closes {
+				if closeAfter {
 					buf = append(buf, "Connection: close\r\n"...)
 				}
 				buf = append(buf, "Transfer-Encoding: chunked\r\n\r\n"...)
@@ -111,36 +113,37 @@
 		}
 		e := front.EndingError(end)
 		switch {
-		case end.Kind == router.Gone && (begun || !watching.stop(c)):
+		case end.Kind == router.Gone && (started || !watcher.stop(c)):
 			return false
-		case end.Kind == router.Gone: // the front has ended before the core
-			return c.say(500, "the router has stopped", 0, true)
-		case e != nil && begun:
-			return false // ends without the last chunk
-		case !watching.stop(c):
+		case end.Kind == router.Gone: // the core has stopped without an answer
+			return c.respond(500, "the router has stopped", 0, true)
+		case e != nil && started:
+			return false // the stream ends without its last chunk, so the client sees that it is incomplete
+		case !watcher.stop(c):
 			return false
 		case e != nil:
-			return c.fail(e, closes)
-		case !begun:
-			return c.say(500, "an answer without an event", 0, true)
+			return c.respondError(e, closeAfter)
+		case !started:
+			return c.respond(500, "an answer without an event", 0, true)
 		}
 		c.SetWriteDeadline(time.Now().Add(c.front.opts.WriteTimeout))
 		_, err := c.Write([]byte("0\r\n\r\n"))
-		c.whole = err == nil
-		return c.whole && !closes
+		c.complete = err == nil
+		return c.complete && !closeAfter
 	}
 }
 
-// watcher notices that a client has left while its request is open.
-type watcher struct {
+// clientWatcher notices when a client leaves while its request is open.
+type clientWatcher struct {
 	done chan struct{}
-	gone bool
+	left bool
 }
 
-// watch reads ahead on the connection: the client's leaving may stand behind what it has sent before its answer.
-// Past the bounds of that it shows only when the client is written to.
-func (c *conn) watch(left func()) *watcher {
-	w := &watcher{done: make(chan struct{})}
+// watchClient starts a goroutine that reads ahead on the connection and calls onLeave when the client has closed it:
+// the close may come after further data that the client has sent before its answer. Beyond the limits of the
+// read-ahead the close is noticed only when the router writes to the client.
+func (c *conn) watchClient(onLeave func()) *clientWatcher {
+	w := &clientWatcher{done: make(chan struct{})}
 	c.SetReadDeadline(time.Time{})
 	c.front.conns.tasks.Add(1)
 	go func() {
@@ -154,43 +157,44 @@
 				err = c.readAhead()
 			}
 			if err != nil {
-				if w.gone = !isTimeout(err) && !errors.Is(err, errNoRoom); w.gone {
-					left()
+				if w.left = !isTimeout(err) && !errors.Is(err, errNoBodyMemory); w.left {
+					onLeave()
 				}
 				return
 			}
-			c.front.conns.seen.Add(1)
+			c.front.conns.readsWhileOpen.Add(1)
 		}
 	}()
 	return w
 }
 
-// readAhead reads what br has no room for.
+// readAhead reads data for which br has no room into readAheadData. It fails with errNoBodyMemory if its own limit or
+// the common limit on memory for bodies is reached.
 func (c *conn) readAhead() error {
-	if n := len(c.ahead); n == cap(c.ahead) {
-		grown := min(max(2*n, readBuffer), maxAhead)
-		if n >= grown {
-			return errNoRoom
+	if n := len(c.readAheadData); n == cap(c.readAheadData) {
+		newCap := min(max(2*n, readBufferSize), maxReadAhead)
+		if n >= newCap {
+			return errNoBodyMemory
 		}
-		more := int64(grown) - c.room
-		if c.front.bodies.Add(more) > c.front.opts.MaxBodyMemory {
-			c.front.bodies.Add(-more)
-			return errNoRoom
+		growth := int64(newCap) - c.readAheadMemory
+		if c.front.bodyMemory.Add(growth) > c.front.opts.MaxBodyMemory {
+			c.front.bodyMemory.Add(-growth)
+			return errNoBodyMemory
 		}
-		c.room = int64(grown) // dropAhead gives it back
-		c.ahead = append(make([]byte, 0, grown), c.ahead...)
+		c.readAheadMemory = int64(newCap) // dropReadAhead returns it
+		c.readAheadData = append(make([]byte, 0, newCap), c.readAheadData...)
 	}
-	n, err := c.Conn.Read(c.ahead[len(c.ahead):cap(c.ahead)])
-	c.ahead = c.ahead[:len(c.ahead)+n]
+	n, err := c.Conn.Read(c.readAheadData[len(c.readAheadData):cap(c.readAheadData)])
+	c.readAheadData = c.readAheadData[:len(c.readAheadData)+n]
 	return err
 }
 
 func isTimeout(err error) bool { return os.IsTimeout(err) }
 
-// stop ends the watch and reports whether the client is still there.
-func (w *watcher) stop(c *conn) bool {
-	c.SetReadDeadline(past)
+// stop ends the watch and reports whether the client is still connected.
+func (w *clientWatcher) stop(c *conn) bool {
+	c.SetReadDeadline(pastTime)
 	<-w.done
 	c.SetReadDeadline(time.Time{})
-	return !w.gone
+	return !w.left
 }
--- a/internal/front/chat/conns.go
+++ b/internal/front/chat/conns.go
@@ -11,95 +11,99 @@
 type connState uint8
 
 const (
-	fresh     connState = iota // no byte of its first request has been read
-	resting                    // between requests
-	receiving                  // a request is coming
-	open                       // a request is open
-	lingering                  // it has had its last answer, and what still comes is thrown away
-	closed
+	stateNew       connState = iota // no byte of the first request has been read
+	stateIdle                       // between requests
+	stateReceiving                  // a request is being received
+	stateOpen                       // a request is open
+	stateLingering                  // the last answer was sent, and data that still arrives is discarded
+	stateClosed
 )
 
+// String returns the name of a state for the log.
 func (s connState) String() string {
 	return [...]string{"fresh", "resting", "receiving", "open", "lingering", "closed"}[s]
 }
 
-// conns is all connections of clients. When there is no room, one on which nothing is owed is closed: a lingering one,
-// else the one that has waited for a request for longest (PROTOCOL: a connection between requests may be closed).
-// A connection leaves the states fresh and resting before the first byte of its request is read, under the same lock
-// as it is closed. So no request is read from a connection that is closed for room, or in a drain: the client sends
-// it once more.
+// conns keeps all client connections. When their limit is reached, it closes a connection on which no answer is due:
+// a lingering one, otherwise the one that has waited longest for a request (the protocol allows closing a connection
+// between requests).
+//
+// A connection leaves stateNew and stateIdle before the first byte of its request is read, under the same lock under
+// which connections are closed. Therefore no request is ever read from a connection that is closed to make room or
+// during a shutdown, and the client can safely send it again.
 type conns struct {
-	limit   int
-	refused int // connections that may linger after a refusal for want of room, beside limit
-	tasks   sync.WaitGroup
-	seen    atomic.Int64 // times that bytes came while a request was open
+	maxConns       int
+	maxRefused     int // connections beyond maxConns that may linger after they were refused
+	tasks          sync.WaitGroup
+	readsWhileOpen atomic.Int64 // number of reads that returned data while a request was open
 
-	mu        sync.Mutex
-	all       map[*conn]struct{}
-	waiting   list.List // of *conn: lingering, then fresh and resting, longest in front
-	receiving list.List // of *conn, longest in front
-	refusing  int       // connections that linger after a refusal
+	mu           sync.Mutex
+	all          map[*conn]struct{}
+	evictable    list.List // of *conn: lingering ones, then new and idle ones by waiting time, longest first
+	receiving    list.List // of *conn, by time in the state, longest first
+	refusedCount int       // connections that linger after they were refused
 }
 
-// entry is a connection's place in conns.
+// entry is what conns stores for a connection.
 type entry struct {
 	state   connState
 	since   time.Time     // when the state began
-	element *list.Element // in waiting or receiving, as the state says; else nil
+	element *list.Element // in evictable or receiving, depending on the state; otherwise nil
 }
 
-// add takes a new connection in; false if there is no room for it.
+// add adds a new connection. It returns false if the limit is reached and no other connection can be closed.
 func (s *conns) add(c *conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.all == nil {
 		s.all = map[*conn]struct{}{}
 	}
-	if len(s.all) >= s.limit && !s.evict() {
+	if len(s.all) >= s.maxConns && !s.evict() {
 		return false
 	}
 	s.all[c] = struct{}{}
-	s.enter(c, fresh)
+	s.setState(c, stateNew)
 	s.tasks.Add(1)
 	return true
 }
 
-// enter moves a connection to a state. mu is held.
-func (s *conns) enter(c *conn, state connState) {
+// setState sets the state of a connection. The caller holds mu.
+func (s *conns) setState(c *conn, state connState) {
 	switch {
 	case c.entry.element == nil:
-	case c.entry.state == receiving:
+	case c.entry.state == stateReceiving:
 		s.receiving.Remove(c.entry.element)
 	default:
-		s.waiting.Remove(c.entry.element)
+		s.evictable.Remove(c.entry.element)
 	}
 	c.entry = entry{state: state, since: time.Now()}
 	switch state {
-	case fresh, resting:
-		c.entry.element = s.waiting.PushBack(c)
-	case lingering:
-		c.entry.element = s.waiting.PushFront(c)
-	case receiving:
+	case stateNew, stateIdle:
+		c.entry.element = s.evictable.PushBack(c)
+	case stateLingering:
+		c.entry.element = s.evictable.PushFront(c)
+	case stateReceiving:
 		c.entry.element = s.receiving.PushBack(c)
 	}
 }
 
-// move moves a connection to a state; false if it is closed.
-func (s *conns) move(c *conn, state connState) bool {
+// transition sets the state of a connection unless it is closed, in which case it returns false.
+func (s *conns) transition(c *conn, state connState) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if c.entry.state == closed {
+	if c.entry.state == stateClosed {
 		return false
 	}
-	s.enter(c, state)
+	s.setState(c, state)
 	return true
 }
 
-// evict closes the connection that has waited for longest. Where all are busy with requests, those that have sent for
-// long without an end are to be answered as late, which makes room for others that come. mu is held.
+// evict closes the connection that has waited longest and reports whether there was one. If all connections are busy
+// with requests, those that have been sending a request for more than half of RequestTimeout get a time-out response,
+// which makes room for later connections. The caller holds mu.
 func (s *conns) evict() bool {
-	if e := s.waiting.Front(); e != nil {
-		s.shut(e.Value.(*conn), "room is needed")
+	if e := s.evictable.Front(); e != nil {
+		s.closeConn(e.Value.(*conn), "closed to make room")
 		return true
 	}
 	for e := s.receiving.Front(); e != nil; e = e.Next() {
@@ -107,99 +111,106 @@
 		if time.Since(c.entry.since) < c.front.opts.RequestTimeout/2 {
 			break
 		}
-		c.SetReadDeadline(past)
+		c.SetReadDeadline(pastTime)
 	}
 	return false
 }
 
-// past is a deadline that is over.
-var past = time.Unix(1, 0)
+// pastTime is a deadline in the past, which interrupts a read at once.
+var pastTime = time.Unix(1, 0)
 
-// shut closes a connection; its goroutine ends by itself. mu is held.
-func (s *conns) shut(c *conn, reason string) {
-	if c.entry.state == closed {
+// closeConn closes a connection, which makes its goroutine end. The caller holds mu.
+func (s *conns) closeConn(c *conn, reason string) {
+	if c.entry.state == stateClosed {
 		return
 	}
 	c.front.opts.Guard.ConnectionClosed(c.RemoteAddr().String(), c.entry.state.String(), reason)
-	s.enter(c, closed)
+	s.setState(c, stateClosed)
 	delete(s.all, c)
 	c.Conn.Close()
 }
 
+// makeRoom closes a connection if one can be closed.
 func (s *conns) makeRoom() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.evict()
 }
 
-// gone: the connection's goroutine ends.
-func (s *conns) gone(c *conn) {
+// remove closes a connection whose goroutine ends and stops counting it.
+func (s *conns) remove(c *conn) {
 	s.mu.Lock()
-	s.shut(c, c.ended)
+	s.closeConn(c, c.endReason)
 	s.mu.Unlock()
 	s.tasks.Done()
 }
 
-// refuse counts one more connection that lingers after a refusal; false if there are enough of them.
-func (s *conns) refuse() bool {
+// addRefused counts one more connection that lingers after it was refused. It returns false if their limit is
+// reached.
+func (s *conns) addRefused() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.refusing >= s.refused {
+	if s.refusedCount >= s.maxRefused {
 		return false
 	}
-	s.refusing++
+	s.refusedCount++
 	s.tasks.Add(1)
 	return true
 }
 
-// refusalOver counts one that refuse has counted off.
-func (s *conns) refusalOver() {
+// removeRefused stops counting a connection that addRefused has counted.
+func (s *conns) removeRefused() {
 	s.mu.Lock()
-	s.refusing--
+	s.refusedCount--
 	s.mu.Unlock()
 	s.tasks.Done()
 }
 
-// closeResting closes those that have been between requests for a time. One that has had none yet brings its first.
-func (s *conns) closeResting(restedFor time.Duration) {
+// closeIdle closes connections that have been between requests for at least idleFor. Connections without any request
+// so far stay open, because their first request is about to arrive.
+func (s *conns) closeIdle(idleFor time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for e := s.waiting.Front(); e != nil; {
+	for e := s.evictable.Front(); e != nil; {
 		c := e.Value.(*conn)
 		e = e.Next()
-		if c.entry.state == resting && time.Since(c.entry.since) >= restedFor {
-			s.shut(c, "shutdown")
+		if c.entry.state == stateIdle && time.Since(c.entry.since) >= idleFor {
+			s.closeConn(c, "shutdown")
 		}
 	}
 }
 
-// expire lets what connections in a state are waiting for be late now.
-func (s *conns) expire(state connState) {
+// expireDeadlines makes the reads of all connections in a state time out at once. The state is stateNew or
+// stateReceiving.
+func (s *conns) expireDeadlines(state connState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	list := &s.waiting
-	if state == receiving {
+	list := &s.evictable
+	if state == stateReceiving {
 		list = &s.receiving
 	}
 	for e := list.Front(); e != nil; e = e.Next() {
 		if c := e.Value.(*conn); c.entry.state == state {
-			c.SetReadDeadline(past)
+			c.SetReadDeadline(pastTime)
 		}
 	}
 }
 
+// closeAll closes all connections.
 func (s *conns) closeAll() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.all {
-		s.shut(c, "the router stops at once")
+		s.closeConn(c, "immediate stop of the router")
 	}
 }
 
+// count returns the number of open connections, including refused ones that linger.
 func (s *conns) count() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.all) + s.refusing
+	return len(s.all) + s.refusedCount
 }
 
+// wait waits until the goroutines of all connections have ended.
 func (s *conns) wait() { s.tasks.Wait() }
--- a/internal/front/chat/listen.go
+++ b/internal/front/chat/listen.go
@@ -8,50 +8,53 @@
 	"time"
 )
 
-// Serve takes connections until ctx ends, or until StopListening; it returns when all of them are closed. When ctx ends,
-// what is open gets the answer that the core has for it then, or a word of the front.
+// Serve accepts connections until ctx ends or StopListening is called, and returns when all connections are closed.
+// When ctx ends, each open request gets the answer that the core has for it by then, or an error response of the
+// front.
 func (f *Front) Serve(ctx context.Context, l net.Listener) error {
-	asking, endAsking := context.WithCancel(context.WithoutCancel(ctx))
-	defer endAsking()
-	stop := context.AfterFunc(ctx, func() { f.end(l, endAsking) })
+	requestCtx, cancelRequests := context.WithCancel(context.WithoutCancel(ctx))
+	defer cancelRequests()
+	stop := context.AfterFunc(ctx, func() { f.stop(l, cancelRequests) })
 	defer stop()
 	defer f.stopTimers()
 	defer f.conns.wait()
-	defer close(f.stopListened)
-	f.listenOn(l)
+	defer close(f.listenerStopped)
+	f.setListener(l)
 	for {
 		nc, err := l.Accept()
 		if err == nil {
-			f.take(asking, nc)
+			f.serveConn(requestCtx, nc)
 			continue
 		}
 		switch {
 		case ctx.Err() != nil:
 			return nil
-		case f.stopsListening() && isTimeout(err):
+		case f.isStopping() && isTimeout(err):
 			l.Close()
 			return nil
 		case errors.Is(err, net.ErrClosed):
 			return fmt.Errorf("front: %w", err)
 		}
-		f.log.Warn("accept", "err", err) // out of descriptors, or the connection is gone already
+		f.log.Warn("accept", "err", err) // out of file descriptors, or the connection is already gone
 		f.conns.makeRoom()
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// end ends all connections: at once where no request is open, else after its answer.
-func (f *Front) end(l net.Listener, endAsking func()) {
+// stop ends all connections: at once if no request is open, otherwise after the request's answer. finalAnswerTimeout
+// limits the wait for answers.
+func (f *Front) stop(l net.Listener, cancelRequests func()) {
 	l.Close()
 	f.BeginShutdown()
-	f.conns.closeResting(0)
-	f.conns.expire(fresh)
-	f.conns.expire(receiving)
+	f.conns.closeIdle(0)
+	f.conns.expireDeadlines(stateNew)
+	f.conns.expireDeadlines(stateReceiving)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.timers = append(f.timers, time.AfterFunc(f.endWithin, endAsking), time.AfterFunc(2*f.endWithin, f.conns.closeAll))
+	f.timers = append(f.timers, time.AfterFunc(f.finalAnswerTimeout, cancelRequests), time.AfterFunc(2*f.finalAnswerTimeout, f.conns.closeAll))
 }
 
+// stopTimers stops the timers that stop has started.
 func (f *Front) stopTimers() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -60,69 +63,72 @@
 	}
 }
 
-// take serves a new connection, or refuses it.
-func (f *Front) take(ctx context.Context, nc net.Conn) {
-	c := &conn{Conn: nc, front: f, began: time.Now()}
-	c.SetReadDeadline(c.began.Add(f.opts.RequestTimeout))
+// serveConn serves a new connection in a goroutine of its own, or refuses it if there are too many.
+func (f *Front) serveConn(ctx context.Context, nc net.Conn) {
+	c := &conn{Conn: nc, front: f, accepted: time.Now()}
+	c.SetReadDeadline(c.accepted.Add(f.opts.RequestTimeout))
 	if !f.conns.add(c) {
 		f.refuse(nc)
 		return
 	}
 	go func() {
-		defer f.conns.gone(c)
+		defer f.conns.remove(c)
 		c.serve(ctx)
 	}()
 }
 
-// refuse tells a client that there is no room for its connection. The connection is kept for a moment, as a close over
-// unread bytes would reset it, and the answer might go with it; beyond MaxRefused at a time it is closed at once.
+// refuse answers a connection with 503 because there are too many. It keeps the connection open briefly, because
+// closing it with unread data would reset it, and the response might be lost. If MaxRefusedConns connections are kept
+// already, it closes the connection at once.
 func (f *Front) refuse(nc net.Conn) {
-	nc.SetWriteDeadline(time.Now().Add(refuseWithin))
-	nc.Write(f.answer(503, "text/plain", []byte("too many connections\n"), 0, true))
-	if !f.conns.refuse() {
+	nc.SetWriteDeadline(time.Now().Add(refusalWriteTimeout))
+	nc.Write(f.response(503, "text/plain", []byte("too many connections\n"), 0, true))
+	if !f.conns.addRefused() {
 		nc.Close()
 		return
 	}
 	go func() {
-		defer f.conns.refusalOver()
+		defer f.conns.removeRefused()
 		defer nc.Close()
 		f.discard(nc, nc)
 	}()
 }
 
-// StopListening takes the connections that wait in the kernel's queue and closes the listener; then the channel that it
-// returns is closed.
+// StopListening accepts the connections that wait in the kernel's queue and then closes the listener. The returned
+// channel is closed when this is done.
 func (f *Front) StopListening() <-chan struct{} {
 	f.mu.Lock()
-	f.stopping = true
+	f.stopRequested = true
 	l := f.listener
 	f.mu.Unlock()
 	if l != nil {
-		expireAccept(l)
+		limitAccept(l)
 	}
-	return f.stopListened
+	return f.listenerStopped
 }
 
-// listenOn notes the listener, which may have to stop already.
-func (f *Front) listenOn(l net.Listener) {
+// setListener stores the listener. If StopListening has been called already, it limits the time for accepting.
+func (f *Front) setListener(l net.Listener) {
 	f.mu.Lock()
 	f.listener = l
-	stopping := f.stopping
+	stopping := f.stopRequested
 	f.mu.Unlock()
 	if stopping {
-		expireAccept(l)
+		limitAccept(l)
 	}
 }
 
-// expireAccept lets a listener take what waits in the kernel's queue and no more.
-func expireAccept(l net.Listener) {
+// limitAccept makes a listener time out after finalAcceptTime, which suffices to accept the connections in the
+// kernel's queue.
+func limitAccept(l net.Listener) {
 	if d, ok := l.(interface{ SetDeadline(time.Time) error }); ok {
-		d.SetDeadline(time.Now().Add(lastAccept))
+		d.SetDeadline(time.Now().Add(finalAcceptTime))
 	}
 }
 
-func (f *Front) stopsListening() bool {
+// isStopping reports whether StopListening has been called.
+func (f *Front) isStopping() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.stopping
+	return f.stopRequested
 }
