--- a/cmd/mintdoor/main_test.go
+++ b/cmd/mintdoor/main_test.go
@@ -169,9 +169,9 @@
 func TestPrintRoles(t *testing.T) {
 	var b strings.Builder
 	st := &shift.Status{Mode: "dry", Engines: []shift.EngineStatus{{Name: "p1", Status: roles.Status{Engine: 7, Known: true, Step: "idle",
-		Now: roles.Standing{Role: roles.Prefill, Epoch: 3}}}, {Name: "d1", Status: roles.Status{Engine: 8, Step: "idle", WhyNot: "it is cold"}}}}
+		State: roles.RoleState{Role: roles.Prefill, Epoch: 3}}}, {Name: "d1", Status: roles.Status{Engine: 8, Step: "idle", BlockedReason: "it is cold"}}}}
 	st.Plan.Plan.Moves = []roles.Move{{Engine: 7, To: roles.Decode}}
-	st.Plan.Verdict.Why = "it earns back its cost"
+	st.Plan.Verdict.Reason = "it earns back its cost"
 	if err := printRoles(&b, st); err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/mintdoor/roles.go
+++ b/cmd/mintdoor/roles.go
@@ -51,8 +51,8 @@
 	p := &st.Plan
 	fmt.Fprintf(out, "shift %s; asked a second: %.0f +- %.0f tokens to read, %.0f +- %.0f to write\n", st.Mode, p.Demand[roles.Prefill].Mean,
 		p.Demand[roles.Prefill].SD, p.Demand[roles.Decode].Mean, p.Demand[roles.Decode].SD)
-	fmt.Fprintf(out, "expected to be served in time: %.3f, with %d changes %.3f; confidence %.2f: %s\n\n", p.Plan.Now, len(p.Plan.Moves), p.Plan.Then,
-		p.Verdict.Confidence, p.Verdict.Why)
+	fmt.Fprintf(out, "expected to be served in time: %.3f, with %d changes %.3f; confidence %.2f: %s\n\n", p.Plan.ServedNow, len(p.Plan.Moves), p.Plan.ServedAfter,
+		p.Verdict.Confidence, p.Verdict.Reason)
 	planned := map[uint64]string{}
 	for _, m := range p.Plan.Moves {
 		planned[m.Engine] = stageNames[m.To]
@@ -62,9 +62,9 @@
 	for _, e := range st.Engines {
 		role := "?"
 		if e.Known {
-			role = stageNames[e.Now.Role]
+			role = stageNames[e.State.Role]
 		}
-		fmt.Fprintf(t, "%s\t%s\t%d\t%s\t%s\t%s\n", e.Name, role, e.Now.Epoch, e.Step, planned[e.Engine], e.WhyNot)
+		fmt.Fprintf(t, "%s\t%s\t%d\t%s\t%s\t%s\n", e.Name, role, e.State.Epoch, e.Step, planned[e.Engine], e.BlockedReason)
 	}
 	return t.Flush()
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -144,10 +144,10 @@
 // Roles returns the settings of the decisions on roles.
 func (s *Settings) Roles() roles.Config {
 	h := &s.Shift
-	return roles.Config{Classes: len(s.Classes), Confidence: h.Confidence, Looks: h.Looks, Every: h.Every, ColdFor: s.ColdFor,
-		Limits: roles.Limits{Empty: h.Empty, Change: h.Change, Rest: h.Rest, Look: h.Look, Answer: s.ProbeWithin},
-		Costs:  roles.Costs{Horizon: h.Horizon, Away: h.Away, Load: h.Load, Changes: h.AtOnce, Least: h.Least, Most: h.Most},
-		Turn:   roles.Turn{Routers: s.Routers, Index: s.Index, Slot: h.Slot}, Dry: h.Mode == "dry"}
+	return roles.Config{Classes: len(s.Classes), Confidence: h.Confidence, ConsecutivePlans: h.Looks, PlanInterval: h.Every, SlowStartTime: s.ColdFor,
+		Timeouts:  roles.Timeouts{EmptyTimeout: h.Empty, ChangeTimeout: h.Change, Backoff: h.Rest, CheckInterval: h.Look, ReplyTimeout: s.ProbeWithin},
+		Costs:     roles.Costs{Horizon: h.Horizon, AwayTime: h.Away, MaxLoad: h.Load, MaxChanging: h.AtOnce, MinEngines: h.Least, MaxEngines: h.Most},
+		TurnOrder: roles.TurnOrder{Routers: s.Routers, Index: s.Index, SlotLength: h.Slot}, DryRun: h.Mode == "dry"}
 }
 
 // ClassIndex returns the index of a class by name, or -1.
--- a/internal/day/swing.go
+++ b/internal/day/swing.go
@@ -131,14 +131,14 @@
 	if n < 0 {
 		from, to, n = to, from, -n
 	}
-	limits := roles.Limits{Look: p.s.shift().Look, Answer: config.Defaults().ProbeWithin} // as the routers announce a change
+	limits := roles.Timeouts{CheckInterval: p.s.shift().Look, ReplyTimeout: config.Defaults().ProbeWithin} // as the routers announce a change
 	for _, e := range all {
 		key := e.m.Cell + " " + from
 		if n == 0 || e.role.Role != from || e.role.Phase != engine.PhaseSteady || left[key] < 2 {
 			continue
 		}
 		_, granted, err := c.ChangeRole(ctx, e.m.Engine.Addr(), &engine.RoleChange{To: to, Epoch: e.role.Epoch, Router: "split",
-			NoticeMillis: float64(limits.Notice()) / 1e6})
+			NoticeMillis: float64(limits.NoticePeriod()) / 1e6})
 		if err == nil && granted {
 			left[key]--
 			n--
--- a/internal/e2e/shift_test.go
+++ b/internal/e2e/shift_test.go
@@ -345,7 +345,7 @@
 	word := func(role string, epoch roles.Epoch) bool {
 		for _, e := range w.shifting() {
 			if e.Name == "p1" {
-				return e.Now.Epoch == epoch && e.Step == "idle" && (e.Now.Role == roles.Decode) == (role == "decode")
+				return e.State.Epoch == epoch && e.Step == "idle" && (e.State.Role == roles.Decode) == (role == "decode")
 			}
 		}
 		return false
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -125,22 +125,22 @@
 }
 
 // Ended counts a change that has ended. cold is what coldness will take, as full time in seconds.
-func (m *Shift) Ended(e *roles.Ended, cold float64) {
+func (m *Shift) Ended(e *roles.ChangeResult, cold float64) {
 	if m == nil {
 		return
 	}
 	result := "failed"
-	if e.Done {
+	if e.Succeeded {
 		result = "done"
 		m.lost.WithLabelValues(stages[e.To], "cold").Add(cold)
 	}
 	m.changes.WithLabelValues(stages[e.To], result).Inc()
-	m.took.WithLabelValues(result).Observe(e.Took.Seconds())
-	m.lost.WithLabelValues(stages[e.To], "away").Add(e.Took.Seconds())
+	m.took.WithLabelValues(result).Observe(e.Elapsed.Seconds())
+	m.lost.WithLabelValues(stages[e.To], "away").Add(e.Elapsed.Seconds())
 }
 
 // Planned takes in a plan and the time that it took in seconds.
-func (m *Shift) Planned(r *roles.Report, took float64) {
+func (m *Shift) Planned(r *roles.PlanReport, took float64) {
 	if m == nil {
 		return
 	}
@@ -148,8 +148,8 @@
 		m.asked.WithLabelValues(name, "mean").Set(r.Demand[st].Mean)
 		m.asked.WithLabelValues(name, "sd").Set(r.Demand[st].SD)
 	}
-	m.served.WithLabelValues("now").Set(r.Plan.Now)
-	m.served.WithLabelValues("planned").Set(r.Plan.Then)
+	m.served.WithLabelValues("now").Set(r.Plan.ServedNow)
+	m.served.WithLabelValues("planned").Set(r.Plan.ServedAfter)
 	m.sure.Set(r.Verdict.Confidence)
 	m.planning.Observe(took)
 }
@@ -163,7 +163,7 @@
 	for _, e := range list {
 		role := "unknown"
 		if e.Known {
-			role = stages[e.Now.Role]
+			role = stages[e.State.Role]
 		}
 		m.engines.WithLabelValues(role, e.Step).Inc()
 	}
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -15,10 +15,10 @@
 func TestMetrics(t *testing.T) {
 	s := New(func() router.Stats { return router.Stats{Served: 7, Refused: 2, Open: 3, Engines: 12} })
 	m := s.NewShift()
-	m.Ended(&roles.Ended{To: roles.Decode, Done: true, Took: 6 * time.Second}, 4)
-	m.Ended(&roles.Ended{To: roles.Prefill, Took: 2 * time.Second}, 4)
-	m.Planned(&roles.Report{Plan: roles.Plan{Now: 0.8, Then: 0.9}, Verdict: roles.Verdict{Confidence: 0.7}}, 0.002)
-	m.Engines([]roles.Status{{Known: true, Now: roles.Standing{Role: roles.Decode}, Step: "idle"}, {Step: "idle"}})
+	m.Ended(&roles.ChangeResult{To: roles.Decode, Succeeded: true, Elapsed: 6 * time.Second}, 4)
+	m.Ended(&roles.ChangeResult{To: roles.Prefill, Elapsed: 2 * time.Second}, 4)
+	m.Planned(&roles.PlanReport{Plan: roles.Plan{ServedNow: 0.8, ServedAfter: 0.9}, Verdict: roles.Verdict{Confidence: 0.7}}, 0.002)
+	m.Engines([]roles.Status{{Known: true, State: roles.RoleState{Role: roles.Decode}, Step: "idle"}, {Step: "idle"}})
 	m.Unseen()
 	w := httptest.NewRecorder()
 	s.Handler().ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/metrics", nil))
@@ -42,8 +42,8 @@
 		t.Error("a failed change is counted as cold")
 	}
 	var none *Shift // metrics are off
-	none.Ended(&roles.Ended{}, 0)
+	none.Ended(&roles.ChangeResult{}, 0)
 	none.Unseen()
 	none.Engines(nil)
-	none.Planned(&roles.Report{}, 0)
+	none.Planned(&roles.PlanReport{}, 0)
 }
--- a/internal/shift/shift.go
+++ b/internal/shift/shift.go
@@ -41,14 +41,14 @@
 	seen    chan observation
 	missed  atomic.Int64 // observations that did not fit
 	results chan result
-	report  atomic.Pointer[roles.Report]
+	report  atomic.Pointer[roles.PlanReport]
 	status  atomic.Pointer[Status]
 
 	// What follows belongs to Run's loop.
 	manager *roles.Manager
 	base    []discovery.Engine
 	byID    map[uint64]*discovery.Engine
-	views   map[uint64]roles.View
+	views   map[uint64]roles.Listing
 	asking  map[uint64]bool // a question about its role is out
 	work    sync.WaitGroup
 }
@@ -57,7 +57,7 @@
 type observation struct {
 	kind    uint8
 	at      time.Time
-	arrival roles.Arrival
+	arrival roles.RequestInfo
 }
 
 const (
@@ -85,23 +85,23 @@
 func New(set *config.Settings, source discovery.Source, engines Engines, name string, log *slog.Logger, m *metrics.Shift) *Driver {
 	return &Driver{set: set, source: source, engines: engines, name: name, log: log, metrics: m,
 		seen: make(chan observation, maxObservations), results: make(chan result, 64),
-		byID: map[uint64]*discovery.Engine{}, views: map[uint64]roles.View{}, asking: map[uint64]bool{},
+		byID: map[uint64]*discovery.Engine{}, views: map[uint64]roles.Listing{}, asking: map[uint64]bool{},
 		manager: roles.NewManager(set.Roles(), time.Now())}
 }
 
 // Arrived, Read and Written are the router.Observer. They never block: what does not fit is counted.
 func (d *Driver) Arrived(j *router.Job) {
-	d.observe(observation{kind: sawArrival, arrival: roles.Arrival{Class: j.Class, Prompt: j.PromptTokens, Retry: j.Repeat}})
+	d.observe(observation{kind: sawArrival, arrival: roles.RequestInfo{Class: j.Class, PromptTokens: j.PromptTokens, Retry: j.Repeat}})
 }
 
 // Read implements router.Observer.
 func (d *Driver) Read(j *router.Job, kept float64) {
-	d.observe(observation{kind: sawRead, arrival: roles.Arrival{Class: j.Class, Prompt: j.PromptTokens, Kept: kept}})
+	d.observe(observation{kind: sawRead, arrival: roles.RequestInfo{Class: j.Class, PromptTokens: j.PromptTokens, CachedTokens: kept}})
 }
 
 // Written implements router.Observer.
 func (d *Driver) Written(j *router.Job, tokens int, whole bool) {
-	d.observe(observation{kind: sawWritten, arrival: roles.Arrival{Class: j.Class, Answer: float64(tokens), Cut: !whole}})
+	d.observe(observation{kind: sawWritten, arrival: roles.RequestInfo{Class: j.Class, OutputTokens: float64(tokens), Truncated: !whole}})
 }
 
 // Over implements router.Observer.
@@ -121,7 +121,7 @@
 type Status struct {
 	At      time.Time
 	Mode    string
-	Plan    roles.Report
+	Plan    roles.PlanReport
 	Engines []EngineStatus
 	Unseen  int64 // observations of the traffic that did not fit
 }
@@ -136,7 +136,7 @@
 func (d *Driver) Status() *Status { return d.status.Load() }
 
 func (d *Driver) keepStatus(now time.Time) {
-	st := &Status{At: now, Mode: d.set.Shift.Mode, Plan: d.manager.Last(), Unseen: d.missed.Load()}
+	st := &Status{At: now, Mode: d.set.Shift.Mode, Plan: d.manager.LastReport(), Unseen: d.missed.Load()}
 	list := d.manager.Status(now)
 	d.metrics.Engines(list)
 	for _, e := range list {
@@ -200,13 +200,13 @@
 		for i := range acts {
 			changed = d.carry(ctx, &acts[i]) || changed
 		}
-		for _, e := range d.manager.Ended() {
-			d.metrics.Ended(&e, roles.ColdLost(d.set.StartCapacity, d.set.ColdFor).Seconds())
+		for _, e := range d.manager.TakeResults() {
+			d.metrics.Ended(&e, roles.SlowStartLoss(d.set.StartCapacity, d.set.ColdFor).Seconds())
 			level := slog.LevelInfo
-			if !e.Done {
+			if !e.Succeeded {
 				level = slog.LevelWarn
 			}
-			d.log.Log(ctx, level, "change of role ended", "engine", d.nameOf(e.Engine), "to", stageName(e.To), "done", e.Done, "why", e.Why, "took", e.Took)
+			d.log.Log(ctx, level, "change of role ended", "engine", d.nameOf(e.Engine), "to", stageName(e.To), "done", e.Succeeded, "why", e.Reason, "took", e.Elapsed)
 		}
 		if changed {
 			tell(discovery.Update{Engines: d.overlay(), At: now})
@@ -217,11 +217,11 @@
 func (d *Driver) take(o *observation) {
 	switch o.kind {
 	case sawArrival:
-		d.manager.Arrived(o.at, o.arrival)
+		d.manager.ObserveArrival(o.at, o.arrival)
 	case sawRead:
-		d.manager.Read(o.arrival)
+		d.manager.ObserveRead(o.arrival)
 	case sawWritten:
-		d.manager.Written(o.arrival)
+		d.manager.ObserveOutput(o.arrival)
 	}
 }
 
@@ -229,7 +229,7 @@
 func (d *Driver) listed(ctx context.Context, list []discovery.Engine) []roles.Action {
 	d.base = list
 	clear(d.byID)
-	var infos []roles.Info
+	var infos []roles.EngineInfo
 	for i := range d.base {
 		e := &d.base[i]
 		k := d.set.KindIndex(e.Kind)
@@ -239,11 +239,11 @@
 		id := uint64(e.ID())
 		d.byID[id] = e
 		kind, other := &d.set.Kinds[k], &d.set.Kinds[d.set.KindIndex(d.set.Kinds[k].Becomes)]
-		info := roles.Info{ID: id, Kind: min(k, d.set.KindIndex(other.Name)), Cell: discovery.Number(e.Cell), Role: stageOf(kind), Draining: e.State != decide.Ready}
-		info.Cap[stageOf(kind)], info.Cap[stageOf(other)] = kind.Capacity, other.Capacity
+		info := roles.EngineInfo{ID: id, Kind: min(k, d.set.KindIndex(other.Name)), Cell: discovery.Number(e.Cell), Role: stageOf(kind), Draining: e.State != decide.Ready}
+		info.Capacity[stageOf(kind)], info.Capacity[stageOf(other)] = kind.Capacity, other.Capacity
 		infos = append(infos, info)
 	}
-	acts := d.manager.Listed(time.Now(), infos, nil)
+	acts := d.manager.UpdateEngines(time.Now(), infos, nil)
 	for id := range d.views {
 		if d.byID[id] == nil {
 			delete(d.views, id)
@@ -305,18 +305,18 @@
 		return nil
 	}
 	if r.asked {
-		return d.manager.Answered(now, r.id, r.granted, s, nil)
+		return d.manager.HandleAnswer(now, r.id, r.granted, s, nil)
 	}
-	return d.manager.Standing(now, r.id, s, nil)
+	return d.manager.ObserveState(now, r.id, s, nil)
 }
 
 // standing turns an engine's word into the decisions' terms.
-func standing(r *engine.Role) (roles.Standing, bool) {
+func standing(r *engine.Role) (roles.RoleState, bool) {
 	stages := map[string]roles.Stage{engine.StagePrefill: roles.Prefill, engine.StageDecode: roles.Decode}
 	phases := map[string]roles.Phase{engine.PhaseSteady: roles.Steady, engine.PhaseEmptying: roles.Emptying, engine.PhaseChanging: roles.Changing}
 	role, ok := stages[r.Role]
 	phase, known := phases[r.Phase]
-	return roles.Standing{Role: role, Epoch: roles.Epoch(r.Epoch), To: stages[r.To], Phase: phase, Starts: r.Since}, ok && known
+	return roles.RoleState{Role: role, Epoch: roles.Epoch(r.Epoch), To: stages[r.To], Phase: phase, StartedAt: r.Since}, ok && known
 }
 
 // carry carries out an action and tells whether the list has changed.
@@ -326,15 +326,15 @@
 		return false
 	}
 	switch a.Kind {
-	case roles.List:
-		d.views[a.Engine] = a.View
+	case roles.UpdateListing:
+		d.views[a.Engine] = a.Listing
 		return true
-	case roles.Ask:
+	case roles.RequestChange:
 		d.log.Info("change of role asked for", "engine", e.Name, "to", stageName(a.To), "epoch", a.Epoch)
 		d.ask(ctx, a.Engine, e.Addr, &engine.RoleChange{To: stageName(a.To), Epoch: uint64(a.Epoch), Router: d.name,
 			NoticeMillis: float64(a.Notice) / 1e6})
-	case roles.CallBack:
-		d.log.Info("change of role called back", "engine", e.Name, "why", a.Why)
+	case roles.CancelChange:
+		d.log.Info("change of role called back", "engine", e.Name, "why", a.Reason)
 		addr, epoch := e.Addr, uint64(a.Epoch)
 		d.work.Add(1)
 		go func() {
@@ -365,8 +365,8 @@
 		if v.Draining {
 			e.State = decide.Draining
 		}
-		if v.Since.After(e.Since) {
-			e.Since = v.Since
+		if v.StartedAt.After(e.Since) {
+			e.Since = v.StartedAt
 		}
 	}
 	return out
@@ -374,7 +374,7 @@
 
 // tellPlan logs a plan that would move something, once.
 func (d *Driver) tellPlan(took time.Duration) {
-	r := d.manager.Last()
+	r := d.manager.LastReport()
 	if last := d.report.Load(); last != nil && last.At.Equal(r.At) {
 		return
 	}
@@ -387,7 +387,7 @@
 		return
 	}
 	d.log.Info("plan of roles", "read/s", int(r.Demand[roles.Prefill].Mean), "write/s", int(r.Demand[roles.Decode].Mean), "moves", len(r.Plan.Moves),
-		"served", r.Plan.Now, "then", r.Plan.Then, "confidence", r.Verdict.Confidence, "why", r.Verdict.Why, "begun", r.Begun,
+		"served", r.Plan.ServedNow, "then", r.Plan.ServedAfter, "confidence", r.Verdict.Confidence, "why", r.Verdict.Reason, "begun", r.ChangesBegun,
 		"dry", d.set.Shift.Mode == "dry", "unseen", d.missed.Load())
 }
 
--- a/internal/sim/node.go
+++ b/internal/sim/node.go
@@ -34,7 +34,7 @@
 
 // view is how an engine is listed to the module.
 type view struct {
-	roles.View
+	roles.Listing
 	drained time.Duration // since when it is draining; 0: it is not
 }
 
@@ -85,12 +85,12 @@
 			n.gone[u.index] = true
 			continue
 		}
-		n.views[u.index] = view{View: roles.View{Role: u.first, Since: u.since}} // the list knows of no changes
+		n.views[u.index] = view{Listing: roles.Listing{Role: u.first, StartedAt: u.since}} // the list knows of no changes
 		servers = append(servers, n.listing(u))
 	}
 	if n.s.cfg.Roles != nil {
 		cfg := *n.s.cfg.Roles
-		cfg.Turn.Index, cfg.Turn.Routers = n.index, n.s.cfg.Settings.Routers
+		cfg.TurnOrder.Index, cfg.TurnOrder.Routers = n.index, n.s.cfg.Settings.Routers
 		n.manager = roles.NewManager(cfg, n.s.wall())
 	}
 	n.tell(&decide.Event{Kind: decide.ListCached, Servers: servers, Report: engine.Untold()})
@@ -142,8 +142,8 @@
 	case v.Draining:
 		l.Condition = decide.Draining
 	}
-	if !v.Since.IsZero() {
-		l.Since = decide.Time(v.Since.UnixNano())
+	if !v.StartedAt.IsZero() {
+		l.Since = decide.Time(v.StartedAt.UnixNano())
 	}
 	return l
 }
@@ -157,9 +157,9 @@
 		was := n.gone[u.index]
 		n.gone[u.index] = !there
 		if v := n.views[u.index]; there && was {
-			n.views[u.index] = view{View: roles.View{Role: u.first, Since: u.since}} // the list knows of no changes
-		} else if there && u.since.After(v.Since) { // it never left the list: what it said itself still counts
-			v.Since = u.since
+			n.views[u.index] = view{Listing: roles.Listing{Role: u.first, StartedAt: u.since}} // the list knows of no changes
+		} else if there && u.since.After(v.StartedAt) { // it never left the list: what it said itself still counts
+			v.StartedAt = u.since
 			n.views[u.index] = v
 		}
 		n.infos()
@@ -172,15 +172,15 @@
 	if n.manager == nil {
 		return
 	}
-	var list []roles.Info
+	var list []roles.EngineInfo
 	for _, u := range n.s.units {
 		if u.fixed || n.gone[u.index] {
 			continue
 		}
-		list = append(list, roles.Info{ID: uint64(u.id()), Cell: u.cell, Role: u.first,
-			Cap: [2]float64{roles.Prefill: n.s.cfg.Prefill.Capacity(), roles.Decode: n.s.cfg.Decode.Capacity()}})
+		list = append(list, roles.EngineInfo{ID: uint64(u.id()), Cell: u.cell, Role: u.first,
+			Capacity: [2]float64{roles.Prefill: n.s.cfg.Prefill.Capacity(), roles.Decode: n.s.cfg.Decode.Capacity()}})
 	}
-	n.carry(n.manager.Listed(n.s.wall(), list, nil))
+	n.carry(n.manager.UpdateEngines(n.s.wall(), list, nil))
 }
 
 // look asks every engine for its role, now and then.
@@ -200,7 +200,7 @@
 			word := u.standing()
 			n.s.after(net, func() {
 				if n.life == life {
-					n.carry(n.manager.Standing(n.s.wall(), uint64(u.id()), word, nil))
+					n.carry(n.manager.ObserveState(n.s.wall(), uint64(u.id()), word, nil))
 				}
 			})
 		})
@@ -223,16 +223,16 @@
 	for _, a := range acts {
 		u := n.s.units[a.Engine-1]
 		switch a.Kind {
-		case roles.List:
-			v := view{View: a.View}
-			if old := n.views[u.index]; a.View.Draining {
+		case roles.UpdateListing:
+			v := view{Listing: a.Listing}
+			if old := n.views[u.index]; a.Listing.Draining {
 				if v.drained = old.drained; !old.Draining {
 					v.drained = n.s.now
 				}
 			}
 			n.views[u.index] = v
 			n.tell(&decide.Event{Kind: decide.ListChanged, Servers: []decide.Listing{n.listing(u)}, Report: engine.Untold()})
-		case roles.Ask:
+		case roles.RequestChange:
 			n.s.after(net, func() {
 				if !u.up || u.faults[Mute] > 0 {
 					return
@@ -241,16 +241,16 @@
 				word := u.standing()
 				n.s.after(net, func() {
 					if n.life == life {
-						n.carry(n.manager.Answered(n.s.wall(), a.Engine, granted, word, nil))
+						n.carry(n.manager.HandleAnswer(n.s.wall(), a.Engine, granted, word, nil))
 					}
 				})
 			})
-		case roles.CallBack:
+		case roles.CancelChange:
 			n.s.after(net, func() { u.stay(uint64(a.Epoch)) })
 		}
 	}
 	if n.manager != nil {
-		n.manager.Ended()
+		n.manager.TakeResults()
 	}
 }
 
@@ -262,7 +262,7 @@
 	n.flights[f.id] = f
 	n.s.open++
 	if n.manager != nil {
-		n.manager.Arrived(n.s.wall(), roles.Arrival{Class: e.Class, Prompt: float64(e.Prompt)})
+		n.manager.ObserveArrival(n.s.wall(), roles.RequestInfo{Class: e.Class, PromptTokens: float64(e.Prompt)})
 	}
 	n.s.after(f.deadline-n.s.now, func() {
 		if f.answered || f.out != nil && f.out.streaming {
@@ -424,14 +424,14 @@
 	case out == decide.ReadDone:
 		f.state = a.state
 		if n.manager != nil {
-			n.manager.Read(roles.Arrival{Class: e.Class, Prompt: float64(e.Prompt), Kept: kept})
+			n.manager.ObserveRead(roles.RequestInfo{Class: e.Class, PromptTokens: float64(e.Prompt), CachedTokens: kept})
 		}
 	case out == decide.Served || noState:
 		f.state = nil
 	}
 	if a.streaming {
 		if n.manager != nil {
-			n.manager.Written(roles.Arrival{Class: e.Class, Answer: float64(s.answer(e.Answer)), Cut: out != decide.Served})
+			n.manager.ObserveOutput(roles.RequestInfo{Class: e.Class, OutputTokens: float64(s.answer(e.Answer)), Truncated: out != decide.Served})
 		}
 		if out == decide.Served {
 			c := &s.cfg.Settings.Classes[e.Class]
--- a/internal/sim/property_test.go
+++ b/internal/sim/property_test.go
@@ -20,8 +20,8 @@
 	cfg.Prefill.ColdFor, cfg.Decode.ColdFor = 2*time.Second, 2*time.Second
 	cfg.Settings.ColdFor = 2.4e9
 	r := cfg.Roles
-	r.Costs.Horizon, r.Costs.Away, r.Every, r.ColdFor, r.Confidence = 4*time.Second, 900*time.Millisecond, 500*time.Millisecond, 2400*time.Millisecond, 0.6
-	r.Limits.Empty, r.Limits.Change, r.Limits.Rest, r.Turn.Slot = 5*time.Second, 3*time.Second, time.Second, time.Second
+	r.Costs.Horizon, r.Costs.AwayTime, r.PlanInterval, r.SlowStartTime, r.Confidence = 4*time.Second, 900*time.Millisecond, 500*time.Millisecond, 2400*time.Millisecond, 0.6
+	r.Timeouts.EmptyTimeout, r.Timeouts.ChangeTimeout, r.Timeouts.Backoff, r.TurnOrder.SlotLength = 5*time.Second, 3*time.Second, time.Second, time.Second
 	return cfg
 }
 
--- a/internal/sim/scene.go
+++ b/internal/sim/scene.go
@@ -61,6 +61,6 @@
 		away = max(s.Engines/10, 2)
 	}
 	c := config.Defaults().Roles()
-	c.Classes, c.Costs.Changes = 2, away
+	c.Classes, c.Costs.MaxChanging = 2, away
 	return &c
 }
--- a/internal/sim/sim.go
+++ b/internal/sim/sim.go
@@ -180,7 +180,7 @@
 	}
 	if cfg.Roles != nil {
 		r := *cfg.Roles
-		r.Limits.Look, r.Limits.Answer = cfg.Look, 2*cfg.Net
+		r.Timeouts.CheckInterval, r.Timeouts.ReplyTimeout = cfg.Look, 2*cfg.Net
 		cfg.Roles = &r
 	}
 	s := &Sim{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 0x73696d)), links: map[int]time.Duration{}}
@@ -359,7 +359,7 @@
 		if best == nil {
 			return
 		}
-		best.grant(best.turns.Epoch, 1-from, s.cfg.Roles.Limits.Notice())
+		best.grant(best.turns.Epoch, 1-from, s.cfg.Roles.Timeouts.NoticePeriod())
 	}
 }
 
--- a/internal/sim/unit.go
+++ b/internal/sim/unit.go
@@ -65,9 +65,9 @@
 }
 
 // standing is its word on its role.
-func (u *unit) standing() roles.Standing {
+func (u *unit) standing() roles.RoleState {
 	phases := map[string]roles.Phase{engine.PhaseSteady: roles.Steady, engine.PhaseEmptying: roles.Emptying, engine.PhaseChanging: roles.Changing}
-	return roles.Standing{Role: u.stage(), Epoch: roles.Epoch(u.turns.Epoch), To: 1 - u.stage(), Phase: phases[u.turns.Phase], Starts: u.since}
+	return roles.RoleState{Role: u.stage(), Epoch: roles.Epoch(u.turns.Epoch), To: 1 - u.stage(), Phase: phases[u.turns.Phase], StartedAt: u.since}
 }
 
 // grant answers an asking for a change.
@@ -148,7 +148,7 @@
 	u.since = u.s.wall()
 	u.core = u.core.Next(u.s.calls[u.stage()], u.s.wall(), u.s.cfg.Keeps)
 	spec := u.s.calls[u.stage()]
-	u.s.res.ColdLost += roles.ColdLost(spec.ColdFrom, spec.ColdFor)
+	u.s.res.ColdLost += roles.SlowStartLoss(spec.ColdFrom, spec.ColdFor)
 	u.s.noteSplit()
 }
 
--- a/internal/swing/compare.go
+++ b/internal/swing/compare.go
@@ -64,8 +64,8 @@
 
 // pace is what an engine of the standard scene does.
 func pace(cfg *sim.Config) Pace {
-	limits := roles.Limits{Look: cfg.Look, Answer: 2 * cfg.Net}
-	return Pace{Read: cfg.Prefill.Capacity(), Write: cfg.Decode.Capacity(), Away: limits.Notice() + cfg.Change + roles.ColdLost(cfg.Prefill.ColdFrom, cfg.Prefill.ColdFor)}
+	limits := roles.Timeouts{CheckInterval: cfg.Look, ReplyTimeout: 2 * cfg.Net}
+	return Pace{Read: cfg.Prefill.Capacity(), Write: cfg.Decode.Capacity(), Away: limits.NoticePeriod() + cfg.Change + roles.SlowStartLoss(cfg.Prefill.ColdFrom, cfg.Prefill.ColdFor)}
 }
 
 func (e *Experiment) seed(ctx context.Context, seed uint64, row *Row) error {
@@ -127,7 +127,7 @@
 		first, steps := Oracle(t, e.Engines, p, load, max(e.Engines/6, 2))
 		play(first, func(c *sim.Config) {
 			c.Roles = scene.Shifting()
-			c.Roles.Dry = true
+			c.Roles.DryRun = true
 			c.Schedule = steps
 			if c.Schedule == nil {
 				c.Schedule = []sim.Step{}
--- a/roles/change.go
+++ b/roles/change.go
@@ -7,37 +7,36 @@
 	"time"
 )
 
-// The way of a change. The engine's own role, with its epoch, is the truth: a router asks for the change
-// that leads from the epoch that it knows, the engine grants one and refuses all others, and from then on
-// the engine itself carries the change through: it takes nothing new, lets what runs end, changes, and comes
-// back cold under the next epoch. So a router that dies in the middle leaves no half-made change behind,
-// and two that disagree cannot both be right. A router only follows, and keeps its module informed: an
-// engine that changes is listed as draining, one that has changed is listed in its new role as just
-// started.
-
-// Epoch counts an engine's changes of role.
+// How a role change works. The engine's own role and epoch are authoritative. A router requests the change that
+// starts from the epoch it knows; the engine grants one such request and refuses all others. From then on the engine
+// carries out the change itself: it accepts nothing new, lets running work finish, changes, and comes back cold under
+// the next epoch. So a router that dies in the middle leaves no half-made change behind, and two routers that
+// disagree cannot both succeed. A router only tracks the change and keeps its decision module informed: an engine
+// that is changing is listed as draining, and one that has changed is listed in its new role as just started.
+
+// Epoch counts an engine's role changes.
 type Epoch uint64
 
-// Standing is what an engine says of itself.
-type Standing struct {
-	Role   Stage
-	Epoch  Epoch
-	To     Stage // while it changes
-	Phase  Phase
-	Starts time.Time // its last start or change; zero: long ago
+// RoleState is the role and the progress of a role change that an engine reports.
+type RoleState struct {
+	Role      Stage
+	Epoch     Epoch
+	To        Stage // the new role while the engine is emptying or changing
+	Phase     Phase
+	StartedAt time.Time `json:"Starts"` // last start or role change; zero if long ago
 }
 
-// Phase is where an engine is on its way.
+// Phase is how far an engine has come in a role change.
 type Phase uint8
 
-// The phases.
+// The phases of an engine.
 const (
-	Steady   Phase = iota // it does its role's work
-	Emptying              // it takes nothing new, and what runs there ends
-	Changing              // it does nothing
+	Steady   Phase = iota // serves its role
+	Emptying              // accepts nothing new and lets running work finish
+	Changing              // serves nothing until the change is done
 )
 
-// step is where a router's view of a change is.
+// step is how far a change has come from a router's point of view.
 type step uint8
 
 const (
@@ -45,119 +44,127 @@
 	asking
 	emptying
 	changing
-	resting // after a failure: no new try for a while
+	backingOff // after a failed change; no new one is started until the backoff ends
 )
 
 func (s step) String() string {
 	return [...]string{"idle", "asking", "emptying", "changing", "resting"}[s]
 }
 
-// Limits are the deadlines of a change's steps, and how long a failed one rests.
-type Limits struct {
-	Ask    time.Duration // for the engine's answer, at least; twice Answer where that is more
-	Empty  time.Duration // for what runs to end
-	Change time.Duration // for the change itself
-	Rest   time.Duration // after a failure; doubled with each in a row, up to eight times
-	// Look is how often routers ask an engine for its role, Answer how long its word may take. They set how
-	// long an engine that is to change takes nothing new before it does.
-	Look, Answer time.Duration
+// Timeouts are the time limits of a change's steps, the backoff after a failed change, and the timing of the role
+// checks.
+type Timeouts struct {
+	AskTimeout    time.Duration // minimum wait for the engine's answer; 2*ReplyTimeout if that is longer
+	EmptyTimeout  time.Duration // for running work to finish, after the notice period
+	ChangeTimeout time.Duration // for the change itself
+	Backoff       time.Duration // after a failure; doubles with each failure in a row, up to eight times this value
+	// CheckInterval is how often routers ask an engine for its role, and ReplyTimeout how long its reply may take.
+	// Together they set the notice period, in which an engine that is about to change accepts nothing new.
+	CheckInterval, ReplyTimeout time.Duration
 }
 
-// missed is how many looks may go unanswered before an engine's word is doubted.
-const missed = 4
+// maxMissedChecks is how many role checks in a row may go unanswered before an engine's last reported role is
+// distrusted.
+const maxMissedChecks = 4
 
-// doubt is the age at which a word is too old to send work by; 0: none is.
-func (l *Limits) doubt() time.Duration { return missed * l.Look }
+// maxStateAge is the age from which a reported role is too old to route by; 0 means no limit.
+func (l *Timeouts) maxStateAge() time.Duration { return maxMissedChecks * l.CheckInterval }
 
-func (l *Limits) old(now, heard time.Time) bool { return l.Look > 0 && now.Sub(heard) >= l.doubt() }
+func (l *Timeouts) isTooOld(now, reportedAt time.Time) bool {
+	return l.CheckInterval > 0 && now.Sub(reportedAt) >= l.maxStateAge()
+}
 
-// Notice is how long a change is announced. A word that a router still sends by was given before the grant
-// and heard at most Answer later; it is doubted before the notice ends. So no router sends work of the old
-// role to an engine that has left it, however many looks are lost.
-func (l *Limits) Notice() time.Duration { return l.doubt() + 2*l.Answer }
+// NoticePeriod is how long an engine that has granted a change waits before it changes. The state that a router still
+// routes by was sent before the grant and received at most ReplyTimeout later, and the router distrusts it before the
+// notice period ends. So no router sends work of the old role to an engine that has left it, however many role checks
+// are lost.
+func (l *Timeouts) NoticePeriod() time.Duration { return l.maxStateAge() + 2*l.ReplyTimeout }
 
-// ask is the deadline of the question.
-func (l *Limits) ask() time.Duration { return max(l.Ask, 2*l.Answer) }
+// askDeadline is how long to wait for the answer to a change request.
+func (l *Timeouts) askDeadline() time.Duration { return max(l.AskTimeout, 2*l.ReplyTimeout) }
 
-// empty is the deadline of the step in which what runs ends.
-func (l *Limits) empty() time.Duration { return l.Notice() + l.Empty }
+// emptyDeadline is how long an engine may stay in the emptying phase, notice period included.
+func (l *Timeouts) emptyDeadline() time.Duration { return l.NoticePeriod() + l.EmptyTimeout }
 
-// ActionKind tells what a change asks of its surroundings.
+// ActionKind is what the caller is to do for a role change.
 type ActionKind uint8
 
 // The kinds of actions.
 const (
-	Ask      ActionKind = iota // ask the engine to change to To, from Epoch
-	CallBack                   // ask it to stay, while it is still emptying
-	List                       // list it as View says
+	RequestChange ActionKind = iota // ask the engine to change to To, starting from Epoch
+	CancelChange                    // ask it to stay in its role; works only while it is emptying
+	UpdateListing                   // list the engine as Listing says
 )
 
-// View is how an engine is to be listed to the decision module.
-type View struct {
-	Role     Stage
-	Draining bool
-	Since    time.Time
+// Listing is how an engine is to be listed to the decision module.
+type Listing struct {
+	Role      Stage
+	Draining  bool
+	StartedAt time.Time
 }
 
-// Action is one thing to do.
+// Action is one thing that the caller is to do.
 type Action struct {
-	Kind   ActionKind
-	Engine uint64
-	To     Stage
-	Epoch  Epoch
-	Notice time.Duration // Ask: it takes nothing new for so long before it changes
-	View   View
-	Why    string
+	Kind    ActionKind
+	Engine  uint64
+	To      Stage
+	Epoch   Epoch
+	Notice  time.Duration // for RequestChange: how long the engine waits, accepting nothing new, before it changes
+	Listing Listing
+	Reason  string
 }
 
-// Ended is a change that is over, for logs and counts.
-type Ended struct {
-	Engine uint64
-	To     Stage
-	Done   bool
-	Why    string
-	Took   time.Duration
+// ChangeResult is a change that is over, for logs and metrics.
+type ChangeResult struct {
+	Engine    uint64
+	To        Stage
+	Succeeded bool
+	Reason    string
+	Elapsed   time.Duration
 }
 
-// change is one engine as this router follows it.
-type change struct {
-	engine uint64
-	known  bool
-	now    Standing
-	view   View
-	shown  bool
-	step   step
-	to     Stage
-	from   Epoch
-	began  time.Time
-	by     time.Time // deadline of the step
-	back   bool      // a call back was asked for
-	fails  int
-	heard  time.Time // when its last word came
-	doubt  bool      // that was too long ago
+// trackedEngine is one engine as this router tracks it.
+type trackedEngine struct {
+	engine          uint64
+	known           bool
+	state           RoleState
+	listing         Listing
+	listed          bool
+	step            step
+	target          Stage
+	fromEpoch       Epoch
+	startedAt       time.Time
+	deadline        time.Time // of the step
+	cancelRequested bool      // cancelling the change has been asked for
+	failures        int
+	lastReport      time.Time // time of its last report
+	unresponsive    bool      // its last report is too old to route by
 }
 
-// Follower follows all engines' roles, and changes under way. Its calls append the actions that answer
-// them. It is a pure state machine: times come in, and it is not safe for concurrent use.
-type Follower struct {
-	limits Limits
-	list   map[uint64]*change
-	ended  []Ended
+// RoleTracker tracks the roles of all engines and the changes in progress. Its methods append the actions that result
+// from a call to the slice that they are given. It is a pure state machine: times are passed in. It is not safe for
+// concurrent use.
+type RoleTracker struct {
+	timeouts Timeouts
+	engines  map[uint64]*trackedEngine
+	results  []ChangeResult
 }
 
-// NewFollower returns a Follower that knows no engine.
-func NewFollower(l Limits) *Follower { return &Follower{limits: l, list: map[uint64]*change{}} }
+// NewRoleTracker returns a RoleTracker that knows no engine.
+func NewRoleTracker(l Timeouts) *RoleTracker {
+	return &RoleTracker{timeouts: l, engines: map[uint64]*trackedEngine{}}
+}
 
-// Ended returns the changes that have ended since the last call.
-func (f *Follower) Ended() []Ended {
-	out := f.ended
-	f.ended = nil
+// TakeResults returns the changes that have ended since the last call.
+func (t *RoleTracker) TakeResults() []ChangeResult {
+	out := t.results
+	t.results = nil
 	return out
 }
 
-// Away counts the engines that do no work for a change, or soon will not.
-func (f *Follower) Away() (n int) {
-	for _, c := range f.list {
+// ChangingEngines counts the engines that serve nothing because of a change, or are about to.
+func (t *RoleTracker) ChangingEngines() (n int) {
+	for _, c := range t.engines {
 		if c.step == asking || c.step == emptying || c.step == changing {
 			n++
 		}
@@ -165,209 +172,212 @@
 	return n
 }
 
-// May tells whether a change of an engine could begin now.
-func (f *Follower) May(engine uint64) bool {
-	c := f.list[engine]
-	return c != nil && c.known && !c.doubt && c.step == idle && c.now.Phase == Steady
+// CanChange reports whether a change of an engine could begin now.
+func (t *RoleTracker) CanChange(engine uint64) bool {
+	c := t.engines[engine]
+	return c != nil && c.known && !c.unresponsive && c.step == idle && c.state.Phase == Steady
 }
 
-// Begin begins a change. It is refused, with nothing done, for an engine that May does not allow or that
-// has the role already.
-func (f *Follower) Begin(now time.Time, engine uint64, to Stage, out []Action) ([]Action, error) {
-	if !f.May(engine) {
-		return out, fmt.Errorf("roles: engine %d may not change now", engine)
+// BeginChange begins a change. It returns an error and does nothing for an engine that CanChange does not allow or
+// that already has the role.
+func (t *RoleTracker) BeginChange(now time.Time, engine uint64, to Stage, out []Action) ([]Action, error) {
+	if !t.CanChange(engine) {
+		return out, fmt.Errorf("roles: engine %d cannot change its role now", engine)
 	}
-	c := f.list[engine]
-	if c.now.Role == to {
-		return out, fmt.Errorf("roles: engine %d has that role", engine)
+	c := t.engines[engine]
+	if c.state.Role == to {
+		return out, fmt.Errorf("roles: engine %d already has the requested role", engine)
 	}
-	c.step, c.to, c.from, c.began, c.by, c.back = asking, to, c.now.Epoch, now, now.Add(f.limits.ask()), false
-	// The module stops sending at once: work that is on its way when the engine grants would be refused.
-	out = f.show(c, out)
-	return append(out, Action{Kind: Ask, Engine: engine, To: to, Epoch: c.from, Notice: f.limits.Notice()}), nil
+	c.step, c.target, c.fromEpoch, c.startedAt, c.deadline, c.cancelRequested = asking, to, c.state.Epoch, now, now.Add(t.timeouts.askDeadline()), false
+	// The decision module stops sending at once, since work in flight when the engine grants the change would be
+	// refused.
+	out = t.updateListing(c, out)
+	return append(out, Action{Kind: RequestChange, Engine: engine, To: to, Epoch: c.fromEpoch, Notice: t.timeouts.NoticePeriod()}), nil
 }
 
-// Answered takes in the engine's answer to Ask. A refusal may come with what the engine is now.
-func (f *Follower) Answered(now time.Time, engine uint64, granted bool, s Standing, out []Action) []Action {
-	c := f.list[engine]
+// HandleAnswer handles the engine's answer to RequestChange. A refusal comes with the engine's current state.
+func (t *RoleTracker) HandleAnswer(now time.Time, engine uint64, granted bool, s RoleState, out []Action) []Action {
+	c := t.engines[engine]
 	if c == nil || c.step != asking {
 		return out
 	}
 	if !granted {
-		out = f.fail(now, c, "the engine refused: it is at another epoch, or busy with another change", out)
-		return f.Seen(now, engine, s, out)
+		out = t.fail(now, c, "the engine refused: it is at another epoch or in another change", out)
+		return t.ObserveState(now, engine, s, out)
 	}
-	c.step, c.by = emptying, now.Add(f.limits.empty())
+	c.step, c.deadline = emptying, now.Add(t.timeouts.emptyDeadline())
 	return out
 }
 
-// CallOff asks for a change to be taken back, as when half of the other role has died. It helps only while
-// the engine is still emptying.
-func (f *Follower) CallOff(engine uint64, why string, out []Action) []Action {
-	c := f.list[engine]
-	if c == nil || c.back || c.step != asking && c.step != emptying {
+// Cancel asks the engine to take a change back, for example when half of the engines of its current role have died.
+// It has an effect only while the engine is still emptying.
+func (t *RoleTracker) Cancel(engine uint64, reason string, out []Action) []Action {
+	c := t.engines[engine]
+	if c == nil || c.cancelRequested || c.step != asking && c.step != emptying {
 		return out
 	}
-	c.back = true
-	return append(out, Action{Kind: CallBack, Engine: engine, Epoch: c.from, Why: why})
+	c.cancelRequested = true
+	return append(out, Action{Kind: CancelChange, Engine: engine, Epoch: c.fromEpoch, Reason: reason})
 }
 
-// Seen takes in what an engine says of itself, whoever changed it. What is older than what is known (an
-// answer that was overtaken) is passed over.
-func (f *Follower) Seen(now time.Time, engine uint64, s Standing, out []Action) []Action {
-	c := f.list[engine]
+// ObserveState handles the state that an engine reports, whichever router changed it. A report older than the last
+// one (a reply that was overtaken by a later one) is ignored.
+func (t *RoleTracker) ObserveState(now time.Time, engine uint64, s RoleState, out []Action) []Action {
+	c := t.engines[engine]
 	if c == nil {
-		c = &change{engine: engine}
-		f.list[engine] = c
+		c = &trackedEngine{engine: engine}
+		t.engines[engine] = c
 	}
-	c.heard = now
-	if c.known && c.stale(&s) {
+	c.lastReport = now
+	if c.known && c.isOutdated(&s) {
 		return out
 	}
-	restarted := c.known && s.Starts.After(c.now.Starts)
-	c.known, c.now, c.doubt = true, s, false
+	restarted := c.known && s.StartedAt.After(c.state.StartedAt)
+	c.known, c.state, c.unresponsive = true, s, false
 	switch s.Phase {
 	case Steady:
-		return f.steady(now, c, restarted, out)
+		return t.handleSteady(now, c, restarted, out)
 	case Emptying:
-		if c.step != emptying { // granted to another router, or our answer was lost
-			f.enter(now, c, emptying, s.To, now.Add(f.limits.empty()))
+		if c.step != emptying { // granted to another router, or the answer to this router was lost
+			t.setStep(now, c, emptying, s.To, now.Add(t.timeouts.emptyDeadline()))
 		}
 	case Changing:
 		if c.step != changing {
-			f.enter(now, c, changing, s.To, now.Add(f.limits.Change))
+			t.setStep(now, c, changing, s.To, now.Add(t.timeouts.ChangeTimeout))
 		}
 	}
-	return f.show(c, out)
+	return t.updateListing(c, out)
 }
 
-// stale tells whether a word is older than the one that is known: overtaken on its way. A later start comes
-// before the epoch, since an engine that was set up anew counts from the beginning again.
-func (c *change) stale(s *Standing) bool {
-	if s.Epoch < c.now.Epoch {
-		return !s.Starts.After(c.now.Starts)
+// isOutdated reports whether a report is older than the last one because it was overtaken on its way. A later start
+// takes precedence over the epoch, since an engine that was set up anew counts its epochs from the beginning again.
+func (c *trackedEngine) isOutdated(s *RoleState) bool {
+	if s.Epoch < c.state.Epoch {
+		return !s.StartedAt.After(c.state.StartedAt)
 	}
-	return s.Epoch == c.now.Epoch && s.Starts.Before(c.now.Starts)
+	return s.Epoch == c.state.Epoch && s.StartedAt.Before(c.state.StartedAt)
 }
 
-// Listed takes in an engine of the list with the role that the list gives. Until it has said itself what it
-// does, it gets no work: the list may show a role that it has left.
-func (f *Follower) Listed(engine uint64, role Stage, out []Action) []Action {
-	if f.list[engine] != nil {
+// AddListed adds an engine of the server list with the role that the list gives. The engine gets no work until it has
+// reported its own role, because the list may show a role that it has left.
+func (t *RoleTracker) AddListed(engine uint64, role Stage, out []Action) []Action {
+	if t.engines[engine] != nil {
 		return out
 	}
-	c := &change{engine: engine, now: Standing{Role: role}}
-	f.list[engine] = c
-	return f.show(c, out)
+	c := &trackedEngine{engine: engine, state: RoleState{Role: role}}
+	t.engines[engine] = c
+	return t.updateListing(c, out)
 }
 
-func (f *Follower) enter(now time.Time, c *change, to step, role Stage, by time.Time) {
-	if c.step == idle || c.step == resting {
-		c.began, c.from, c.back = now, c.now.Epoch, false
+func (t *RoleTracker) setStep(now time.Time, c *trackedEngine, to step, role Stage, deadline time.Time) {
+	if c.step == idle || c.step == backingOff {
+		c.startedAt, c.fromEpoch, c.cancelRequested = now, c.state.Epoch, false
 	}
-	c.step, c.to, c.by = to, role, by
+	c.step, c.target, c.deadline = to, role, deadline
 }
 
-// steady takes in that an engine does its role's work: a change has ended, one way or the other.
-func (f *Follower) steady(now time.Time, c *change, restarted bool, out []Action) []Action {
-	under := c.step == asking || c.step == emptying || c.step == changing
+// handleSteady handles the report that an engine serves its role: a change in progress has succeeded or failed.
+func (t *RoleTracker) handleSteady(now time.Time, c *trackedEngine, restarted bool, out []Action) []Action {
+	inProgress := c.step == asking || c.step == emptying || c.step == changing
 	switch {
-	case under && c.now.Epoch > c.from && c.now.Role == c.to:
-		f.end(now, c, true, "changed")
-		c.step, c.fails = idle, 0
-	case under && c.step == asking && !restarted && c.now.Epoch == c.from:
-		return f.show(c, out) // it has not heard the question yet
-	case under && c.now.Epoch > c.from:
-		out = f.fail(now, c, "it came back in another role", out)
-	case under && restarted:
-		out = f.fail(now, c, "it was started anew in its old role", out)
-	case under && c.back:
-		f.end(now, c, false, "called back")
+	case inProgress && c.state.Epoch > c.fromEpoch && c.state.Role == c.target:
+		t.finish(now, c, true, "changed")
+		c.step, c.failures = idle, 0
+	case inProgress && c.step == asking && !restarted && c.state.Epoch == c.fromEpoch:
+		return t.updateListing(c, out) // it has not received the request yet
+	case inProgress && c.state.Epoch > c.fromEpoch:
+		out = t.fail(now, c, "the engine came back in another role", out)
+	case inProgress && restarted:
+		out = t.fail(now, c, "the engine restarted in its old role", out)
+	case inProgress && c.cancelRequested:
+		t.finish(now, c, false, "the change was cancelled")
 		c.step = idle
-	case under && c.step == changing:
-		out = f.fail(now, c, "it came back in its old role", out)
-	case under: // emptying: an old answer, or it gave up
-		out = f.fail(now, c, "it went on in its old role", out)
+	case inProgress && c.step == changing:
+		out = t.fail(now, c, "the engine came back in its old role", out)
+	case inProgress: // emptying: the report is from before the grant, or the engine gave up
+		out = t.fail(now, c, "the engine stayed in its old role", out)
 	}
-	return f.show(c, out)
+	return t.updateListing(c, out)
 }
 
-// Gone tells that discovery has taken an engine off the list.
-func (f *Follower) Gone(now time.Time, engine uint64) {
-	c := f.list[engine]
+// Remove handles that discovery has removed an engine from the server list.
+func (t *RoleTracker) Remove(now time.Time, engine uint64) {
+	c := t.engines[engine]
 	if c == nil {
 		return
 	}
 	if c.step == asking || c.step == emptying || c.step == changing {
-		f.end(now, c, false, "it is gone")
+		t.finish(now, c, false, "the engine was removed from the list")
 	}
-	delete(f.list, engine)
+	delete(t.engines, engine)
 }
 
-// Tick looks after what no event brings up: each step has its deadline, and a rest its end.
-func (f *Follower) Tick(now time.Time, out []Action) []Action {
-	silent := 0
-	for _, c := range f.list {
-		if c.known && f.limits.old(now, c.heard) {
-			silent++
+// Tick handles what no event triggers: the deadline of each step, the end of a backoff, and reports that get too old.
+func (t *RoleTracker) Tick(now time.Time, out []Action) []Action {
+	unresponsiveCount := 0
+	for _, c := range t.engines {
+		if c.known && t.timeouts.isTooOld(now, c.lastReport) {
+			unresponsiveCount++
 		}
 	}
-	for _, engine := range slices.Sorted(maps.Keys(f.list)) {
-		c := f.list[engine]
-		// Where most are silent it is the way to them that fails, and work that comes wrong is only refused.
-		if doubt := c.known && f.limits.old(now, c.heard) && 2*silent <= len(f.list); doubt != c.doubt {
-			c.doubt = doubt
-			out = f.show(c, out)
+	for _, engine := range slices.Sorted(maps.Keys(t.engines)) {
+		c := t.engines[engine]
+		// If most engines are unresponsive, the network path to them is the likely fault, and they stay trusted: work
+		// sent by an outdated role is only refused.
+		if unresponsive := c.known && t.timeouts.isTooOld(now, c.lastReport) && 2*unresponsiveCount <= len(t.engines); unresponsive != c.unresponsive {
+			c.unresponsive = unresponsive
+			out = t.updateListing(c, out)
 		}
-		if c.step == idle || now.Before(c.by) {
+		if c.step == idle || now.Before(c.deadline) {
 			continue
 		}
 		switch c.step {
-		case resting:
+		case backingOff:
 			c.step = idle
 		case asking:
-			// The answer may be lost and the engine emptying: what it says of itself will tell. Until then it
-			// gets nothing new by our doing only if it says so.
-			out = f.show(c, f.fail(now, c, "no answer to the question", out))
+			// The answer may be lost and the engine emptying, which its next report will show. Until then the engine
+			// is listed as ready again, since only its own report makes this router stop sending to it.
+			out = t.updateListing(c, t.fail(now, c, "no answer to the change request", out))
 		case emptying:
-			// What runs there does not end. The engine decides by itself; it is asked to stay as it is.
-			if !c.back {
-				out = f.CallOff(engine, "what runs there does not end", out)
-				c.by = now.Add(f.limits.ask())
+			// The running work does not finish. The engine decides by itself, so it is asked to stay in its role.
+			if !c.cancelRequested {
+				out = t.Cancel(engine, "running work does not finish", out)
+				c.deadline = now.Add(t.timeouts.askDeadline())
 				continue
 			}
-			out = f.fail(now, c, "it neither empties nor stays", out)
+			out = t.fail(now, c, "the engine neither finishes its work nor cancels the change", out)
 		case changing:
-			out = f.fail(now, c, "the change takes too long", out)
+			out = t.fail(now, c, "the change timed out", out)
 		}
 	}
 	return out
 }
 
-// fail ends a change that did not come about. The engine rests from changes, longer each time.
-func (f *Follower) fail(now time.Time, c *change, why string, out []Action) []Action {
-	f.end(now, c, false, why)
-	const mostDoubled = 3
-	rest := f.limits.Rest << min(c.fails, mostDoubled)
-	c.fails++
-	c.step, c.by = resting, now.Add(rest)
+// fail ends a change that did not succeed. No change of the engine begins during the backoff, which grows with each
+// failure.
+func (t *RoleTracker) fail(now time.Time, c *trackedEngine, reason string, out []Action) []Action {
+	t.finish(now, c, false, reason)
+	const maxDoublings = 3
+	backoff := t.timeouts.Backoff << min(c.failures, maxDoublings)
+	c.failures++
+	c.step, c.deadline = backingOff, now.Add(backoff)
 	return out
 }
 
-func (f *Follower) end(now time.Time, c *change, done bool, why string) {
-	f.ended = append(f.ended, Ended{c.engine, c.to, done, why, now.Sub(c.began)})
+func (t *RoleTracker) finish(now time.Time, c *trackedEngine, succeeded bool, reason string) {
+	t.results = append(t.results, ChangeResult{c.engine, c.target, succeeded, reason, now.Sub(c.startedAt)})
 }
 
-// show lists an engine when that is a change. One that is on its way, or of which it is not known what it
-// does, is listed as draining, with the start that the module knows.
-func (f *Follower) show(c *change, out []Action) []Action {
-	v := View{Role: c.now.Role, Since: c.now.Starts}
-	if !c.known || c.doubt || c.step == asking || c.now.Phase != Steady {
-		v.Draining, v.Since = true, c.view.Since
+// updateListing lists an engine if its listing has changed. An engine that is changing, or whose role is not known,
+// is listed as draining, with the start time that the decision module already has.
+func (t *RoleTracker) updateListing(c *trackedEngine, out []Action) []Action {
+	v := Listing{Role: c.state.Role, StartedAt: c.state.StartedAt}
+	if !c.known || c.unresponsive || c.step == asking || c.state.Phase != Steady {
+		v.Draining, v.StartedAt = true, c.listing.StartedAt
 	}
-	if c.view == v && c.shown {
+	if c.listing == v && c.listed {
 		return out
 	}
-	c.view, c.shown = v, true
-	return append(out, Action{Kind: List, Engine: c.engine, View: v})
+	c.listing, c.listed = v, true
+	return append(out, Action{Kind: UpdateListing, Engine: c.engine, Listing: v})
 }
--- a/roles/change_test.go
+++ b/roles/change_test.go
@@ -9,227 +9,227 @@
 	"pgregory.net/rapid"
 )
 
-var limits = Limits{Ask: time.Second, Empty: 10 * time.Second, Change: 20 * time.Second, Rest: 5 * time.Second}
+var limits = Timeouts{AskTimeout: time.Second, EmptyTimeout: 10 * time.Second, ChangeTimeout: 20 * time.Second, Backoff: 5 * time.Second}
 
 var t0 = time.Unix(1000, 0)
 
 func at(seconds float64) time.Time { return t0.Add(time.Duration(seconds * float64(time.Second))) }
 
-// follow returns a follower that knows engine 1 as a reader at epoch 3.
-func follow(t *testing.T) *Follower {
-	f := NewFollower(limits)
-	out := f.Seen(t0, 1, Standing{Role: Prefill, Epoch: 3, Starts: at(-100)}, nil)
-	if len(out) != 1 || out[0].Kind != List || out[0].View != (View{Role: Prefill, Since: at(-100)}) {
+// newTracker returns a tracker that knows engine 1 as a reader at epoch 3.
+func newTracker(t *testing.T) *RoleTracker {
+	f := NewRoleTracker(limits)
+	out := f.ObserveState(t0, 1, RoleState{Role: Prefill, Epoch: 3, StartedAt: at(-100)}, nil)
+	if len(out) != 1 || out[0].Kind != UpdateListing || out[0].Listing != (Listing{Role: Prefill, StartedAt: at(-100)}) {
 		t.Fatalf("%+v", out)
 	}
 	return f
 }
 
-func last(t *testing.T, f *Follower) Ended {
+func singleResult(t *testing.T, f *RoleTracker) ChangeResult {
 	t.Helper()
-	e := f.Ended()
+	e := f.TakeResults()
 	if len(e) != 1 {
-		t.Fatalf("%d changes have ended, want 1: %+v", len(e), e)
+		t.Fatalf("%d changes ended, want 1: %+v", len(e), e)
 	}
 	return e[0]
 }
 
-func TestWayOfAChange(t *testing.T) {
-	f := follow(t)
-	out, err := f.Begin(at(0), 1, Decode, nil)
-	if err != nil || len(out) != 2 || out[0].View != (View{Role: Prefill, Draining: true, Since: at(-100)}) ||
-		out[1].Kind != Ask || out[1].To != Decode || out[1].Epoch != 3 {
+func TestRoleChange(t *testing.T) {
+	f := newTracker(t)
+	out, err := f.BeginChange(at(0), 1, Decode, nil)
+	if err != nil || len(out) != 2 || out[0].Listing != (Listing{Role: Prefill, Draining: true, StartedAt: at(-100)}) ||
+		out[1].Kind != RequestChange || out[1].To != Decode || out[1].Epoch != 3 {
 		t.Fatalf("%v %+v", err, out)
 	}
-	if f.May(1) || f.Away() != 1 {
-		t.Error("it may change while it changes")
+	if f.CanChange(1) || f.ChangingEngines() != 1 {
+		t.Error("the engine can begin another change during a change")
 	}
-	f.Answered(at(0.1), 1, true, Standing{}, nil)
-	f.Seen(at(0.2), 1, Standing{Role: Prefill, Epoch: 3, To: Decode, Phase: Emptying, Starts: at(-100)}, nil)
-	f.Seen(at(4), 1, Standing{Role: Prefill, Epoch: 3, To: Decode, Phase: Changing, Starts: at(-100)}, nil)
-	out = f.Seen(at(9), 1, Standing{Role: Decode, Epoch: 4, Starts: at(9)}, nil)
-	if len(out) != 1 || out[0].View != (View{Role: Decode, Since: at(9)}) {
-		t.Errorf("it is to come back as a cold writer: %+v", out)
+	f.HandleAnswer(at(0.1), 1, true, RoleState{}, nil)
+	f.ObserveState(at(0.2), 1, RoleState{Role: Prefill, Epoch: 3, To: Decode, Phase: Emptying, StartedAt: at(-100)}, nil)
+	f.ObserveState(at(4), 1, RoleState{Role: Prefill, Epoch: 3, To: Decode, Phase: Changing, StartedAt: at(-100)}, nil)
+	out = f.ObserveState(at(9), 1, RoleState{Role: Decode, Epoch: 4, StartedAt: at(9)}, nil)
+	if len(out) != 1 || out[0].Listing != (Listing{Role: Decode, StartedAt: at(9)}) {
+		t.Errorf("actions after the change: %+v, want a cold writer", out)
 	}
-	if e := last(t, f); !e.Done || e.Took != 9*time.Second {
+	if e := singleResult(t, f); !e.Succeeded || e.Elapsed != 9*time.Second {
 		t.Errorf("%+v", e)
 	}
-	if !f.May(1) || f.Away() != 0 {
-		t.Error("it is not free again")
+	if !f.CanChange(1) || f.ChangingEngines() != 0 {
+		t.Error("the engine cannot change again after its change")
 	}
-	// A word from before is passed over.
-	if out = f.Seen(at(10), 1, Standing{Role: Prefill, Epoch: 3, Starts: at(-100)}, nil); len(out) != 0 {
+	// A report from before the change is ignored.
+	if out = f.ObserveState(at(10), 1, RoleState{Role: Prefill, Epoch: 3, StartedAt: at(-100)}, nil); len(out) != 0 {
 		t.Errorf("%+v", out)
 	}
 }
 
-// Each step's failure has its exit: the change ends, with its reason, the engine is listed as what it is,
-// and it rests.
-func TestFailuresOfAChange(t *testing.T) {
-	old := Standing{Role: Prefill, Epoch: 3, Starts: at(-100)}
-	empty := Standing{Role: Prefill, Epoch: 3, To: Decode, Phase: Emptying, Starts: at(-100)}
-	busy := Standing{Role: Prefill, Epoch: 3, To: Decode, Phase: Changing, Starts: at(-100)}
-	anew := Standing{Role: Prefill, Epoch: 3, Starts: at(2)}
-	other := Standing{Role: Prefill, Epoch: 5, Starts: at(2)}
+// Whatever step of a change fails, the change ends with its reason, the engine is listed as what it is, and a backoff
+// follows.
+func TestFailedChanges(t *testing.T) {
+	old := RoleState{Role: Prefill, Epoch: 3, StartedAt: at(-100)}
+	empty := RoleState{Role: Prefill, Epoch: 3, To: Decode, Phase: Emptying, StartedAt: at(-100)}
+	busy := RoleState{Role: Prefill, Epoch: 3, To: Decode, Phase: Changing, StartedAt: at(-100)}
+	anew := RoleState{Role: Prefill, Epoch: 3, StartedAt: at(2)}
+	other := RoleState{Role: Prefill, Epoch: 5, StartedAt: at(2)}
 	for _, c := range []struct {
 		name string
-		play func(f *Follower)
+		play func(f *RoleTracker)
 		why  string
-		view View
+		view Listing
 	}{
-		{"it refuses", func(f *Follower) { f.Answered(at(0.1), 1, false, old, nil) }, "the engine refused: it is at another epoch, or busy with another change",
-			View{Role: Prefill, Since: at(-100)}},
-		{"it refuses, for it has changed meanwhile", func(f *Follower) { f.Answered(at(0.1), 1, false, other, nil) },
-			"the engine refused: it is at another epoch, or busy with another change", View{Role: Prefill, Since: at(2)}},
-		{"no answer", func(f *Follower) { f.Tick(at(1), nil) }, "no answer to the question", View{Role: Prefill, Since: at(-100)}},
-		{"it dies while it empties, and is started anew", func(f *Follower) {
-			f.Answered(at(0.1), 1, true, old, nil)
-			f.Seen(at(1), 1, empty, nil)
-			f.Seen(at(2), 1, anew, nil)
-		}, "it was started anew in its old role", View{Role: Prefill, Since: at(2)}},
-		{"it changes its mind", func(f *Follower) {
-			f.Answered(at(0.1), 1, true, old, nil)
-			f.Seen(at(1), 1, empty, nil)
-			f.Seen(at(2), 1, old, nil)
-		}, "it went on in its old role", View{Role: Prefill, Since: at(-100)}},
-		{"it does not empty, nor stay", func(f *Follower) {
-			f.Answered(at(0.1), 1, true, old, nil)
-			f.Seen(at(1), 1, empty, nil)
+		{"engine refuses", func(f *RoleTracker) { f.HandleAnswer(at(0.1), 1, false, old, nil) }, "the engine refused: it is at another epoch or in another change",
+			Listing{Role: Prefill, StartedAt: at(-100)}},
+		{"engine refuses after another change", func(f *RoleTracker) { f.HandleAnswer(at(0.1), 1, false, other, nil) },
+			"the engine refused: it is at another epoch or in another change", Listing{Role: Prefill, StartedAt: at(2)}},
+		{"no answer", func(f *RoleTracker) { f.Tick(at(1), nil) }, "no answer to the change request", Listing{Role: Prefill, StartedAt: at(-100)}},
+		{"engine restarts while emptying", func(f *RoleTracker) {
+			f.HandleAnswer(at(0.1), 1, true, old, nil)
+			f.ObserveState(at(1), 1, empty, nil)
+			f.ObserveState(at(2), 1, anew, nil)
+		}, "the engine restarted in its old role", Listing{Role: Prefill, StartedAt: at(2)}},
+		{"engine cancels by itself", func(f *RoleTracker) {
+			f.HandleAnswer(at(0.1), 1, true, old, nil)
+			f.ObserveState(at(1), 1, empty, nil)
+			f.ObserveState(at(2), 1, old, nil)
+		}, "the engine stayed in its old role", Listing{Role: Prefill, StartedAt: at(-100)}},
+		{"engine neither finishes its work nor cancels", func(f *RoleTracker) {
+			f.HandleAnswer(at(0.1), 1, true, old, nil)
+			f.ObserveState(at(1), 1, empty, nil)
 			f.Tick(at(11), nil)
 			f.Tick(at(13), nil)
-		}, "it neither empties nor stays", View{Role: Prefill, Draining: true, Since: at(-100)}},
-		{"it hangs in the change", func(f *Follower) {
-			f.Answered(at(0.1), 1, true, old, nil)
-			f.Seen(at(1), 1, busy, nil)
+		}, "the engine neither finishes its work nor cancels the change", Listing{Role: Prefill, Draining: true, StartedAt: at(-100)}},
+		{"change hangs", func(f *RoleTracker) {
+			f.HandleAnswer(at(0.1), 1, true, old, nil)
+			f.ObserveState(at(1), 1, busy, nil)
 			f.Tick(at(22), nil)
-		}, "the change takes too long", View{Role: Prefill, Draining: true, Since: at(-100)}},
-		{"it comes back in its old role", func(f *Follower) {
-			f.Answered(at(0.1), 1, true, old, nil)
-			f.Seen(at(1), 1, busy, nil)
-			f.Seen(at(2), 1, old, nil)
-		}, "it came back in its old role", View{Role: Prefill, Since: at(-100)}},
-		{"it comes back in another role", func(f *Follower) {
-			f.Answered(at(0.1), 1, true, old, nil)
-			f.Seen(at(1), 1, busy, nil)
-			f.Seen(at(2), 1, other, nil)
-		}, "it came back in another role", View{Role: Prefill, Since: at(2)}},
-		{"it is called back", func(f *Follower) {
-			f.Answered(at(0.1), 1, true, old, nil)
-			f.Seen(at(1), 1, empty, nil)
-			if out := f.CallOff(1, "half of the readers died", nil); len(out) != 1 || out[0].Kind != CallBack || out[0].Epoch != 3 {
+		}, "the change timed out", Listing{Role: Prefill, Draining: true, StartedAt: at(-100)}},
+		{"engine comes back in its old role", func(f *RoleTracker) {
+			f.HandleAnswer(at(0.1), 1, true, old, nil)
+			f.ObserveState(at(1), 1, busy, nil)
+			f.ObserveState(at(2), 1, old, nil)
+		}, "the engine came back in its old role", Listing{Role: Prefill, StartedAt: at(-100)}},
+		{"engine comes back in another role", func(f *RoleTracker) {
+			f.HandleAnswer(at(0.1), 1, true, old, nil)
+			f.ObserveState(at(1), 1, busy, nil)
+			f.ObserveState(at(2), 1, other, nil)
+		}, "the engine came back in another role", Listing{Role: Prefill, StartedAt: at(2)}},
+		{"change is cancelled", func(f *RoleTracker) {
+			f.HandleAnswer(at(0.1), 1, true, old, nil)
+			f.ObserveState(at(1), 1, empty, nil)
+			if out := f.Cancel(1, "half of the readers died", nil); len(out) != 1 || out[0].Kind != CancelChange || out[0].Epoch != 3 {
 				panic(out)
 			}
-			f.Seen(at(2), 1, old, nil)
-		}, "called back", View{Role: Prefill, Since: at(-100)}},
-		{"it is gone", func(f *Follower) { f.Gone(at(2), 1) }, "it is gone", View{}},
+			f.ObserveState(at(2), 1, old, nil)
+		}, "the change was cancelled", Listing{Role: Prefill, StartedAt: at(-100)}},
+		{"engine is removed", func(f *RoleTracker) { f.Remove(at(2), 1) }, "the engine was removed from the list", Listing{}},
 	} {
-		f := follow(t)
-		f.Begin(at(0), 1, Decode, nil)
+		f := newTracker(t)
+		f.BeginChange(at(0), 1, Decode, nil)
 		c.play(f)
-		e := f.Ended()
-		if len(e) != 1 || e[0].Done || e[0].Why != c.why {
+		e := f.TakeResults()
+		if len(e) != 1 || e[0].Succeeded || e[0].Reason != c.why {
 			t.Errorf("%s: %+v", c.name, e)
 		}
-		if f.Away() != 0 {
-			t.Errorf("%s: the change goes on", c.name)
+		if f.ChangingEngines() != 0 {
+			t.Errorf("%s: the change is still in progress", c.name)
 		}
-		if ch := f.list[1]; ch != nil && ch.view != c.view {
-			t.Errorf("%s: listed as %+v, want %+v", c.name, ch.view, c.view)
+		if ch := f.engines[1]; ch != nil && ch.listing != c.view {
+			t.Errorf("%s: listed as %+v, want %+v", c.name, ch.listing, c.view)
 		}
-		if c.why != "called back" && f.May(1) {
-			t.Errorf("%s: no rest", c.name)
+		if c.why != "the change was cancelled" && f.CanChange(1) {
+			t.Errorf("%s: no backoff after a failure", c.name)
 		}
 		f.Tick(at(200), nil)
-		if ch := f.list[1]; ch != nil && ch.now.Phase == Steady && !f.May(1) {
-			t.Errorf("%s: it rests for ever", c.name)
+		if ch := f.engines[1]; ch != nil && ch.state.Phase == Steady && !f.CanChange(1) {
+			t.Errorf("%s: the backoff never ends", c.name)
 		}
 	}
 }
 
-// A router that starts while a change is half made follows it as if it were its own.
-func TestChangeOfAnotherRouter(t *testing.T) {
-	f := NewFollower(limits)
-	out := f.Seen(at(0), 1, Standing{Role: Prefill, Epoch: 3, To: Decode, Phase: Changing, Starts: at(-100)}, nil)
-	if len(out) != 1 || !out[0].View.Draining || f.Away() != 1 {
+// A router that starts during a change tracks it like one of its own.
+func TestChangeBegunByAnotherRouter(t *testing.T) {
+	f := NewRoleTracker(limits)
+	out := f.ObserveState(at(0), 1, RoleState{Role: Prefill, Epoch: 3, To: Decode, Phase: Changing, StartedAt: at(-100)}, nil)
+	if len(out) != 1 || !out[0].Listing.Draining || f.ChangingEngines() != 1 {
 		t.Errorf("%+v", out)
 	}
-	f.Seen(at(3), 1, Standing{Role: Decode, Epoch: 4, Starts: at(3)}, nil)
-	if e := last(t, f); !e.Done {
+	f.ObserveState(at(3), 1, RoleState{Role: Decode, Epoch: 4, StartedAt: at(3)}, nil)
+	if e := singleResult(t, f); !e.Succeeded {
 		t.Errorf("%+v", e)
 	}
 }
 
-// truth is an engine: it grants one change from its epoch, and refuses all else.
-type truth struct {
-	s     Standing
+// fakeEngine is an engine that grants one change from its epoch and refuses all others.
+type fakeEngine struct {
+	state RoleState
 	alive bool
 }
 
-func (e *truth) ask(to Stage, from Epoch) bool {
-	if !e.alive || e.s.Phase != Steady || e.s.Epoch != from || e.s.Role == to {
+func (e *fakeEngine) ask(to Stage, from Epoch) bool {
+	if !e.alive || e.state.Phase != Steady || e.state.Epoch != from || e.state.Role == to {
 		return false
 	}
-	e.s.Phase, e.s.To = Emptying, to
+	e.state.Phase, e.state.To = Emptying, to
 	return true
 }
 
-// Random routers, deaths, losses and delays: an engine changes only from the epoch that was asked from, a
-// router never lists it as ready for a role other than the one that it last heard of, and when all is quiet
-// every change has ended and every router knows the truth.
-func TestManyRoutersAgree(t *testing.T) {
+// With random routers, crashes, losses and delays: an engine changes only from the epoch in the request, a router
+// never lists it as ready in a role other than the last one reported, and once everything is quiet every change has
+// ended and every router knows the engine's role.
+func TestRoutersAgreeAfterFailures(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := t0
-		e := &truth{s: Standing{Role: Prefill, Epoch: 1, Starts: at(-100)}, alive: true}
-		routers := make([]*Follower, 3)
-		views := make([]View, 3)
+		e := &fakeEngine{state: RoleState{Role: Prefill, Epoch: 1, StartedAt: at(-100)}, alive: true}
+		routers := make([]*RoleTracker, 3)
+		views := make([]Listing, 3)
 		begun, ended := make([]int, 3), make([]int, 3)
-		var mail []func() // on its way: it comes in any order, or never
+		var messages []func() // in flight: delivered in any order, or never
 		var do func(i int, acts []Action)
 		do = func(i int, acts []Action) {
 			for _, a := range acts {
 				switch a.Kind {
-				case List:
-					views[i] = a.View
-				case Ask:
-					mail = append(mail, func() {
+				case UpdateListing:
+					views[i] = a.Listing
+				case RequestChange:
+					messages = append(messages, func() {
 						granted := e.ask(a.To, a.Epoch)
-						s := e.s
+						s := e.state
 						r := routers[i]
-						mail = append(mail, func() {
+						messages = append(messages, func() {
 							if routers[i] == r {
-								do(i, r.Answered(now, 1, granted, s, nil))
+								do(i, r.HandleAnswer(now, 1, granted, s, nil))
 							}
 						})
 					})
-				case CallBack:
-					mail = append(mail, func() {
-						if e.alive && e.s.Phase == Emptying && e.s.Epoch == a.Epoch {
-							e.s.Phase = Steady
+				case CancelChange:
+					messages = append(messages, func() {
+						if e.alive && e.state.Phase == Emptying && e.state.Epoch == a.Epoch {
+							e.state.Phase = Steady
 						}
 					})
 				}
 			}
 		}
-		look := func(i int, s Standing) {
-			do(i, routers[i].Seen(now, 1, s, nil))
-			c := routers[i].list[1]
-			if !views[i].Draining && (c.now.Phase != Steady || views[i].Role != c.now.Role) {
-				t.Fatalf("router %d lists it as %+v and has heard %+v", i, views[i], c.now)
+		check := func(i int, s RoleState) {
+			do(i, routers[i].ObserveState(now, 1, s, nil))
+			c := routers[i].engines[1]
+			if !views[i].Draining && (c.state.Phase != Steady || views[i].Role != c.state.Role) {
+				t.Fatalf("router %d lists the engine as %+v, but its last report is %+v", i, views[i], c.state)
 			}
 		}
-		fresh := func(i int) {
-			routers[i] = NewFollower(limits)
+		restart := func(i int) {
+			routers[i] = NewRoleTracker(limits)
 			begun[i], ended[i] = 0, 0
-			look(i, e.s)
+			check(i, e.state)
 		}
 		for i := range routers {
-			fresh(i)
+			restart(i)
 		}
 		which := func() int { return rapid.IntRange(0, 2).Draw(t, "router") }
 		tick := func() {
 			for i, r := range routers {
 				do(i, r.Tick(now, nil))
-				for range r.Ended() {
+				for range r.TakeResults() {
 					ended[i]++
 				}
 			}
@@ -238,19 +238,19 @@
 			"begin": func(t *rapid.T) {
 				i := which()
 				to := Stage(rapid.IntRange(0, 1).Draw(t, "to"))
-				if out, err := routers[i].Begin(now, 1, to, nil); err == nil {
+				if out, err := routers[i].BeginChange(now, 1, to, nil); err == nil {
 					begun[i]++
 					do(i, out)
 					if !views[i].Draining {
-						t.Fatal("the module may still send to an engine that is to change")
+						t.Fatal("the decision module can still send to an engine that is asked to change")
 					}
 				}
 			},
 			"mail": func(t *rapid.T) {
-				if len(mail) > 0 {
-					k := rapid.IntRange(0, len(mail)-1).Draw(t, "which")
-					m := mail[k]
-					mail = append(mail[:k], mail[k+1:]...)
+				if len(messages) > 0 {
+					k := rapid.IntRange(0, len(messages)-1).Draw(t, "which")
+					m := messages[k]
+					messages = append(messages[:k], messages[k+1:]...)
 					if rapid.IntRange(0, 4).Draw(t, "lost") > 0 {
 						m()
 					}
@@ -258,123 +258,124 @@
 			},
 			"look": func(t *rapid.T) {
 				if e.alive {
-					look(which(), e.s)
+					check(which(), e.state)
 				}
 			},
 			"engine goes on": func(t *rapid.T) {
 				switch {
 				case !e.alive:
-				case e.s.Phase == Emptying:
-					e.s.Phase = Changing
-				case e.s.Phase == Changing:
-					e.s = Standing{Role: e.s.To, Epoch: e.s.Epoch + 1, Starts: now}
+				case e.state.Phase == Emptying:
+					e.state.Phase = Changing
+				case e.state.Phase == Changing:
+					e.state = RoleState{Role: e.state.To, Epoch: e.state.Epoch + 1, StartedAt: now}
 				}
 			},
 			"engine dies": func(t *rapid.T) { e.alive = false },
 			"engine restarts": func(t *rapid.T) {
 				if !e.alive {
 					e.alive = true
-					e.s = Standing{Role: e.s.Role, Epoch: e.s.Epoch, Starts: now}
+					e.state = RoleState{Role: e.state.Role, Epoch: e.state.Epoch, StartedAt: now}
 				}
 			},
-			"router restarts": func(t *rapid.T) { fresh(which()) },
+			"router restarts": func(t *rapid.T) { restart(which()) },
 			"time": func(t *rapid.T) {
 				now = now.Add(time.Duration(rapid.IntRange(1, 8000).Draw(t, "ms")) * time.Millisecond)
 				tick()
 			},
-			"call off": func(t *rapid.T) { i := which(); do(i, routers[i].CallOff(1, "", nil)) },
+			"call off": func(t *rapid.T) { i := which(); do(i, routers[i].Cancel(1, "", nil)) },
 		})
-		// Quiet: the mail is lost, the engine lives and ends what it began, and everybody looks.
-		mail = nil
+		// Quiet phase: messages in flight are lost, the engine is up and completes its change, and all routers check
+		// its role.
+		messages = nil
 		now = now.Add(time.Millisecond)
 		if !e.alive {
-			e.s = Standing{Role: e.s.Role, Epoch: e.s.Epoch, Starts: now}
-		} else if e.s.Phase != Steady {
-			e.s = Standing{Role: e.s.To, Epoch: e.s.Epoch + 1, Starts: now}
+			e.state = RoleState{Role: e.state.Role, Epoch: e.state.Epoch, StartedAt: now}
+		} else if e.state.Phase != Steady {
+			e.state = RoleState{Role: e.state.To, Epoch: e.state.Epoch + 1, StartedAt: now}
 		}
 		for range 20 {
 			now = now.Add(10 * time.Second)
 			for i := range routers {
-				look(i, e.s)
+				check(i, e.state)
 			}
 			tick()
-			mail = nil
+			messages = nil
 		}
 		for i, r := range routers {
-			if r.Away() != 0 || !r.May(1) {
-				t.Fatalf("router %d is left at step %v", i, r.list[1].step)
+			if r.ChangingEngines() != 0 || !r.CanChange(1) {
+				t.Fatalf("router %d is left at step %v", i, r.engines[1].step)
 			}
-			if views[i] != (View{Role: e.s.Role, Since: e.s.Starts}) {
-				t.Fatalf("router %d lists it as %+v, it is %+v", i, views[i], e.s)
+			if views[i] != (Listing{Role: e.state.Role, StartedAt: e.state.StartedAt}) {
+				t.Fatalf("router %d lists the engine as %+v, its state is %+v", i, views[i], e.state)
 			}
 			if ended[i] < begun[i] {
-				t.Fatalf("router %d began %d changes and %d have ended", i, begun[i], ended[i])
+				t.Fatalf("router %d began %d changes and %d ended", i, begun[i], ended[i])
 			}
 		}
 	})
 }
 
-// An engine of the list gets no work before it has said what it does: the list may be behind.
-func TestListedUntilItSpeaks(t *testing.T) {
-	f := NewFollower(limits)
-	out := f.Listed(1, Prefill, nil)
-	if len(out) != 1 || !out[0].View.Draining {
+// An engine gets no work before it has reported its own role, because the server list may be outdated.
+func TestListedEngineDrainsUntilItReports(t *testing.T) {
+	f := NewRoleTracker(limits)
+	out := f.AddListed(1, Prefill, nil)
+	if len(out) != 1 || !out[0].Listing.Draining {
 		t.Fatalf("%+v", out)
 	}
-	if out = f.Listed(1, Prefill, nil); len(out) != 0 {
-		t.Errorf("told again: %+v", out)
+	if out = f.AddListed(1, Prefill, nil); len(out) != 0 {
+		t.Errorf("listed again without a change: %+v", out)
 	}
-	if out = f.Seen(at(1), 1, Standing{Role: Prefill, Epoch: 1}, nil); len(out) != 1 || out[0].View != (View{Role: Prefill}) {
+	if out = f.ObserveState(at(1), 1, RoleState{Role: Prefill, Epoch: 1}, nil); len(out) != 1 || out[0].Listing != (Listing{Role: Prefill}) {
 		t.Errorf("%+v", out)
 	}
-	if out = f.Listed(1, Decode, nil); len(out) != 0 {
-		t.Errorf("its own word is overruled: %+v", out)
+	if out = f.AddListed(1, Decode, nil); len(out) != 0 {
+		t.Errorf("the list overrules the engine's own report: %+v", out)
 	}
 }
 
-// A later start comes before the epoch: an engine that was set up anew counts from 1 again. What was overtaken
-// is passed over all the same.
-func TestWordsInDisorder(t *testing.T) {
-	f := follow(t)
-	if out := f.Seen(at(1), 1, Standing{Role: Decode, Epoch: 1, Starts: at(-1)}, nil); len(out) != 1 || out[0].View.Role != Decode {
-		t.Errorf("set up anew: %+v", out)
+// A later start takes precedence over the epoch, since an engine that was set up anew counts from 1 again. Reports
+// that were overtaken on their way are ignored all the same.
+func TestReportsOutOfOrder(t *testing.T) {
+	f := newTracker(t)
+	if out := f.ObserveState(at(1), 1, RoleState{Role: Decode, Epoch: 1, StartedAt: at(-1)}, nil); len(out) != 1 || out[0].Listing.Role != Decode {
+		t.Errorf("after the engine was set up anew: %+v", out)
 	}
-	for _, old := range []Standing{{Role: Prefill, Epoch: 1, Starts: at(-2)}, {Role: Prefill, Epoch: 0, Starts: at(-1)}} {
-		if out := f.Seen(at(2), 1, old, nil); len(out) != 0 {
-			t.Errorf("%+v was believed: %+v", old, out)
+	for _, old := range []RoleState{{Role: Prefill, Epoch: 1, StartedAt: at(-2)}, {Role: Prefill, Epoch: 0, StartedAt: at(-1)}} {
+		if out := f.ObserveState(at(2), 1, old, nil); len(out) != 0 {
+			t.Errorf("outdated report %+v was accepted: %+v", old, out)
 		}
 	}
 }
 
-// An engine whose word is too old gets no work, as another router may have changed it; where most are silent
-// it is the way to them that fails, and none is doubted.
-func TestOldWordsAreDoubted(t *testing.T) {
+// An engine whose last report is too old gets no work, as another router may have changed its role. If most engines
+// are unresponsive, the network path is the likely fault, and all stay trusted.
+func TestOldReportsAreDistrusted(t *testing.T) {
 	l := limits
-	l.Look, l.Answer = time.Second, 100*time.Millisecond
-	f := NewFollower(l)
+	l.CheckInterval, l.ReplyTimeout = time.Second, 100*time.Millisecond
+	f := NewRoleTracker(l)
 	for id := range uint64(4) {
-		f.Seen(at(0), id, Standing{Role: Prefill, Epoch: 1}, nil)
+		f.ObserveState(at(0), id, RoleState{Role: Prefill, Epoch: 1}, nil)
 	}
-	speak := func(s float64, ids ...uint64) (out []Action) {
+	report := func(s float64, ids ...uint64) (out []Action) {
 		for _, id := range ids {
-			out = f.Seen(at(s), id, Standing{Role: Prefill, Epoch: 1}, out)
+			out = f.ObserveState(at(s), id, RoleState{Role: Prefill, Epoch: 1}, out)
 		}
 		return f.Tick(at(s), out)
 	}
-	if out := speak(3.9, 0, 1, 2); len(out) != 0 {
+	if out := report(3.9, 0, 1, 2); len(out) != 0 {
 		t.Errorf("%+v", out)
 	}
-	out := speak(4, 0, 1, 2)
-	if len(out) != 1 || out[0].Engine != 3 || !out[0].View.Draining || f.May(3) {
+	out := report(4, 0, 1, 2)
+	if len(out) != 1 || out[0].Engine != 3 || !out[0].Listing.Draining || f.CanChange(3) {
 		t.Errorf("%+v", out)
 	}
-	if out := speak(5, 0, 1, 2, 3); len(out) != 1 || out[0].View.Draining || !f.May(3) {
-		t.Errorf("it speaks again: %+v", out)
+	if out := report(5, 0, 1, 2, 3); len(out) != 1 || out[0].Listing.Draining || !f.CanChange(3) {
+		t.Errorf("after a new report: %+v", out)
 	}
-	if out := speak(20, 0); len(out) != 0 {
-		t.Errorf("most are silent: %+v", out)
+	if out := report(20, 0); len(out) != 0 {
+		t.Errorf("with most engines unresponsive: %+v", out)
 	}
-	if n := l.Notice(); n <= l.doubt()+l.Answer {
-		t.Errorf("a change is announced for %v, a word believed for %v", n, l.doubt())
+	if n := l.NoticePeriod(); n <= l.maxStateAge()+l.ReplyTimeout {
+		t.Errorf("the notice period is %v, reports are trusted for %v", n, l.maxStateAge())
 	}
 }
--- a/roles/demand.go
+++ b/roles/demand.go
@@ -1,6 +1,7 @@
-// Package roles decides which engines read (prefill) and which write (decode) as the mix of the traffic
-// moves. It is free of I/O: the clock comes in with each call, and all randomness hangs on a seed. This
-// file estimates the demand, plan.go solves for the best split.
+// Package roles decides which engines read (prefill) and which write (decode) as the mix of the traffic changes: it
+// estimates the demand of each stage (demand.go, predict.go), plans the split of the engines (plan.go), decides
+// whether the plan is worth its cost (evaluator.go), and tracks role changes (change.go); manager.go combines them.
+// It does no I/O: the time is passed in with each call, and carrying out the changes is up to the caller.
 package roles
 
 import (
@@ -10,7 +11,7 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Stage is one of the two stages.
+// Stage is one of the two stages of a request.
 type Stage uint8
 
 // The stages.
@@ -20,282 +21,287 @@
 	stages
 )
 
-// Arrival is one request as it was asked, whatever became of it.
-type Arrival struct {
-	Class  int
-	Prompt float64 // tokens of the prompt
-	Kept   float64 // of them, found kept by the engine that read it; negative while not known
-	Answer float64 // tokens written; 0 while not known
-	Cut    bool    // the answer was longer than Answer: it was cut off, or the client left
-	Retry  bool    // a client's repeat: it is part of a request that was counted
+// RequestInfo is what is known of one request, whatever its outcome.
+type RequestInfo struct {
+	Class        int
+	PromptTokens float64
+	CachedTokens float64 // prompt tokens found in the prefix cache of the engine that read it; negative while unknown
+	OutputTokens float64 // tokens written; 0 while unknown
+	Truncated    bool    // the answer would have been longer: it was cut off, or the client left
+	Retry        bool    // a client's retry of a request that has been counted already
 }
 
-// Work is a forecast of one stage's work, in tokens a second.
-type Work struct {
-	Mean float64
-	SD   float64 // of what is not known of the mean, and of its moving
-	Seen float64 // horizons of earlier forecasts that could be held against what came
+// WorkForecast is a forecast of one stage's work, in tokens a second.
+type WorkForecast struct {
+	Mean           float64
+	SD             float64 // covers the uncertainty of the mean and its changes over the horizon
+	ScoredHorizons float64 `json:"Seen"` // number of horizons whose forecasts could be compared with the actual work
 }
 
-// Quantile is the work that is not passed with probability p, in (0, 1).
-func (w Work) Quantile(p float64) float64 {
+// Quantile returns the work that is not exceeded with probability p, in (0, 1).
+func (w WorkForecast) Quantile(p float64) float64 {
 	return math.Max(0, w.Mean+w.SD*distuv.UnitNormal.Quantile(p))
 }
 
-// The memories of the estimates.
+// Constants of the estimates.
 const (
-	// shortSpan and longSpan: how fast a change shows, and what it is held against.
-	shortSpan = 20 * time.Second
-	longSpan  = 3 * time.Minute
-	// sizeWeight is the weight of a new length among about so many of its class.
-	sizeWeight = 200.0
-	// firstSize stands for a length before any has been seen, firstSpread for its spread (of the logarithm).
-	firstSize   = 500.0
-	firstSpread = 1.0
-	// clipSpread bounds how far, in spreads, one length may move the estimates: a few very long prompts
-	// are work, but no reason to change roles.
-	clipSpread = 3.0
+	// shortTimeConstant sets how fast a change of the rate shows, longTimeConstant the average that it is compared
+	// with.
+	shortTimeConstant = 20 * time.Second
+	longTimeConstant  = 3 * time.Minute
+	// maxSamples bounds the weight of the old lengths of a class: a new one weighs at least 1/maxSamples.
+	maxSamples = 200.0
+	// defaultLength is the length assumed, in tokens, before any has been observed, and defaultSigma the standard
+	// deviation of its logarithm.
+	defaultLength = 500.0
+	defaultSigma  = 1.0
+	// clipSigmas bounds how far, in standard deviations, a single length can move the estimates: a few very long
+	// prompts are work, but no reason to change roles.
+	clipSigmas = 3.0
 )
 
-// count is a decaying count of events with its decaying time of watching, so that its rate is right from
-// the start.
-type count struct {
-	span time.Duration
-	sum  float64
-	seen float64 // seconds
-	at   time.Duration
-	born bool
+// decayingCount is a count of events that decays exponentially, together with the observation time, which decays the
+// same way, so that the rate is right from the start.
+type decayingCount struct {
+	timeConstant time.Duration
+	sum          float64
+	seconds      float64 // decayed observation time in seconds
+	updatedAt    time.Duration
+	started      bool
 }
 
-func (c *count) decay(now time.Duration) {
-	if !c.born {
-		c.born, c.at = true, now
+func (c *decayingCount) decay(now time.Duration) {
+	if !c.started {
+		c.started, c.updatedAt = true, now
 		return
 	}
-	passed := max(now-c.at, 0)
-	f := math.Exp(-float64(passed) / float64(c.span))
+	passed := max(now-c.updatedAt, 0)
+	f := math.Exp(-float64(passed) / float64(c.timeConstant))
 	c.sum *= f
 	// The integral of the decay over the time passed, in seconds.
-	c.seen = c.seen*f + c.span.Seconds()*(1-f)
-	c.at = max(now, c.at)
+	c.seconds = c.seconds*f + c.timeConstant.Seconds()*(1-f)
+	c.updatedAt = max(now, c.updatedAt)
 }
 
-func (c *count) add(now time.Duration, n float64) {
+func (c *decayingCount) add(now time.Duration, n float64) {
 	c.decay(now)
 	c.sum += n
 }
 
-// rate is the posterior of a Poisson rate under Jeffreys' prior: a Gamma with shape sum+1/2.
-func (c *count) rate(now time.Duration) (mean, sd float64) {
+// rate returns the posterior mean and standard deviation of a Poisson rate under Jeffreys' prior: a Gamma
+// distribution with shape sum+1/2.
+func (c *decayingCount) rate(now time.Duration) (mean, sd float64) {
 	c.decay(now)
-	seen := math.Max(c.seen, 1)
+	seconds := math.Max(c.seconds, 1)
 	shape := c.sum + 0.5
-	return shape / seen, math.Sqrt(shape) / seen
+	return shape / seconds, math.Sqrt(shape) / seconds
 }
 
-// length is a long-tailed length, learnt as a lognormal: mean and spread of its logarithm.
-type length struct {
-	n       float64
-	mu, vsq float64 // of the logarithm
+// lengthEstimate estimates a long-tailed length in tokens as a lognormal distribution.
+type lengthEstimate struct {
+	n            float64
+	mu, variance float64 // mean and variance of the logarithm
 }
 
-func (l *length) sigma() float64 {
+func (l *lengthEstimate) sigma() float64 {
 	if l.n == 0 {
-		return firstSpread
+		return defaultSigma
 	}
-	return math.Sqrt(l.vsq)
+	return math.Sqrt(l.variance)
 }
 
-// learn takes in a length. One that lies far out counts as one that lies as far as may be. A length that
-// was cut off counts as the mean of what is beyond it.
-func (l *length) learn(x float64, cut bool) {
+// observe adds a length. An outlier counts as a length at the clipping bound. A truncated length counts as the mean
+// of all that are longer.
+func (l *lengthEstimate) observe(x float64, truncated bool) {
 	y := math.Log(math.Max(x, 1))
 	if l.n == 0 {
-		l.mu, l.vsq = math.Log(firstSize), firstSpread*firstSpread
+		l.mu, l.variance = math.Log(defaultLength), defaultSigma*defaultSigma
 	}
 	s := math.Max(l.sigma(), 0.1)
-	if cut {
+	if truncated {
 		z := (y - l.mu) / s
-		y = l.mu + s*beyond(z)
+		y = l.mu + s*tailMean(z)
 	}
-	y = math.Min(math.Max(y, l.mu-clipSpread*s), l.mu+clipSpread*s)
+	y = math.Min(math.Max(y, l.mu-clipSigmas*s), l.mu+clipSigmas*s)
 	l.n++
-	w := math.Max(1/l.n, 1/sizeWeight)
+	w := math.Max(1/l.n, 1/maxSamples)
 	if l.n == 1 {
-		w = 0.5 // half the guess, half the first one seen
+		w = 0.5 // half the default, half the first observation
 	}
 	d := y - l.mu
 	l.mu += w * d
-	l.vsq += w * (d*d*(1-w) - l.vsq)
+	l.variance += w * (d*d*(1-w) - l.variance)
 }
 
-// beyond is the mean of a standard normal above z (the inverse Mills ratio).
-func beyond(z float64) float64 {
+// tailMean returns the mean of a standard normal distribution above z (the inverse Mills ratio).
+func tailMean(z float64) float64 {
 	if z > 6 {
 		return z + 1/z
 	}
 	return distuv.UnitNormal.Prob(z) / distuv.UnitNormal.Survival(z)
 }
 
-// mean is that of the lognormal; err is the relative error of that mean from the few lengths seen.
-func (l *length) mean() (mean, square, err float64) {
-	mu, v := l.mu, l.vsq
+// mean returns the mean and the mean square of the lognormal distribution, and the relative standard error of the
+// mean that results from the few lengths observed.
+func (l *lengthEstimate) mean() (mean, square, err float64) {
+	mu, v := l.mu, l.variance
 	if l.n == 0 {
-		mu, v = math.Log(firstSize), firstSpread*firstSpread
+		mu, v = math.Log(defaultLength), defaultSigma*defaultSigma
 	}
 	v = math.Min(v, 4)
 	mean = math.Exp(mu + v/2)
-	n := math.Min(math.Max(l.n, 1), sizeWeight)
+	n := math.Min(math.Max(l.n, 1), maxSamples)
 	// The variance of mu + v/2 over n lengths: v/n + v*v/(2n).
 	return mean, mean * mean * math.Exp(v), math.Sqrt(v/n + v*v/(2*n))
 }
 
-// class is what is learnt of one class.
-type class struct {
-	short, long   count
-	fresh, answer length
+// classStats is what has been observed of one request class.
+type classStats struct {
+	shortRate, longRate decayingCount
+	uncached, output    lengthEstimate
 }
 
-// Demand estimates the work that is asked of each stage, not what was done: what was refused or came late
-// counts as much as what was served. It is not safe for concurrent use.
-type Demand struct {
-	classes []class
+// DemandEstimator estimates the work requested of each stage. It counts requested work, not completed work: requests
+// that were refused or answered late count as much as those that were served. It is not safe for concurrent use.
+type DemandEstimator struct {
+	classes []classStats
 	horizon time.Duration
-	// Work by bucket, and what is foretold of it.
-	at      time.Duration // the end of the last bucket
-	arrived []float64     // by class, in the present bucket
-	predict [stages]*predictor
-	// The dispersion of arrivals is learnt over windows: 1 is Poisson, more is bursty.
-	window     time.Duration
-	windowFrom time.Duration
-	inWindow   float64
-	mean, vari float64
-	windows    float64
+	// Work by bucket, and its forecast.
+	bucketEnd  time.Duration // end of the last bucket
+	arrivals   []float64     // by class, in the current bucket
+	predictors [stages]*predictor
+	// The dispersion of arrivals is measured over windows: 1 is Poisson, more is bursty.
+	window         time.Duration
+	windowStart    time.Duration
+	windowArrivals float64
+	mean, variance float64
+	windows        float64
 }
 
-// dispersionWindow is the window over which bursts are told from a steady stream.
+// dispersionWindow is the window over which arrivals are counted to distinguish bursty from steady traffic.
 const dispersionWindow = 2 * time.Second
 
-// NewDemand returns a Demand for so many classes, that forecasts over a horizon.
-func NewDemand(classes int, horizon time.Duration) *Demand {
-	d := &Demand{classes: make([]class, classes), window: dispersionWindow, horizon: max(horizon, bucket), arrived: make([]float64, classes)}
+// NewDemandEstimator returns an estimator for the given number of classes that forecasts over horizon.
+func NewDemandEstimator(classes int, horizon time.Duration) *DemandEstimator {
+	d := &DemandEstimator{classes: make([]classStats, classes), window: dispersionWindow, horizon: max(horizon, bucket), arrivals: make([]float64, classes)}
 	for i := range d.classes {
-		d.classes[i].short.span, d.classes[i].long.span = shortSpan, longSpan
+		d.classes[i].shortRate.timeConstant, d.classes[i].longRate.timeConstant = shortTimeConstant, longTimeConstant
 	}
-	for st := range d.predict {
-		d.predict[st] = newPredictor(d.horizon)
+	for st := range d.predictors {
+		d.predictors[st] = newPredictor(d.horizon)
 	}
 	return d
 }
 
-// Arrived takes in a request at its arrival. now does not go back.
-func (d *Demand) Arrived(now time.Duration, a Arrival) {
+// ObserveArrival counts a request at its arrival. now must not go back between calls.
+func (d *DemandEstimator) ObserveArrival(now time.Duration, a RequestInfo) {
 	if a.Class < 0 || a.Class >= len(d.classes) || a.Retry {
 		return
 	}
-	d.roll(now)
+	d.advance(now)
 	c := &d.classes[a.Class]
-	c.short.add(now, 1)
-	c.long.add(now, 1)
-	d.inWindow++
-	d.arrived[a.Class]++
+	c.shortRate.add(now, 1)
+	c.longRate.add(now, 1)
+	d.windowArrivals++
+	d.arrivals[a.Class]++
 }
 
-// Read takes in what had to be read of a prompt.
-func (d *Demand) Read(a Arrival) {
-	if a.Class >= 0 && a.Class < len(d.classes) && a.Prompt > 0 {
-		d.classes[a.Class].fresh.learn(math.Max(a.Prompt-math.Max(a.Kept, 0), 1), false)
+// ObserveRead records how many uncached tokens of a prompt had to be read.
+func (d *DemandEstimator) ObserveRead(a RequestInfo) {
+	if a.Class >= 0 && a.Class < len(d.classes) && a.PromptTokens > 0 {
+		d.classes[a.Class].uncached.observe(math.Max(a.PromptTokens-math.Max(a.CachedTokens, 0), 1), false)
 	}
 }
 
-// Written takes in how long an answer was, as far as it is known.
-func (d *Demand) Written(a Arrival) {
-	if a.Class >= 0 && a.Class < len(d.classes) && a.Answer > 0 {
-		d.classes[a.Class].answer.learn(a.Answer, a.Cut)
+// ObserveOutput records the length of an answer, as far as it is known.
+func (d *DemandEstimator) ObserveOutput(a RequestInfo) {
+	if a.Class >= 0 && a.Class < len(d.classes) && a.OutputTokens > 0 {
+		d.classes[a.Class].output.observe(a.OutputTokens, a.Truncated)
 	}
 }
 
-// roll closes the windows and buckets that have passed.
-func (d *Demand) roll(now time.Duration) {
-	const gain, most = 0.05, 64
-	for i := 0; now-d.windowFrom >= d.window; i++ {
-		if i == most { // after a long silence the windows between say nothing new
-			d.windowFrom = now
+// advance closes the windows and buckets that have passed.
+func (d *DemandEstimator) advance(now time.Duration) {
+	const gain, maxWindows = 0.05, 64
+	for i := 0; now-d.windowStart >= d.window; i++ {
+		if i == maxWindows { // after a long silence the windows in between carry no new information
+			d.windowStart = now
 			break
 		}
 		d.windows++
 		w := math.Max(1/d.windows, gain)
-		delta := d.inWindow - d.mean
+		delta := d.windowArrivals - d.mean
 		d.mean += w * delta
-		d.vari += w * (delta*delta*(1-w) - d.vari)
-		d.inWindow = 0
-		d.windowFrom += d.window
+		d.variance += w * (delta*delta*(1-w) - d.variance)
+		d.windowArrivals = 0
+		d.windowStart += d.window
 	}
-	const mostBuckets = 1200 // of silence that are told one by one
-	for i := 0; now-d.at >= bucket; i++ {
-		if i == mostBuckets {
-			d.at = now
+	const maxBuckets = 1200 // of silence that are processed one by one
+	for i := 0; now-d.bucketEnd >= bucket; i++ {
+		if i == maxBuckets {
+			d.bucketEnd = now
 			break
 		}
 		var work [stages]float64
 		for c := range d.classes {
-			// A request counts with the mean lengths of its class, which are surer than its own.
-			for st, l := range [stages]*length{&d.classes[c].fresh, &d.classes[c].answer} {
+			// A request counts with the mean lengths of its class, which are known better than its own.
+			for st, l := range [stages]*lengthEstimate{&d.classes[c].uncached, &d.classes[c].output} {
 				mean, _, _ := l.mean()
-				work[st] += d.arrived[c] * mean / bucket.Seconds()
+				work[st] += d.arrivals[c] * mean / bucket.Seconds()
 			}
-			d.arrived[c] = 0
+			d.arrivals[c] = 0
 		}
 		for st := range work {
-			d.predict[st].add(work[st])
+			d.predictors[st].add(work[st])
 		}
-		d.at += bucket
+		d.bucketEnd += bucket
 	}
 }
 
-// dispersion is the variance of arrivals in a window over their mean, at least 1.
-func (d *Demand) dispersion() float64 {
+// dispersion returns the variance of the arrivals in a window divided by their mean, at least 1.
+func (d *DemandEstimator) dispersion() float64 {
 	if d.windows < 5 || d.mean <= 0 {
 		return 1
 	}
-	return math.Max(d.vari/d.mean, 1)
+	return math.Max(d.variance/d.mean, 1)
 }
 
-// Forecast is the work asked of each stage over the horizon that begins now. Its spread is what forecasts were
-// off by so far, and while few could be held against what came, what is not known of rates and lengths, the
-// chance of the horizon's own arrivals, and how far the last moments lie from the last minutes.
-func (d *Demand) Forecast(now time.Duration) (out [stages]Work) {
-	d.roll(now)
-	disp := d.dispersion()
+// Forecast returns the work requested of each stage over the horizon that begins now. Its standard deviation is the
+// error of past forecasts. While few of these could be compared with the actual work, it comes from the uncertainty
+// of rates and lengths, the randomness of arrivals within the horizon, and the difference between the recent and the
+// long-term rate.
+func (d *DemandEstimator) Forecast(now time.Duration) (out [stages]WorkForecast) {
+	d.advance(now)
+	dispersion := d.dispersion()
 	h := d.horizon.Seconds()
 	var mean, variance, lengths [stages]float64
 	for i := range d.classes {
 		c := &d.classes[i]
-		short, shortSD := c.short.rate(now)
-		long, longSD := c.long.rate(now)
-		// Weighed by their precision; a burst that is over weighs little against the minutes before.
-		sv, lv := shortSD*shortSD*disp, longSD*longSD*disp
+		short, shortSD := c.shortRate.rate(now)
+		long, longSD := c.longRate.rate(now)
+		// Weighted by precision, so that a burst that is over has little weight against the minutes before it.
+		sv, lv := shortSD*shortSD*dispersion, longSD*longSD*dispersion
 		drift := short - long
-		lv += drift * drift / 2 // the long view is stale by as much as the two differ
+		lv += drift * drift / 2 // the long-term rate is outdated by as much as the two differ
 		wl := sv / (sv + lv)
 		rate := wl*long + (1-wl)*short
 		rateVar := wl*wl*lv + (1-wl)*(1-wl)*sv
-		for st, l := range [stages]*length{&c.fresh, &c.answer} {
+		for st, l := range [stages]*lengthEstimate{&c.uncached, &c.output} {
 			size, square, err := l.mean()
 			mean[st] += rate * size
-			// The rate's, and the compound Poisson chance of the horizon itself.
-			variance[st] += rateVar*size*size + disp*rate*square/h
+			// The variance of the rate, and the compound Poisson variance of the horizon itself.
+			variance[st] += rateVar*size*size + dispersion*rate*square/h
 			lengths[st] += rate * rate * size * size * err * err
 		}
 	}
 	for st := range out {
-		told, square, horizons := d.predict[st].predict()
-		// Errors of overlapping horizons hang together: so many horizons are so many draws, and the first few
-		// are weighed against what theory says.
-		const theory = 1.0
-		w := horizons / (horizons + theory)
-		out[st].Seen = horizons
-		out[st].Mean = w*told + (1-w)*mean[st]
+		forecast, square, horizons := d.predictors[st].predict()
+		// Errors of overlapping horizons are correlated, so the number of horizons, not of forecasts, is the number
+		// of independent samples; the first few are weighted against the theoretical variance.
+		const theoryWeight = 1.0
+		w := horizons / (horizons + theoryWeight)
+		out[st].ScoredHorizons = horizons
+		out[st].Mean = w*forecast + (1-w)*mean[st]
 		out[st].SD = math.Sqrt(w*square + (1-w)*variance[st] + lengths[st])
 	}
 	return out
--- a/roles/manager.go
+++ b/roles/manager.go
@@ -7,259 +7,262 @@
 	"time"
 )
 
-// Turn shares out the right to begin changes among routers that do not talk: time is cut into slots, and in
-// each slot one router may begin, by its index. What it begins is seen by the others before their turn, if
-// they look at the engines' roles at least four times a slot and clocks differ by less than a quarter of
-// one: a router begins only in the middle half of its slot. The turn of a dead router passes unused.
-type Turn struct {
-	Routers int
-	Index   int
-	Slot    time.Duration
+// TurnOrder gives the right to begin changes to one router at a time, without communication between routers: wall
+// time is divided into slots, and in each slot one router may begin changes, by its index. The other routers see what
+// it begins before their own turn if they check the engines' roles at least four times a slot and clocks differ by
+// less than a quarter of a slot, because a router begins changes only in the middle half of its slot. The slots of a
+// dead router pass unused.
+type TurnOrder struct {
+	Routers    int
+	Index      int
+	SlotLength time.Duration
 }
 
-// May tells whether it is this router's turn at a point of wall time.
-func (t Turn) May(now time.Time) bool {
-	if t.Routers <= 1 || t.Slot <= 0 {
+// Allows reports whether it is this router's turn at a point of wall time.
+func (t TurnOrder) Allows(now time.Time) bool {
+	if t.Routers <= 1 || t.SlotLength <= 0 {
 		return true
 	}
 	at := now.UnixNano()
-	slot := int64(t.Slot)
+	slot := int64(t.SlotLength)
 	into := at % slot
 	return (at/slot)%int64(t.Routers) == int64(t.Index) && into >= slot/4 && into < slot-slot/4
 }
 
-// Info is what discovery and the settings tell of an engine.
-type Info struct {
-	ID       uint64
-	Kind     int
-	Cell     int
-	Role     Stage           // by the list
-	Cap      [stages]float64 // tokens a second by role; 0: it can't
-	Draining bool            // somebody else drains it
-	Unsound  bool            // it is held to be failing
-	Held     float64         // tokens that a change would lose
+// EngineInfo is what discovery and the settings tell about an engine.
+type EngineInfo struct {
+	ID         uint64
+	Kind       int
+	Cell       int
+	Role       Stage           // as listed
+	Capacity   [stages]float64 // tokens a second by role; 0: it does not support the role
+	Draining   bool            // it is listed as draining, for a reason other than a role change
+	Unhealthy  bool            // it is considered to be failing
+	HeldTokens float64         // tokens of holds and cached prefixes that a change would lose
 }
 
-// Config is what a Manager works by.
+// Config is the configuration of a Manager.
 type Config struct {
-	Classes    int
-	Limits     Limits
-	Costs      Costs
-	Confidence float64       // with which a change has to pay, in (0.5, 1)
-	Looks      int           // plans in a row that have to agree; 0: one
-	Every      time.Duration // between plans
-	ColdFor    time.Duration // an engine is not changed again before it is warm
-	Turn       Turn
-	Dry        bool // plan and tell, change nothing
+	Classes          int
+	Timeouts         Timeouts
+	Costs            Costs
+	Confidence       float64 // required confidence that a change pays; in (0.5, 1)
+	ConsecutivePlans int     // number of plans in a row that have to agree; 0: one
+	PlanInterval     time.Duration
+	SlowStartTime    time.Duration // an engine does not change again while it is cold
+	TurnOrder        TurnOrder
+	DryRun           bool // plan and report, but change nothing
 }
 
-// Report is a plan as it was judged, for people.
-type Report struct {
-	At      time.Time
-	Demand  [stages]Work // over all routers
-	Plan    Plan
-	Verdict Verdict
-	Begun   int
-	Err     error
+// PlanReport is a plan and its evaluation, for operators.
+type PlanReport struct {
+	At           time.Time
+	Demand       [stages]WorkForecast // of all routers together
+	Plan         Plan
+	Verdict      Verdict
+	ChangesBegun int `json:"Begun"`
+	Err          error
 }
 
-// Manager ties demand, planner, judge and follower together. Times come in, actions go out; it is not safe
-// for concurrent use.
+// Manager combines the demand estimate, the planner, the plan evaluator and the role tracker. Times are passed in and
+// actions are returned. It is not safe for concurrent use.
 type Manager struct {
-	cfg    Config
-	start  time.Time
-	demand *Demand
-	judge  Judge
-	follow *Follower
-	infos  map[uint64]*Info
-	next   time.Time
-	waits  bool // for its turn, with a plan that pays
-	last   Report
+	cfg            Config
+	start          time.Time
+	demand         *DemandEstimator
+	evaluator      PlanEvaluator
+	tracker        *RoleTracker
+	infos          map[uint64]*EngineInfo
+	nextPlan       time.Time
+	waitingForTurn bool // it has a plan that pays, and it is another router's turn
+	last           PlanReport
 }
 
-// NewManager returns a Manager that has seen nothing.
+// NewManager returns a Manager that knows no engines and has observed no traffic.
 func NewManager(cfg Config, now time.Time) *Manager {
-	return &Manager{cfg: cfg, start: now, demand: NewDemand(cfg.Classes, cfg.Costs.Horizon), follow: NewFollower(cfg.Limits),
-		judge: Judge{Confidence: cfg.Confidence, Looks: cfg.Looks}, infos: map[uint64]*Info{}, next: now.Add(cfg.Every)}
+	return &Manager{cfg: cfg, start: now, demand: NewDemandEstimator(cfg.Classes, cfg.Costs.Horizon), tracker: NewRoleTracker(cfg.Timeouts),
+		evaluator: PlanEvaluator{Confidence: cfg.Confidence, ConsecutivePlans: cfg.ConsecutivePlans}, infos: map[uint64]*EngineInfo{}, nextPlan: now.Add(cfg.PlanInterval)}
 }
 
-// Arrived, Read and Written take in what this router sees of the traffic.
-func (m *Manager) Arrived(now time.Time, a Arrival) { m.demand.Arrived(now.Sub(m.start), a) }
+// ObserveArrival, ObserveRead and ObserveOutput record the traffic that this router sees.
+func (m *Manager) ObserveArrival(now time.Time, a RequestInfo) {
+	m.demand.ObserveArrival(now.Sub(m.start), a)
+}
 
-// Read takes in a finished read.
-func (m *Manager) Read(a Arrival) { m.demand.Read(a) }
+// ObserveRead records a finished read.
+func (m *Manager) ObserveRead(a RequestInfo) { m.demand.ObserveRead(a) }
 
-// Written takes in an answer, as far as it is known.
-func (m *Manager) Written(a Arrival) { m.demand.Written(a) }
+// ObserveOutput records the length of an answer, as far as it is known.
+func (m *Manager) ObserveOutput(a RequestInfo) { m.demand.ObserveOutput(a) }
 
-// Listed takes in all engines that there are. Those that are not among them are gone.
-func (m *Manager) Listed(now time.Time, list []Info, out []Action) []Action {
-	seen := make(map[uint64]*Info, len(list))
+// UpdateEngines takes the list of all engines. Engines that are missing from it have been removed.
+func (m *Manager) UpdateEngines(now time.Time, list []EngineInfo, out []Action) []Action {
+	seen := make(map[uint64]*EngineInfo, len(list))
 	for i := range list {
 		info := list[i]
 		seen[info.ID] = &info
 	}
 	for _, id := range slices.Sorted(maps.Keys(m.infos)) {
 		if seen[id] == nil {
-			m.follow.Gone(now, id)
+			m.tracker.Remove(now, id)
 		}
 	}
 	m.infos = seen
 	for i := range list {
-		out = m.follow.Listed(list[i].ID, list[i].Role, out)
+		out = m.tracker.AddListed(list[i].ID, list[i].Role, out)
 	}
 	return out
 }
 
-// Standing takes in an engine's word on its role.
-func (m *Manager) Standing(now time.Time, id uint64, s Standing, out []Action) []Action {
+// ObserveState handles the state that an engine reports.
+func (m *Manager) ObserveState(now time.Time, id uint64, s RoleState, out []Action) []Action {
 	if m.infos[id] == nil {
 		return out
 	}
-	return m.follow.Seen(now, id, s, out)
+	return m.tracker.ObserveState(now, id, s, out)
 }
 
-// Answered takes in an engine's answer to Ask.
-func (m *Manager) Answered(now time.Time, id uint64, granted bool, s Standing, out []Action) []Action {
-	return m.follow.Answered(now, id, granted, s, out)
+// HandleAnswer handles the engine's answer to RequestChange.
+func (m *Manager) HandleAnswer(now time.Time, id uint64, granted bool, s RoleState, out []Action) []Action {
+	return m.tracker.HandleAnswer(now, id, granted, s, out)
 }
 
-// Ended returns the changes that have ended since the last call.
-func (m *Manager) Ended() []Ended { return m.follow.Ended() }
+// TakeResults returns the changes that have ended since the last call.
+func (m *Manager) TakeResults() []ChangeResult { return m.tracker.TakeResults() }
 
-// Last returns the last plan as it was judged.
-func (m *Manager) Last() Report { return m.last }
+// LastReport returns the last plan and its evaluation.
+func (m *Manager) LastReport() PlanReport { return m.last }
 
-// Tick looks after deadlines, and plans when it is time, or when its turn has come for a plan that pays. It is
-// to be called some times a second.
+// Tick handles deadlines and plans when the plan interval is over, or when this router's turn has come and a plan
+// that pays is waiting for it. It is meant to be called several times a second.
 func (m *Manager) Tick(now time.Time, out []Action) []Action {
-	out = m.follow.Tick(now, out)
-	if now.Before(m.next) && !(m.waits && m.cfg.Turn.May(now)) {
+	out = m.tracker.Tick(now, out)
+	if now.Before(m.nextPlan) && !(m.waitingForTurn && m.cfg.TurnOrder.Allows(now)) {
 		return out
 	}
-	m.next = now.Add(m.cfg.Every)
+	m.nextPlan = now.Add(m.cfg.PlanInterval)
 	return m.plan(now, out)
 }
 
-// engines are the planner's view: what each engine says of its role, and what may be done to it.
-func (m *Manager) engines(now time.Time) []Engine {
+// planEngines returns the engines as the planner sees them: the role that each reports, and whether it can change.
+func (m *Manager) planEngines(now time.Time) []Engine {
 	out := make([]Engine, 0, len(m.infos))
 	for _, id := range slices.Sorted(maps.Keys(m.infos)) {
-		info, c := m.infos[id], m.follow.list[id]
+		info, c := m.infos[id], m.tracker.engines[id]
 		if c == nil || !c.known {
-			continue // it has not said what it does
+			continue // it has not reported its role
 		}
-		e := Engine{ID: id, Kind: info.Kind, Cell: info.Cell, Role: c.now.Role, Cap: info.Cap, Held: info.Held}
-		e.Absent = info.Unsound || info.Draining || c.doubt
-		if !e.Absent && (c.now.Phase != Steady || c.step == asking) {
-			e.Coming, e.Role = true, c.to
+		e := Engine{ID: id, Kind: info.Kind, Cell: info.Cell, Role: c.state.Role, Capacity: info.Capacity, HeldTokens: info.HeldTokens}
+		e.Unavailable = info.Unhealthy || info.Draining || c.unresponsive
+		if !e.Unavailable && (c.state.Phase != Steady || c.step == asking) {
+			e.Incoming, e.Role = true, c.target
 		}
-		cold := !c.now.Starts.IsZero() && now.Sub(c.now.Starts) < m.cfg.ColdFor
-		e.Fixed = cold || !m.follow.May(id)
+		cold := !c.state.StartedAt.IsZero() && now.Sub(c.state.StartedAt) < m.cfg.SlowStartTime
+		e.Fixed = cold || !m.tracker.CanChange(id)
 		out = append(out, e)
 	}
 	return out
 }
 
 func (m *Manager) plan(now time.Time, out []Action) []Action {
-	// Each router sees its part of the traffic; the front layer spreads it evenly but for chance, which the
-	// forecast's own spread grows with.
-	all := math.Max(float64(m.cfg.Turn.Routers), 1)
+	// Each router sees a part of the traffic. The front layer spreads requests evenly, apart from random variation,
+	// which is part of the forecast's standard deviation and is scaled with it.
+	routers := math.Max(float64(m.cfg.TurnOrder.Routers), 1)
 	demand := m.demand.Forecast(now.Sub(m.start))
 	for st := range demand {
-		demand[st].Mean *= all
-		demand[st].SD *= all
+		demand[st].Mean *= routers
+		demand[st].SD *= routers
 	}
-	engines := m.engines(now)
+	engines := m.planEngines(now)
 	p, err := Solve(engines, demand, m.cfg.Costs)
-	m.last = Report{At: now, Demand: demand, Plan: p, Err: err}
+	m.last = PlanReport{At: now, Demand: demand, Plan: p, Err: err}
 	if err != nil {
 		return out
 	}
-	m.last.Verdict = m.judge.Look(&p, demand)
-	out = m.callOff(engines, demand, out)
-	m.waits = m.last.Verdict.Change && !m.cfg.Dry && !m.cfg.Turn.May(now)
-	if !m.last.Verdict.Change || m.cfg.Dry || m.waits {
+	m.last.Verdict = m.evaluator.Evaluate(&p, demand)
+	out = m.cancelObsoleteChanges(engines, demand, out)
+	m.waitingForTurn = m.last.Verdict.Change && !m.cfg.DryRun && !m.cfg.TurnOrder.Allows(now)
+	if !m.last.Verdict.Change || m.cfg.DryRun || m.waitingForTurn {
 		return out
 	}
 	for _, mv := range p.Moves {
-		next, err := m.follow.Begin(now, mv.Engine, mv.To, out)
+		next, err := m.tracker.BeginChange(now, mv.Engine, mv.To, out)
 		if err != nil {
 			m.last.Err = err
 			continue
 		}
 		out = next
-		m.last.Begun++
+		m.last.ChangesBegun++
 	}
 	return out
 }
 
-// callOff takes back changes that are still emptying when they have lost their sense: when the work would
-// be served better with the engine where it was, as after half of its role's engines have died.
-func (m *Manager) callOff(engines []Engine, demand [stages]Work, out []Action) []Action {
-	cases := scenarios(demand)
-	var cap [stages]float64
+// cancelObsoleteChanges cancels changes that are still emptying and no longer worthwhile, because more work would be
+// served with the engine in its old role, for example after half of the engines of that role have died.
+func (m *Manager) cancelObsoleteChanges(engines []Engine, demand [stages]WorkForecast, out []Action) []Action {
+	cases := demandCases(demand)
+	var capacity [stages]float64
 	for i := range engines {
 		e := &engines[i]
 		switch {
-		case e.Coming:
-			cap[e.Role] += e.Cap[e.Role] * m.cfg.Costs.left()
-		case !e.Absent:
-			cap[e.Role] += e.Cap[e.Role]
+		case e.Incoming:
+			capacity[e.Role] += e.Capacity[e.Role] * m.cfg.Costs.remainingShare()
+		case !e.Unavailable:
+			capacity[e.Role] += e.Capacity[e.Role]
 		}
 	}
 	for i := range engines {
 		e := &engines[i]
-		c := m.follow.list[e.ID]
-		if !e.Coming || c.step != asking && c.step != emptying || c.now.Phase == Changing {
+		c := m.tracker.engines[e.ID]
+		if !e.Incoming || c.step != asking && c.step != emptying || c.state.Phase == Changing {
 			continue
 		}
-		back := cap
-		back[e.Role] -= e.Cap[e.Role] * m.cfg.Costs.left()
-		back[1-e.Role] += e.Cap[1-e.Role]
-		// As sure as a change has to be, and worth more than the change was expected to bring, else plans chase
-		// each other.
-		const least = 0.05
-		if served(back, m.cfg.Costs.Load, cases) > served(cap, m.cfg.Costs.Load, cases)+least &&
-			sure(cap, back, m.cfg.Costs.Load, cases) >= m.cfg.Confidence {
-			out = m.follow.CallOff(e.ID, "the work is where the engine was", out)
+		reverted := capacity
+		reverted[e.Role] -= e.Capacity[e.Role] * m.cfg.Costs.remainingShare()
+		reverted[1-e.Role] += e.Capacity[1-e.Role]
+		// Cancelling takes the same confidence as a change, and has to gain more than the change itself was expected
+		// to gain; otherwise plans would alternate between changing and cancelling.
+		const minGain = 0.05
+		if servedShare(reverted, m.cfg.Costs.MaxLoad, cases) > servedShare(capacity, m.cfg.Costs.MaxLoad, cases)+minGain &&
+			changeConfidence(capacity, reverted, m.cfg.Costs.MaxLoad, cases) >= m.cfg.Confidence {
+			out = m.tracker.Cancel(e.ID, "more work would be served with the engine in its old role", out)
 		}
 	}
 	return out
 }
 
-// Status is one engine as a Manager sees it, for people.
+// Status is one engine as a Manager sees it, for operators.
 type Status struct {
-	Engine uint64
-	Known  bool // it has said what it does
-	Now    Standing
-	Step   string // of a change that is followed: idle, asking, emptying, changing, resting
-	Since  time.Time
-	WhyNot string // why it would not be changed now; "" it could be
+	Engine          uint64
+	Known           bool      // it has reported its role
+	State           RoleState `json:"Now"`
+	Step            string    // of the tracked change: idle, asking, emptying, changing, resting
+	ChangeStartedAt time.Time `json:"Since"`
+	BlockedReason   string    `json:"WhyNot"` // why it would not be changed now; "" if it could be
 }
 
-// Status returns all engines, by number.
+// Status returns the status of all engines, ordered by ID.
 func (m *Manager) Status(now time.Time) []Status {
 	out := make([]Status, 0, len(m.infos))
 	for _, id := range slices.Sorted(maps.Keys(m.infos)) {
 		st := Status{Engine: id, Step: idle.String()}
-		c := m.follow.list[id]
+		c := m.tracker.engines[id]
 		if c != nil && c.known {
-			st.Known, st.Now, st.Step, st.Since = true, c.now, c.step.String(), c.began
+			st.Known, st.State, st.Step, st.ChangeStartedAt = true, c.state, c.step.String(), c.startedAt
 		}
 		switch {
 		case !st.Known:
-			st.WhyNot = "it has not said what it does"
-		case c.doubt:
-			st.WhyNot = "it does not tell its role any more"
-		case c.step == resting:
-			st.WhyNot = "a change of it failed; it rests until " + c.by.UTC().Format(time.TimeOnly)
-		case c.step != idle || c.now.Phase != Steady:
-			st.WhyNot = "it is on its way"
+			st.BlockedReason = "it has not said what it does"
+		case c.unresponsive:
+			st.BlockedReason = "it does not tell its role any more"
+		case c.step == backingOff:
+			st.BlockedReason = "a change of it failed; it rests until " + c.deadline.UTC().Format(time.TimeOnly)
+		case c.step != idle || c.state.Phase != Steady:
+			st.BlockedReason = "it is on its way"
 		case m.infos[id].Draining:
-			st.WhyNot = "it is draining"
-		case !c.now.Starts.IsZero() && now.Sub(c.now.Starts) < m.cfg.ColdFor:
-			st.WhyNot = "it is cold"
+			st.BlockedReason = "it is draining"
+		case !c.state.StartedAt.IsZero() && now.Sub(c.state.StartedAt) < m.cfg.SlowStartTime:
+			st.BlockedReason = "it is cold"
 		}
 		out = append(out, st)
 	}
--- a/roles/plan.go
+++ b/roles/plan.go
@@ -8,77 +8,78 @@
 
 // Engine is an engine as the planner sees it.
 type Engine struct {
-	ID     uint64
-	Kind   int
-	Cell   int
-	Role   Stage
-	Cap    [stages]float64 // tokens a second that it does in each role; 0: it can't
-	Fixed  bool            // it may not change, or not now: it is draining, cold, changing or not sound
-	Absent bool            // it does no work now
-	Coming bool            // it is on its way into Role, and is there for what a change leaves of the horizon
-	Held   float64         // tokens of states, streams and kept texts that a change would lose
+	ID          uint64
+	Kind        int
+	Cell        int
+	Role        Stage
+	Capacity    [stages]float64 // tokens a second in each role; 0: it does not support the role
+	Fixed       bool            // it cannot change now: it is draining, cold, changing or unhealthy
+	Unavailable bool            // it serves nothing now
+	Incoming    bool            // it is changing to Role and serves for the part of the horizon that the change leaves
+	HeldTokens  float64         // tokens of KV states, streams and cached prefixes that a change would lose
 }
 
-// Costs are what a change costs, and bounds of a plan.
+// Costs are the costs of a role change and the bounds of a plan.
 type Costs struct {
-	Horizon time.Duration // over which a plan has to pay
-	Away    time.Duration // of a change: drained, changed, and what coldness takes, as full time lost
-	Reread  float64       // work a token held that is lost, in tokens to read; 0 to 1
-	// Load is the part of its capacity to which a stage may be used and still answer in time. A queue of readers
-	// shows in the first token, one of writers at a free place hardly.
-	Load [stages]float64
-	// Changes is how many engines may be away at once; those that are away already count.
-	Changes int
-	Least   [stages]int // engines of each role, at least
-	Most    [stages]int // and at most; 0: no bound
+	Horizon     time.Duration // a plan has to pay within this time
+	AwayTime    time.Duration // time lost per change: emptying, changing and slow start, as time at full capacity
+	RereadShare float64       // work for each held token that is lost, in tokens to read again; 0 to 1
+	// MaxLoad is the highest utilization at which a stage still answers in time. Queueing at readers delays the first
+	// token; waiting for a free slot at writers hardly does.
+	MaxLoad [stages]float64
+	// MaxChanging is how many engines may be changing at once, those that are changing already included.
+	MaxChanging int
+	MinEngines  [stages]int // minimum number of engines of each role
+	MaxEngines  [stages]int // maximum number of engines of each role; 0: no bound
 }
 
-// left is the part of the horizon that a change leaves of an engine.
-func (c *Costs) left() float64 { return 1 - c.Away.Seconds()/c.Horizon.Seconds() }
+// remainingShare is the part of the horizon in which an engine that changes serves.
+func (c *Costs) remainingShare() float64 { return 1 - c.AwayTime.Seconds()/c.Horizon.Seconds() }
 
-// ColdLost is the work that an engine lacks while it is cold, as full time: it starts with a part of its capacity
-// and has all of it after coldFor, growing evenly.
-func ColdLost(start float64, coldFor time.Duration) time.Duration {
-	return time.Duration((1 - start) / 2 * float64(coldFor))
+// SlowStartLoss returns the work that an engine loses while it is cold, as time at full capacity: it starts with a
+// part of its capacity, which grows linearly to the whole within slowStartTime.
+func SlowStartLoss(initialCapacity float64, slowStartTime time.Duration) time.Duration {
+	return time.Duration((1 - initialCapacity) / 2 * float64(slowStartTime))
 }
 
-// Plan is what the planner has found.
+// Plan is the result of planning.
 type Plan struct {
 	Moves []Move
-	// Now and Then are the parts of the work that is expected to be served without and with the moves,
-	// both over the horizon.
-	Now, Then float64
-	// Sure is how sure it is that the moves serve more, among the cases of the forecast in which they make a
-	// difference.
-	Sure float64
+	// ServedNow and ServedAfter are the expected parts of the work that are served in time without and with the
+	// moves, both over the horizon.
+	ServedNow   float64 `json:"Now"`
+	ServedAfter float64 `json:"Then"`
+	// Confidence is the probability that the moves serve more, among the demand cases of the forecast in which they
+	// make a difference.
+	Confidence float64 `json:"Sure"`
 }
 
-// Move is one engine that is to change.
+// Move is one engine that is to change its role.
 type Move struct {
 	Engine uint64
 	To     Stage
 }
 
-// scenario is one case of the demand with its weight.
-type scenario struct{ read, write, weight float64 }
+// demandCase is one possible demand of both stages, in tokens a second, and its weight.
+type demandCase struct{ read, write, weight float64 }
 
-// scenarios spreads a forecast over a grid of equal chances: the best split for the mean is not the best
-// for what may come.
-func scenarios(w [stages]Work) []scenario {
+// demandCases turns a forecast into a grid of equally likely cases, since the best split for the mean demand is not
+// the best one for an uncertain demand.
+func demandCases(w [stages]WorkForecast) []demandCase {
 	const n = 5
-	out := make([]scenario, 0, n*n)
+	out := make([]demandCase, 0, n*n)
 	for i := range n {
 		for j := range n {
 			q := func(k int) float64 { return (float64(k) + 0.5) / n }
-			out = append(out, scenario{w[Prefill].Quantile(q(i)), w[Decode].Quantile(q(j)), 1.0 / (n * n)})
+			out = append(out, demandCase{w[Prefill].Quantile(q(i)), w[Decode].Quantile(q(j)), 1.0 / (n * n)})
 		}
 	}
 	return out
 }
 
-// served is the part of the work that a capacity is expected to serve in time. A request needs both stages,
-// so the weaker one bounds it.
-func served(cap, load [stages]float64, cases []scenario) float64 {
+// servedShare returns the part of the work that a capacity is expected to serve in time. A request needs both stages,
+// so the scarcer one limits it.
+func servedShare(cap, load [stages]float64, cases []demandCase) float64 {
 	sum := 0.0
 	for _, c := range cases {
 		part := 1.0
@@ -93,17 +94,18 @@
 	return sum
 }
 
-// sure is the part of the cases, of those in which two capacities differ, in which the second serves more.
-func sure(now, then, load [stages]float64, cases []scenario) float64 {
+// changeConfidence returns, among the demand cases in which two capacities serve different amounts, the part in which
+// the second one serves more.
+func changeConfidence(now, then, load [stages]float64, cases []demandCase) float64 {
 	more, less := 0.0, 0.0
 	for i := range cases {
-		a, b := served(now, load, cases[i:i+1])/cases[i].weight, served(then, load, cases[i:i+1])/cases[i].weight
-		// What rounding makes is no difference.
-		const least = 1e-9
+		a, b := servedShare(now, load, cases[i:i+1])/cases[i].weight, servedShare(then, load, cases[i:i+1])/cases[i].weight
+		// Differences this small are rounding errors.
+		const epsilon = 1e-9
 		switch {
-		case b > a+least:
+		case b > a+epsilon:
 			more += cases[i].weight
-		case b < a-least:
+		case b < a-epsilon:
 			less += cases[i].weight
 		}
 	}
@@ -113,45 +115,45 @@
 	return more / (more + less)
 }
 
-// group is engines that are alike: of one kind, cell and role, and free to change.
+// group is a set of interchangeable engines: of the same kind, cell and role, and free to change.
 type group struct {
-	role    Stage
-	cell    int
-	may     int       // of its cell and role, all kinds together, may go
-	members []*Engine // those that lose least first
+	role     Stage
+	cell     int
+	maxMoves int       // number of engines of this cell and role, of all kinds, that may move away
+	members  []*Engine // ordered by what they lose in a change, least first
 }
 
-// option is a way to take some moves from the groups so far.
+// option is one choice of moves from the groups searched so far.
 type option struct {
-	cap   [stages]float64
-	moved [stages]int // engines moved away from each role
-	here  int         // of them, of the cell and role of the last group
-	last  int         // index of the option that it goes on from, among the groups before
-	take  int         // engines taken of the last group
-	lost  float64     // tokens held that are lost
+	capacity   [stages]float64
+	moved      [stages]int // engines moved away from each role
+	movedHere  int         // engines of the last group's cell and role among them
+	previous   int         // index in the previous layer of the option that this one extends
+	taken      int         // engines moved from the last group
+	lostTokens float64     // held tokens lost
 }
 
-// ErrHorizon is returned for costs that leave nothing of a horizon.
-var ErrHorizon = errors.New("roles: a change must take less than the horizon")
+// ErrHorizon is returned for costs that leave nothing of the horizon.
+var ErrHorizon = errors.New("roles: the time lost by a change is not less than the horizon")
 
-// Solve finds the split of the engines that is expected to serve most over the horizon. It is a dynamic
-// program over groups of alike engines: for each number of moves and each capacity of readers, in steps,
-// it keeps the most that the writers could do. What is lost by moving is part of the capacity. The result
-// hangs on the arguments alone, not on the order of the engines.
-func Solve(engines []Engine, demand [stages]Work, costs Costs) (Plan, error) {
-	if costs.Away >= costs.Horizon || costs.Horizon <= 0 {
+// Solve finds the split of the engines that is expected to serve the most work over the horizon. It is a dynamic
+// program over groups of interchangeable engines: for each number of moves and each step of the readers' capacity, it
+// keeps the option with the highest capacity of the writers. Losses by moving are subtracted from the capacity. The
+// result depends only on the arguments, not on the order of the engines.
+func Solve(engines []Engine, demand [stages]WorkForecast, costs Costs) (Plan, error) {
+	if costs.AwayTime >= costs.Horizon || costs.Horizon <= 0 {
 		return Plan{}, ErrHorizon
 	}
-	cases := scenarios(demand)
-	groups, fixed, count, moves := arrange(engines, costs)
+	cases := demandCases(demand)
+	groups, fixed, count, moves := groupEngines(engines, costs)
 	base := fixed
 	for _, g := range groups {
 		for _, e := range g.members {
-			base[e.Role] += e.Cap[e.Role]
+			base[e.Role] += e.Capacity[e.Role]
 		}
 	}
-	plan := Plan{Now: served(base, costs.Load, cases)}
-	plan.Then = plan.Now
+	plan := Plan{ServedNow: servedShare(base, costs.MaxLoad, cases)}
+	plan.ServedAfter = plan.ServedNow
 	if moves <= 0 {
 		return plan, nil
 	}
@@ -159,22 +161,22 @@
 	last := layers[len(layers)-1]
 	best := -1
 	for i, o := range last {
-		got := served(o.cap, costs.Load, cases)
-		// An equal plan with more moves, or one that is better by no more than rounding, is no better.
-		const least = 1e-9
-		if got > plan.Then+least {
-			best, plan.Then = i, got
+		got := servedShare(o.capacity, costs.MaxLoad, cases)
+		// A plan that gains no more than a rounding error is not better, nor is an equal one with more moves.
+		const epsilon = 1e-9
+		if got > plan.ServedAfter+epsilon {
+			best, plan.ServedAfter = i, got
 		}
 	}
 	if best >= 0 {
-		plan.Sure = sure(base, last[best].cap, costs.Load, cases)
+		plan.Confidence = changeConfidence(base, last[best].capacity, costs.MaxLoad, cases)
 	}
 	for layer := len(layers) - 1; layer > 0 && best >= 0; layer-- {
 		o := layers[layer][best]
-		for _, e := range groups[layer-1].members[:o.take] {
+		for _, e := range groups[layer-1].members[:o.taken] {
 			plan.Moves = append(plan.Moves, Move{e.ID, 1 - e.Role})
 		}
-		best = o.last
+		best = o.previous
 	}
 	slices.SortFunc(plan.Moves, func(a, b Move) int {
 		switch {
@@ -188,9 +190,9 @@
 	return plan, nil
 }
 
-// arrange puts the engines that may change into groups, and sums up the others. It returns how many
-// engines of each role there are, and how many more moves are allowed.
-func arrange(engines []Engine, costs Costs) (groups []group, fixed [stages]float64, count [stages]int, moves int) {
+// groupEngines puts the engines that can change into groups and adds up the capacity of the others. It also returns
+// the number of engines of each role and how many more moves are allowed.
+func groupEngines(engines []Engine, costs Costs) (groups []group, fixed [stages]float64, count [stages]int, moves int) {
 	sorted := make([]*Engine, len(engines))
 	for i := range engines {
 		sorted[i] = &engines[i]
@@ -203,8 +205,8 @@
 			return int(a.Role) - int(b.Role)
 		case a.Kind != b.Kind:
 			return a.Kind - b.Kind
-		case a.Held != b.Held:
-			if a.Held < b.Held {
+		case a.HeldTokens != b.HeldTokens:
+			if a.HeldTokens < b.HeldTokens {
 				return -1
 			}
 			return 1
@@ -213,31 +215,31 @@
 		}
 		return 1
 	})
-	sound := map[[2]int]int{} // by cell and role
-	moves = costs.Changes
+	available := map[[2]int]int{} // available engines by cell and role
+	moves = costs.MaxChanging
 	for _, e := range sorted {
-		if e.Absent {
+		if e.Unavailable {
 			moves--
 			continue
 		}
-		if e.Coming {
+		if e.Incoming {
 			moves--
 			count[e.Role]++
 			continue
 		}
 		count[e.Role]++
-		sound[[2]int{e.Cell, int(e.Role)}]++
+		available[[2]int{e.Cell, int(e.Role)}]++
 	}
 	for _, e := range sorted {
-		if e.Absent {
+		if e.Unavailable {
 			continue
 		}
-		if e.Coming {
-			fixed[e.Role] += e.Cap[e.Role] * costs.left()
+		if e.Incoming {
+			fixed[e.Role] += e.Capacity[e.Role] * costs.remainingShare()
 			continue
 		}
-		if e.Fixed || e.Cap[1-e.Role] <= 0 {
-			fixed[e.Role] += e.Cap[e.Role]
+		if e.Fixed || e.Capacity[1-e.Role] <= 0 {
+			fixed[e.Role] += e.Capacity[e.Role]
 			continue
 		}
 		n := len(groups)
@@ -247,35 +249,37 @@
 		}
 		groups[n-1].members = append(groups[n-1].members, e)
 	}
-	// The last sound engine of a role stays in its cell: states would all have to cross its link.
+	// The last available engine of a role stays in its cell, since otherwise all KV states would have to cross the
+	// cell's link.
 	for i := range groups {
-		groups[i].may = sound[[2]int{groups[i].cell, int(groups[i].role)}] - 1
+		groups[i].maxMoves = available[[2]int{groups[i].cell, int(groups[i].role)}] - 1
 	}
 	return groups, fixed, count, moves
 }
 
-// steps is how finely the search tells capacities of readers apart.
-const steps = 256
+// capacitySteps is the number of steps in which the search distinguishes capacities of readers.
+const capacitySteps = 256
 
-// mostBack bounds how many engines one plan moves against its own direction, as from one kind or cell to
-// another. More of them are a thing for the next plan; each would double the search at large sizes.
-const mostBack = 4
+// maxReverseMoves bounds how many engines one plan moves in the opposite direction, for example to exchange engines
+// of different kinds or cells. Further ones are left to the next plan, since each would double the search at large
+// sizes.
+const maxReverseMoves = 4
 
-// search runs through the groups. Each layer holds, for a number of moves and a step of the readers'
-// capacity, the option with the most writers' capacity.
+// search goes through the groups. For each number of moves and each step of the readers' capacity, a layer holds the
+// option with the highest capacity of the writers.
 func search(groups []group, base [stages]float64, count [stages]int, moves int, costs Costs) [][]option {
-	here := costs.left()
-	most := base[Prefill]
+	remaining := costs.remainingShare()
+	maxReading := base[Prefill]
 	for _, g := range groups {
 		if g.role == Decode {
 			for _, e := range g.members {
-				most += e.Cap[Prefill]
+				maxReading += e.Capacity[Prefill]
 			}
 		}
 	}
-	width := max(most/steps, 1e-9)
-	layers := [][]option{{{cap: base}}}
-	type place struct {
+	width := max(maxReading/capacitySteps, 1e-9)
+	layers := [][]option{{{capacity: base}}}
+	type key struct {
 		moved [stages]int
 		here  int
 		step  int
@@ -283,19 +287,19 @@
 	for gi := range groups {
 		g := &groups[gi]
 		before := layers[len(layers)-1]
-		at := map[place]int{}
-		// Moves from a cell and role matter to the search only while groups of the same follow.
+		at := map[key]int{}
+		// Moves from a cell and role matter to the search only while further groups of that cell and role follow.
 		more := gi+1 < len(groups) && groups[gi+1].cell == g.cell && groups[gi+1].role == g.role
 		var next []option
 		for i, o := range before {
-			o.last, o.take = i, 0
+			o.previous, o.taken = i, 0
 			if gi == 0 || groups[gi-1].cell != g.cell || groups[gi-1].role != g.role {
-				o.here = 0
+				o.movedHere = 0
 			}
 			for take := 0; ; take++ {
-				p := place{o.moved, 0, int(o.cap[Prefill] / width)}
+				p := key{o.moved, 0, int(o.capacity[Prefill] / width)}
 				if more {
-					p.here = o.here
+					p.here = o.movedHere
 				}
 				if j, ok := at[p]; !ok {
 					at[p] = len(next)
@@ -303,19 +307,19 @@
 				} else if better(&o, &next[j]) {
 					next[j] = o
 				}
-				if take == len(g.members) || o.moved[0]+o.moved[1] == moves || o.here >= g.may || !within(&o, g.role, count, costs) ||
-					o.moved[g.role] >= mostBack && o.moved[1-g.role] > mostBack {
+				if take == len(g.members) || o.moved[0]+o.moved[1] == moves || o.movedHere >= g.maxMoves || !canMove(&o, g.role, count, costs) ||
+					o.moved[g.role] >= maxReverseMoves && o.moved[1-g.role] > maxReverseMoves {
 					break
 				}
 				e := g.members[take]
-				o.take = take + 1
+				o.taken = take + 1
 				o.moved[g.role]++
-				o.here++
-				o.cap[g.role] -= e.Cap[g.role]
-				o.cap[1-g.role] += e.Cap[1-g.role] * here
-				// What is lost has to be read again, within the horizon.
-				o.cap[Prefill] -= costs.Reread * e.Held / costs.Horizon.Seconds()
-				o.lost += e.Held
+				o.movedHere++
+				o.capacity[g.role] -= e.Capacity[g.role]
+				o.capacity[1-g.role] += e.Capacity[1-g.role] * remaining
+				// The lost tokens have to be read again within the horizon.
+				o.capacity[Prefill] -= costs.RereadShare * e.HeldTokens / costs.Horizon.Seconds()
+				o.lostTokens += e.HeldTokens
 			}
 		}
 		layers = append(layers, next)
@@ -323,19 +327,19 @@
 	return layers
 }
 
-// better compares two options of the same number of moves and about the same readers' capacity.
+// better reports whether a is better than b, for options with equal moves and about equal capacity of the readers.
 func better(a, b *option) bool {
-	if a.cap[Decode] != b.cap[Decode] {
-		return a.cap[Decode] > b.cap[Decode]
+	if a.capacity[Decode] != b.capacity[Decode] {
+		return a.capacity[Decode] > b.capacity[Decode]
 	}
-	return a.cap[Prefill] > b.cap[Prefill]
+	return a.capacity[Prefill] > b.capacity[Prefill]
 }
 
-// within tells whether one more engine of a role may go.
-func within(o *option, from Stage, count [stages]int, costs Costs) bool {
+// canMove reports whether one more engine may leave a role.
+func canMove(o *option, from Stage, count [stages]int, costs Costs) bool {
 	left := count[from] - o.moved[from] + o.moved[1-from] - 1
 	grown := count[1-from] - o.moved[1-from] + o.moved[from] + 1
-	if left < costs.Least[from] || costs.Most[1-from] > 0 && grown > costs.Most[1-from] {
+	if left < costs.MinEngines[from] || costs.MaxEngines[1-from] > 0 && grown > costs.MaxEngines[1-from] {
 		return false
 	}
 	return left > 0
--- a/roles/plan_test.go
+++ b/roles/plan_test.go
@@ -11,18 +11,18 @@
 	"pgregory.net/rapid"
 )
 
-func work(read, write float64) [stages]Work {
-	return [stages]Work{{Mean: read, SD: read / 20, Seen: 9}, {Mean: write, SD: write / 20, Seen: 9}}
+func work(read, write float64) [stages]WorkForecast {
+	return [stages]WorkForecast{{Mean: read, SD: read / 20, ScoredHorizons: 9}, {Mean: write, SD: write / 20, ScoredHorizons: 9}}
 }
 
 func costs() Costs {
-	return Costs{Horizon: 5 * time.Minute, Away: 30 * time.Second, Reread: 0.5, Load: [stages]float64{0.8, 0.8}, Changes: 3}
+	return Costs{Horizon: 5 * time.Minute, AwayTime: 30 * time.Second, RereadShare: 0.5, MaxLoad: [stages]float64{0.8, 0.8}, MaxChanging: 3}
 }
 
-// fleet is engines that can do both, in two cells.
+// fleet returns engines that support both roles, in two cells.
 func fleet(readers, writers int) (out []Engine) {
 	for i := range readers + writers {
-		e := Engine{ID: uint64(i + 1), Cell: i % 2, Role: Prefill, Cap: [stages]float64{10000, 1000}}
+		e := Engine{ID: uint64(i + 1), Cell: i % 2, Role: Prefill, Capacity: [stages]float64{10000, 1000}}
 		if i >= readers {
 			e.Role = Decode
 		}
@@ -31,7 +31,7 @@
 	return out
 }
 
-func TestPlanMovesWhereWorkIs(t *testing.T) {
+func TestPlanFollowsDemand(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		read, write float64
@@ -50,7 +50,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		ok := len(p.Moves) == c.moves && (c.moves == 0) == (p.Then == p.Now)
+		ok := len(p.Moves) == c.moves && (c.moves == 0) == (p.ServedAfter == p.ServedNow)
 		for _, m := range p.Moves {
 			ok = ok && m.To == c.to
 		}
@@ -60,37 +60,37 @@
 	}
 }
 
-func TestPlanKeepsItsBounds(t *testing.T) {
+func TestPlanRespectsBounds(t *testing.T) {
 	c := costs()
-	c.Least[Decode] = 5
+	c.MinEngines[Decode] = 5
 	if p, _ := Solve(fleet(6, 6), work(90000, 500), c); len(p.Moves) != 1 {
-		t.Errorf("five writers at least: %+v", p)
+		t.Errorf("at least five writers: %+v", p)
 	}
 	c = costs()
-	c.Most[Prefill] = 8
+	c.MaxEngines[Prefill] = 8
 	if p, _ := Solve(fleet(6, 6), work(90000, 500), c); len(p.Moves) != 2 {
-		t.Errorf("eight readers at most: %+v", p)
+		t.Errorf("at most eight readers: %+v", p)
 	}
-	// An engine that is away counts among the changes.
+	// An engine that serves nothing counts as changing.
 	f := fleet(6, 6)
-	f[0].Absent, f[1].Absent = true, true
+	f[0].Unavailable, f[1].Unavailable = true, true
 	if p, _ := Solve(f, work(90000, 500), costs()); len(p.Moves) != 1 {
-		t.Errorf("two are away: %+v", p)
+		t.Errorf("with two engines unavailable: %+v", p)
 	}
 	// The last writer of a cell stays.
 	f = fleet(2, 2)
 	if p, _ := Solve(f, work(90000, 10), costs()); len(p.Moves) != 0 {
-		t.Errorf("one writer in each cell: %+v", p)
+		t.Errorf("with one writer in each cell: %+v", p)
 	}
-	// Fixed engines, and those of one role only, do not move; the one that loses least does.
+	// Fixed engines and those of only one role do not move. Of the others, the engine that loses least does.
 	f = fleet(6, 6)
 	for i := range f {
-		f[i].Held = float64(100 * (20 - i))
+		f[i].HeldTokens = float64(100 * (20 - i))
 	}
 	f[11].Fixed = true
-	f[10].Cap[Prefill] = 0
+	f[10].Capacity[Prefill] = 0
 	c = costs()
-	c.Changes = 1
+	c.MaxChanging = 1
 	if p, _ := Solve(f, work(90000, 500), c); len(p.Moves) != 1 || p.Moves[0] != (Move{10, Prefill}) {
 		t.Errorf("%+v", p)
 	}
@@ -98,66 +98,66 @@
 		f[i].Fixed = true
 	}
 	if p, _ := Solve(f, work(90000, 500), costs()); len(p.Moves) != 0 {
-		t.Errorf("all are fixed: %+v", p)
+		t.Errorf("with all engines fixed: %+v", p)
 	}
-	c.Away = c.Horizon
+	c.AwayTime = c.Horizon
 	if _, err := Solve(f, work(1, 1), c); !errors.Is(err, ErrHorizon) {
 		t.Error(err)
 	}
 }
 
-// A change that takes longer than it can earn back is not planned.
-func TestPlanWeighsItsCost(t *testing.T) {
+// A change that costs more time than it gains is not planned.
+func TestPlanAccountsForCost(t *testing.T) {
 	c := costs()
-	demand := work(50000, 5000) // one more reader would help while one writer less hurts as much
+	demand := work(50000, 5000) // one more reader gains as much as one writer less loses
 	f := fleet(6, 6)
 	for i := range f {
-		f[i].Held = 1e6 // tokens that have to be read again
+		f[i].HeldTokens = 1e6 // tokens that would have to be read again
 	}
-	c.Away = 5 * time.Second
+	c.AwayTime = 5 * time.Second
 	cheap, _ := Solve(f, work(52000, 3700), c)
-	c.Away = 280 * time.Second
-	dear, _ := Solve(f, work(52000, 3700), c)
-	if len(cheap.Moves) == 0 || len(dear.Moves) != 0 {
-		t.Errorf("cheap %+v, dear %+v", cheap, dear)
+	c.AwayTime = 280 * time.Second
+	costly, _ := Solve(f, work(52000, 3700), c)
+	if len(cheap.Moves) == 0 || len(costly.Moves) != 0 {
+		t.Errorf("with a low cost: %+v, with a high cost: %+v", cheap, costly)
 	}
 	if p, _ := Solve(fleet(6, 6), demand, costs()); len(p.Moves) != 0 {
-		t.Errorf("nothing to gain: %+v", p)
+		t.Errorf("without a gain: %+v", p)
 	}
 }
 
-// Against every subset of moves of small fleets, the search finds the best, but for the steps by which it
-// tells capacities apart.
-func TestPlanIsTheBest(t *testing.T) {
+// The search finds the best of all subsets of moves of small fleets, up to the steps of capacity that it
+// distinguishes.
+func TestPlanIsOptimal(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 8).Draw(t, "engines")
 		var f []Engine
 		for i := range n {
 			f = append(f, Engine{ID: uint64(i + 1), Kind: rapid.IntRange(0, 1).Draw(t, "kind"), Cell: rapid.IntRange(0, 1).Draw(t, "cell"),
 				Role: Stage(rapid.IntRange(0, 1).Draw(t, "role")), Fixed: rapid.Bool().Draw(t, "fixed")})
-			f[i].Cap = [2][stages]float64{{10000, 1000}, {16000, 800}}[f[i].Kind]
+			f[i].Capacity = [2][stages]float64{{10000, 1000}, {16000, 800}}[f[i].Kind]
 		}
 		demand := work(rapid.Float64Range(0, 120000).Draw(t, "read"), rapid.Float64Range(0, 9000).Draw(t, "write"))
 		c := costs()
-		c.Changes = rapid.IntRange(0, 4).Draw(t, "changes")
+		c.MaxChanging = rapid.IntRange(0, 4).Draw(t, "changes")
 		p, err := Solve(f, demand, c)
 		if err != nil {
 			t.Fatal(err)
 		}
-		best := brute(f, demand, c)
-		if p.Then < best-0.01 || p.Then > best+1e-9 || len(p.Moves) > c.Changes {
-			t.Fatalf("found %.4f with %v, the best is %.4f", p.Then, p.Moves, best)
+		best := bruteForce(f, demand, c)
+		if p.ServedAfter < best-0.01 || p.ServedAfter > best+1e-9 || len(p.Moves) > c.MaxChanging {
+			t.Fatalf("found %.4f with %v, the best is %.4f", p.ServedAfter, p.Moves, best)
 		}
 	})
 }
 
-// brute tries every subset of moves.
-func brute(f []Engine, demand [stages]Work, c Costs) float64 {
-	cases := scenarios(demand)
-	here := 1 - c.Away.Seconds()/c.Horizon.Seconds()
+// bruteForce returns the served share of the best of all subsets of moves.
+func bruteForce(f []Engine, demand [stages]WorkForecast, c Costs) float64 {
+	cases := demandCases(demand)
+	here := 1 - c.AwayTime.Seconds()/c.Horizon.Seconds()
 	best := 0.0
 	for set := range 1 << len(f) {
-		if bits.OnesCount(uint(set)) > c.Changes {
+		if bits.OnesCount(uint(set)) > c.MaxChanging {
 			continue
 		}
 		var cap [stages]float64
@@ -170,30 +170,30 @@
 			was[key] = true
 			had[e.Role]++
 			if set>>i&1 == 0 {
-				cap[e.Role] += e.Cap[e.Role]
+				cap[e.Role] += e.Capacity[e.Role]
 				left[key]++
 				total[e.Role]++
 				continue
 			}
-			ok = ok && !e.Fixed && e.Cap[1-e.Role] > 0
-			cap[1-e.Role] += e.Cap[1-e.Role] * here
+			ok = ok && !e.Fixed && e.Capacity[1-e.Role] > 0
+			cap[1-e.Role] += e.Capacity[1-e.Role] * here
 			total[1-e.Role]++
 		}
-		for key := range was { // engines that come in are cold: the last sound one has to stay
+		for key := range was { // engines that change are cold, so the last available one has to stay
 			ok = ok && left[key] > 0
 		}
 		for st := range had {
 			ok = ok && (had[st] == 0 || total[st] > 0)
 		}
 		if ok {
-			best = math.Max(best, served(cap, c.Load, cases))
+			best = math.Max(best, servedShare(cap, c.MaxLoad, cases))
 		}
 	}
 	return best
 }
 
-// The order of the engines does not matter: routers that know the same plan the same.
-func TestPlanIsTheSameForAll(t *testing.T) {
+// The order of the engines does not matter: routers that know the same engines make the same plan.
+func TestPlanIgnoresEngineOrder(t *testing.T) {
 	f := fleet(8, 8)
 	back := make([]Engine, 0, len(f))
 	for i := range f {
@@ -202,7 +202,7 @@
 	a, _ := Solve(f, work(110000, 3000), costs())
 	b, _ := Solve(back, work(110000, 3000), costs())
 	if fmt.Sprint(a) != fmt.Sprint(b) || len(a.Moves) == 0 {
-		t.Errorf("%+v and %+v", a, b)
+		t.Errorf("plans differ, or are empty: %+v and %+v", a, b)
 	}
 }
 
@@ -211,10 +211,10 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			var f []Engine
 			for i := range n {
-				f = append(f, Engine{ID: uint64(i + 1), Kind: i % 2, Cell: i / 6, Role: Stage(i / 2 % 2), Cap: [stages]float64{10000, 1000}})
+				f = append(f, Engine{ID: uint64(i + 1), Kind: i % 2, Cell: i / 6, Role: Stage(i / 2 % 2), Capacity: [stages]float64{10000, 1000}})
 			}
 			c := costs()
-			c.Changes = n / 10
+			c.MaxChanging = n / 10
 			for b.Loop() {
 				if _, err := Solve(f, work(float64(n)*7000, float64(n)*200), c); err != nil {
 					b.Fatal(err)
--- a/roles/predict_test.go
+++ b/roles/predict_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// score plays a series and returns the mean squared errors of the predictor and of a plain memory of so many
-// buckets, and in which part of the cases the truth was within the 90% of the forecast.
+// score feeds a series to a predictor and to a simple average with a memory of the given number of buckets. It
+// returns the mean squared errors of both, and the share of the actual values within the predictor's 90% interval.
 func score(f func(i int) float64, horizon, n int, plain float64) (mix, simple, inside float64) {
 	p := newPredictor(time.Duration(horizon) * bucket)
 	values := make([]float64, n+horizon)
@@ -40,8 +40,8 @@
 	return mix / scored, simple / scored, inside / scored
 }
 
-// A slow swing is foretold better than by a short memory, a fast one better than by it too, and steady noise
-// about as well as by the best memory there is. The spread is honest in each.
+// Both a slow and a fast oscillation are forecast better than by a simple average, and noise around a constant level
+// about as well as by the best simple average. The 90% interval is realistic in each case.
 func TestPredictor(t *testing.T) {
 	noise := func(sd float64) func() float64 {
 		rng := rand.New(rand.NewPCG(3, 4))
@@ -52,21 +52,21 @@
 		name  string
 		f     func(i int) float64
 		plain float64
-		most  float64 // times the plain memory's error
+		most  float64 // upper bound of the error, as a multiple of the simple average's
 	}{
-		{"a slow swing", func(i int) float64 { return 100 + 50*math.Sin(2*math.Pi*float64(i)/900) + a() }, 16, 0.6},
-		{"a swing every ten buckets", func(i int) float64 { return 100 + 50*float64(i/5%2) + b() }, 8, 0.5},
+		{"a slow oscillation", func(i int) float64 { return 100 + 50*math.Sin(2*math.Pi*float64(i)/900) + a() }, 16, 0.6},
+		{"an oscillation of ten buckets", func(i int) float64 { return 100 + 50*float64(i/5%2) + b() }, 8, 0.5},
 		{"noise around a level", func(i int) float64 { return 100 + c() }, 512, 1.25},
 	} {
 		mix, plain, inside := score(tc.f, 45, 3000, tc.plain)
 		if mix > tc.most*plain || inside < 0.8 {
-			t.Errorf("%s: error %.2f, a memory of %.0f has %.2f; the truth is within the 90%% in %.2f", tc.name, mix, tc.plain, plain, inside)
+			t.Errorf("%s: error %.2f, a simple average over %.0f buckets has %.2f; the 90%% interval contains the actual value in %.2f", tc.name, mix, tc.plain, plain, inside)
 		}
 	}
 }
 
-// What has just begun makes a forecast less sure, since the ways to foretell disagree.
-func TestPredictorDoubtsWhatIsNew(t *testing.T) {
+// A sudden change of the series raises the expected error, because the methods of the forecast disagree.
+func TestPredictorErrorRisesAfterChange(t *testing.T) {
 	p := newPredictor(45 * bucket)
 	rng := rand.New(rand.NewPCG(5, 6))
 	for range 1000 {
@@ -77,12 +77,13 @@
 		p.add(200 + 10*rng.NormFloat64())
 	}
 	if mean, square, _ := p.predict(); square < 9*calm || mean < 105 {
-		t.Errorf("ten buckets of twice as much: mean %.0f, spread %.1f, in calm times %.1f", mean, math.Sqrt(square), math.Sqrt(calm))
+		t.Errorf("after ten buckets of twice the level: mean %.0f, expected error %.1f, before them %.1f", mean, math.Sqrt(square), math.Sqrt(calm))
 	}
 }
 
-// One burst in a calm series leaves the forecast in doubt for a while, not for as long as scores are remembered.
-func TestPredictorForgivesOneBurst(t *testing.T) {
+// One burst in a steady series raises the expected error for a while only, not for as long as the scores are
+// remembered.
+func TestPredictorErrorRecoversAfterBurst(t *testing.T) {
 	p := newPredictor(45 * bucket)
 	rng := rand.New(rand.NewPCG(7, 8))
 	calm := func(n int) float64 {
@@ -97,12 +98,12 @@
 		p.add(300)
 	}
 	if after := calm(300); after > 4*before {
-		t.Errorf("five minutes after a burst the spread is %.1f, before it %.1f", after, before)
+		t.Errorf("expected error five minutes after a burst %.1f, before it %.1f", after, before)
 	}
 }
 
-// Whatever comes in, what comes out is a number, not under nothing, and within what came in but for a trend.
-func TestPredictorIsSound(t *testing.T) {
+// For any input, the forecast is a number, not negative, and at most the highest input plus what a trend can add.
+func TestPredictorStaysInRange(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		horizon := rapid.IntRange(1, 50).Draw(t, "horizon")
 		p := newPredictor(time.Duration(horizon) * bucket)
@@ -119,11 +120,11 @@
 }
 
 func BenchmarkForecast(b *testing.B) {
-	d := NewDemand(4, 45*time.Second)
-	now := feed(d, source(1), 0, 5*time.Minute, 100, 0, 800, 100)
+	d := NewDemandEstimator(4, 45*time.Second)
+	now := feedTraffic(d, newRand(1), 0, 5*time.Minute, 100, 0, 800, 100)
 	b.ResetTimer()
 	for i := 0; b.Loop(); i++ {
-		d.Arrived(now+time.Duration(i)*10*time.Millisecond, Arrival{Class: i % 4})
+		d.ObserveArrival(now+time.Duration(i)*10*time.Millisecond, RequestInfo{Class: i % 4})
 		if i%500 == 0 {
 			d.Forecast(now + time.Duration(i)*10*time.Millisecond)
 		}
--- a/roles/when.go
+++ b/roles/when.go
@@ -1,54 +1,55 @@
 package roles
 
-// Judge tells when a plan is worth carrying out. What a plan costs is in it already: the time that an engine is
-// away is work not done, within the horizon. What is left is chance. The forecast's spread is what earlier
-// forecasts were off by, so a mix that swings to and fro within a horizon is foretold at its mean, with a
-// spread, and a plan that helps in some of its cases harms in others; a mix that moves slowly is foretold well,
-// and a plan helps in nearly all cases in which it matters.
-type Judge struct {
-	Confidence float64 // for a change to be made, such as 0.9
-	// Looks is how many looks in a row have to agree on the role that is short; 0: one. Each look is a draw of
-	// the forecast's chance, and one of many is sure by chance alone.
-	Looks int
+// PlanEvaluator decides whether a plan is worth carrying out. The cost of the change is already part of the plan, as
+// the time in which an engine is away counts as lost work within the horizon. What remains is uncertainty, measured
+// by the errors of past forecasts. A mix that alternates within a horizon is forecast at its mean with a large
+// standard deviation, so that a plan helps in some of the cases and harms in others. A mix that moves slowly is
+// forecast precisely, and a plan helps in nearly all cases in which it makes a difference.
+type PlanEvaluator struct {
+	Confidence float64 // required for a change, for example 0.9
+	// ConsecutivePlans is how many plans in a row have to agree on the role that is short; 0: one. Each evaluation is
+	// a random sample of the forecast, and among many samples one passes by chance alone.
+	ConsecutivePlans int
 
-	side float64 // towards which the last looks were sure, and how many
-	same int
+	direction float64 // the role that the last confident plans agree on, as in netDirection, and how many they are
+	agreed    int
 }
 
-// Verdict is what a judge says of a plan.
+// Verdict is the result of an evaluation.
 type Verdict struct {
 	Change     bool
-	Confidence float64 // that it serves more, where it makes a difference
-	Why        string
+	Confidence float64 // that the plan serves more, where it makes a difference
+	Reason     string  `json:"Why"`
 }
 
-// leastSeen is how many horizons have to have been foretold and seen: before that nobody knows how the mix
-// moves, and one end of a swing looks like lasting.
-const leastSeen = 3
+// minHorizons is how many horizons of the forecast have to be scored before any change. With fewer it is unknown how
+// the mix moves, and one extreme of an alternating mix looks like a lasting change.
+const minHorizons = 3
 
-// Look judges a plan that was made by a forecast.
-func (j *Judge) Look(p *Plan, demand [stages]Work) Verdict {
+// Evaluate decides on a plan made from a forecast of the demand.
+func (j *PlanEvaluator) Evaluate(p *Plan, demand [stages]WorkForecast) Verdict {
 	switch {
-	case demand[Prefill].Seen < leastSeen || demand[Decode].Seen < leastSeen:
-		return Verdict{Why: "too little was seen of how the mix moves"}
+	case demand[Prefill].ScoredHorizons < minHorizons || demand[Decode].ScoredHorizons < minHorizons:
+		return Verdict{Reason: "too little was seen of how the mix moves"}
 	case len(p.Moves) == 0:
-		j.same = 0
-		return Verdict{Why: "no change would serve more"}
-	case p.Sure < j.Confidence:
-		j.same = 0
-		return Verdict{Confidence: p.Sure, Why: "what is coming is not sure enough"}
+		j.agreed = 0
+		return Verdict{Reason: "no change would serve more"}
+	case p.Confidence < j.Confidence:
+		j.agreed = 0
+		return Verdict{Confidence: p.Confidence, Reason: "what is coming is not sure enough"}
 	}
-	if side := p.towards(); side != j.side {
-		j.side, j.same = side, 0
+	if side := p.netDirection(); side != j.direction {
+		j.direction, j.agreed = side, 0
 	}
-	if j.same++; j.same < j.Looks {
-		return Verdict{Confidence: p.Sure, Why: "it has to be as sure at the next look"}
+	if j.agreed++; j.agreed < j.ConsecutivePlans {
+		return Verdict{Confidence: p.Confidence, Reason: "it has to be as sure at the next look"}
 	}
-	return Verdict{Change: true, Confidence: p.Sure, Why: "it earns back its cost"}
+	return Verdict{Change: true, Confidence: p.Confidence, Reason: "it earns back its cost"}
 }
 
-// towards is the role to which a plan moves on the whole: +1 prefill, -1 decode, 0 neither.
-func (p *Plan) towards() (side float64) {
+// netDirection returns the role to which a plan moves engines on balance: +1 for prefill, -1 for decode, 0 for
+// neither.
+func (p *Plan) netDirection() (side float64) {
 	for _, m := range p.Moves {
 		if m.To == Prefill {
 			side++
