--- a/cmd/mintdoor/day.go
+++ b/cmd/mintdoor/day.go
@@ -115,7 +115,7 @@
 			broken = true
 		}
 		service = append(service, res.Report.Service)
-		broken = broken || !res.Report.Kept()
+		broken = broken || !res.Report.Passed()
 		if keep != "" {
 			name := keep
 			if len(seeds) > 1 {
@@ -199,17 +199,17 @@
 			if err != nil {
 				return err
 			}
-			rules := audit.Rules{AnswerGrace: set.AnswerGrace, DrainGrace: set.DrainGrace, ListEvery: set.ListEvery,
-				FallMultiple: set.FallMultiple, FallWithin: set.FallWithin, LetGoWithin: set.LetGoWithin, RouterNotice: notice,
-				Slack: slack, Windows: map[string]time.Duration{}}
+			rules := audit.Rules{AnswerGrace: set.AnswerGrace, DrainGrace: set.DrainGrace, ListInterval: set.ListEvery,
+				OverloadMultiple: set.FallMultiple, OverloadWindow: set.FallWithin, HoldTimeout: set.LetGoWithin, FailoverTime: notice,
+				Slack: slack, DedupWindows: map[string]time.Duration{}}
 			for _, c := range set.Classes {
-				rules.Windows[c.Name] = time.Duration(c.Window)
+				rules.DedupWindows[c.Name] = time.Duration(c.Window)
 			}
 			rep := audit.Check(records, 0, rules)
 			if err := rep.Print(cmd.OutOrStdout()); err != nil {
 				return err
 			}
-			if !rep.Kept() {
+			if !rep.Passed() {
 				return errSaid
 			}
 			return nil
--- a/cmd/mintdoor/main_test.go
+++ b/cmd/mintdoor/main_test.go
@@ -133,7 +133,7 @@
 	var out strings.Builder
 	res.Report.Print(&out)
 	t.Log(out.String())
-	if !res.Report.Kept() {
+	if !res.Report.Passed() {
 		text, _ := os.ReadFile(logs.Name())
 		t.Errorf("%s\n%s", out.String(), text)
 	}
@@ -225,11 +225,11 @@
 	}
 	starts := 0
 	for _, r := range res.Records {
-		if r.What == audit.Started && r.Note == "decode" {
+		if r.Kind == audit.Started && r.Note == "decode" {
 			starts++
 		}
 	}
-	if !res.Report.Kept() || res.Asked != len(script.Trace.Entries) || res.Report.Served < res.Asked/2 || starts != 3 {
+	if !res.Report.Passed() || res.Asked != len(script.Trace.Entries) || res.Report.Served < res.Asked/2 || starts != 3 {
 		var b strings.Builder
 		res.Report.Print(&b)
 		text, _ := os.ReadFile(logs.Name())
--- a/internal/audit/record.go
+++ b/internal/audit/record.go
@@ -1,5 +1,5 @@
-// Package audit checks the five rules from what crossed the sockets: records that clients and engines
-// make, never what a router says of itself.
+// Package audit checks the five rules from what crossed the sockets: the records of clients and engines, never a
+// router's own account of itself.
 package audit
 
 import (
@@ -15,74 +15,77 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// What tells what a record is of.
-type What string
+// EventKind is the kind of event that a record is about.
+type EventKind string
 
-// What clients see.
+// Events that clients see.
 const (
-	Asked    What = "asked"    // a try was sent; Deadline and Repeat are set
-	Began    What = "began"    // its first token came
-	Answered What = "answered" // its final answer came: Note is served, refused, failed or broken
-	GaveUp   What = "gave up"  // the client left by its own choice
-	Cut      What = "cut"      // the connection broke, or never stood; no answer came
+	// A try was sent: N is the first-token target, Work its value, and Deadline and Repeat are set.
+	Asked          EventKind = "asked"
+	FirstToken     EventKind = "began"    // its first token arrived
+	Answered       EventKind = "answered" // its final answer arrived; Note is served, refused, failed or broken
+	GaveUp         EventKind = "gave up"  // the client left by its own choice
+	ConnectionLost EventKind = "cut"      // the connection broke or could not be established; there was no answer
 )
 
-// What engines see. An attempt is named by ID.
+// Events that engines see. Records name the attempt by ID.
 const (
-	Started   What = "started"   // the engine started; N is its capacity in work a second, Note its stage
-	Fell      What = "fell"      // it was pushed over
-	Arrived   What = "arrived"   // an attempt came in; Work is its work
-	Turned    What = "turned"    // it was turned away unrun
-	Ran       What = "ran"       // its effect began
-	Ended     What = "ended"     // it ended, in whatever way
-	Held      What = "held"      // a state began to wait
-	Claimed   What = "claimed"   // a writer is waiting for it or fetches it
-	Unclaimed What = "unclaimed" // that ended without the state having gone
-	Renewed   What = "renewed"   // its router still wants it: an attempt for it is out
-	Fetched   What = "fetched"   // the state has gone to a writer
-	Released  What = "released"  // it was let go
-	Lapsed    What = "lapsed"    // nobody let it go in time and the engine did
-	Lost      What = "lost"      // the engine went down with it
-	Reserved  What = "reserved"  // a place is held ahead
-	Placed    What = "placed"    // it was taken by a send or given up
+	// The engine started: N is its capacity in units of work a second, Work the part of it at the start, Deadline the
+	// slow-start time and Note its stage.
+	Started          EventKind = "started"
+	OverloadFailed   EventKind = "fell"      // the engine failed under overload
+	Arrived          EventKind = "arrived"   // an attempt arrived; Work is its work
+	Rejected         EventKind = "turned"    // it was rejected without being run
+	Executed         EventKind = "ran"       // its effect began
+	Ended            EventKind = "ended"     // it ended, with whatever result
+	Held             EventKind = "held"      // its KV state began to wait at the engine
+	Claimed          EventKind = "claimed"   // a writer waits for the state or fetches it
+	ClaimEnded       EventKind = "unclaimed" // the claim ended without the state having been fetched
+	Renewed          EventKind = "renewed"   // the router still wants the state: an attempt for it is in flight
+	Fetched          EventKind = "fetched"   // the state was transferred to a writer
+	Released         EventKind = "released"  // the state was released
+	Expired          EventKind = "lapsed"    // nobody released the state in time, so the engine did itself
+	Lost             EventKind = "lost"      // the engine went down with the state
+	Reserved         EventKind = "reserved"  // a reservation was granted
+	ReservationEnded EventKind = "placed"    // the reservation was used by an attempt or cancelled
 )
 
-// What the surroundings do.
+// Events of the environment.
 const (
-	Listed     What = "listed"      // the list was written: Who is the engine, Note its state
-	RouterUp   What = "router up"   // Who takes requests
-	RouterDown What = "router down" // Who was stopped or killed
+	Listed     EventKind = "listed"      // the server list was written: Who is the engine, Note its state
+	RouterUp   EventKind = "router up"   // the router Who accepts requests
+	RouterDown EventKind = "router down" // the router Who was stopped or killed
 )
 
-// Record is one thing seen. Times are nanoseconds of wall time on one machine.
+// Record is one event. Times are nanoseconds of wall time on one machine.
 type Record struct {
-	At       int64   `json:"t"`
-	Who      string  `json:"who"`
-	What     What    `json:"what"`
-	ID       string  `json:"id,omitempty"`     // a try's id, or an attempt's
-	Client   string  `json:"client,omitempty"` // at engines: the try that the attempt is for
-	Router   string  `json:"router,omitempty"`
-	Class    string  `json:"class,omitempty"`
-	Repeat   string  `json:"repeat,omitempty"`
-	Stage    string  `json:"stage,omitempty"`
-	Deadline int64   `json:"deadline,omitempty"`
-	Work     float64 `json:"work,omitempty"`
-	N        float64 `json:"n,omitempty"`
-	Note     string  `json:"note,omitempty"`
+	At       int64     `json:"t"`
+	Who      string    `json:"who"`
+	Kind     EventKind `json:"what"`
+	ID       string    `json:"id,omitempty"`     // ID of a try or of an attempt
+	Client   string    `json:"client,omitempty"` // at engines: the client's try that the attempt is for
+	Router   string    `json:"router,omitempty"`
+	Class    string    `json:"class,omitempty"`
+	Repeat   string    `json:"repeat,omitempty"`
+	Stage    string    `json:"stage,omitempty"`
+	Deadline int64     `json:"deadline,omitempty"`
+	Work     float64   `json:"work,omitempty"`
+	N        float64   `json:"n,omitempty"`
+	Note     string    `json:"note,omitempty"`
 }
 
-// Log keeps records in memory, up to a bound. Its zero value keeps none; it is safe for concurrent use.
+// Log keeps records in memory, up to a limit. Its zero value keeps none. It is safe for concurrent use.
 type Log struct {
 	mu      sync.Mutex
 	records []Record
-	most    int
+	limit   int
 	dropped int
 }
 
-// NewLog returns a log that keeps up to most records.
-func NewLog(most int) *Log { return &Log{most: most} }
+// NewLog returns a log that keeps up to limit records.
+func NewLog(most int) *Log { return &Log{limit: most} }
 
-// Add keeps a record; without a time it gets the present one.
+// Add keeps a record. If its time is zero, it is set to the current time.
 func (l *Log) Add(r Record) {
 	if l == nil {
 		return
@@ -92,21 +95,21 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(l.records) >= l.most {
+	if len(l.records) >= l.limit {
 		l.dropped++
 		return
 	}
 	l.records = append(l.records, r)
 }
 
-// Records returns a copy of all, and how many did not fit: with any, no verdict can be trusted.
+// Records returns a copy of all records and the number of those dropped. If any were dropped, no verdict is reliable.
 func (l *Log) Records() ([]Record, int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return append([]Record(nil), l.records...), l.dropped
 }
 
-// Write writes records as lines of JSON, compressed with zstd when the path ends in .zst.
+// Write writes records as JSON lines, compressed with zstd if the path ends in .zst.
 func Write(path string, records []Record) (err error) {
 	f, err := os.Create(path)
 	if err != nil {
@@ -140,7 +143,7 @@
 	return b.Flush()
 }
 
-// Read reads what Write wrote.
+// Read reads a file written by Write.
 func Read(path string) ([]Record, error) {
 	f, err := os.Open(path)
 	if err != nil {
--- a/internal/day/client.go
+++ b/internal/day/client.go
@@ -30,7 +30,7 @@
 
 // outcome is what one try came to.
 type outcome struct {
-	what    audit.What
+	what    audit.EventKind
 	note    string
 	retry   bool // a client of a safe class may come again
 	refused bool // so may one of any class
@@ -91,7 +91,7 @@
 	}
 	now := time.Now()
 	aim := class.Aim + time.Duration(float64(class.AimPerK)*float64(a.prompt)/1000)
-	c.record.Add(audit.Record{At: now.UnixNano(), Who: "client", What: audit.Asked, ID: id, Class: class.Name, Repeat: class.Repeat,
+	c.record.Add(audit.Record{At: now.UnixNano(), Who: "client", Kind: audit.Asked, ID: id, Class: class.Name, Repeat: class.Repeat,
 		Deadline: now.Add(told).UnixNano(), Work: class.Worth, N: float64(aim)})
 	// The client waits a while past its deadline, so that a late answer is seen and found late.
 	const overdue = time.Second
@@ -104,14 +104,14 @@
 	leave := time.AfterFunc(limit, func() { cancel(errLeft) })
 	defer leave.Stop()
 	out := c.read(ctx, id, body, leave)
-	if cause := context.Cause(ctx); errors.Is(cause, errLeft) && out.what == audit.Cut {
+	if cause := context.Cause(ctx); errors.Is(cause, errLeft) && out.what == audit.ConnectionLost {
 		if a.leaves {
 			out = outcome{what: audit.GaveUp, retry: true}
 		} else {
 			out.note = "no answer long after the deadline"
 		}
 	}
-	c.record.Add(audit.Record{Who: "client", What: out.what, ID: id, Class: class.Name, Note: out.note})
+	c.record.Add(audit.Record{Who: "client", Kind: out.what, ID: id, Class: class.Name, Note: out.note})
 	return out
 }
 
@@ -120,11 +120,11 @@
 func (c *clients) read(ctx context.Context, id string, body []byte, leave *time.Timer) outcome {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, c.url+"/v2/models/helpline/generate_stream", bytes.NewReader(body))
 	if err != nil {
-		return outcome{what: audit.Cut, note: err.Error()}
+		return outcome{what: audit.ConnectionLost, note: err.Error()}
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return outcome{what: audit.Cut, note: err.Error(), retry: true}
+		return outcome{what: audit.ConnectionLost, note: err.Error(), retry: true}
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
@@ -134,11 +134,11 @@
 	for first := true; ; first = false {
 		data, err := events.Next()
 		if err != nil {
-			return outcome{what: audit.Cut, note: "stream: " + err.Error(), retry: true}
+			return outcome{what: audit.ConnectionLost, note: "stream: " + err.Error(), retry: true}
 		}
 		if first {
 			leave.Stop() // a stream that has begun is read to its end
-			c.record.Add(audit.Record{Who: "client", What: audit.Began, ID: id})
+			c.record.Add(audit.Record{Who: "client", Kind: audit.FirstToken, ID: id})
 		}
 		var ev kserve.GenerateResponse
 		switch err := json.Unmarshal(data, &ev); {
--- a/internal/day/run.go
+++ b/internal/day/run.go
@@ -183,7 +183,7 @@
 		if err == nil {
 			resp.Body.Close()
 			if resp.StatusCode == http.StatusOK {
-				p.record.Add(audit.Record{Who: r.name, What: audit.RouterUp})
+				p.record.Add(audit.Record{Who: r.name, Kind: audit.RouterUp})
 				return nil
 			}
 		}
@@ -283,7 +283,7 @@
 		if len(e.On) > 0 && !slices.Contains(e.On, r.name) {
 			continue
 		}
-		p.record.Add(audit.Record{Who: r.name, What: audit.RouterDown})
+		p.record.Add(audit.Record{Who: r.name, Kind: audit.RouterDown})
 		p.layer.Dead(r.addr)
 		p.mu.Lock()
 		r.proc.Kill()
--- a/internal/day/script.go
+++ b/internal/day/script.go
@@ -452,8 +452,8 @@
 
 // Rules are the figures that the audit holds a scaled script's run against.
 func (s *Script) Rules(slack time.Duration) audit.Rules {
-	return audit.Rules{AnswerGrace: s.AnswerGrace, DrainGrace: s.DrainGrace, ListEvery: listEvery, FallMultiple: s.FallMultiple,
-		FallWithin: s.FallWithin, LetGoWithin: s.LetGoWithin, RouterNotice: s.FrontNotice, Slack: slack}
+	return audit.Rules{AnswerGrace: s.AnswerGrace, DrainGrace: s.DrainGrace, ListInterval: listEvery, OverloadMultiple: s.FallMultiple,
+		OverloadWindow: s.FallWithin, HoldTimeout: s.LetGoWithin, FailoverTime: s.FrontNotice, Slack: slack}
 }
 
 // Write writes the script as Parse reads it.
--- a/internal/e2e/hard_test.go
+++ b/internal/e2e/hard_test.go
@@ -41,19 +41,19 @@
 func (w *world) kept() {
 	w.t.Helper()
 	records, dropped := w.record.Records()
-	rep := audit.Check(records, dropped, audit.Rules{DrainGrace: w.set.DrainGrace, ListEvery: w.set.ListEvery,
-		FallMultiple: w.set.FallMultiple, FallWithin: w.set.FallWithin, LetGoWithin: w.set.LetGoWithin, Slack: 2 * time.Second})
+	rep := audit.Check(records, dropped, audit.Rules{DrainGrace: w.set.DrainGrace, ListInterval: w.set.ListEvery,
+		OverloadMultiple: w.set.FallMultiple, OverloadWindow: w.set.FallWithin, HoldTimeout: w.set.LetGoWithin, Slack: 2 * time.Second})
 	for _, f := range rep.Findings {
 		w.t.Errorf("rule %d: %s", f.Rule, f.Text)
 	}
 }
 
 // seen counts records.
-func (w *world) seen(what audit.What, note string) int {
+func (w *world) seen(what audit.EventKind, note string) int {
 	records, _ := w.record.Records()
 	n := 0
 	for _, r := range records {
-		if r.What == what && (note == "" || r.Note == note) {
+		if r.Kind == what && (note == "" || r.Note == note) {
 			n++
 		}
 	}
@@ -76,8 +76,8 @@
 		when func(w *world) bool
 	}{
 		{"during the read", []option{spec(func(s *standin.Spec) { s.ReadPerS = 500 })}, func(w *world) bool { return w.seen(audit.Arrived, "") == 1 }},
-		{"while its state waits", nil, func(w *world) bool { return w.seen(audit.Turned, "silence") == 1 }},
-		{"in mid-answer", []option{spec(slowly)}, func(w *world) bool { return w.seen(audit.Ran, "") == 1 }},
+		{"while its state waits", nil, func(w *world) bool { return w.seen(audit.Rejected, "silence") == 1 }},
+		{"in mid-answer", []option{spec(slowly)}, func(w *world) bool { return w.seen(audit.Executed, "") == 1 }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w := newWorld(t, c.opts...)
@@ -127,10 +127,10 @@
 		go func() {
 			done <- w.stream(t.Context(), generate("Rate? [answer=2]", ask{"deadline_ms": 60000}))
 		}()
-		w.eventually("a writer has the state", func() bool { return w.seen(audit.Ran, "") == 1 })
+		w.eventually("a writer has the state", func() bool { return w.seen(audit.Executed, "") == 1 })
 		records, _ := w.record.Records()
 		for _, r := range records {
-			if r.What == audit.Ran {
+			if r.Kind == audit.Executed {
 				w.fleet.Member(r.Who).Engine.Crash(0)
 			}
 		}
@@ -146,7 +146,7 @@
 		w := newWorld(t, spec(slowly))
 		done := make(chan answer, 1)
 		go func() { done <- w.stream(t.Context(), generate("Rate? [answer=400]", nil)) }()
-		w.eventually("it streams", func() bool { return w.seen(audit.Ran, "") == 1 })
+		w.eventually("it streams", func() bool { return w.seen(audit.Executed, "") == 1 })
 		time.Sleep(100 * time.Millisecond) // some tokens; how many does not matter
 		for _, m := range w.fleet.Members() {
 			if m.Group.Kind == "decode" {
@@ -172,7 +172,7 @@
 	go func() {
 		done <- w.stream(t.Context(), generate("Book. [answer=2]", ask{"class": "pen-booking", "deadline_ms": 60000}))
 	}()
-	w.eventually("a writer has the state", func() bool { return w.seen(audit.Ran, "") == 1 })
+	w.eventually("a writer has the state", func() bool { return w.seen(audit.Executed, "") == 1 })
 	for _, m := range w.fleet.Members() {
 		if m.Group.Kind == "decode" {
 			m.Engine.Crash(0)
@@ -182,7 +182,7 @@
 	if a.status != http.StatusBadGateway || a.header.Get("Retry-After") != "" {
 		t.Errorf("%+v", a)
 	}
-	if n := w.seen(audit.Ran, ""); n != 1 {
+	if n := w.seen(audit.Executed, ""); n != 1 {
 		t.Errorf("it ran %d times", n)
 	}
 	w.settled()
@@ -197,7 +197,7 @@
 	go func() {
 		done <- w.stream(t.Context(), generate("Rate? [answer=2]", ask{"deadline_ms": 60000}))
 	}()
-	w.eventually("the writer keeps silent", func() bool { return w.seen(audit.Turned, "silence") == 1 })
+	w.eventually("the writer keeps silent", func() bool { return w.seen(audit.Rejected, "silence") == 1 })
 	w.fleet.Member("p1").Engine.Crash(time.Millisecond)
 	w.fleet.Member("d1").Engine.Clear("")
 	a := <-done
@@ -373,7 +373,7 @@
 	defer c.Close()
 	c.(*net.TCPConn).SetReadBuffer(4096)
 	fmt.Fprintf(c, "POST /v2/models/helpline/generate_stream HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
-	w.eventually("it streams", func() bool { return w.seen(audit.Ran, "") == 1 })
+	w.eventually("it streams", func() bool { return w.seen(audit.Executed, "") == 1 })
 	for i := range 5 {
 		if a := w.stream(t.Context(), generate("Rate? [answer=20]", ask{"session": fmt.Sprint(i)})); a.tokens != 20 {
 			t.Errorf("another client: %+v", a)
@@ -544,7 +544,7 @@
 			answers <- w.stream(t.Context(), generate("Rate? [answer=300]", ask{"session": fmt.Sprint(i)}))
 		}()
 	}
-	w.eventually("some stream", func() bool { return w.seen(audit.Ran, "") > n/2 })
+	w.eventually("some stream", func() bool { return w.seen(audit.Executed, "") > n/2 })
 	members := w.fleet.Members()
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 	defer cancel()
@@ -692,7 +692,7 @@
 	findings := func(w *world, rule int) int {
 		records, dropped := w.record.Records()
 		n := 0
-		for _, f := range audit.Check(records, dropped, audit.Rules{LetGoWithin: 300 * time.Millisecond, Slack: 50 * time.Millisecond}).Findings {
+		for _, f := range audit.Check(records, dropped, audit.Rules{HoldTimeout: 300 * time.Millisecond, Slack: 50 * time.Millisecond}).Findings {
 			if f.Rule == rule {
 				n++
 			}
@@ -704,7 +704,7 @@
 		w.playAll("d", standin.Fault{Kind: "fast_errors", Size: 1})
 		r := brokenWorld(t, w, func(d router.Decider) router.Decider { return forgetful{d} }, false)
 		submit(t, r, 0, "safe")
-		w.eventually("the state lapses", func() bool { return w.seen(audit.Lapsed, "") == 1 })
+		w.eventually("the state lapses", func() bool { return w.seen(audit.Expired, "") == 1 })
 		if findings(w, 5) == 0 {
 			t.Error("rule 5 was broken and nobody saw it")
 		}
@@ -717,14 +717,14 @@
 		}))
 		w.playAll("d", standin.Fault{Kind: "wrong_id", Size: 1})
 		// Its core forgets nothing, but the module sends an unsafe request again after it ran.
-		w.record.Add(audit.Record{Who: "client", What: audit.Asked, ID: "q1/1", Class: "pen-booking", Repeat: "unsafe",
+		w.record.Add(audit.Record{Who: "client", Kind: audit.Asked, ID: "q1/1", Class: "pen-booking", Repeat: "unsafe",
 			Deadline: time.Now().Add(time.Minute).UnixNano()})
 		to := discovery.Engine{Name: "p1"}
 		r := brokenWorld(t, w, func(d router.Decider) router.Decider {
 			return again{d, to.ID(), map[decide.RequestID]int{}}
 		}, true)
 		submit(t, r, 1, "pen-booking")
-		w.eventually("it ran twice", func() bool { return w.seen(audit.Ran, "") >= 2 })
+		w.eventually("it ran twice", func() bool { return w.seen(audit.Executed, "") >= 2 })
 		if findings(w, 2) == 0 {
 			t.Error("rule 2 was broken and nobody saw it")
 		}
--- a/internal/e2e/places_test.go
+++ b/internal/e2e/places_test.go
@@ -43,7 +43,7 @@
 			t.Errorf("%+v", end)
 		}
 	}
-	held, taken, given := w.seen(audit.Reserved, ""), w.seen(audit.Placed, "taken"), w.seen(audit.Placed, "given up")
+	held, taken, given := w.seen(audit.Reserved, ""), w.seen(audit.ReservationEnded, "taken"), w.seen(audit.ReservationEnded, "given up")
 	if held != 8 || taken == 0 || given == 0 || taken+given != held {
 		t.Errorf("%d places were held, %d taken, %d given up", held, taken, given)
 	}
@@ -63,7 +63,7 @@
 	w.eventually("the place is held", func() bool { return w.seen(audit.Reserved, "") == 1 })
 	q.Abandon()
 	w.settled()
-	if w.seen(audit.Placed, "given up") != 1 {
+	if w.seen(audit.ReservationEnded, "given up") != 1 {
 		t.Error("the place was not given up")
 	}
 }
--- a/internal/e2e/shift_test.go
+++ b/internal/e2e/shift_test.go
@@ -282,7 +282,7 @@
 	if wrong := stop(); len(wrong) > 0 {
 		t.Errorf("%d answers were no success: %q", len(wrong), wrong[:min(len(wrong), 5)])
 	}
-	if n := w.seen(audit.Turned, engine.RefusedDraining) + w.seen(audit.Turned, engine.RefusedRole); n != 0 {
+	if n := w.seen(audit.Rejected, engine.RefusedDraining) + w.seen(audit.Rejected, engine.RefusedRole); n != 0 {
 		t.Errorf("%d attempts went to the engine on its way", n)
 	}
 	w.settled()
--- a/internal/standin/engine/places.go
+++ b/internal/standin/engine/places.go
@@ -40,7 +40,7 @@
 		// While the read is out its engine and the router see to the place; this is for when both are gone.
 		pl.lease = time.AfterFunc(longestRead, func() { l.dropPlace(p.Request, pl) })
 		l.places[p.Request] = pl
-		l.s.cfg.Record.Add(audit.Record{Who: l.s.cfg.Name, What: audit.Reserved, ID: p.Request})
+		l.s.cfg.Record.Add(audit.Record{Who: l.s.cfg.Name, Kind: audit.Reserved, ID: p.Request})
 	}
 	l.s.mu.Unlock()
 	if held {
@@ -172,7 +172,7 @@
 	delete(l.places, request)
 	p.lease.Stop()
 	l.model.leave(p.seq)
-	l.s.cfg.Record.Add(audit.Record{Who: l.s.cfg.Name, What: audit.Placed, ID: request, Note: "given up"})
+	l.s.cfg.Record.Add(audit.Record{Who: l.s.cfg.Name, Kind: audit.ReservationEnded, ID: request, Note: "given up"})
 }
 
 // takePlace gives a send the place that was held for its request. It reports whether there was one with
@@ -205,6 +205,6 @@
 	p.seq.events = make(chan event, p.seq.answer+1)
 	l.model.fetched(p.seq)
 	*q = p.seq
-	l.s.cfg.Record.Add(audit.Record{Who: l.s.cfg.Name, What: audit.Placed, ID: a.p.Request, Note: "taken"})
+	l.s.cfg.Record.Add(audit.Record{Who: l.s.cfg.Name, Kind: audit.ReservationEnded, ID: a.p.Request, Note: "taken"})
 	return true
 }
--- a/internal/standin/engine/server.go
+++ b/internal/standin/engine/server.go
@@ -216,7 +216,7 @@
 // recordStart tells the audit of a start, in whichever role.
 func (s *Server) recordStart(now time.Time, cold bool) {
 	spec := s.spec.Load()
-	rec := audit.Record{At: now.UnixNano(), Who: s.cfg.Name, What: audit.Started, N: spec.capacity(), Work: spec.ColdFrom,
+	rec := audit.Record{At: now.UnixNano(), Who: s.cfg.Name, Kind: audit.Started, N: spec.capacity(), Work: spec.ColdFrom,
 		Deadline: int64(spec.ColdFor), Note: stageOf(spec)}
 	if !cold {
 		rec.At -= int64(spec.ColdFor)
@@ -380,8 +380,8 @@
 	}()
 }
 
-func (s *Server) record(what audit.What, st *state, note string) {
-	s.cfg.Record.Add(audit.Record{Who: s.cfg.Name, What: what, ID: st.attempt, Client: st.client,
+func (s *Server) record(what audit.EventKind, st *state, note string) {
+	s.cfg.Record.Add(audit.Record{Who: s.cfg.Name, Kind: what, ID: st.attempt, Client: st.client,
 		Router: st.router, Note: note})
 }
 
@@ -531,8 +531,8 @@
 	router string
 }
 
-func (a *attempt) record(what audit.What, note string) {
-	a.l.s.cfg.Record.Add(audit.Record{Who: a.l.s.cfg.Name, What: what, ID: a.id, Client: a.p.Client,
+func (a *attempt) record(what audit.EventKind, note string) {
+	a.l.s.cfg.Record.Add(audit.Record{Who: a.l.s.cfg.Name, Kind: what, ID: a.id, Client: a.p.Client,
 		Router: a.router, Class: a.p.Class, Stage: a.p.Stage, Work: a.l.s.spec.Load().meanWork(), Note: note})
 }
 
@@ -553,38 +553,38 @@
 	fallen, drained := l.model.fallen, l.s.drained || l.s.role.Phase != engine.PhaseSteady
 	if fallen && !l.silent {
 		l.silent = true
-		l.s.cfg.Record.Add(audit.Record{Who: l.s.cfg.Name, What: audit.Fell})
+		l.s.cfg.Record.Add(audit.Record{Who: l.s.cfg.Name, Kind: audit.OverloadFailed})
 	}
 	l.s.mu.Unlock()
 	role := a.p.Stage == engine.StagePrefill && l.s.spec.Load().Role&decide.Reader == 0 ||
 		a.p.Stage == engine.StageDecode && l.s.spec.Load().Role&decide.Writer == 0
 	switch {
 	case fallen || ill != nil && ill.How == "silence":
-		a.record(audit.Turned, "silence")
+		a.record(audit.Rejected, "silence")
 		l.hush(r.Context())
 		panic(http.ErrAbortHandler)
 	case endless != nil:
-		a.record(audit.Turned, "long headers")
+		a.record(audit.Rejected, "long headers")
 		l.longHeaders(w)
 		return false
 	case failing != nil || ill != nil:
-		a.record(audit.Turned, "error")
+		a.record(audit.Rejected, "error")
 		writeJSON(w, http.StatusInternalServerError, kserve.ErrorResponse{Error: "the engine failed"})
 		return false
 	case drained:
-		a.record(audit.Turned, engine.RefusedDraining)
+		a.record(audit.Rejected, engine.RefusedDraining)
 		l.turn(w, engine.RefusedDraining, "the engine is draining")
 		return false
 	case role:
-		a.record(audit.Turned, engine.RefusedRole)
+		a.record(audit.Rejected, engine.RefusedRole)
 		l.turn(w, engine.RefusedRole, "the engine does not do this stage")
 		return false
 	case throttled != nil:
-		a.record(audit.Turned, engine.RefusedFull)
+		a.record(audit.Rejected, engine.RefusedFull)
 		l.turn(w, engine.RefusedFull, "no more of this class")
 		return false
 	case int(a.p.PromptTokens)+1 > l.s.spec.Load().Context:
-		a.record(audit.Turned, "context")
+		a.record(audit.Rejected, "context")
 		writeJSON(w, http.StatusBadRequest, kserve.ErrorResponse{Error: "the prompt is longer than the context"})
 		return false
 	}
@@ -659,7 +659,7 @@
 	}
 	l.s.mu.Unlock()
 	if err != nil {
-		a.record(audit.Turned, engine.RefusedFull)
+		a.record(audit.Rejected, engine.RefusedFull)
 		l.turn(w, engine.RefusedFull, err.Error())
 		return
 	}
@@ -757,12 +757,12 @@
 		l.s.mu.Lock()
 		defer l.s.mu.Unlock()
 		if l.states[st.id] == st && st.claims == 0 {
-			l.dropLocked(st, audit.Lapsed)
+			l.dropLocked(st, audit.Expired)
 		}
 	})
 }
 
-func (l *life) dropLocked(st *state, what audit.What) {
+func (l *life) dropLocked(st *state, what audit.EventKind) {
 	if l.states[st.id] != st {
 		return
 	}
@@ -827,7 +827,7 @@
 	}
 	if st.claims--; st.claims == 0 {
 		st.lease.Reset(st.hold)
-		l.s.record(audit.Unclaimed, st, "")
+		l.s.record(audit.ClaimEnded, st, "")
 	}
 }
 
@@ -928,7 +928,7 @@
 		return
 	}
 	if a.p.Handle == "" && l.s.spec.Load().Role != decide.Both {
-		a.record(audit.Turned, engine.RefusedNoState)
+		a.record(audit.Rejected, engine.RefusedNoState)
 		l.turn(w, engine.RefusedNoState, "no state is named, and the engine does not read")
 		return
 	}
@@ -943,7 +943,7 @@
 		err := l.model.admit(q)
 		l.s.mu.Unlock()
 		if err != nil {
-			a.record(audit.Turned, engine.RefusedFull)
+			a.record(audit.Rejected, engine.RefusedFull)
 			l.turn(w, engine.RefusedFull, err.Error())
 			return
 		}
@@ -951,7 +951,7 @@
 			return
 		}
 	}
-	a.record(audit.Ran, "")
+	a.record(audit.Executed, "")
 	l.signal()
 	l.stream(w, r, a, q, began)
 }
@@ -964,7 +964,7 @@
 		l.model.leave(q)
 		l.s.mu.Unlock()
 		l.signal()
-		a.record(audit.Turned, note)
+		a.record(audit.Rejected, note)
 	}
 	select {
 	case <-q.granted:
@@ -1066,7 +1066,7 @@
 		l.model.leave(q)
 		l.s.mu.Unlock()
 		l.signal()
-		l.s.cfg.Record.Add(audit.Record{Who: l.s.cfg.Name, What: audit.Ended, ID: a.id, Client: a.p.Client,
+		l.s.cfg.Record.Add(audit.Record{Who: l.s.cfg.Name, Kind: audit.Ended, ID: a.id, Client: a.p.Client,
 			Router: a.router, Class: a.p.Class, Stage: a.p.Stage, N: float64(q.written), Note: note})
 	}
 	for {
--- a/internal/standin/fleet/fleet.go
+++ b/internal/standin/fleet/fleet.go
@@ -192,7 +192,7 @@
 		if m.listed {
 			state = map[decide.Condition]string{decide.Ready: "ready", decide.Draining: "draining"}[m.entry.State]
 		}
-		f.cfg.Record.Add(audit.Record{Who: m.Name, What: audit.Listed, Note: state})
+		f.cfg.Record.Add(audit.Record{Who: m.Name, Kind: audit.Listed, Note: state})
 	}
 	return err
 }
