--- a/decide/ask_test.go
+++ b/decide/ask_test.go
@@ -8,7 +8,7 @@
 // sparse is settings of so many routers that each sees little of any reader, and ten readers.
 func sparse() (*Settings, []Listing) {
 	set := settings()
-	set.Routers, set.Probing, set.ProbeFee = 300, true, 0.003
+	set.Routers, set.Probing, set.ProbeCost = 300, true, 0.003
 	list := fleet()
 	for id := ServerID(3); id <= 10; id++ {
 		list = append(list, Listing{Server: id, Kind: 0, Condition: Ready})
@@ -31,13 +31,13 @@
 // tells answers a probe with a share of memory and so many thousand tokens that wait.
 func (w *world) tells(s ServerID, share, waitingK float64) []Action {
 	w.now += 2 * ms
-	return w.do(Event{Kind: Probed, Server: s, Outcome: Served, Spent: 2 * ms,
-		Report: Report{MemoryShare: share, WaitingK: waitingK, Latency: -1}})
+	return w.do(Event{Kind: Probed, Server: s, Outcome: Served, Elapsed: 2 * ms,
+		Report: Report{MemoryUse: share, QueuedKTokens: waitingK, Latency: -1}})
 }
 
 // silent answers a probe with its time-out.
 func (w *world) silent(s ServerID) []Action {
-	return w.do(Event{Kind: Probed, Server: s, Outcome: TimedOut, Spent: w.r.set.DialTimeout})
+	return w.do(Event{Kind: Probed, Server: s, Outcome: TimedOut, Elapsed: w.r.set.DialTimeout})
 }
 
 // idle answers all probes: nothing waits, and little is held.
@@ -271,7 +271,7 @@
 	if len(round) != 2 || find(acts, Send) == nil {
 		t.Errorf("after %v were silent: %v, want a read", round, acts)
 	}
-	acts = w.do(Event{Kind: Arrived, Request: 99, Job: Job{Class: safe, Session: 5, Text: 98, Prompt: 1000,
+	acts = w.do(Event{Kind: Arrived, Request: 99, Job: Job{Class: safe, SessionID: 5, PrefixID: 98, PromptTokens: 1000,
 		Deadline: w.now + w.r.set.DialTimeout}})
 	if find(acts, Send) == nil {
 		t.Errorf("with little time left: %v, want a read at once", acts)
@@ -286,7 +286,7 @@
 		tries int // of writers, each with the dial's time-out
 	}{{1000 * ms, 4}, {800 * ms, 3}, {500 * ms, 2}, {300 * ms, 1}, {200 * ms, 1}} {
 		set := settings()
-		set.LetGoWithin = tt.letGo
+		set.HoldTimeout = tt.letGo
 		list := fleet()
 		for id := ServerID(14); id < 20; id++ {
 			list = append(list, Listing{Server: id, Kind: 1, Condition: Ready})
@@ -296,8 +296,8 @@
 		held := w.now
 		for n := 1; ; n++ {
 			w.now += set.DialTimeout
-			acts := w.do(Event{Kind: Ended, Request: id, Attempt: n, Server: writer, Outcome: ConnectFailed,
-				Spent: set.DialTimeout})
+			acts := w.do(Event{Kind: AttemptEnded, Request: id, Attempt: n, Server: writer, Outcome: ConnectFailed,
+				Elapsed: set.DialTimeout})
 			if a := find(acts, Send); a != nil {
 				writer = a.Server
 				continue
@@ -306,7 +306,7 @@
 				t.Errorf("held for %d ms at the most: after %d tries %v, want a refusal and a release after %d", tt.letGo/ms, n, acts, tt.tries)
 			}
 			// The slack of the sockets, less what the process may be held up.
-			if most := tt.letGo + 300*ms - HoldUp; w.now-held > most {
+			if most := tt.letGo + 300*ms - MaxPause; w.now-held > most {
 				t.Errorf("held for %d ms, at most %d are allowed", (w.now-held)/ms, most/ms)
 			}
 			break
@@ -319,7 +319,7 @@
 	w := newWorld(sparseOf(t))
 	id, acts := w.arrive(safe)
 	asked, writers := probes(acts)
-	w.do(Event{Kind: ClientGone, Request: id})
+	w.do(Event{Kind: ClientLeft, Request: id})
 	for _, s := range append(writers, asked...) {
 		if acts := w.tells(s, 0.1, 50); len(acts) != 0 { // crowded: for who waits, others would be asked
 			t.Fatalf("got %v for a client that has left", acts)
@@ -332,7 +332,7 @@
 	for name, change := range map[string]func(*Settings){
 		"few routers": func(s *Settings) { s.Routers = 3 },
 		"no probes":   func(s *Settings) { s.Probing = false },
-		"dear probes": func(s *Settings) { s.ProbeFee = 0.1 },
+		"dear probes": func(s *Settings) { s.ProbeCost = 0.1 },
 	} {
 		set, list := sparse()
 		change(set)
@@ -349,7 +349,7 @@
 	set.Probing = false
 	w := newWorld(t, set, list)
 	for _, s := range []ServerID{11, 12, 13} {
-		w.do(Event{Kind: Probed, Server: s, Outcome: Served, Report: Report{MemoryShare: 0.1, WaitingK: -1, Latency: -1}})
+		w.do(Event{Kind: Probed, Server: s, Outcome: Served, Report: Report{MemoryUse: 0.1, QueuedKTokens: -1, Latency: -1}})
 	}
 	w.read(safe) // 1,000 tokens; times 300 routers two thirds of the writers' memory
 	w.read(safe)
--- a/decide/bench_test.go
+++ b/decide/bench_test.go
@@ -15,12 +15,12 @@
 	sent []ServerID // by attempt of the request under way
 }
 
-var benchUntold = Report{MemoryShare: -1, WaitingK: -1, Latency: -1}
+var benchUntold = Report{MemoryUse: -1, QueuedKTokens: -1, Latency: -1}
 
 // newBenchFleet makes a router of many; of the servers, one in coldOf started just now, 0: none.
 func newBenchFleet(b *testing.B, servers, routers, coldOf int) *benchFleet {
 	set := settings()
-	set.Routers, set.Probing, set.ProbeFee = routers, true, 0.0026
+	set.Routers, set.Probing, set.ProbeCost = routers, true, 0.0026
 	f := &benchFleet{b: b, r: New(set, 1, 1000*Second), now: 1000 * Second}
 	f.handle(&Event{Kind: ListCached, Servers: benchList(servers, coldOf, f.now), Report: benchUntold})
 	return f
@@ -30,7 +30,7 @@
 	for i := range servers {
 		l := Listing{Server: ServerID(mix(uint64(i + 1))), Kind: i % 2, Cell: i / 6, Zone: i % 3, Condition: Ready, Weight: 1}
 		if coldOf > 0 && i/2%coldOf == 0 {
-			l.Since = now
+			l.StartedAt = now
 		}
 		list = append(list, l)
 	}
@@ -51,7 +51,7 @@
 		}
 	}
 	for _, s := range probed {
-		f.handle(&Event{Kind: Probed, Server: s, Outcome: Served, Report: Report{MemoryShare: 0.2, WaitingK: 0, Latency: -1}})
+		f.handle(&Event{Kind: Probed, Server: s, Outcome: Served, Report: Report{MemoryUse: 0.2, QueuedKTokens: 0, Latency: -1}})
 	}
 }
 
@@ -61,17 +61,17 @@
 	f.sent = f.sent[:0]
 	f.now += 30 * ms
 	id := f.id
-	f.handle(&Event{Kind: Arrived, Request: id, Report: benchUntold, Job: Job{Session: uint64(id % 100), Text: uint64(id%20) + 1,
-		Prompt: 1000, Prefix: 800, MaxOut: 100, Deadline: f.now + 4*Second}})
+	f.handle(&Event{Kind: Arrived, Request: id, Report: benchUntold, Job: Job{SessionID: uint64(id % 100), PrefixID: uint64(id%20) + 1,
+		PromptTokens: 1000, PrefixTokens: 800, MaxOutputTokens: 100, Deadline: f.now + 4*Second}})
 	if len(f.sent) != 1 {
 		f.b.Fatalf("%d sends after the arrival", len(f.sent))
 	}
-	f.handle(&Event{Kind: Ended, Request: id, Server: f.sent[0], Outcome: ReadDone, Spent: ms, Report: benchUntold})
+	f.handle(&Event{Kind: AttemptEnded, Request: id, Server: f.sent[0], Outcome: ReadDone, Elapsed: ms, Report: benchUntold})
 	if len(f.sent) != 2 {
 		f.b.Fatalf("%d sends after the read", len(f.sent))
 	}
-	f.handle(&Event{Kind: FirstToken, Request: id, Server: f.sent[1], Attempt: 1, Spent: ms, Report: benchUntold})
-	f.handle(&Event{Kind: Ended, Request: id, Server: f.sent[1], Attempt: 1, Outcome: Served, Closed: true, Spent: ms, Report: benchUntold})
+	f.handle(&Event{Kind: FirstToken, Request: id, Server: f.sent[1], Attempt: 1, Elapsed: ms, Report: benchUntold})
+	f.handle(&Event{Kind: AttemptEnded, Request: id, Server: f.sent[1], Attempt: 1, Outcome: Served, Closed: true, Elapsed: ms, Report: benchUntold})
 	f.handle(&Event{Kind: Timer, Report: benchUntold})
 }
 
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -26,23 +26,23 @@
 
 // settings has one class of each kind of repeat, a reader kind 0 and a writer kind 1.
 func settings() *Settings {
-	class := func(rep Repeat, scope Scope) Class {
-		return Class{Aim: Second, AimPerK: 40 * ms, Deadline: 4 * Second, TokenAim: 60 * ms, Worth: 1,
-			Repeat: rep, Scope: scope, Window: 2 * Second}
+	class := func(rep RetryPolicy, scope DedupScope) Class {
+		return Class{FirstTokenTarget: Second, FirstTokenTargetPerK: 40 * ms, Deadline: 4 * Second, TokenIntervalTarget: 60 * ms, Value: 1,
+			RetryPolicy: rep, DedupScope: scope, DedupWindow: 2 * Second}
 	}
 	return &Settings{
 		Routers: 2, MayCancel: true, MaxAttempts: 6, MaxRetryAfter: Second / 2,
 		Classes: []Class{class(Safe, 0), class(Unsafe, 0), class(Keyed, ScopeAll),
 			class(Keyed, ScopeZone), class(Keyed, ScopeCell)},
-		Kinds:         []Kind{{Role: Reader, Memory: 200e3}, {Role: Writer, Memory: 150e3}},
-		DialTimeout:   250 * ms,
-		AnswerGrace:   16 * ms,
-		DrainGrace:    Second,
-		LetGoWithin:   300 * ms,
-		FallMultiple:  4,
-		OverloadFor:   2 * Second,
-		StartCapacity: 0.25,
-		ColdFor:       10 * Second,
+		Kinds:            []Kind{{Role: Reader, Memory: 200e3}, {Role: Writer, Memory: 150e3}},
+		DialTimeout:      250 * ms,
+		AnswerGrace:      16 * ms,
+		DrainGrace:       Second,
+		HoldTimeout:      300 * ms,
+		OverloadMultiple: 4,
+		OverloadWindow:   2 * Second,
+		InitialCapacity:  0.25,
+		SlowStartTime:    10 * Second,
 	}
 }
 
@@ -72,7 +72,7 @@
 
 func (w *world) do(ev Event) []Action {
 	if ev.Report == (Report{}) {
-		ev.Report = Report{MemoryShare: -1, WaitingK: -1, Latency: -1}
+		ev.Report = Report{MemoryUse: -1, QueuedKTokens: -1, Latency: -1}
 	}
 	w.r.timed = [Both + 1]bool{} // tests put answer times in by hand
 	return w.r.Handle(w.now, &ev, nil)
@@ -80,13 +80,13 @@
 
 func (w *world) arrive(class int) (RequestID, []Action) {
 	w.ids++
-	return w.ids, w.do(Event{Kind: Arrived, Request: w.ids, Job: Job{Class: class, Session: uint64(w.ids),
-		Text: 99, Prompt: 1000, Prefix: 800, MaxOut: 100, Deadline: w.now + 4*Second}})
+	return w.ids, w.do(Event{Kind: Arrived, Request: w.ids, Job: Job{Class: class, SessionID: uint64(w.ids),
+		PrefixID: 99, PromptTokens: 1000, PrefixTokens: 800, MaxOutputTokens: 100, Deadline: w.now + 4*Second}})
 }
 
 func (w *world) end(id RequestID, attempt int, s ServerID, o Outcome) []Action {
 	w.now += 50 * ms
-	return w.do(Event{Kind: Ended, Request: id, Attempt: attempt, Server: s, Outcome: o, Spent: 50 * ms})
+	return w.do(Event{Kind: AttemptEnded, Request: id, Attempt: attempt, Server: s, Outcome: o, Elapsed: 50 * ms})
 }
 
 // read brings a request to its first send to a writer, and returns that writer.
@@ -139,11 +139,11 @@
 		{"safe full", safe, Full, 0, Send},
 		{"safe cancelled", safe, Cancelled, 0, Send},
 		{"safe connect", safe, ConnectFailed, 0, Send},
-		{"safe moot", safe, Moot, 0, Refuse},
+		{"safe moot", safe, NotStarted, 0, Refuse},
 		{"safe at the deadline", safe, TimedOut, 4 * Second, Refuse},
 		{"unsafe full", unsafeClass, Full, 0, Send},
 		{"unsafe connect", unsafeClass, ConnectFailed, 0, Send},
-		{"unsafe moot", unsafeClass, Moot, 0, Refuse},
+		{"unsafe moot", unsafeClass, NotStarted, 0, Refuse},
 		{"unsafe error", unsafeClass, Error, 0, Fail},
 		{"unsafe reset", unsafeClass, Reset, 0, Fail},
 		{"unsafe timeout", unsafeClass, TimedOut, 0, Fail},
@@ -158,8 +158,8 @@
 			w := newWorld(t, settings(), fleet())
 			id, writer := w.read(tt.class)
 			w.now += tt.late
-			ev := Event{Kind: Ended, Request: id, Attempt: 1, Server: writer, Outcome: tt.outcome,
-				Spent: tt.late + ms}
+			ev := Event{Kind: AttemptEnded, Request: id, Attempt: 1, Server: writer, Outcome: tt.outcome,
+				Elapsed: tt.late + ms}
 			acts := w.do(ev)
 			if find(acts, tt.want) == nil {
 				t.Fatalf("got %v, want a %v", acts, tt.want)
@@ -211,7 +211,7 @@
 func TestLostStateIsReadAgain(t *testing.T) {
 	w := newWorld(t, settings(), fleet())
 	id, writer := w.read(unsafeClass)
-	acts := w.do(Event{Kind: Ended, Request: id, Attempt: 1, Server: writer, Outcome: Full, NoState: true})
+	acts := w.do(Event{Kind: AttemptEnded, Request: id, Attempt: 1, Server: writer, Outcome: Full, NoState: true})
 	if s := w.sent(acts); s != 1 && s != 2 {
 		t.Errorf("sent to %d, want a reader", s)
 	}
@@ -223,10 +223,10 @@
 		w := newWorld(t, settings(), fleet())
 		id, acts := w.arrive(safe)
 		reader := w.sent(acts)
-		if acts := w.do(Event{Kind: ClientGone, Request: id}); find(acts, Cancel) == nil {
+		if acts := w.do(Event{Kind: ClientLeft, Request: id}); find(acts, Cancel) == nil {
 			t.Errorf("the read was not called off: %v", kinds(acts))
 		}
-		acts = w.do(Event{Kind: Ended, Request: id, Server: reader, Outcome: ReadDone, Closed: true})
+		acts = w.do(Event{Kind: AttemptEnded, Request: id, Server: reader, Outcome: ReadDone, Closed: true})
 		if find(acts, Release) == nil || find(acts, Send) != nil {
 			t.Errorf("want only a release, got %v", kinds(acts))
 		}
@@ -234,8 +234,8 @@
 	t.Run("client leaves while a writer has it", func(t *testing.T) {
 		w := newWorld(t, settings(), fleet())
 		id, writer := w.read(safe)
-		w.do(Event{Kind: ClientGone, Request: id})
-		acts := w.do(Event{Kind: Ended, Request: id, Attempt: 1, Server: writer, Outcome: Cancelled, Closed: true})
+		w.do(Event{Kind: ClientLeft, Request: id})
+		acts := w.do(Event{Kind: AttemptEnded, Request: id, Attempt: 1, Server: writer, Outcome: Cancelled, Closed: true})
 		if find(acts, Release) == nil {
 			t.Errorf("the state was not let go: %v", kinds(acts))
 		}
@@ -283,7 +283,7 @@
 	for range 300 { // warm traffic to learn the rates from: 20 a second
 		w.serve()
 	}
-	w.do(Event{Kind: ListChanged, Servers: []Listing{{Server: 12, Kind: 1, Condition: Ready, Since: w.now}}})
+	w.do(Event{Kind: ListChanged, Servers: []Listing{{Server: 12, Kind: 1, Condition: Ready, StartedAt: w.now}}})
 	var cold []Time
 	warm := 0
 	for range 190 {
@@ -321,7 +321,7 @@
 	}
 	w.do(Event{Kind: ListChanged, Servers: []Listing{
 		{Server: 11, Kind: 1, Condition: Gone}, {Server: 12, Kind: 1, Condition: Gone}, {Server: 13, Kind: 1, Condition: Gone},
-		{Server: 21, Kind: 1, Condition: Ready, Since: w.now}, {Server: 22, Kind: 1, Condition: Ready, Since: w.now}}})
+		{Server: 21, Kind: 1, Condition: Ready, StartedAt: w.now}, {Server: 22, Kind: 1, Condition: Ready, StartedAt: w.now}}})
 	began := w.now
 	cold := map[ServerID][]Time{}
 	for w.now-began < 9*Second {
@@ -332,13 +332,13 @@
 			continue
 		}
 		w.now += 25 * ms
-		acts = w.do(Event{Kind: Ended, Request: id, Server: reader.Server, Outcome: ReadDone, Spent: 25 * ms, Kept: 800})
+		acts = w.do(Event{Kind: AttemptEnded, Request: id, Server: reader.Server, Outcome: ReadDone, Elapsed: 25 * ms, CachedTokens: 800})
 		if a := find(acts, Send); a != nil {
 			cold[a.Server] = append(cold[a.Server], w.now)
 			w.now += 10 * ms
-			w.do(Event{Kind: FirstToken, Request: id, Attempt: 1, Server: a.Server, Spent: 10 * ms})
+			w.do(Event{Kind: FirstToken, Request: id, Attempt: 1, Server: a.Server, Elapsed: 10 * ms})
 			w.now += 15 * ms // as long as before: an answer's time is its work
-			w.do(Event{Kind: Ended, Request: id, Attempt: 1, Server: a.Server, Outcome: Served, Spent: 25 * ms, Closed: true})
+			w.do(Event{Kind: AttemptEnded, Request: id, Attempt: 1, Server: a.Server, Outcome: Served, Elapsed: 25 * ms, Closed: true})
 		}
 	}
 	// A warm writer did a third of twenty a second for this router; of two routers and a budget of four times a
@@ -366,21 +366,21 @@
 	id, acts := w.arrive(safe)
 	reader := w.sent(acts)
 	w.now += 25 * ms
-	acts = w.do(Event{Kind: Ended, Request: id, Server: reader, Outcome: ReadDone, Spent: 25 * ms, Kept: 800})
+	acts = w.do(Event{Kind: AttemptEnded, Request: id, Server: reader, Outcome: ReadDone, Elapsed: 25 * ms, CachedTokens: 800})
 	writer := w.sent(acts)
 	w.now += 10 * ms
-	w.do(Event{Kind: FirstToken, Request: id, Attempt: 1, Server: writer, Spent: 10 * ms})
+	w.do(Event{Kind: FirstToken, Request: id, Attempt: 1, Server: writer, Elapsed: 10 * ms})
 	w.now += 15 * ms
-	w.do(Event{Kind: Ended, Request: id, Attempt: 1, Server: writer, Outcome: Served, Spent: 25 * ms, Closed: true})
+	w.do(Event{Kind: AttemptEnded, Request: id, Attempt: 1, Server: writer, Outcome: Served, Elapsed: 25 * ms, Closed: true})
 	return writer
 }
 
 // After any ending the books are empty again.
 func TestBooksAreUndone(t *testing.T) {
-	for _, o := range []Outcome{Served, Error, Full, TimedOut, ConnectFailed, Reset, Cancelled, Moot} {
+	for _, o := range []Outcome{Served, Error, Full, TimedOut, ConnectFailed, Reset, Cancelled, NotStarted} {
 		w := newWorld(t, settings(), fleet())
 		id, writer := w.read(unsafeClass)
-		w.do(Event{Kind: Ended, Request: id, Attempt: 1, Server: writer, Outcome: o, Closed: true})
+		w.do(Event{Kind: AttemptEnded, Request: id, Attempt: 1, Server: writer, Outcome: o, Closed: true})
 		for _, s := range w.r.order {
 			if s.streams != 0 || s.booked != 0 || s.pending != 0 || s.waiting != 0 {
 				t.Errorf("outcome %d left %+v", o, s)
@@ -397,14 +397,14 @@
 	w := newWorld(t, settings(), fleet())
 	w.serve()
 	for _, ev := range []Event{
-		{Kind: Ended, Request: 1, Attempt: 0, Server: 1, Outcome: ReadDone, Closed: true},
-		{Kind: Ended, Request: 77, Server: 1, Outcome: Served}, {Kind: Ended, Request: 77, Server: 500},
+		{Kind: AttemptEnded, Request: 1, Attempt: 0, Server: 1, Outcome: ReadDone, Closed: true},
+		{Kind: AttemptEnded, Request: 77, Server: 1, Outcome: Served}, {Kind: AttemptEnded, Request: 77, Server: 500},
 		{Kind: FirstToken, Request: 1, Attempt: 1, Server: 11}, {Kind: FirstToken, Request: 77},
-		{Kind: ClientGone, Request: 1}, {Kind: ClientGone, Request: 77}, {Kind: Timer, Token: 12345},
-		{Kind: Probed, Server: 500}, {Kind: PlaceAnswer, Request: 77}, {Kind: PeerMessage},
+		{Kind: ClientLeft, Request: 1}, {Kind: ClientLeft, Request: 77}, {Kind: Timer, TimerID: 12345},
+		{Kind: Probed, Server: 500}, {Kind: ReservationAnswer, Request: 77}, {Kind: PeerMessage},
 	} {
 		for _, a := range w.do(ev) {
-			if a.Kind != WakeMe {
+			if a.Kind != SetTimer {
 				t.Errorf("%+v led to %+v", ev, a)
 			}
 		}
@@ -529,7 +529,7 @@
 		w.serve()
 	}
 	w.ids++
-	acts := w.do(Event{Kind: Arrived, Request: w.ids, Job: Job{Session: 5, Prompt: 30000,
+	acts := w.do(Event{Kind: Arrived, Request: w.ids, Job: Job{SessionID: 5, PromptTokens: 30000,
 		Deadline: w.now + 6*Second}})
 	if a := find(acts, Send); a == nil || float64(a.After) < 30000*w.r.pace {
 		t.Errorf("got %+v at a pace of %v ns a token", a, w.r.pace)
@@ -571,7 +571,7 @@
 	refused := func(class int, share float64) (n int) {
 		set := settings()
 		set.Classes[1] = set.Classes[0]
-		set.Classes[1].Worth = 3
+		set.Classes[1].Value = 3
 		w := newWorld(t, set, fleet())
 		for _, s := range w.r.order {
 			s.share = share
@@ -617,7 +617,7 @@
 func TestExcessOfATenantGoesFirst(t *testing.T) {
 	refused := func(tenant int, share float64) (n int) {
 		set := settings()
-		set.Tenants = []Tenant{{PerSecond: 1000}, {PerSecond: 2}}
+		set.Tenants = []Tenant{{RequestsPerSecond: 1000}, {RequestsPerSecond: 2}}
 		w := newWorld(t, set, fleet())
 		for _, s := range w.r.order {
 			s.share = share
@@ -626,8 +626,8 @@
 			w.now += 10 * ms
 			w.r.servers[11].sent, w.r.servers[12].sent, w.r.servers[13].sent = 0, 0, 0
 			w.ids++
-			if find(w.do(Event{Kind: Arrived, Request: w.ids, Job: Job{Tenant: tenant, Session: uint64(w.ids),
-				Prompt: 1000, Deadline: w.now + 4*Second}}), Refuse) != nil {
+			if find(w.do(Event{Kind: Arrived, Request: w.ids, Job: Job{Tenant: tenant, SessionID: uint64(w.ids),
+				PromptTokens: 1000, Deadline: w.now + 4*Second}}), Refuse) != nil {
 				n++
 			}
 		}
@@ -668,8 +668,8 @@
 			t.Fatalf("refused after %d time-outs", len(caps))
 		}
 		caps = append(caps, a.After)
-		w.do(Event{Kind: Ended, Request: id, Server: a.Server, Outcome: TimedOut, Spent: a.After})
-		w.do(Event{Kind: ClientGone, Request: id})
+		w.do(Event{Kind: AttemptEnded, Request: id, Server: a.Server, Outcome: TimedOut, Elapsed: a.After})
+		w.do(Event{Kind: ClientLeft, Request: id})
 		for _, s := range w.r.order {
 			s.answers, s.bench = 0, 0 // the times that were learned would refuse before
 			s.answer = 0
@@ -688,7 +688,7 @@
 	reader := w.r.servers[w.sent(acts)]
 	for range 5 {
 		w.end(id, 0, reader.id, Error)
-		w.do(Event{Kind: ClientGone, Request: id})
+		w.do(Event{Kind: ClientLeft, Request: id})
 		id, acts = w.arrive(safe)
 		if w.sent(acts) != reader.id {
 			t.Fatal("the home was left for errors")
@@ -725,7 +725,7 @@
 	list := fleet()
 	for i := range list {
 		if list[i].Server == 12 {
-			list[i].Since = 999 * Second
+			list[i].StartedAt = 999 * Second
 		}
 	}
 	w := newWorld(t, settings(), list)
@@ -753,7 +753,7 @@
 	w.serve() // the home answers a later one
 	before, again := s.answer, w.r.again
 	w.now += Second
-	if acts := w.do(Event{Kind: Ended, Request: id, Server: s.id, Outcome: TimedOut, Spent: Second}); find(acts, Send) == nil {
+	if acts := w.do(Event{Kind: AttemptEnded, Request: id, Server: s.id, Outcome: TimedOut, Elapsed: Second}); find(acts, Send) == nil {
 		t.Errorf("not tried again: %v", kinds(acts))
 	}
 	if s.answer != before || w.r.again != again || s.failing > 0.01 {
@@ -777,13 +777,13 @@
 			t.Fatal("two homes for one text")
 		}
 		w.now += 10 * ms
-		w.do(Event{Kind: Ended, Request: first, Server: s.id, Outcome: ReadDone, Spent: 11 * ms, Kept: 800})
+		w.do(Event{Kind: AttemptEnded, Request: first, Server: s.id, Outcome: ReadDone, Elapsed: 11 * ms, CachedTokens: 800})
 		for _, o := range w.r.order {
 			o.answer, o.answers = tt.answer, slowSamples
 		}
 		again := w.r.again
 		w.now += Second
-		w.do(Event{Kind: Ended, Request: second, Server: s.id, Outcome: TimedOut, Spent: Second + 10*ms})
+		w.do(Event{Kind: AttemptEnded, Request: second, Server: s.id, Outcome: TimedOut, Elapsed: Second + 10*ms})
 		if lost := w.r.again == again; lost != tt.lost {
 			t.Errorf("usual time %v: taken for lost: %v", tt.answer, lost)
 		}
@@ -823,7 +823,7 @@
 	writer := w.sent(w.end(id, 0, reader, ReadDone))
 	w.now += ms
 	w.do(Event{Kind: ListChanged, Servers: []Listing{{Server: reader, Zone: 1}}}) // its state is gone
-	acts = w.do(Event{Kind: Ended, Request: id, Attempt: 1, Server: writer, Outcome: Reset})
+	acts = w.do(Event{Kind: AttemptEnded, Request: id, Attempt: 1, Server: writer, Outcome: Reset})
 	if a := find(acts, Send); a != nil && w.r.servers[a.Server].zone != w.r.servers[writer].zone {
 		t.Errorf("from writer %d sent on to %d", writer, a.Server)
 	}
@@ -832,15 +832,15 @@
 // A failed asking for the list is asked again, but not in the same breath.
 func TestFailedListIsAskedAgain(t *testing.T) {
 	set := settings()
-	set.AskMembership = true
+	set.PullMembership = true
 	w := newWorld(t, set, fleet())
-	if acts := w.do(Event{Kind: ListFailed}); find(acts, Watch) != nil {
+	if acts := w.do(Event{Kind: ListFailed}); find(acts, WatchList) != nil {
 		t.Error("asked again at once")
 	}
 	asked := 0
 	for range 200 {
 		w.now += tickEvery
-		if find(w.do(Event{Kind: Timer}), Watch) != nil {
+		if find(w.do(Event{Kind: Timer}), WatchList) != nil {
 			asked++
 		}
 	}
@@ -853,8 +853,8 @@
 // allows, and an answer leaves nothing held.
 func TestEveryOutcomeOfEveryClass(t *testing.T) {
 	for class := safe; class <= keyedCell; class++ {
-		for o := ReadDone; o <= Moot; o++ { // Served always ends a request
-			for _, late := range []Duration{ms, settings().Classes[0].Window - settings().DialTimeout, settings().Classes[0].Window + ms, 4 * Second} {
+		for o := ReadDone; o <= NotStarted; o++ { // Served always ends a request
+			for _, late := range []Duration{ms, settings().Classes[0].DedupWindow - settings().DialTimeout, settings().Classes[0].DedupWindow + ms, 4 * Second} {
 				for _, atWriter := range []bool{false, true} {
 					if atWriter && o == ReadDone {
 						continue
@@ -867,7 +867,7 @@
 						s, attempt = w.sent(w.end(id, 0, s, ReadDone)), 1
 					}
 					w.now += late
-					acts = w.do(Event{Kind: Ended, Request: id, Attempt: attempt, Server: s, Outcome: o, Spent: late})
+					acts = w.do(Event{Kind: AttemptEnded, Request: id, Attempt: attempt, Server: s, Outcome: o, Elapsed: late})
 					send, refuse, fail := find(acts, Send), find(acts, Refuse), find(acts, Fail)
 					n := 0
 					for _, a := range []*Action{send, refuse, fail} {
@@ -878,11 +878,11 @@
 					if n != 1 {
 						t.Fatalf("class %d, outcome %d, writer %v, after %v: %v", class, o, atWriter, late, kinds(acts))
 					}
-					ran := atWriter && o != Full && o != ConnectFailed && o != Moot && o != ReadDone
-					rep, scope := w.r.set.Classes[class].Repeat, w.r.set.Classes[class].Scope
+					ran := atWriter && o != Full && o != ConnectFailed && o != NotStarted && o != ReadDone
+					rep, scope := w.r.set.Classes[class].RetryPolicy, w.r.set.Classes[class].DedupScope
 					switch {
 					case ran && rep == Unsafe && fail == nil,
-						ran && rep == Keyed && send != nil && late+w.r.set.DialTimeout >= w.r.set.Classes[class].Window,
+						ran && rep == Keyed && send != nil && late+w.r.set.DialTimeout >= w.r.set.Classes[class].DedupWindow,
 						ran && rep == Keyed && refuse != nil && scope != ScopeAll:
 						t.Errorf("class %d, outcome %d after %v: %v breaks rule 2", class, o, late, kinds(acts))
 					case ran && rep == Keyed && send != nil && scope == ScopeZone &&
@@ -900,7 +900,7 @@
 // Probes are earned by requests: with hundreds of routers over a large fleet their price must not grow.
 func TestProbesAreEarned(t *testing.T) {
 	set := settings()
-	set.Routers, set.Probing, set.ProbeFee = 200, true, 0.005
+	set.Routers, set.Probing, set.ProbeCost = 200, true, 0.005
 	list := []Listing{}
 	for id := ServerID(1); id <= 60; id++ {
 		list = append(list, Listing{Server: id, Kind: int(id) % 2, Condition: Ready})
@@ -917,19 +917,19 @@
 			if a.Kind != Probe {
 				continue
 			}
-			if a.Fresh {
+			if a.NewConnection {
 				checks++
 			} else {
 				probes++
 			}
-			w.do(Event{Kind: Probed, Server: a.Server, Fresh: a.Fresh, Outcome: Served})
+			w.do(Event{Kind: Probed, Server: a.Server, NewConnection: a.NewConnection, Outcome: Served})
 		}
 	}
 	// No request here is ever answered, and the reader of each is asked a few times whether it can be reached.
 	if checks > mostAsked*requests {
 		t.Errorf("%d checks of servers for %d requests without an answer", checks, requests)
 	}
-	if cost := float64(probes) * set.ProbeFee / float64(requests); probes == 0 || cost > 1.2*probePoints {
+	if cost := float64(probes) * set.ProbeCost / float64(requests); probes == 0 || cost > 1.2*probePoints {
 		t.Errorf("%d probes for %d requests cost %.4f, allowed %.4f", probes, requests, cost, probePoints)
 	}
 }
@@ -941,11 +941,11 @@
 		for i := 0; i < 50; i++ {
 			id, acts := w.arrive(safe)
 			w.end(id, 0, w.sent(acts), o)
-			w.do(Event{Kind: ClientGone, Request: id})
+			w.do(Event{Kind: ClientLeft, Request: id})
 		}
 		return w.r.coldGap(Reader, 1)
 	}
-	if done, failed := gap(ReadDone), gap(Full); done >= failed || failed != settings().ColdFor {
+	if done, failed := gap(ReadDone), gap(Full); done >= failed || failed != settings().SlowStartTime {
 		t.Errorf("gap after reads %d, after failures %d: failures must not open the budget", done, failed)
 	}
 }
@@ -978,7 +978,7 @@
 	w := newWorld(t, set, list)
 	sent := [2][2]int{}
 	for i := 0; i < 300; i++ {
-		q := &request{job: Job{Prompt: 1000}, state: w.r.servers[ServerID(1+i%2*4)]}
+		q := &request{job: Job{PromptTokens: 1000}, state: w.r.servers[ServerID(1+i%2*4)]}
 		sent[q.state.cell][w.r.pickWriter(q, true).cell]++
 	}
 	if kept := sent[0][0]; kept < 30 || kept > 75 {
@@ -1008,14 +1008,14 @@
 			reader := w.sent(acts)
 			w.r.servers[reader].kept = map[uint64]float64{}
 			w.now += 20 * ms
-			w.do(Event{Kind: Ended, Request: id, Server: reader, Outcome: ReadDone, Kept: 800, Spent: 20 * ms})
-			w.do(Event{Kind: ClientGone, Request: id})
+			w.do(Event{Kind: AttemptEnded, Request: id, Server: reader, Outcome: ReadDone, CachedTokens: 800, Elapsed: 20 * ms})
+			w.do(Event{Kind: ClientLeft, Request: id})
 		}
 		s.answer, s.answered = 10, w.now-10*Second
 		if got := w.r.recent(s) > 1; got != c.slow {
 			t.Errorf("%d routers: slow answer remembered after 10 s: %v", c.routers, got)
 		}
-		q := &request{key: 5, job: Job{Text: 5, Prompt: 1000, Prefix: 800}}
+		q := &request{key: 5, job: Job{PrefixID: 5, PromptTokens: 1000, PrefixTokens: 800}}
 		if got := w.r.fresh(q, s); got < c.fresh || got > c.fresh+10 {
 			t.Errorf("%d routers: %g tokens taken for new, %g expected", c.routers, got, c.fresh)
 		}
@@ -1059,7 +1059,7 @@
 		w := newWorld(t, set, fleet())
 		w.r.learn(w.r.servers[2], 40)
 		w.r.learn(w.r.servers[2], 40)
-		q := &request{key: 1, job: Job{Text: 1, Prompt: 1000}}
+		q := &request{key: 1, job: Job{PrefixID: 1, PromptTokens: 1000}}
 		for key := uint64(1); w.r.pickReader(q).id != 1; key++ {
 			q.key = key
 		}
@@ -1081,7 +1081,7 @@
 	}
 	w := newWorld(t, set, list)
 	w.ids++
-	odd := w.do(Event{Kind: Arrived, Request: w.ids, Job: Job{Class: 99, Prompt: 10, Deadline: w.now + Second}})
+	odd := w.do(Event{Kind: Arrived, Request: w.ids, Job: Job{Class: 99, PromptTokens: 10, Deadline: w.now + Second}})
 	if len(odd) != 1 || odd[0].Kind != Fail {
 		t.Errorf("a class that the settings don't name got %+v, one failure expected", odd)
 	}
@@ -1096,7 +1096,7 @@
 			t.Fatal("sent to a server that has left")
 		}
 	}
-	w.do(Event{Kind: ListChanged, Servers: []Listing{{Server: 1, Kind: 1, Condition: Ready, Since: w.now}}})
+	w.do(Event{Kind: ListChanged, Servers: []Listing{{Server: 1, Kind: 1, Condition: Ready, StartedAt: w.now}}})
 	if s := w.r.servers[1]; !s.ready || !w.r.cold(s) || s.bench != 0 {
 		t.Errorf("back under its name: ready %v, cold %v, bench %d", s.ready, w.r.cold(s), s.bench)
 	}
@@ -1135,7 +1135,7 @@
 	set.Kinds[1].Memory = 0
 	w := newWorld(t, set, fleet())
 	for _, s := range []ServerID{11, 12, 13} {
-		w.do(Event{Kind: Probed, Server: s, Report: Report{MemoryShare: 0.1, WaitingK: -1, Latency: -1}})
+		w.do(Event{Kind: Probed, Server: s, Report: Report{MemoryUse: 0.1, QueuedKTokens: -1, Latency: -1}})
 	}
 	w.read(safe) // one stream is booked
 	if _, acts := w.arrive(safe); find(acts, Refuse) != nil {
@@ -1184,7 +1184,7 @@
 		return w.r.count(Writer, func(s *server) bool { return w.r.suspect(s, false) })
 	}
 	w := newWorld(t, settings(), fleet())
-	bad := &Event{Kind: Ended, Outcome: Full}
+	bad := &Event{Kind: AttemptEnded, Outcome: Full}
 	for range 4 {
 		id, writer := w.read(safe)
 		for n := 1; n < 4; n++ {
@@ -1197,7 +1197,7 @@
 			}
 			writer = a.Server
 		}
-		w.do(Event{Kind: ClientGone, Request: id})
+		w.do(Event{Kind: ClientLeft, Request: id})
 	}
 	if n := left(w); n > 1 {
 		t.Errorf("%d of 3 writers are left out when all are full", n)
@@ -1210,11 +1210,11 @@
 		if writer == 12 {
 			turned++
 			writer = w.sent(w.end(id, 1, 12, Full))
-			w.do(Event{Kind: FirstToken, Request: id, Attempt: 2, Server: writer, Spent: 20 * ms})
+			w.do(Event{Kind: FirstToken, Request: id, Attempt: 2, Server: writer, Elapsed: 20 * ms})
 			w.end(id, 2, writer, Served)
 			continue
 		}
-		w.do(Event{Kind: FirstToken, Request: id, Attempt: 1, Server: writer, Spent: 20 * ms})
+		w.do(Event{Kind: FirstToken, Request: id, Attempt: 1, Server: writer, Elapsed: 20 * ms})
 		w.end(id, 1, writer, Served)
 	}
 	if turned < 2 || turned > 8 {
@@ -1224,8 +1224,8 @@
 	w = newWorld(t, settings(), fleet())
 	for range 3 {
 		id, writer := w.read(safe)
-		w.do(Event{Kind: Ended, Request: id, Attempt: 1, Server: writer, Outcome: Full, NoState: true})
-		w.do(Event{Kind: ClientGone, Request: id})
+		w.do(Event{Kind: AttemptEnded, Request: id, Attempt: 1, Server: writer, Outcome: Full, NoState: true})
+		w.do(Event{Kind: ClientLeft, Request: id})
 	}
 	if n := left(w); n != 0 {
 		t.Errorf("%d writers are left out for states that were gone", n)
@@ -1235,9 +1235,9 @@
 // A request that has waited for this router for longer than a process may be held up is refused: those that were taken come
 // first.
 func TestRequestsThatWaitedForTheRouter(t *testing.T) {
-	for waited, refused := range map[Duration]bool{0: false, HoldUp: false, waitedLong: false, waitedLong + ms: true} {
+	for waited, refused := range map[Duration]bool{0: false, MaxPause: false, waitedLong: false, waitedLong + ms: true} {
 		w := newWorld(t, settings(), fleet())
-		acts := w.do(Event{Kind: Arrived, Request: 1, Waited: waited, Job: Job{Prompt: 1000, Deadline: w.now + 4*Second}})
+		acts := w.do(Event{Kind: Arrived, Request: 1, RouterDelay: waited, Job: Job{PromptTokens: 1000, Deadline: w.now + 4*Second}})
 		if got := find(acts, Refuse) != nil; got != refused {
 			t.Errorf("after %d ms: %v", waited/ms, kinds(acts))
 		}
--- a/decide/guards.go
+++ b/decide/guards.go
@@ -19,7 +19,7 @@
 	if slices.Contains(q.tried, s) && (st == writing || q.state != s) {
 		return false
 	}
-	once := st == writing && r.set.Classes[q.job.Class].Repeat == Unsafe
+	once := st == writing && r.set.Classes[q.job.Class].RetryPolicy == Unsafe
 	return !r.suspect(s, once)
 }
 
@@ -33,7 +33,7 @@
 	s.coldAt, s.coldWork = r.now, r.workOf(q, st)/max(r.meanWork[st], 1)
 	if st == reading && q.mayHold {
 		r.act(Action{Kind: Release, Request: q.id})
-		q.mayHold = r.set.LetGoAtEnd
+		q.mayHold = r.set.ReleaseAtEnd
 	}
 	q.stage, q.out, q.sentAt = st, s, r.now
 	q.attempts++
@@ -47,15 +47,15 @@
 		q.expect = r.readTime(s)
 		r.askWriters(q, s)
 	} else {
-		q.tokens = q.job.Prompt
+		q.tokens = q.job.PromptTokens
 		s.streams++
 		s.booked += q.tokens
 		s.sent += q.tokens
 		q.expect = writeExpected
 	}
 	after := r.capFor(q)
-	r.act(Action{Kind: Send, Request: q.id, Server: s.id, After: after, NotAfter: r.repeatUntil(q),
-		HeardWithin: r.heardWithin(q, after)})
+	r.act(Action{Kind: Send, Request: q.id, Server: s.id, After: after, SendBy: r.repeatUntil(q),
+		LastResponseWithin: r.heardWithin(q, after)})
 	r.watchWait(q)
 	return true
 }
@@ -63,15 +63,15 @@
 // mayRepeat is rule 2, for reads too: a repeat goes to the group that drops it, and arrives in its window.
 func (r *Router) mayRepeat(q *request, s *server) bool {
 	c := &r.set.Classes[q.job.Class]
-	if !q.mayRun || c.Repeat == Safe {
+	if !q.mayRun || c.RetryPolicy == Safe {
 		return true
 	}
 	// The last byte leaves after a dial.
-	if c.Repeat == Unsafe || r.now+r.set.DialTimeout >= r.repeatUntil(q) {
+	if c.RetryPolicy == Unsafe || r.now+r.set.DialTimeout >= r.repeatUntil(q) {
 		return false
 	}
-	return c.Scope == ScopeAll || c.Scope == ScopeZone && q.runOn.zone == s.zone ||
-		c.Scope == ScopeCell && q.runOn.cell == s.cell
+	return c.DedupScope == ScopeAll || c.DedupScope == ScopeZone && q.runOn.zone == s.zone ||
+		c.DedupScope == ScopeCell && q.runOn.cell == s.cell
 }
 
 // giveUp is the only way to a final answer of this router's own: refused where rule 2 lets it promise
@@ -81,10 +81,10 @@
 		return
 	}
 	c := &r.set.Classes[q.job.Class]
-	if !q.mayRun || c.Repeat == Safe || c.Repeat == Keyed && c.Scope == ScopeAll {
-		r.act(Action{Kind: Refuse, Request: q.id, After: r.retryAfter(), Text: reason})
+	if !q.mayRun || c.RetryPolicy == Safe || c.RetryPolicy == Keyed && c.DedupScope == ScopeAll {
+		r.act(Action{Kind: Refuse, Request: q.id, After: r.retryAfter(), Reason: reason})
 	} else {
-		r.act(Action{Kind: Fail, Request: q.id, Text: reason})
+		r.act(Action{Kind: Fail, Request: q.id, Reason: reason})
 	}
 	r.close(q)
 }
--- a/decide/liveness.go
+++ b/decide/liveness.go
@@ -30,7 +30,7 @@
 const mostAsked = 2
 
 // heldUntil is the last instant at which what is held since a time may be let go.
-func (r *Router) heldUntil(since Time) Time { return since + r.set.LetGoWithin + holdSlack }
+func (r *Router) heldUntil(since Time) Time { return since + r.set.HoldTimeout + holdSlack }
 
 // arrived tells whether the attempt that is out has come to its server: that gave a sign after the last byte
 // had left, be it after a dial.
@@ -48,7 +48,7 @@
 // waitLimit is how long an attempt may be waited for where it usually takes less: if its answer is lost, or
 // the send is, another attempt has to arrive while what is held may be held yet.
 func (r *Router) waitLimit() Duration {
-	return r.set.LetGoWithin + holdSlack - r.set.DialTimeout - tickEvery
+	return r.set.HoldTimeout + holdSlack - r.set.DialTimeout - tickEvery
 }
 
 // heardWithin bounds the age of the connection for an attempt that is sent now: where something is held
@@ -65,14 +65,14 @@
 }
 
 // seeks tells whether signs are looked for. Where they are not, every attempt counts as out.
-func (r *Router) seeks() bool { return r.set.ByArrival && r.set.Probing && r.set.MayCancel }
+func (r *Router) seeks() bool { return r.set.PauseHoldOnArrival && r.set.Probing && r.set.MayCancel }
 
 // noteHeld notes since when what may be held for a request waits for an attempt, once the one that was out
 // has ended. Only one that has come to its server was out. A read that is not heard of may have ended well.
 func (r *Router) noteHeld(q *request, o Outcome) {
 	lost := q.stage == reading && (o == TimedOut || o == Reset || o == Cancelled)
 	switch {
-	case o == ConnectFailed || o == Moot:
+	case o == ConnectFailed || o == NotStarted:
 	case o == ReadDone || o == Served || !r.seeks():
 		q.heldAt = r.now
 	case lost && (r.arrived(q) || !q.mayHold):
@@ -104,7 +104,7 @@
 			s.checking = true
 			u.asked++
 			u.askedAt = r.now
-			r.act(Action{Kind: Probe, Server: s.id, Fresh: true})
+			r.act(Action{Kind: Probe, Server: s.id, NewConnection: true})
 		case r.isQuickRead(u.request):
 			r.callOff(u)
 		}
@@ -119,7 +119,7 @@
 	}
 	u.let = true
 	q.state, q.mayHold = nil, false
-	r.act(Action{Kind: Release, Request: q.id, WhileOut: true})
+	r.act(Action{Kind: Release, Request: q.id, DuringAttempt: true})
 }
 
 // due tells whether the time by which an attempt's server has to give a sign is nearly over. That it gave one
@@ -144,7 +144,7 @@
 	if q.stage != reading || waited < r.waitLimit()-tickEvery {
 		return false
 	}
-	if check.Outcome == Served && check.Report.WaitingK >= 0 && float64(waited) >= waitTypical*r.expected(q) {
+	if check.Outcome == Served && check.Report.QueuedKTokens >= 0 && float64(waited) >= waitTypical*r.expected(q) {
 		return !r.explains(&check.Report)
 	}
 	suspicious := check.Outcome == TimedOut || check.Outcome == Served && !r.explains(&check.Report)
@@ -158,7 +158,7 @@
 
 // explains tells whether a reader's report explains why a read takes so long: by a queue that takes so long.
 func (r *Router) explains(rep *Report) bool {
-	return 2*rep.WaitingK*thousand*r.pace >= float64(r.waitLimit())
+	return 2*rep.QueuedKTokens*thousand*r.pace >= float64(r.waitLimit())
 }
 
 func (r *Router) callOff(u *unsure) {
@@ -180,11 +180,11 @@
 		if !r.isUnsure(*u) || u.request.out != s {
 			continue
 		}
-		if ev.Outcome == ConnectFailed || ev.Fresh && r.isLost(u.request, ev) {
+		if ev.Outcome == ConnectFailed || ev.NewConnection && r.isLost(u.request, ev) {
 			r.callOff(u)
 		}
 	}
-	if ev.Outcome == Served || ev.Fresh && ev.Outcome != ConnectFailed {
+	if ev.Outcome == Served || ev.NewConnection && ev.Outcome != ConnectFailed {
 		s.heardAt = r.now
 	}
 }
--- a/decide/names_test.go
+++ b/decide/names_test.go
@@ -18,11 +18,11 @@
 // named is a deployment with two classes, three kinds, two zones, four cells and two tenants.
 func named(by naming, routers int) (*Settings, []Listing) {
 	set := settings()
-	set.Routers, set.Probing, set.ProbeFee = routers, true, 0.002
+	set.Routers, set.Probing, set.ProbeCost = routers, true, 0.002
 	classes := []Class{set.Classes[safe], set.Classes[unsafeClass]}
-	classes[1].Worth, classes[1].Aim = 3, 2*Second
+	classes[1].Value, classes[1].FirstTokenTarget = 3, 2*Second
 	kinds := []Kind{{Role: Reader, Memory: 200e3}, {Role: Writer, Memory: 150e3}, {Role: Both, Memory: 100e3}}
-	tenants := []Tenant{{PerSecond: 40}, {PerSecond: 8}}
+	tenants := []Tenant{{RequestsPerSecond: 40}, {RequestsPerSecond: 8}}
 	set.Classes, set.Kinds, set.Tenants = make([]Class, 2), make([]Kind, 3), make([]Tenant, 2)
 	for i := range classes {
 		set.Classes[by.class(i)] = classes[i]
@@ -58,7 +58,7 @@
 	do := func(ev Event) {
 		ev.Report.Latency = -1
 		if ev.Kind != Probed {
-			ev.Report.MemoryShare, ev.Report.WaitingK = -1, -1
+			ev.Report.MemoryUse, ev.Report.QueuedKTokens = -1, -1
 		}
 		acts := r.Handle(now, &ev, nil)
 		for _, a := range acts {
@@ -66,8 +66,8 @@
 			switch a.Kind {
 			case Send:
 				kind := r.servers[a.Server].role
-				out := Event{Kind: Ended, Request: a.Request, Server: a.Server, Attempt: r.requests[a.Request].attempts - 1,
-					Spent: after}
+				out := Event{Kind: AttemptEnded, Request: a.Request, Server: a.Server, Attempt: r.requests[a.Request].attempts - 1,
+					Elapsed: after}
 				switch n := rng.IntN(10); {
 				case n == 0:
 					out.Outcome = []Outcome{Error, Full, TimedOut, ConnectFailed, Reset}[rng.IntN(5)]
@@ -75,13 +75,13 @@
 					out.Outcome = ReadDone
 				default:
 					due = append(due, event{now + after/2, Event{Kind: FirstToken, Request: a.Request, Server: a.Server,
-						Attempt: out.Attempt, Spent: after / 2}})
+						Attempt: out.Attempt, Elapsed: after / 2}})
 					out.Outcome, out.Closed = Served, true
 				}
 				due = append(due, event{now + after, out})
 			case Probe:
-				due = append(due, event{now + after/10, Event{Kind: Probed, Server: a.Server, Spent: after / 10,
-					Report: Report{MemoryShare: rng.Float64(), WaitingK: 20 * rng.Float64()}}})
+				due = append(due, event{now + after/10, Event{Kind: Probed, Server: a.Server, Elapsed: after / 10,
+					Report: Report{MemoryUse: rng.Float64(), QueuedKTokens: 20 * rng.Float64()}}})
 			}
 		}
 		all = append(all, acts...)
@@ -108,12 +108,12 @@
 		}
 		if id%100 == 0 {
 			l := list[rng.IntN(len(list))]
-			l.Since = now
+			l.StartedAt = now
 			do(Event{Kind: ListChanged, Servers: []Listing{l}})
 		}
 		do(Event{Kind: Arrived, Request: id, Job: Job{Class: by.class(rng.IntN(2)), Tenant: by.tenant(rng.IntN(2)),
-			Session: uint64(rng.IntN(50) + 1), Text: uint64(rng.IntN(9)), Prompt: 100 + 4000*rng.Float64(),
-			Prefix: 80, MaxOut: 300, Deadline: now + 4*Second}})
+			SessionID: uint64(rng.IntN(50) + 1), PrefixID: uint64(rng.IntN(9)), PromptTokens: 100 + 4000*rng.Float64(),
+			PrefixTokens: 80, MaxOutputTokens: 300, Deadline: now + 4*Second}})
 	}
 	return all
 }
--- a/decide/probing.go
+++ b/decide/probing.go
@@ -6,7 +6,7 @@
 import "slices"
 
 // asks tells whether servers are asked before they are picked: by many routers, where it is cheap.
-func (r *Router) asks() bool { return r.many && r.set.Probing && r.set.ProbeFee*askMost <= askPoints }
+func (r *Router) asks() bool { return r.many && r.set.Probing && r.set.ProbeCost*askMost <= askPoints }
 
 // askWriters asks writers near a reader, so that the refusal and the pick go by what they say then.
 func (r *Router) askWriters(q *request, from *server) {
@@ -90,10 +90,10 @@
 
 // tick looks after what no event brings up.
 func (r *Router) tick() {
-	r.act(Action{Kind: WakeMe, After: tickEvery})
+	r.act(Action{Kind: SetTimer, After: tickEvery})
 	if r.unwatched && r.random() < watchChance {
 		r.unwatched = false
-		r.act(Action{Kind: Watch})
+		r.act(Action{Kind: WatchList})
 	}
 	if !r.set.Probing {
 		return
@@ -118,7 +118,7 @@
 	if s == nil {
 		return
 	}
-	if !ev.Fresh {
+	if !ev.NewConnection {
 		s.probing = false
 	}
 	r.reached(s, ev)
@@ -132,10 +132,10 @@
 
 // report takes in a load report. One that repeats the last share is the old one told again.
 func (r *Router) report(s *server, rep Report) {
-	if rep.MemoryShare >= 0 && rep.MemoryShare != s.share {
-		s.share, s.sent = rep.MemoryShare, 0
+	if rep.MemoryUse >= 0 && rep.MemoryUse != s.share {
+		s.share, s.sent = rep.MemoryUse, 0
 	}
-	if rep.WaitingK >= 0 || rep.MemoryShare >= 0 {
-		s.queue, s.toldAt = max(0, rep.WaitingK)*thousand, r.now
+	if rep.QueuedKTokens >= 0 || rep.MemoryUse >= 0 {
+		s.queue, s.toldAt = max(0, rep.QueuedKTokens)*thousand, r.now
 	}
 }
--- a/decide/slowstart.go
+++ b/decide/slowstart.go
@@ -5,7 +5,7 @@
 import "math"
 
 // cold tells whether a server may still be warming up.
-func (r *Router) cold(s *server) bool { return s.since > 0 && r.now-s.since < r.set.ColdFor }
+func (r *Router) cold(s *server) bool { return s.since > 0 && r.now-s.since < r.set.SlowStartTime }
 
 // spared tells whether a cold server has to be left alone for now.
 func (r *Router) spared(s *server) bool {
@@ -29,7 +29,7 @@
 				continue
 			}
 			if r.cold(s) {
-				r.warm.until = min(r.warm.until, s.since+r.set.ColdFor)
+				r.warm.until = min(r.warm.until, s.since+r.set.SlowStartTime)
 				continue
 			}
 			for of := Reader; of <= Both; of++ {
@@ -46,12 +46,12 @@
 // budget is guessed from the work that a warm one does for this router (no failures), or did when
 // the last was there: all may be cold. A router that has not seen answers yet sends nothing.
 func (r *Router) coldGap(role Role, work float64) Duration {
-	window := float64(r.set.OverloadFor) / float64(Second)
+	window := float64(r.set.OverloadWindow) / float64(Second)
 	if r.coldRate[role] == 0 {
 		r.coldRate[role] = r.coldBudget(role, window)
 	}
 	gap := work * window / r.coldRate[role] * float64(Second)
-	return Duration(min(gap, float64(r.set.ColdFor)))
+	return Duration(min(gap, float64(r.set.SlowStartTime)))
 }
 
 // coldBudget is what this router may send to one cold server of a role in the window of rule 4, in mean work.
@@ -63,7 +63,7 @@
 	if warm := r.warmOf(role); warm > 0 {
 		r.perWarm[st] = r.dones[st].perSecond(r.now) / float64(warm)
 	}
-	budget := r.set.FallMultiple * r.set.StartCapacity * r.perWarm[st] * window * float64(r.set.Routers)
+	budget := r.set.OverloadMultiple * r.set.InitialCapacity * r.perWarm[st] * window * float64(r.set.Routers)
 	budget = coldMargin * budget * budget / (budget + coldChance) / float64(r.set.Routers)
 	return max(budget, 1e-9)
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -51,31 +51,31 @@
 		kinds[i] = k.Name
 	}
 	if source == nil {
-		source = &discovery.File{Path: set.List, Every: set.ListEvery, Kinds: kinds}
+		source = &discovery.File{Path: set.ListFile, Interval: set.ListInterval, Kinds: kinds}
 	}
 	d := &Daemon{set: set, log: log, source: source, listener: listener}
-	d.engines = engine.New(engine.Options{DialTimeout: set.DialTimeout, ConnIdle: set.ConnIdle,
-		MaxConns: set.EngineConns, StreamIdle: set.StreamIdle, ReleaseWithin: set.ReleaseWithin,
-		ProbeWithin: set.ProbeWithin})
-	cfg := router.Config{Name: set.Name, Model: set.Model, Settings: set.Decide(discovery.Number),
+	d.engines = engine.New(engine.Options{DialTimeout: set.DialTimeout, IdleConnTimeout: set.ConnIdleTimeout,
+		MaxConns: set.MaxEngineConns, StreamIdleTimeout: set.StreamIdleTimeout, ReleaseTimeout: set.ReleaseTimeout,
+		ProbeTimeout: set.ProbeTimeout})
+	cfg := router.Config{Name: set.Name, Model: set.Model, Settings: set.Decide(discovery.LocationNumber),
 		Kinds: kinds, Engines: d.engines, Seed: seed, Log: log, MaxOpen: set.MaxOpen,
-		StreamParts: set.StreamParts, ClientStall: set.ClientStall, Settle: settle}
+		StreamBuffer: set.StreamBuffer, ClientStallTimeout: set.ClientStallTimeout, StopTimeout: settle}
 	var watch router.Observers
 	d.metrics = metrics.New(func() router.Stats { return d.Router.Stats() })
-	if set.Shift.Mode != "off" {
-		driver := shift.New(set, source, d.engines, set.Name, log, d.metrics.NewShift())
+	if set.RoleChanges.Mode != "off" {
+		driver := shift.New(set, source, d.engines, set.Name, log, d.metrics.NewRoleMetrics())
 		d.shift, d.source, watch = driver, driver, append(watch, driver)
 	}
-	if set.Record != "" {
+	if set.TraceFile != "" {
 		classes := make([]string, len(set.Classes))
 		for i, c := range set.Classes {
 			classes[i] = c.Name
 		}
-		d.recorder = trace.NewRecorder(set.Record, classes, log)
+		d.recorder = trace.NewRecorder(set.TraceFile, classes, log)
 		watch = append(watch, d.recorder)
 	}
 	if len(watch) > 0 {
-		cfg.Observe = watch
+		cfg.Observer = watch
 	}
 	d.Router = router.New(cfg)
 	if set.Control != "" {
@@ -87,12 +87,12 @@
 	d.front = rest.New(set, d.Router, log, Version)
 	parts := assembly.Parts{Router: d.Router, Source: d.source, Log: log, Drain: d.finish,
 		// Answers that the router gives at its end still have to reach their clients.
-		Serve: func(ctx context.Context) error { return d.front.Serve(ctx, d.listener, set.DrainLimit+settle) }}
+		Serve: func(ctx context.Context) error { return d.front.Serve(ctx, d.listener, set.DrainTimeout+settle) }}
 	if d.recorder != nil {
-		parts.Others = append(parts.Others, d.recorder.Run)
+		parts.Background = append(parts.Background, d.recorder.Run)
 	}
 	if d.control != nil {
-		parts.Others = append(parts.Others, d.serveControl)
+		parts.Background = append(parts.Background, d.serveControl)
 	}
 	d.parts = assembly.New(parts)
 	return d, nil
@@ -105,7 +105,7 @@
 func (d *Daemon) Addr() string { return d.listener.Addr().String() }
 
 // Drain stops taking requests; Run returns when those that are open have ended, or their time is over.
-func (d *Daemon) Drain() { d.parts.Ask() }
+func (d *Daemon) Drain() { d.parts.RequestDrain() }
 
 // Run runs until ctx ends, which answers what is open at once, or until Drain has done its work.
 func (d *Daemon) Run(ctx context.Context) error {
@@ -116,10 +116,10 @@
 
 // finish takes no more requests and waits for those that are open, as long as the settings let it.
 func (d *Daemon) finish(ctx context.Context, unlisten, stop func()) {
-	d.log.Info("draining", "open", d.Router.Stats().Open, "within", d.set.DrainLimit)
+	d.log.Info("draining", "open", d.Router.Stats().Open, "within", d.set.DrainTimeout)
 	d.Router.Drain()
 	unlisten()
-	t := time.NewTimer(d.set.DrainLimit)
+	t := time.NewTimer(d.set.DrainTimeout)
 	defer t.Stop()
 	select {
 	case <-d.Router.Stopped():
--- a/internal/day/client.go
+++ b/internal/day/client.go
@@ -44,12 +44,12 @@
 	until := time.Now().Add(c.deadline(a))
 	for try := 1; ; try++ {
 		out := c.try(ctx, a, fmt.Sprintf("%s/%d", a.name, try), try > 1)
-		again := out.refused || out.retry && class.Repeat == "safe"
+		again := out.refused || out.retry && class.RetryPolicy == "safe"
 		if !again || try > c.s.Clients.Retries || ctx.Err() != nil {
 			return
 		}
 		wait := c.s.Clients.Backoff
-		if out.after > 0 && rng.Float64() < c.s.Clients.Honour {
+		if out.after > 0 && rng.Float64() < c.s.Clients.HonourShare {
 			wait = max(wait, out.after)
 		}
 		if time.Now().Add(wait).After(until) {
@@ -68,7 +68,7 @@
 // deadline is how long the class lets a client wait; long prompts get more.
 func (c *clients) deadline(a *ask) time.Duration {
 	class := &c.s.Classes[a.class]
-	return class.Deadline + time.Duration(2*float64(class.AimPerK)*float64(a.prompt)/1000)
+	return class.Deadline + time.Duration(2*float64(class.FirstTokenTargetPerK)*float64(a.prompt)/1000)
 }
 
 // try sends one try and reads it to its end.
@@ -80,7 +80,7 @@
 		told = c.deadline(a) // the router does not know that it will go
 	}
 	p := kserve.Parameters{front.ParamClass: class.Name, front.ParamSession: a.session, front.ParamPromptTokens: a.prompt,
-		front.ParamMaxTokens: class.MaxTokens, front.ParamDeadline: float64(told) / 1e6, front.ParamHint: a.hint,
+		front.ParamMaxTokens: class.MaxOutputTokens, front.ParamDeadline: float64(told) / 1e6, front.ParamLengthHint: a.hint,
 		front.ParamRepeat: repeat}
 	if a.text != "" {
 		p[front.ParamSharedText], p[front.ParamSharedTokens] = a.text, a.shared
@@ -90,9 +90,9 @@
 		return outcome{}
 	}
 	now := time.Now()
-	aim := class.Aim + time.Duration(float64(class.AimPerK)*float64(a.prompt)/1000)
-	c.record.Add(audit.Record{At: now.UnixNano(), Who: "client", Kind: audit.Asked, ID: id, Class: class.Name, Repeat: class.Repeat,
-		Deadline: now.Add(told).UnixNano(), Work: class.Worth, N: float64(aim)})
+	aim := class.FirstTokenTarget + time.Duration(float64(class.FirstTokenTargetPerK)*float64(a.prompt)/1000)
+	c.record.Add(audit.Record{At: now.UnixNano(), Who: "client", Kind: audit.Asked, ID: id, Class: class.Name, Repeat: class.RetryPolicy,
+		Deadline: now.Add(told).UnixNano(), Work: class.Value, N: float64(aim)})
 	// The client waits a while past its deadline, so that a late answer is seen and found late.
 	const overdue = time.Second
 	ctx, cancel := context.WithCancelCause(ctx)
@@ -130,7 +130,7 @@
 	if resp.StatusCode != http.StatusOK {
 		return refusal(resp)
 	}
-	events := kserve.NewEvents(resp.Body, 1<<16)
+	events := kserve.NewEventReader(resp.Body, 1<<16)
 	for first := true; ; first = false {
 		data, err := events.Next()
 		if err != nil {
--- a/internal/e2e/e2e_test.go
+++ b/internal/e2e/e2e_test.go
@@ -77,10 +77,10 @@
 	s := standin.Prefill()
 	if role == decide.Writer {
 		s = standin.Decode()
-		s.Step, s.PerSeq = 2*time.Millisecond, 0
+		s.StepTime, s.StepTimePerWriter = 2*time.Millisecond, 0
 	}
-	s.ReadPerS, s.PortPerS, s.Step = 400e3, 4e6, time.Millisecond
-	s.ReportDelay, s.ReportEvery = 0, 10*time.Millisecond
+	s.ReadTokensPerSecond, s.PortTokensPerSecond, s.StepTime = 400e3, 4e6, time.Millisecond
+	s.ReportDelay, s.ReportInterval = 0, 10*time.Millisecond
 	return s
 }
 
@@ -167,8 +167,8 @@
 // play plays a fault on an engine.
 func (w *world) play(name string, f standin.Fault) {
 	w.t.Helper()
-	if f.For == 0 {
-		f.For = time.Hour
+	if f.Duration == 0 {
+		f.Duration = time.Hour
 	}
 	if err := w.fleet.Play(w.fleet.Member(name), f); err != nil {
 		w.t.Fatal(err)
@@ -233,7 +233,7 @@
 		a.failure = e.Error
 		return a
 	}
-	events := kserve.NewEvents(resp.Body, 1<<16)
+	events := kserve.NewEventReader(resp.Body, 1<<16)
 	for {
 		data, err := events.Next()
 		if err != nil {
@@ -267,7 +267,7 @@
 	w.eventually("the table is empty", func() bool { return w.daemon.Router.Stats().Open == 0 })
 	w.eventually("engines hold nothing", func() bool {
 		for _, m := range w.fleet.Members() {
-			if sequences, states := m.Engine.Holding(); sequences+states > 0 {
+			if sequences, states := m.Engine.Occupancy(); sequences+states > 0 {
 				return false
 			}
 		}
--- a/internal/front/chat/chat_test.go
+++ b/internal/front/chat/chat_test.go
@@ -37,26 +37,26 @@
 	e.mu.Lock()
 	e.calls = append(e.calls, q)
 	e.mu.Unlock()
-	return engine.Result{Outcome: decide.ReadDone, Report: engine.Untold(), State: &engine.State{Addr: addr, Handle: q.Params.Request}}
+	return engine.Result{Outcome: decide.ReadDone, Report: engine.NoReport(), State: &engine.State{Addr: addr, Handle: q.Params.Request}}
 }
 
 func (e *engines) Decode(ctx context.Context, _ string, _ *engine.Call, sink func(string) error) engine.Result {
 	return e.write(ctx, sink)
 }
-func (e *engines) Release(context.Context, *engine.State) error  { return nil }
-func (e *engines) Renew(context.Context, *engine.State) error    { return nil }
-func (e *engines) CallOff(context.Context, string, string) error { return nil }
-func (e *engines) CallOffLater(context.Context, string, string) error {
+func (e *engines) Release(context.Context, *engine.State) error     { return nil }
+func (e *engines) Renew(context.Context, *engine.State) error       { return nil }
+func (e *engines) CancelRead(context.Context, string, string) error { return nil }
+func (e *engines) CancelReadLater(context.Context, string, string) error {
 	return nil
 }
-func (e *engines) GiveUpPlace(context.Context, string, string) error { return nil }
-func (e *engines) Listed(string)                                     {}
+func (e *engines) CancelReservation(context.Context, string, string) error { return nil }
+func (e *engines) EngineListed(string)                                     {}
 
-func (e *engines) Forget(string) {}
+func (e *engines) ForgetEngine(string) {}
 func (e *engines) Probe(context.Context, string, bool) engine.Result {
-	return engine.Result{Report: engine.Untold()}
+	return engine.Result{Report: engine.NoReport()}
 }
-func (e *engines) Reserve(context.Context, string, *engine.PlaceRequest) (bool, error) {
+func (e *engines) Reserve(context.Context, string, *engine.ReservationRequest) (bool, error) {
 	return false, nil
 }
 
@@ -74,12 +74,12 @@
 func served(_ context.Context, sink func(string) error) engine.Result {
 	sink(eventA)
 	sink(eventEnd)
-	return engine.Result{Outcome: decide.Served, Report: engine.Untold(), Tokens: 2}
+	return engine.Result{Outcome: decide.Served, Report: engine.NoReport(), Tokens: 2}
 }
 
 func hangs(ctx context.Context, _ func(string) error) engine.Result {
 	<-ctx.Done()
-	return engine.Result{Outcome: decide.Cancelled, Report: engine.Untold(), Err: context.Cause(ctx)}
+	return engine.Result{Outcome: decide.Cancelled, Report: engine.NoReport(), Err: context.Cause(ctx)}
 }
 
 type world struct {
@@ -96,15 +96,15 @@
 func start(t *testing.T, write func(context.Context, func(string) error) engine.Result, change func(*Options)) *world {
 	t.Helper()
 	set := &decide.Settings{Routers: 1, MaxAttempts: 6, MayCancel: true, AnswerGrace: 16e6, DrainGrace: 1e9,
-		LetGoWithin: 1e9, FallMultiple: 2, OverloadFor: 1e9, StartCapacity: 0.3, ColdFor: 10e9, DialTimeout: 250e6,
+		HoldTimeout: 1e9, OverloadMultiple: 2, OverloadWindow: 1e9, InitialCapacity: 0.3, SlowStartTime: 10e9, DialTimeout: 250e6,
 		MaxRetryAfter: 500e6, Kinds: []decide.Kind{{Role: decide.Reader}, {Role: decide.Writer, Memory: 1e5}},
-		Classes: []decide.Class{{Aim: 1e9, Deadline: 10e9, Worth: 1}, {Aim: 1e9, Deadline: 10e9, Worth: 1, Repeat: decide.Unsafe}}}
+		Classes: []decide.Class{{FirstTokenTarget: 1e9, Deadline: 10e9, Value: 1}, {FirstTokenTarget: 1e9, Deadline: 10e9, Value: 1, RetryPolicy: decide.Unsafe}}}
 	e := &engines{write: write}
 	g := guard.New(slog.New(slog.NewTextHandler(t.Output(), &slog.HandlerOptions{Level: slog.LevelError})))
-	r := router.New(router.Config{Name: "r", Settings: set, Kinds: []string{"p", "d"}, Engines: e, Holds: router.ByRequest, Guard: g,
-		MaxOpen: 8, StreamParts: 8, ClientStall: time.Second, Settle: 10 * time.Second})
-	o := Options{Classes: []string{"chat", "book"}, RetryAfter: true, MaxConns: 16, BodyBytes: 8 << 20,
-		Within: 10 * time.Second, Idle: 10 * time.Second, Stall: 10 * time.Second, Log: slog.New(slog.DiscardHandler), Guard: g}
+	r := router.New(router.Config{Name: "r", Settings: set, Kinds: []string{"p", "d"}, Engines: e, HoldMode: router.PerRequest, Guard: g,
+		MaxOpen: 8, StreamBuffer: 8, ClientStallTimeout: time.Second, StopTimeout: 10 * time.Second})
+	o := Options{Classes: []string{"chat", "book"}, SendRetryAfter: true, MaxConns: 16, MaxBodyMemory: 8 << 20,
+		RequestTimeout: 10 * time.Second, IdleTimeout: 10 * time.Second, WriteTimeout: 10 * time.Second, Log: slog.New(slog.DiscardHandler), Guard: g}
 	if change != nil {
 		change(&o)
 	}
@@ -128,7 +128,7 @@
 		<-w.served
 		<-stopped
 		g.Close()
-		if n := g.Violated(); n > 0 {
+		if n := g.ViolationCount(); n > 0 {
 			t.Errorf("violations: %v", g.Violations())
 		}
 	})
@@ -195,7 +195,7 @@
 // What a client gets that sends what it should not; nothing of it reaches an engine.
 func TestBadRequests(t *testing.T) {
 	length := fmt.Sprintf("Content-Length: %d", len(body))
-	w := start(t, served, func(o *Options) { o.BodyBytes = 1 << 20 })
+	w := start(t, served, func(o *Options) { o.MaxBodyMemory = 1 << 20 })
 	for _, c := range []struct {
 		name, in string
 		code     int
@@ -279,14 +279,14 @@
 // Half a request, or none, is closed in time.
 func TestSilence(t *testing.T) {
 	for _, in := range []string{"", "POST /v1", "POST / HTTP/1.1\r\nHost: x\r\n", message("x")[:250]} {
-		w := start(t, served, func(o *Options) { o.Within = 20 * time.Millisecond })
+		w := start(t, served, func(o *Options) { o.RequestTimeout = 20 * time.Millisecond })
 		c, br := w.dial()
 		io.WriteString(c, in)
 		if resp, err := http.ReadResponse(br, nil); err == nil && resp.StatusCode != 408 {
 			t.Errorf("%q: %d", in, resp.StatusCode)
 		}
 		io.Copy(io.Discard, br) // to its end
-		w.eventually("closed", func() bool { return w.front.Conns() == 0 })
+		w.eventually("closed", func() bool { return w.front.OpenConns() == 0 })
 	}
 }
 
@@ -297,7 +297,7 @@
 		sink(eventA)
 		<-go1
 		sink(eventEnd)
-		return engine.Result{Outcome: decide.Served, Report: engine.Untold(), Tokens: 2}
+		return engine.Result{Outcome: decide.Served, Report: engine.NoReport(), Tokens: 2}
 	}, nil)
 	c, br := w.dial()
 	io.WriteString(c, message("same"))
@@ -327,7 +327,7 @@
 func TestBrokenStream(t *testing.T) {
 	w := start(t, func(_ context.Context, sink func(string) error) engine.Result {
 		sink(eventA)
-		return engine.Result{Outcome: decide.Reset, Report: engine.Untold(), Tokens: 1, Err: io.ErrUnexpectedEOF}
+		return engine.Result{Outcome: decide.Reset, Report: engine.NoReport(), Tokens: 1, Err: io.ErrUnexpectedEOF}
 	}, nil)
 	c, br := w.dial()
 	io.WriteString(c, message("x"))
@@ -374,7 +374,7 @@
 	for range 50 {
 		w.dial()
 	}
-	w.eventually("bounded", func() bool { return w.front.Conns() <= 4 })
+	w.eventually("bounded", func() bool { return w.front.OpenConns() <= 4 })
 	late, lateBr := w.dial()
 	io.WriteString(late, "GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
 	if resp, _, _ := answer(t, lateBr); resp.StatusCode != 200 {
@@ -388,7 +388,7 @@
 
 // Bodies are bounded together: what is over gets a 503, not memory.
 func TestBoundOfBodies(t *testing.T) {
-	w := start(t, served, func(o *Options) { o.BodyBytes = 20 << 10 })
+	w := start(t, served, func(o *Options) { o.MaxBodyMemory = 20 << 10 })
 	c, br := w.dial()
 	big := `{"x":"` + strings.Repeat("y", 100<<10) + `"}`
 	io.WriteString(c, message("x", fmt.Sprintf("Content-Length: %d", len(body)), fmt.Sprintf("Content-Length: %d", len(big)), body, big))
@@ -402,8 +402,8 @@
 func TestRefused(t *testing.T) {
 	for _, allowed := range []bool{true, false} {
 		w := start(t, func(context.Context, func(string) error) engine.Result {
-			return engine.Result{Outcome: decide.Full, Report: engine.Untold()}
-		}, func(o *Options) { o.RetryAfter = allowed })
+			return engine.Result{Outcome: decide.Full, Report: engine.NoReport()}
+		}, func(o *Options) { o.SendRetryAfter = allowed })
 		c, br := w.dial()
 		io.WriteString(c, message("x"))
 		resp, _, _ := answer(t, br)
@@ -425,7 +425,7 @@
 	io.WriteString(idle, message("a"))
 	answer(t, idleBr)
 	fresh, freshBr := w.dial()
-	w.eventually("both are there", func() bool { return w.front.Conns() == 2 })
+	w.eventually("both are there", func() bool { return w.front.OpenConns() == 2 })
 	w.eventually("one is between requests", func() bool {
 		w.front.conns.mu.Lock()
 		defer w.front.conns.mu.Unlock()
@@ -436,8 +436,8 @@
 		}
 		return false
 	})
-	w.front.ShutDown()
-	w.front.CloseResting(0)
+	w.front.BeginShutdown()
+	w.front.CloseIdle(0)
 	if _, err := idleBr.ReadByte(); err != io.EOF {
 		t.Errorf("the idle one: %v", err)
 	}
@@ -451,7 +451,7 @@
 	if resp, _, _ := answer(t, br); resp.StatusCode != 503 || !resp.Close {
 		t.Errorf("/up: %d", resp.StatusCode)
 	}
-	w.eventually("all are closed", func() bool { return w.front.Conns() == 0 })
+	w.eventually("all are closed", func() bool { return w.front.OpenConns() == 0 })
 }
 
 // Each event goes out as it comes.
@@ -462,7 +462,7 @@
 			sink(eventA)
 			<-go1
 		}
-		return engine.Result{Outcome: decide.Served, Report: engine.Untold(), Tokens: 3}
+		return engine.Result{Outcome: decide.Served, Report: engine.NoReport(), Tokens: 3}
 	}, nil)
 	c, br := w.dial()
 	io.WriteString(c, message("x"))
--- a/internal/front/chat/conn.go
+++ b/internal/front/chat/conn.go
@@ -68,9 +68,9 @@
 		if !f.conns.move(c, receiving) {
 			return
 		}
-		within := time.Now().Add(f.opts.Within)
+		within := time.Now().Add(f.opts.RequestTimeout)
 		if first { // what was waited for counts, but bytes that have come get time to be read
-			within = latest(c.began.Add(f.opts.Within), time.Now().Add(f.opts.Within/4))
+			within = latest(c.began.Add(f.opts.RequestTimeout), time.Now().Add(f.opts.RequestTimeout/4))
 		}
 		c.SetReadDeadline(within)
 		c.request = f.opts.Guard.Receive()
@@ -102,7 +102,7 @@
 // rest begins the wait for a further request; false if the connection is to end now. In a shutdown it rests too: a
 // request that comes is refused, where an end of sending would cross it, and what is read and thrown away is lost.
 func (c *conn) rest() bool {
-	c.SetReadDeadline(time.Now().Add(c.front.opts.Idle))
+	c.SetReadDeadline(time.Now().Add(c.front.opts.IdleTimeout))
 	return c.front.conns.move(c, resting)
 }
 
@@ -210,11 +210,11 @@
 	if err != nil {
 		return c.unreadable(err)
 	}
-	method, target, old, err := head.Request()
+	method, target, old, err := head.RequestLine()
 	if err != nil {
 		return c.unreadable(err)
 	}
-	closes := old || head.Closes()
+	closes := old || head.WantsClose()
 	body, err := c.body(head)
 	defer f.bodies.Add(-int64(cap(body)))
 	if err != nil {
@@ -237,20 +237,20 @@
 	}
 	job, bad := f.job(head, target, body, time.Now())
 	if bad != nil {
-		if bad.Trouble == front.Bad {
+		if bad.Kind == front.BadRequest {
 			f.log.Info("bad request", "client", c.RemoteAddr().String(), "reason", bad.Text)
 		}
 		return c.fail(bad, true)
 	}
-	job.Guarded = c.request
-	c.request.AskWhether(c.clientGone)
+	job.Guard = c.request
+	c.request.SetClientCheck(c.clientGone)
 	c.request.Complete(job.Name, job.Deadline)
 	q, err := f.core.Submit(job)
 	if err != nil {
-		if errors.Is(err, router.ErrOpen) {
-			return c.fail(&front.Error{Trouble: front.Bad, Text: err.Error()}, true)
+		if errors.Is(err, router.ErrDuplicateName) {
+			return c.fail(&front.Error{Kind: front.BadRequest, Text: err.Error()}, true)
 		}
-		return c.fail(front.Submitted(err), closes)
+		return c.fail(front.SubmitError(err), closes)
 	}
 	return c.hand(ctx, q, closes)
 }
@@ -294,7 +294,7 @@
 	if length > MaxBody {
 		return nil, fmt.Errorf("%w: body of %d bytes", http1.ErrTooLarge, length)
 	}
-	if length == 0 || length == http1.Untold && !chunked {
+	if length == 0 || length == http1.UnknownLength && !chunked {
 		return nil, nil
 	}
 	if v, n := h.Get("Expect"); n > 0 {
@@ -308,7 +308,7 @@
 	var r io.Reader
 	most := int64(MaxBody) + 1
 	if chunked {
-		r = http1.NewChunks(c.br, MaxBody)
+		r = http1.NewChunkedReader(c.br, MaxBody)
 	} else {
 		r = io.LimitReader(c.br, length)
 		most = length
@@ -320,7 +320,7 @@
 			if grown == int64(cap(b)) {
 				break // as much as there may be
 			}
-			if c.front.bodies.Add(grown-int64(cap(b))) > c.front.opts.BodyBytes {
+			if c.front.bodies.Add(grown-int64(cap(b))) > c.front.opts.MaxBodyMemory {
 				c.front.bodies.Add(int64(cap(b)) - grown)
 				return b, errNoRoom
 			}
--- a/internal/front/chat/listen.go
+++ b/internal/front/chat/listen.go
@@ -43,7 +43,7 @@
 // end ends all connections: at once where no request is open, else after its answer.
 func (f *Front) end(l net.Listener, endAsking func()) {
 	l.Close()
-	f.ShutDown()
+	f.BeginShutdown()
 	f.conns.closeResting(0)
 	f.conns.expire(fresh)
 	f.conns.expire(receiving)
@@ -63,7 +63,7 @@
 // take serves a new connection, or refuses it.
 func (f *Front) take(ctx context.Context, nc net.Conn) {
 	c := &conn{Conn: nc, front: f, began: time.Now()}
-	c.SetReadDeadline(c.began.Add(f.opts.Within))
+	c.SetReadDeadline(c.began.Add(f.opts.RequestTimeout))
 	if !f.conns.add(c) {
 		f.refuse(nc)
 		return
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -19,44 +19,44 @@
 	Ready() bool
 }
 
-// Trouble is the kind of an answer that is no success; each front maps it to its protocol's status.
-type Trouble uint8
+// ErrorKind is the kind of an answer that is no success; each front maps it to its protocol's status.
+type ErrorKind uint8
 
 // The kinds of trouble.
 const (
-	Bad         Trouble = iota + 1 // the request itself is wrong
-	NotFound                       // no such model, version or path
-	TooLarge                       // body over the limit
-	Busy                           // refused: come again later
-	Unavailable                    // the router takes nothing now
-	Broken                         // failed, no word on the effect
-	TimedOut                       // failed for want of time
-	ClientLeft                     // nobody is there to read it
+	BadRequest  ErrorKind = iota + 1 // the request itself is wrong
+	NotFound                         // no such model, version or path
+	TooLarge                         // body over the limit
+	Busy                             // refused: come again later
+	Unavailable                      // the router takes nothing now
+	Failed                           // failed, no word on the effect
+	TimedOut                         // failed for want of time
+	ClientLeft                       // nobody is there to read it
 )
 
 // Error is an answer that is no success. RetryAfter is advice with Busy and Unavailable; 0 is none.
 type Error struct {
-	Trouble    Trouble
+	Kind       ErrorKind
 	Text       string
 	RetryAfter time.Duration
 }
 
 func (e *Error) Error() string { return e.Text }
 
-// Wrong says what is wrong with a request.
-func Wrong(format string, args ...any) *Error {
-	return &Error{Trouble: Bad, Text: fmt.Sprintf(format, args...)}
+// BadRequestf says what is wrong with a request.
+func BadRequestf(format string, args ...any) *Error {
+	return &Error{Kind: BadRequest, Text: fmt.Sprintf(format, args...)}
 }
 
-// Input is a request as a front has decoded it.
-type Input struct {
+// DecodedRequest is a request as a front has decoded it.
+type DecodedRequest struct {
 	ID      string
 	Model   string
 	Version string // "" any
 	Prompt  string
 	Params  kserve.Parameters
-	// Within is the client's own bound where the transport tells one; 0 is none.
-	Within time.Duration
+	// Timeout is the client's own bound where the transport tells one; 0 is none.
+	Timeout time.Duration
 }
 
 // The request parameters that have a meaning to the router. All others are passed over, as the protocol
@@ -70,7 +70,7 @@
 	ParamPromptTokens = "prompt_tokens"
 	ParamMaxTokens    = "max_tokens"
 	ParamDeadline     = "deadline_ms"
-	ParamHint         = "length_hint"
+	ParamLengthHint   = "length_hint"
 	ParamRepeat       = "repeat"
 	ParamResume       = "resume"
 )
@@ -82,19 +82,19 @@
 	MaxDeadline = 10 * time.Minute
 )
 
-// Meaning turns inputs into jobs by the settings. It is safe for concurrent use.
-type Meaning struct{ set *config.Settings }
+// JobBuilder turns inputs into jobs by the settings. It is safe for concurrent use.
+type JobBuilder struct{ set *config.Settings }
 
-// NewMeaning returns the meaning of requests under some settings.
-func NewMeaning(set *config.Settings) *Meaning { return &Meaning{set: set} }
+// NewJobBuilder returns the meaning of requests under some settings.
+func NewJobBuilder(set *config.Settings) *JobBuilder { return &JobBuilder{set: set} }
 
-// Model checks a model's name and version; the empty version is any.
-func (m *Meaning) Model(name, version string) *Error {
+// CheckModel checks a model's name and version; the empty version is any.
+func (m *JobBuilder) CheckModel(name, version string) *Error {
 	if name != m.set.Model {
-		return &Error{Trouble: NotFound, Text: fmt.Sprintf("unknown model %q", clip(name))}
+		return &Error{Kind: NotFound, Text: fmt.Sprintf("unknown model %q", clip(name))}
 	}
 	if version != "" && version != m.set.ModelVersion {
-		return &Error{Trouble: NotFound, Text: fmt.Sprintf("model %q has no version %q", name, clip(version))}
+		return &Error{Kind: NotFound, Text: fmt.Sprintf("model %q has no version %q", name, clip(version))}
 	}
 	return nil
 }
@@ -124,7 +124,7 @@
 }
 
 func (r *reader) flag(name string) bool {
-	b, err := r.p.Flag(name)
+	b, err := r.p.Bool(name)
 	r.note(err)
 	return b
 }
@@ -136,34 +136,34 @@
 }
 
 // Job returns what an input asks for, or what is wrong with it. now is when it arrived.
-func (m *Meaning) Job(in *Input, now time.Time) (*router.Job, *Error) {
-	if e := m.Model(in.Model, in.Version); e != nil {
+func (m *JobBuilder) Job(in *DecodedRequest, now time.Time) (*router.Job, *Error) {
+	if e := m.CheckModel(in.Model, in.Version); e != nil {
 		return nil, e
 	}
 	if err := in.Params.Check(); err != nil {
-		return nil, Wrong("%v", err)
+		return nil, BadRequestf("%v", err)
 	}
 	if len(in.ID) > maxName {
-		return nil, Wrong("id is longer than %d bytes", maxName)
+		return nil, BadRequestf("id is longer than %d bytes", maxName)
 	}
 	if in.Prompt == "" {
-		return nil, Wrong("the prompt is empty")
+		return nil, BadRequestf("the prompt is empty")
 	}
 	r := reader{p: in.Params}
 	j := &router.Job{ClientID: in.ID, Prompt: in.Prompt, Session: r.text(ParamSession),
-		SharedText: r.text(ParamSharedText), Repeat: r.flag(ParamRepeat), AfterBreak: r.flag(ParamResume)}
+		SharedPrefix: r.text(ParamSharedText), ClientRetry: r.flag(ParamRepeat), AfterInterruption: r.flag(ParamResume)}
 	class, tenant := r.text(ParamClass), r.text(ParamTenant)
 	guess := float64(len(in.Prompt)) / m.set.BytesPerToken
 	j.PromptTokens = max(r.number(ParamPromptTokens, guess), 1)
-	j.SharedTokens = min(r.number(ParamSharedTokens, 0), j.PromptTokens)
-	hint, within := r.number(ParamHint, 0), r.number(ParamDeadline, 0)
+	j.PrefixTokens = min(r.number(ParamSharedTokens, 0), j.PromptTokens)
+	hint, within := r.number(ParamLengthHint, 0), r.number(ParamDeadline, 0)
 	j.Class = 0
 	if class == "" {
 		class = m.set.DefaultClass
 	}
 	if class != "" {
 		if j.Class = m.set.ClassIndex(class); j.Class < 0 {
-			return nil, Wrong("parameter %q: there is no class %q", ParamClass, clip(class))
+			return nil, BadRequestf("parameter %q: there is no class %q", ParamClass, clip(class))
 		}
 	}
 	c := &m.set.Classes[j.Class]
@@ -174,64 +174,64 @@
 	j.Tenant = len(m.set.Tenants)
 	if tenant != "" {
 		if j.Tenant = m.set.TenantIndex(tenant); j.Tenant < 0 {
-			return nil, Wrong("parameter %q: there is no tenant %q", ParamTenant, clip(tenant))
+			return nil, BadRequestf("parameter %q: there is no tenant %q", ParamTenant, clip(tenant))
 		}
 		j.TenantName = tenant
 	}
 	out := r.number(ParamMaxTokens, float64(c.MaxTokens))
 	if r.err != nil {
-		return nil, Wrong("%v", r.err)
+		return nil, BadRequestf("%v", r.err)
 	}
 	if out < 1 || out != float64(int(out)) {
-		return nil, Wrong("parameter %q must be a whole number from 1", ParamMaxTokens)
+		return nil, BadRequestf("parameter %q must be a whole number from 1", ParamMaxTokens)
 	}
 	j.MaxTokens = int(out)
 	if j.PromptTokens+out > m.set.MaxContext {
-		return nil, Wrong("prompt of %.0f tokens and answer of up to %.0f are more than the engines' context of %.0f",
+		return nil, BadRequestf("prompt of %.0f tokens and answer of up to %.0f are more than the engines' context of %.0f",
 			j.PromptTokens, out, m.set.MaxContext)
 	}
-	j.Hint = time.Duration(hint * float64(c.TokenAim))
+	j.LengthHint = time.Duration(hint * float64(c.TokenIntervalTarget))
 	// Without a word of the client the class's deadline holds, and long prompts get twice what their aim gets.
-	patience := time.Duration(float64(c.Deadline) + 2*float64(c.AimPerK)*j.PromptTokens/1000)
+	patience := time.Duration(float64(c.Deadline) + 2*float64(c.FirstTokenTargetPerK)*j.PromptTokens/1000)
 	if within > 0 {
 		patience = time.Duration(min(within*1e6, float64(MaxDeadline)))
 	}
-	if in.Within > 0 {
-		patience = min(patience, in.Within)
+	if in.Timeout > 0 {
+		patience = min(patience, in.Timeout)
 	}
 	j.Deadline = now.Add(patience)
 	return j, nil
 }
 
-// Submitted tells what an error of Submit is to a client.
-func Submitted(err error) *Error {
+// SubmitError tells what an error of Submit is to a client.
+func SubmitError(err error) *Error {
 	switch {
-	case errors.Is(err, router.ErrLate):
-		return &Error{Trouble: TimedOut, Text: err.Error()}
-	case errors.Is(err, router.ErrTooMany):
-		return &Error{Trouble: Busy, Text: err.Error(), RetryAfter: time.Second}
+	case errors.Is(err, router.ErrDeadlinePassed):
+		return &Error{Kind: TimedOut, Text: err.Error()}
+	case errors.Is(err, router.ErrTooManyRequests):
+		return &Error{Kind: Busy, Text: err.Error(), RetryAfter: time.Second}
 	default:
-		return &Error{Trouble: Unavailable, Text: err.Error(), RetryAfter: time.Second}
+		return &Error{Kind: Unavailable, Text: err.Error(), RetryAfter: time.Second}
 	}
 }
 
-// Ended tells what an ending is to a client; nil for one that was served.
-func Ended(e *router.Ending) *Error {
+// EndingError tells what an ending is to a client; nil for one that was served.
+func EndingError(e *router.Ending) *Error {
 	switch e.Kind {
 	case router.Served:
 		return nil
 	case router.Refused:
-		return &Error{Trouble: Busy, Text: "refused: " + e.Reason, RetryAfter: e.RetryAfter}
+		return &Error{Kind: Busy, Text: "refused: " + e.Reason, RetryAfter: e.RetryAfter}
 	case router.Moved:
-		return &Error{Trouble: Broken, Text: "moved: " + e.Reason}
+		return &Error{Kind: Failed, Text: "moved: " + e.Reason}
 	case router.Gone:
-		return &Error{Trouble: ClientLeft, Text: e.Reason}
+		return &Error{Kind: ClientLeft, Text: e.Reason}
 	}
-	t := Broken
+	t := Failed
 	if e.TimedOut {
 		t = TimedOut
 	}
-	return &Error{Trouble: t, Text: "failed: " + e.Reason}
+	return &Error{Kind: t, Text: "failed: " + e.Reason}
 }
 
 // clip shortens what a client sent to what an error may repeat.
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -21,9 +21,9 @@
 }
 
 // expect checks the counts of one kind of violation, and that there is no other.
-func expect(t *testing.T, g *Guard, kind Kind, n int64) {
+func expect(t *testing.T, g *Guard, kind ViolationKind, n int64) {
 	t.Helper()
-	if got := g.Violations()[kind.String()]; got != n || g.Violated() != n {
+	if got := g.Violations()[kind.String()]; got != n || g.ViolationCount() != n {
 		t.Errorf("violations %v, want %d of %v", g.Violations(), n, kind)
 	}
 }
@@ -31,7 +31,7 @@
 // begin begins an attempt that has to be allowed.
 func begin(t *testing.T, r *Request, l Limits) *Attempt {
 	t.Helper()
-	a, err := r.Begin(l)
+	a, err := r.BeginAttempt(l)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -48,11 +48,11 @@
 	}{
 		"answered":                      {forbid: func(_ *Guard, r *Request) { r.Decide("failed", "") }, want: Answered},
 		"client left":                   {forbid: func(_ *Guard, r *Request) { r.ClientLeft() }, want: ClientLeft},
-		"client's connection has ended": {forbid: func(_ *Guard, r *Request) { r.AskWhether(func() bool { return true }) }, want: ClientLeft},
+		"client's connection has ended": {forbid: func(_ *Guard, r *Request) { r.SetClientCheck(func() bool { return true }) }, want: ClientLeft},
 		"the shutdown takes nothing":    {forbid: func(g *Guard, _ *Request) { g.ShutDown(time.Now().Add(-time.Hour)) }, want: ShuttingDown},
-		"window":                        {limits: Limits{NotAfter: time.Now().Add(-time.Hour)}, want: TooLate, begins: true},
-		"deadline":                      {forbid: func(_ *Guard, r *Request) { r.Bound(time.Now().Add(-time.Second)) }, want: TooLate, begins: true},
-		"engine withdrawn":              {limits: Limits{Withdrawn: func() (time.Duration, bool) { return 0, true }}, want: Withdrawn, begins: true},
+		"window":                        {limits: Limits{SendBy: time.Now().Add(-time.Hour)}, want: TooLate, begins: true},
+		"deadline":                      {forbid: func(_ *Guard, r *Request) { r.LimitDeadline(time.Now().Add(-time.Second)) }, want: TooLate, begins: true},
+		"engine withdrawn":              {limits: Limits{WithdrawnFor: func() (time.Duration, bool) { return 0, true }}, want: Withdrawn, begins: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if tt.forbid == nil {
@@ -61,7 +61,7 @@
 			g := New(nil)
 			r := request(g)
 			tt.forbid(g, r)
-			a, err := r.Begin(tt.limits)
+			a, err := r.BeginAttempt(tt.limits)
 			if tt.begins && err == nil {
 				err = a.MaySend(0)
 			}
@@ -78,7 +78,7 @@
 			if err := a.MaySend(0); !errors.Is(err, tt.want) {
 				t.Errorf("at the last byte: %v, want %v", err, tt.want)
 			}
-			if n := g.Violated(); n != 0 || g.Denials()[denialNames[tt.want]] == 0 {
+			if n := g.ViolationCount(); n != 0 || g.Denials()[denialNames[tt.want]] == 0 {
 				t.Errorf("%d violations; denials %v", n, g.Denials())
 			}
 		})
@@ -103,10 +103,10 @@
 	g := New(nil)
 	r := request(g)
 	first := begin(t, r, Limits{})
-	if a, err := r.Begin(Limits{}); !errors.Is(err, AnotherOut) || a.Number != 1 {
+	if a, err := r.BeginAttempt(Limits{}); !errors.Is(err, AnotherInFlight) || a.Number != 1 {
 		t.Errorf("beside another: %v, number %d", err, a.Number)
 	}
-	if a, err := r.Skip(Limits{}, errors.New("no use")); err == nil || a.Number != 2 {
+	if a, err := r.SkipAttempt(Limits{}, errors.New("no use")); err == nil || a.Number != 2 {
 		t.Errorf("skipped: %v, number %d", err, a.Number)
 	}
 	first.End("reset", nil)
@@ -114,38 +114,38 @@
 	if err := first.MaySend(0); !errors.Is(err, Answered) {
 		t.Errorf("the first after its end: %v", err)
 	}
-	if first.Grant() || !second.Grant() || second.Grant() {
+	if first.GrantFirstToken() || !second.GrantFirstToken() || second.GrantFirstToken() {
 		t.Error("the first token belongs to the attempt that is out, once")
 	}
-	if a, err := r.Begin(Limits{}); err == nil {
+	if a, err := r.BeginAttempt(Limits{}); err == nil {
 		t.Errorf("beside a stream attempt %d began", a.Number)
 	}
 	second.End("served", nil)
 	if !r.Decide("served", "") || r.Decide("failed", "") {
 		t.Error("the final answer is decided once")
 	}
-	if a, err := r.Begin(Limits{}); !errors.Is(err, Answered) {
+	if a, err := r.BeginAttempt(Limits{}); !errors.Is(err, Answered) {
 		t.Errorf("attempt %d after the answer: %v", a.Number, err)
 	}
-	if g.Violated() != 0 {
+	if g.ViolationCount() != 0 {
 		t.Error(g.Violations())
 	}
 }
 
 // What has happened although a rule forbids it is counted by its kind, with one log line that has the request's id.
 func TestViolations(t *testing.T) {
-	late := time.Duration(decide.LateAnswer) + time.Second
-	for kind, do := range map[Kind]func(*Guard, *Request){
+	late := time.Duration(decide.LateAnswerGrace) + time.Second
+	for kind, do := range map[ViolationKind]func(*Guard, *Request){
 		ClosedUnanswered: func(_ *Guard, r *Request) { r.Closed("") },
 		SecondAnswer: func(_ *Guard, r *Request) {
-			r.Answer("200")
-			if r.Answer("500") {
+			r.BeginAnswer("200")
+			if r.BeginAnswer("500") {
 				t.Error("a second answer was allowed")
 			}
 		},
 		LateAnswer: func(_ *Guard, r *Request) {
 			r.Complete("a", time.Now().Add(-late))
-			r.Answer("200")
+			r.BeginAnswer("200")
 		},
 		UnansweredAtEnd: func(g *Guard, _ *Request) { g.Close() },
 		UnguardedSend:   func(_ *Guard, r *Request) { begin(t, r, Limits{}).Sent(0) },
@@ -167,12 +167,12 @@
 			a.Sent(0)
 		},
 		SentPastWindow: func(_ *Guard, r *Request) {
-			a := begin(t, r, Limits{NotAfter: time.Now().Add(-time.Second)})
+			a := begin(t, r, Limits{SendBy: time.Now().Add(-time.Second)})
 			a.cleared = time.Now()
 			a.Sent(0)
 		},
 		SentToWithdrawn: func(_ *Guard, r *Request) {
-			a := begin(t, r, Limits{DrainGrace: time.Second, Withdrawn: func() (time.Duration, bool) { return 2 * time.Second, true }})
+			a := begin(t, r, Limits{DrainGrace: time.Second, WithdrawnFor: func() (time.Duration, bool) { return 2 * time.Second, true }})
 			a.cleared = time.Now()
 			a.Sent(0)
 		},
@@ -188,9 +188,9 @@
 			a.Sent(2 * time.Hour)
 		},
 		HeldTooLong: func(_ *Guard, r *Request) {
-			r.Held(time.Now().Add(-2 * time.Second))
-			r.LetGo(time.Second)
-			r.LetGo(time.Second) // nothing is held any more
+			r.HoldStarted(time.Now().Add(-2 * time.Second))
+			r.Released(time.Second)
+			r.Released(time.Second) // nothing is held any more
 		},
 	} {
 		t.Run(kind.String(), func(t *testing.T) {
@@ -221,14 +221,14 @@
 	r.ClientLeft() // in the moment of the answer
 	r.Closed("")
 	r = request(g)
-	r.Answer("503")
+	r.BeginAnswer("503")
 	r.Closed("")
 	r.Closed("again")
 	r = request(g)
 	r.Decide("served", "")
-	r.Over("")
+	r.Finish("")
 	g.Close()
-	if g.Violated() != 0 || g.Open() != 0 {
+	if g.ViolationCount() != 0 || g.Open() != 0 {
 		t.Errorf("%v, %d open", g.Violations(), g.Open())
 	}
 }
@@ -238,13 +238,13 @@
 	g := New(nil)
 	r := g.Receive()
 	r.Complete("a", time.Now().Add(-2*time.Second))
-	g.HeldUp(3 * time.Second)
-	r.Answer("504")
+	g.ProcessPaused(3 * time.Second)
+	r.BeginAnswer("504")
 	r = request(g)
-	a := begin(t, r, Limits{NotAfter: time.Now().Add(-time.Second)})
+	a := begin(t, r, Limits{SendBy: time.Now().Add(-time.Second)})
 	a.cleared = time.Now().Add(-time.Second)
 	a.Sent(0)
-	if g.Violated() != 0 {
+	if g.ViolationCount() != 0 {
 		t.Error(g.Violations())
 	}
 }
@@ -253,22 +253,22 @@
 func TestHeldInTime(t *testing.T) {
 	g := New(nil)
 	for _, do := range []func(r *Request){
-		func(r *Request) { r.Held(time.Now().Add(-time.Second)) },
+		func(r *Request) { r.HoldStarted(time.Now().Add(-time.Second)) },
 		func(r *Request) {
-			r.Held(time.Now().Add(-time.Hour))
-			r.Used()
+			r.HoldStarted(time.Now().Add(-time.Hour))
+			r.HoldUsed()
 		},
 		func(r *Request) {
-			r.Held(time.Now().Add(-time.Hour))
-			r.Consumed()
+			r.HoldStarted(time.Now().Add(-time.Hour))
+			r.HoldConsumed()
 		},
-		func(r *Request) { r.Used() },
+		func(r *Request) { r.HoldUsed() },
 	} {
 		r := request(g)
 		do(r)
-		r.LetGo(time.Second)
+		r.Released(time.Second)
 	}
-	if g.Violated() != 0 {
+	if g.ViolationCount() != 0 {
 		t.Error(g.Violations())
 	}
 }
@@ -278,14 +278,14 @@
 	g := New(nil)
 	r := request(g)
 	a := begin(t, r, Limits{})
-	if !r.Expire("late") || r.Expire("late") || r.Decide("served", "") || a.Grant() {
+	if !r.Expire("late") || r.Expire("late") || r.Decide("served", "") || a.GrantFirstToken() {
 		t.Error("more than one answer was allowed")
 	}
 	if err := a.MaySend(0); !errors.Is(err, Answered) {
 		t.Errorf("sent after the answer: %v", err)
 	}
 	r = request(g)
-	if begin(t, r, Limits{}).Grant(); r.Expire("late") {
+	if begin(t, r, Limits{}).GrantFirstToken(); r.Expire("late") {
 		t.Error("an answer that had begun has expired")
 	}
 }
@@ -316,7 +316,7 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"complete": func(*rapid.T) { r.Complete("a", time.Now().Add(time.Hour)) },
 			"begin": func(t *rapid.T) {
-				a, err := r.Begin(Limits{})
+				a, err := r.BeginAttempt(Limits{})
 				if err == nil && (out != nil || decisions > 0 || left || closed) {
 					t.Fatalf("an attempt was allowed: out %v, decided %d, left %v, closed %v", out != nil, decisions, left, closed)
 				}
@@ -336,7 +336,7 @@
 				}
 			},
 			"grant": func(t *rapid.T) {
-				if out != nil && out.Grant() && (decisions > 0 || closed) {
+				if out != nil && out.GrantFirstToken() && (decisions > 0 || closed) {
 					t.Fatal("a first token was allowed")
 				}
 			},
@@ -356,7 +356,7 @@
 				left = true
 			},
 			"answer": func(*rapid.T) {
-				if answers == 0 && r.Answer("500") {
+				if answers == 0 && r.BeginAnswer("500") {
 					answers++
 				}
 			},
@@ -367,7 +367,7 @@
 				}
 			},
 			"": func(t *rapid.T) {
-				if decisions > 1 || g.Violated() > 0 {
+				if decisions > 1 || g.ViolationCount() > 0 {
 					t.Fatalf("%d final answers, violations %v", decisions, g.Violations())
 				}
 			},
--- a/internal/guard/held.go
+++ b/internal/guard/held.go
@@ -9,15 +9,15 @@
 // What engines hold for a request between its stages is owed like an answer: it is to be used, or let go of, within a time. The
 // time rests while an attempt is out that has reached its engine, for as much as a router can know of that.
 
-// Held notes that engines may hold something for the request, and that no attempt was out since a time. An attempt was before.
-func (r *Request) Held(since time.Time) {
+// HoldStarted notes that engines may hold something for the request, and that no attempt was out since a time. An attempt was before.
+func (r *Request) HoldStarted(since time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.heldSince = since
 }
 
-// Used notes that what is held was with an attempt up to now: its time begins anew.
-func (r *Request) Used() {
+// HoldUsed notes that what is held was with an attempt up to now: its time begins anew.
+func (r *Request) HoldUsed() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.heldSince.IsZero() {
@@ -25,15 +25,15 @@
 	}
 }
 
-// Consumed notes that nothing is held any more.
-func (r *Request) Consumed() {
+// HoldConsumed notes that nothing is held any more.
+func (r *Request) HoldConsumed() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.heldSince = time.Time{}
 }
 
-// LetGo notes that the router now lets go of all that is held, which it has to do within a time.
-func (r *Request) LetGo(within time.Duration) {
+// Released notes that the router now lets go of all that is held, which it has to do within a time.
+func (r *Request) Released(within time.Duration) {
 	now := time.Now()
 	r.mu.Lock()
 	since := r.heldSince
--- a/internal/guard/request.go
+++ b/internal/guard/request.go
@@ -54,8 +54,8 @@
 	r.record(stepComplete, "", "waits "+deadline.Sub(now).Round(time.Millisecond).String())
 }
 
-// AskWhether gives the guard a way to ask the client's connection whether the client has gone. gone must not block.
-func (r *Request) AskWhether(gone func() bool) {
+// SetClientCheck gives the guard a way to ask the client's connection whether the client has gone. gone must not block.
+func (r *Request) SetClientCheck(gone func() bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.gone = gone
@@ -73,8 +73,8 @@
 	r.record(stepAccepted, "", "")
 }
 
-// Bound moves the deadline to an earlier instant.
-func (r *Request) Bound(deadline time.Time) {
+// LimitDeadline moves the deadline to an earlier instant.
+func (r *Request) LimitDeadline(deadline time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if deadline.Before(r.deadline) {
@@ -139,9 +139,9 @@
 	return !r.decided.IsZero()
 }
 
-// Answer asks for leave to write the final answer, or its first event, to the client; what is its status. It is given
+// BeginAnswer asks for leave to write the final answer, or its first event, to the client; what is its status. It is given
 // once.
-func (r *Request) Answer(what string) bool {
+func (r *Request) BeginAnswer(what string) bool {
 	now := time.Now()
 	r.mu.Lock()
 	second := !r.answered.IsZero()
@@ -149,7 +149,7 @@
 		r.answered = now
 	}
 	deadline := r.waits
-	late := !deadline.IsZero() && now.Sub(deadline) > time.Duration(decide.LateAnswer)
+	late := !deadline.IsZero() && now.Sub(deadline) > time.Duration(decide.LateAnswerGrace)
 	r.mu.Unlock()
 	r.record(stepAnswered, what, "")
 	switch {
@@ -161,8 +161,8 @@
 	return !second
 }
 
-// Over notes that a request without a connection of its own is over: whoever asked for it has its final answer.
-func (r *Request) Over(reason string) {
+// Finish notes that a request without a connection of its own is over: whoever asked for it has its final answer.
+func (r *Request) Finish(reason string) {
 	r.mu.Lock()
 	if r.answered.IsZero() && !r.decided.IsZero() {
 		r.answered = time.Now()
@@ -227,15 +227,15 @@
 // Limits bound when an attempt's last byte may leave.
 type Limits struct {
 	Engine, Stage string        // for the trail
-	Within        time.Duration // its time-out, for the trail
-	NotAfter      time.Time     // end of the window for repeats; zero: none
+	Timeout       time.Duration // its time-out, for the trail
+	SendBy        time.Time     // end of the window for repeats; zero: none
 	DrainGrace    time.Duration
-	// Withdrawn tells for how long the engine has taken nothing new; false: it takes requests. nil: it always does.
-	Withdrawn func() (time.Duration, bool)
+	// WithdrawnFor tells for how long the engine has taken nothing new; false: it takes requests. nil: it always does.
+	WithdrawnFor func() (time.Duration, bool)
 }
 
-// Skip counts an attempt that has no use for some reason, and returns that.
-func (r *Request) Skip(l Limits, reason error) (*Attempt, error) {
+// SkipAttempt counts an attempt that has no use for some reason, and returns that.
+func (r *Request) SkipAttempt(l Limits, reason error) (*Attempt, error) {
 	r.mu.Lock()
 	a := &Attempt{request: r, limits: l, Number: r.attempts}
 	r.attempts++
@@ -244,8 +244,8 @@
 	return a, reason
 }
 
-// Begin asks for leave to begin an attempt. It counts as an attempt, allowed or not, and has its number.
-func (r *Request) Begin(l Limits) (*Attempt, error) {
+// BeginAttempt asks for leave to begin an attempt. It counts as an attempt, allowed or not, and has its number.
+func (r *Request) BeginAttempt(l Limits) (*Attempt, error) {
 	left := r.hasLeft()
 	taken := r.guard.taken(r.completedAt())
 	r.mu.Lock()
@@ -256,7 +256,7 @@
 	case r.state >= Decided:
 		err = r.guard.denied(Answered)
 	case r.current != nil || r.state != Waiting:
-		err = r.guard.denied(AnotherOut)
+		err = r.guard.denied(AnotherInFlight)
 	case left:
 		err = r.guard.denied(ClientLeft)
 	case !taken:
@@ -269,7 +269,7 @@
 		r.record(stepDenied, strconv.Itoa(a.Number)+" "+l.Stage+" "+l.Engine, err.Error())
 		return a, err
 	}
-	r.record(stepAttempt, strconv.Itoa(a.Number)+" "+l.Stage+" "+l.Engine, "within "+l.Within.Round(time.Millisecond).String())
+	r.record(stepAttempt, strconv.Itoa(a.Number)+" "+l.Stage+" "+l.Engine, "within "+l.Timeout.Round(time.Millisecond).String())
 	return a, nil
 }
 
--- a/internal/kserve/kserve.go
+++ b/internal/kserve/kserve.go
@@ -68,8 +68,8 @@
 	return f, true, nil
 }
 
-// Flag returns a boolean parameter; absent is false.
-func (p Parameters) Flag(name string) (bool, error) {
+// Bool returns a boolean parameter; absent is false.
+func (p Parameters) Bool(name string) (bool, error) {
 	switch v := p[name].(type) {
 	case nil:
 		return false, nil
@@ -185,9 +185,9 @@
 	"FP16": {kindFloat, 16}, "FP32": {kindFloat, 32}, "FP64": {kindFloat, 64}, "BF16": {kindFloat, 16},
 }
 
-// Elements is the product of a shape's dimensions. A negative dimension, or a product over limit, is
+// ElementCount is the product of a shape's dimensions. A negative dimension, or a product over limit, is
 // an error.
-func Elements(shape []int64, limit int64) (int64, error) {
+func ElementCount(shape []int64, limit int64) (int64, error) {
 	n := int64(1)
 	for _, d := range shape {
 		if d < 0 {
@@ -214,7 +214,7 @@
 	if t.Shape == nil {
 		return fmt.Errorf("tensor %q: shape is missing", t.Name)
 	}
-	want, err := Elements(t.Shape, limit)
+	want, err := ElementCount(t.Shape, limit)
 	if err != nil {
 		return fmt.Errorf("tensor %q: %w", t.Name, err)
 	}
@@ -318,8 +318,8 @@
 	return fmt.Errorf("element %v does not fit the datatype", tok)
 }
 
-// ErrTrailing is returned for a body in which something follows its one value.
-var ErrTrailing = errors.New("more than one JSON value")
+// ErrTrailingData is returned for a body in which something follows its one value.
+var ErrTrailingData = errors.New("more than one JSON value")
 
 // Decode reads exactly one JSON value from r into v; what follows it is an error.
 func Decode(r io.Reader, v any) error {
@@ -332,7 +332,7 @@
 		if err != nil {
 			return err
 		}
-		return ErrTrailing
+		return ErrTrailingData
 	}
 	return nil
 }
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -14,12 +14,12 @@
 
 func TestMetrics(t *testing.T) {
 	s := New(func() router.Stats { return router.Stats{Served: 7, Refused: 2, Open: 3, Engines: 12} })
-	m := s.NewShift()
-	m.Ended(&roles.ChangeResult{To: roles.Decode, Succeeded: true, Elapsed: 6 * time.Second}, 4)
-	m.Ended(&roles.ChangeResult{To: roles.Prefill, Elapsed: 2 * time.Second}, 4)
-	m.Planned(&roles.PlanReport{Plan: roles.Plan{ServedNow: 0.8, ServedAfter: 0.9}, Verdict: roles.Verdict{Confidence: 0.7}}, 0.002)
-	m.Engines([]roles.Status{{Known: true, State: roles.RoleState{Role: roles.Decode}, Step: "idle"}, {Step: "idle"}})
-	m.Unseen()
+	m := s.NewRoleMetrics()
+	m.ChangeEnded(&roles.ChangeResult{To: roles.Decode, Succeeded: true, Elapsed: 6 * time.Second}, 4)
+	m.ChangeEnded(&roles.ChangeResult{To: roles.Prefill, Elapsed: 2 * time.Second}, 4)
+	m.PlanMade(&roles.PlanReport{Plan: roles.Plan{ServedNow: 0.8, ServedAfter: 0.9}, Verdict: roles.Verdict{Confidence: 0.7}}, 0.002)
+	m.SetEngines([]roles.Status{{Known: true, State: roles.RoleState{Role: roles.Decode}, Step: "idle"}, {Step: "idle"}})
+	m.ObservationDropped()
 	w := httptest.NewRecorder()
 	s.Handler().ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/metrics", nil))
 	body, err := io.ReadAll(w.Result().Body)
@@ -41,9 +41,9 @@
 	if strings.Contains(string(body), `by="cold",to="prefill"`) {
 		t.Error("a failed change is counted as cold")
 	}
-	var none *Shift // metrics are off
-	none.Ended(&roles.ChangeResult{}, 0)
-	none.Unseen()
-	none.Engines(nil)
-	none.Planned(&roles.PlanReport{}, 0)
+	var none *RoleMetrics // metrics are off
+	none.ChangeEnded(&roles.ChangeResult{}, 0)
+	none.ObservationDropped()
+	none.SetEngines(nil)
+	none.PlanMade(&roles.PlanReport{}, 0)
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -187,16 +187,16 @@
 	return s.inner.Handle(now, ev, out)
 }
 
-func (s *spy) books(name string) decide.Book {
+func (s *spy) books(name string) decide.ServerView {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	e := discovery.Engine{Name: name}
-	for _, b := range s.inner.Books() {
+	for _, b := range s.inner.ServerViews() {
 		if b.Server == e.ID() {
 			return b
 		}
 	}
-	return decide.Book{}
+	return decide.ServerView{}
 }
 
 type world struct {
@@ -261,7 +261,7 @@
 		stop()
 		for range w.done {
 		}
-		if w.node.guard.Violated() > 0 {
+		if w.node.guard.ViolationCount() > 0 {
 			w.t.Errorf("violations: %v\n%s", w.node.guard.Violations(), w.log.String())
 		}
 	})
@@ -319,8 +319,8 @@
 		t.Helper()
 		w.eventually(what, func() bool {
 			r, d := w.spy.books("s1"), w.spy.books("s2")
-			return d.Streams == streams && d.Streams == w.open(writer) && d.Booked == booked &&
-				r.Pending == 0 && r.Pending == w.open(reader) && r.Waiting == 0
+			return d.Streams == streams && d.Streams == w.open(writer) && d.BookedTokens == booked &&
+				r.Pending == 0 && r.Pending == w.open(reader) && r.QueuedTokens == 0
 		})
 	}
 	agree("five in the books", 5, 5000)
@@ -336,7 +336,7 @@
 	}
 	agree("none is left", 0, 0)
 	w.eventually("nothing is held", func() bool { return w.held() == 0 && w.node.Router.Stats().Open == 0 })
-	w.eventually("probed", func() bool { return w.spy.books("s2").Share == 0.25 })
+	w.eventually("probed", func() bool { return w.spy.books("s2").MemoryUse == 0.25 })
 }
 
 // SIGTERM: what is open and what still comes is answered, then the program ends by itself.
@@ -350,7 +350,7 @@
 	}
 	open.ask("b")
 	w.eventually("one is open", func() bool { return w.open(writer) == 1 })
-	w.eventually("all are there", func() bool { return w.node.front.Conns() == 3 })
+	w.eventually("all are there", func() bool { return w.node.front.OpenConns() == 3 })
 	w.node.Drain()
 	if _, err := idle.br.ReadByte(); err != io.EOF {
 		t.Errorf("a connection between requests: %v", err)
--- a/internal/router/holds.go
+++ b/internal/router/holds.go
@@ -7,17 +7,17 @@
 	"mintdoor/internal/engine"
 )
 
-// Holds tells how engines hold what waits for a request between its stages.
-type Holds uint8
+// HoldMode tells how engines hold what waits for a request between its stages.
+type HoldMode uint8
 
 const (
 	// Leased states have handles of their own and are held for a time that the router renews. Each is let go
 	// as soon as the module says so.
-	Leased Holds = iota
-	// ByRequest: all that is held stands under the request's one id until it is let go. Letting go takes
+	Leased HoldMode = iota
+	// PerRequest: all that is held stands under the request's one id until it is let go. Letting go takes
 	// whatever is there when the call arrives, also what a later attempt has just read, so it waits until the
 	// request is over. Until then an attempt is out, and the time of rule 5 rests.
-	ByRequest
+	PerRequest
 )
 
 // keeper sees to what engines hold for requests. All but orphaned is called by the loop.
@@ -45,7 +45,7 @@
 }
 
 // every is the time between renewals: two may be lost before the engine lets go.
-func (k leased) every() decide.Duration { return max(k.r.cfg.Settings.LetGoWithin/3, 1) }
+func (k leased) every() decide.Duration { return max(k.r.cfg.Settings.HoldTimeout/3, 1) }
 
 // renew keeps a state while an attempt at a writer is out and has not begun. An engine lets go of what
 // nobody asks for within the time of rule 5, so that a dead router pins nothing; a writer that is silent
@@ -101,7 +101,7 @@
 		k.r.letGoNow(a.call.Params.Request, s)
 	}
 	if a.prefill && !answered(res.Outcome) {
-		k.r.warn(k.r.cfg.Engines.CallOff(k.r.workCtx, a.addr, a.call.Params.Request), notCalledOff, a.call.Params.Request, a.addr)
+		k.r.warn(k.r.cfg.Engines.CancelRead(k.r.workCtx, a.addr, a.call.Params.Request), notCalledOff, a.call.Params.Request, a.addr)
 	}
 }
 
@@ -115,7 +115,7 @@
 
 // releaseWhileOut lets go now. The request's end lets go once more, of whatever the attempt has left.
 func (k byRequest) releaseWhileOut(f *flight) {
-	f.guarded().LetGo(time.Duration(k.r.cfg.Settings.LetGoWithin))
+	f.guarded().Released(time.Duration(k.r.cfg.Settings.HoldTimeout))
 	if s := f.state; s != nil {
 		k.r.letGo(f.name, s)
 		f.state, f.owed = nil, true
@@ -146,13 +146,13 @@
 	held := a.flight.guarded()
 	switch {
 	case res.Outcome == decide.Served || a.streaming:
-		held.Consumed()
+		held.HoldConsumed()
 	case res.Outcome == decide.ReadDone:
-		held.Held(time.Now())
-	case a.prefill && res.Outcome != decide.Error && !answered(res.Outcome) && a.guarded.HasSent(): // as far as is known it was out
-		held.Held(time.Now())
-	case a.guarded.HasSent():
-		held.Used()
+		held.HoldStarted(time.Now())
+	case a.prefill && res.Outcome != decide.Error && !answered(res.Outcome) && a.guarded.WasSent(): // as far as is known it was out
+		held.HoldStarted(time.Now())
+	case a.guarded.WasSent():
+		held.HoldUsed()
 	}
 }
 
@@ -160,7 +160,7 @@
 	if f.out != nil {
 		return // the loop stops; the attempt is orphaned
 	}
-	f.guarded().LetGo(time.Duration(k.r.cfg.Settings.LetGoWithin))
+	f.guarded().Released(time.Duration(k.r.cfg.Settings.HoldTimeout))
 	if f.lost != "" {
 		k.r.callOff(f.lost, f.name) // also lets go of what is known, and of what other lost reads have left
 		return
@@ -184,7 +184,7 @@
 	}
 	f.lost = ""
 	k.r.aside(notCalledOff, f.name, addr, func() error {
-		return k.r.cfg.Engines.CallOffLater(k.r.workCtx, addr, f.name)
+		return k.r.cfg.Engines.CancelReadLater(k.r.workCtx, addr, f.name)
 	})
 }
 
@@ -227,9 +227,9 @@
 }
 
 func (r *Router) callOff(addr, request string) {
-	r.aside(notCalledOff, request, addr, func() error { return r.cfg.Engines.CallOff(r.workCtx, addr, request) })
+	r.aside(notCalledOff, request, addr, func() error { return r.cfg.Engines.CancelRead(r.workCtx, addr, request) })
 }
 
 func (r *Router) giveUpPlace(request string, p *place) {
-	r.aside(notGivenUp, request, p.addr, func() error { return r.cfg.Engines.GiveUpPlace(r.workCtx, p.addr, request) })
+	r.aside(notGivenUp, request, p.addr, func() error { return r.cfg.Engines.CancelReservation(r.workCtx, p.addr, request) })
 }
--- a/internal/router/holds_test.go
+++ b/internal/router/holds_test.go
@@ -56,7 +56,7 @@
 				if o == decide.ReadDone {
 					return readDone(addr, q)
 				}
-				return engine.Result{Outcome: o, Report: engine.Untold(), Err: errors.New("as told")}
+				return engine.Result{Outcome: o, Report: engine.NoReport(), Err: errors.New("as told")}
 			}
 			fake.decode = func(ctx context.Context, _ string, _ *engine.Call, sink func(string) error) engine.Result {
 				if r, off := calls(fake); r+off > 0 {
@@ -70,13 +70,13 @@
 				if c.write == decide.Reset { // after its first token, which lets go of all
 					sink("a ")
 				}
-				return engine.Result{Outcome: c.write, Report: engine.Untold(), Err: errors.New("as told")}
+				return engine.Result{Outcome: c.write, Report: engine.NoReport(), Err: errors.New("as told")}
 			}
 			module := withModule(func(_ decide.Time, ev *decide.Event, out []decide.Action) []decide.Action {
 				switch {
 				case ev.Kind == decide.Arrived:
 					out = append(out, decide.Action{Kind: decide.Send, Request: ev.Request, Server: p1.ID()})
-				case ev.Kind != decide.Ended || ev.Closed:
+				case ev.Kind != decide.AttemptEnded || ev.Closed:
 				case ev.Outcome == decide.ReadDone:
 					out = append(out, decide.Action{Kind: decide.Send, Request: ev.Request, Server: d1.ID()})
 				case ev.Server == p1.ID() && len(c.reads) > 1: // as the module does before it reads anew
@@ -88,7 +88,7 @@
 				}
 				return out
 			})
-			g := start(t, fake, func(cfg *Config) { cfg.Holds = ByRequest; module(cfg) })
+			g := start(t, fake, func(cfg *Config) { cfg.HoldMode = PerRequest; module(cfg) })
 			j := job(0)
 			j.Name = "client-1"
 			g.all(g.submit(j))
@@ -122,11 +122,11 @@
 	g := start(t, &fakeEngines{decode: func(ctx context.Context, _ string, _ *engine.Call, sink func(string) error) engine.Result {
 		<-gate
 		return stream(ctx, sink, 1)
-	}}, func(cfg *Config) { cfg.Holds = ByRequest })
+	}}, func(cfg *Config) { cfg.HoldMode = PerRequest })
 	j := job(0)
 	j.Name = "same"
 	first := g.submit(j)
-	if _, err := g.Submit(j); !errors.Is(err, ErrOpen) {
+	if _, err := g.Submit(j); !errors.Is(err, ErrDuplicateName) {
 		t.Errorf("the second: %v", err)
 	}
 	other := job(0)
@@ -150,7 +150,7 @@
 	fake := &fakeEngines{}
 	g := start(t, fake, nil)
 	list := fleet()
-	list[0].Since = time.UnixMilli(7)
+	list[0].StartedAt = time.UnixMilli(7)
 	list[1].Addr = "d2:9"
 	list[2].State = decide.Draining
 	g.Update(discovery.Update{Engines: list})
--- a/internal/router/observe.go
+++ b/internal/router/observe.go
@@ -3,30 +3,30 @@
 // Observers tells several observers in turn.
 type Observers []Observer
 
-// Arrived implements Observer.
-func (o Observers) Arrived(j *Job) {
+// RequestArrived implements Observer.
+func (o Observers) RequestArrived(j *Job) {
 	for _, v := range o {
-		v.Arrived(j)
+		v.RequestArrived(j)
 	}
 }
 
-// Read implements Observer.
-func (o Observers) Read(j *Job, kept float64) {
+// PromptRead implements Observer.
+func (o Observers) PromptRead(j *Job, kept float64) {
 	for _, v := range o {
-		v.Read(j, kept)
+		v.PromptRead(j, kept)
 	}
 }
 
-// Written implements Observer.
-func (o Observers) Written(j *Job, tokens int, whole bool) {
+// AnswerWritten implements Observer.
+func (o Observers) AnswerWritten(j *Job, tokens int, whole bool) {
 	for _, v := range o {
-		v.Written(j, tokens, whole)
+		v.AnswerWritten(j, tokens, whole)
 	}
 }
 
-// Over implements Observer.
-func (o Observers) Over(j *Job) {
+// RequestDone implements Observer.
+func (o Observers) RequestDone(j *Job) {
 	for _, v := range o {
-		v.Over(j)
+		v.RequestDone(j)
 	}
 }
--- a/internal/router/table.go
+++ b/internal/router/table.go
@@ -31,7 +31,7 @@
 }
 
 // guarded is the request's state.
-func (f *flight) guarded() *guard.Request { return f.q.job.Guarded }
+func (f *flight) guarded() *guard.Request { return f.q.job.Guard }
 
 // answered tells whether the request has its final answer.
 func (f *flight) answered() bool { return f.guarded().IsDecided() }
@@ -39,7 +39,7 @@
 // grant lets an attempt's first token through, if it is still wanted. From then on the answer belongs to
 // the client and the attempt has no time-out.
 func (f *flight) grant(a *attempt) bool {
-	if a.ending || !a.guarded.Grant() {
+	if a.ending || !a.guarded.GrantFirstToken() {
 		return false
 	}
 	a.streaming = true
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -60,24 +60,24 @@
 
 // Both forms of the same settings make the same deployment.
 func TestBothForms(t *testing.T) {
-	a, err := JSON([]byte(nested))
+	a, err := ParseJSON([]byte(nested))
 	if err != nil {
 		t.Fatal(err)
 	}
-	b, err := Lines(flat)
+	b, err := ParseLines(flat)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(a, b) {
 		t.Errorf("nested %+v %+v\nflat %+v %+v", a, a.Decide, b, b.Decide)
 	}
-	if c := a.Decide.Classes[0]; c.Aim != 1200e6 || c.AimPerK != 40e6 || c.TokenAim != 60e6 || a.Classes[0] != "price-ask" {
+	if c := a.Decide.Classes[0]; c.FirstTokenTarget != 1200e6 || c.FirstTokenTargetPerK != 40e6 || c.TokenIntervalTarget != 60e6 || a.Classes[0] != "price-ask" {
 		t.Errorf("%+v", c)
 	}
 	if k := a.Decide.Kinds; len(k) != 2 || k[1] != (decide.Kind{Role: decide.Writer, Memory: 138916}) {
 		t.Errorf("%+v", k)
 	}
-	if a.Decide.MaxRetryAfter != 500e6 || !a.RetryAfter || a.ConnIdle != 15e9 || a.Decide.Zone != 1 {
+	if a.Decide.MaxRetryAfter != 500e6 || !a.RetryAfter || a.ConnIdleTimeout != 15e9 || a.Decide.Zone != 1 {
 		t.Errorf("%+v", a)
 	}
 }
@@ -104,23 +104,23 @@
 			v[group].(map[string]any)[key] = json.RawMessage(c.value)
 		}
 		b, _ := json.Marshal(v)
-		if _, err := JSON(b); err == nil || !strings.Contains(err.Error(), c.want) {
+		if _, err := ParseJSON(b); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s %s: %v", c.path, c.value, err)
 		}
 	}
 	for _, text := range []string{"", "[]", `{"instances":`, "3"} {
-		if _, err := JSON([]byte(text)); err == nil {
+		if _, err := ParseJSON([]byte(text)); err == nil {
 			t.Errorf("%q was taken", text)
 		}
 	}
 }
 
 func TestReport(t *testing.T) {
-	got := Report(func(name string) (float64, bool) {
+	got := ParseReport(func(name string) (float64, bool) {
 		f, ok := map[string]float64{"x0": 0.5, "x1": -3, "latency_ms": math.NaN()}[name]
 		return f, ok
 	})
-	if got != (decide.Report{MemoryShare: 0.5, WaitingK: -1, Latency: -1}) {
+	if got != (decide.Report{MemoryUse: 0.5, QueuedKTokens: -1, Latency: -1}) {
 		t.Errorf("%+v", got)
 	}
 }
--- a/internal/shift/shift.go
+++ b/internal/shift/shift.go
@@ -22,21 +22,21 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Engines is what the driver asks of engines; *engine.Client does it.
-type Engines interface {
+// EngineClient is what the driver asks of engines; *engine.Client does it.
+type EngineClient interface {
 	Role(ctx context.Context, addr string) (engine.Role, error)
 	ChangeRole(ctx context.Context, addr string, q *engine.RoleChange) (engine.Role, bool, error)
-	StayRole(ctx context.Context, addr string, q *engine.RoleStay) (engine.Role, bool, error)
+	CancelRoleChange(ctx context.Context, addr string, q *engine.RoleChangeCancel) (engine.Role, bool, error)
 }
 
 // Driver shifts roles. It is a discovery.Source over another one, and a router.Observer.
 type Driver struct {
 	set     *config.Settings
 	source  discovery.Source
-	engines Engines
+	engines EngineClient
 	name    string
 	log     *slog.Logger
-	metrics *metrics.Shift // nil: none
+	metrics *metrics.RoleMetrics // nil: none
 
 	seen    chan observation
 	missed  atomic.Int64 // observations that did not fit
@@ -82,30 +82,30 @@
 )
 
 // New returns a driver for the settings, which have shifting on or dry.
-func New(set *config.Settings, source discovery.Source, engines Engines, name string, log *slog.Logger, m *metrics.Shift) *Driver {
+func New(set *config.Settings, source discovery.Source, engines EngineClient, name string, log *slog.Logger, m *metrics.RoleMetrics) *Driver {
 	return &Driver{set: set, source: source, engines: engines, name: name, log: log, metrics: m,
 		seen: make(chan observation, maxObservations), results: make(chan result, 64),
 		byID: map[uint64]*discovery.Engine{}, views: map[uint64]roles.Listing{}, asking: map[uint64]bool{},
 		manager: roles.NewManager(set.Roles(), time.Now())}
 }
 
-// Arrived, Read and Written are the router.Observer. They never block: what does not fit is counted.
-func (d *Driver) Arrived(j *router.Job) {
-	d.observe(observation{kind: sawArrival, arrival: roles.RequestInfo{Class: j.Class, PromptTokens: j.PromptTokens, Retry: j.Repeat}})
+// RequestArrived, Read and Written are the router.Observer. They never block: what does not fit is counted.
+func (d *Driver) RequestArrived(j *router.Job) {
+	d.observe(observation{kind: sawArrival, arrival: roles.RequestInfo{Class: j.Class, PromptTokens: j.PromptTokens, Retry: j.ClientRetry}})
 }
 
-// Read implements router.Observer.
-func (d *Driver) Read(j *router.Job, kept float64) {
+// PromptRead implements router.Observer.
+func (d *Driver) PromptRead(j *router.Job, kept float64) {
 	d.observe(observation{kind: sawRead, arrival: roles.RequestInfo{Class: j.Class, PromptTokens: j.PromptTokens, CachedTokens: kept}})
 }
 
-// Written implements router.Observer.
-func (d *Driver) Written(j *router.Job, tokens int, whole bool) {
+// AnswerWritten implements router.Observer.
+func (d *Driver) AnswerWritten(j *router.Job, tokens int, whole bool) {
 	d.observe(observation{kind: sawWritten, arrival: roles.RequestInfo{Class: j.Class, OutputTokens: float64(tokens), Truncated: !whole}})
 }
 
-// Over implements router.Observer.
-func (d *Driver) Over(*router.Job) {}
+// RequestDone implements router.Observer.
+func (d *Driver) RequestDone(*router.Job) {}
 
 func (d *Driver) observe(o observation) {
 	o.at = time.Now()
@@ -113,17 +113,17 @@
 	case d.seen <- o:
 	default:
 		d.missed.Add(1)
-		d.metrics.Unseen()
+		d.metrics.ObservationDropped()
 	}
 }
 
 // Status is the state of shifting, for people.
 type Status struct {
-	At      time.Time
-	Mode    string
-	Plan    roles.PlanReport
-	Engines []EngineStatus
-	Unseen  int64 // observations of the traffic that did not fit
+	At                  time.Time
+	Mode                string
+	Plan                roles.PlanReport
+	Engines             []EngineStatus
+	DroppedObservations int64 // observations of the traffic that did not fit
 }
 
 // EngineStatus is one engine that can change.
@@ -136,9 +136,9 @@
 func (d *Driver) Status() *Status { return d.status.Load() }
 
 func (d *Driver) keepStatus(now time.Time) {
-	st := &Status{At: now, Mode: d.set.Shift.Mode, Plan: d.manager.LastReport(), Unseen: d.missed.Load()}
+	st := &Status{At: now, Mode: d.set.RoleChanges.Mode, Plan: d.manager.LastReport(), DroppedObservations: d.missed.Load()}
 	list := d.manager.Status(now)
-	d.metrics.Engines(list)
+	d.metrics.SetEngines(list)
 	for _, e := range list {
 		st.Engines = append(st.Engines, EngineStatus{d.nameOf(e.Engine), e})
 	}
@@ -166,7 +166,7 @@
 }
 
 func (d *Driver) loop(ctx context.Context, updates <-chan discovery.Update, tell func(discovery.Update)) {
-	tick, look := time.NewTicker(tickEvery), time.NewTicker(d.set.Shift.Look)
+	tick, look := time.NewTicker(tickEvery), time.NewTicker(d.set.RoleChanges.CheckInterval)
 	defer tick.Stop()
 	defer look.Stop()
 	for {
@@ -201,7 +201,7 @@
 			changed = d.carry(ctx, &acts[i]) || changed
 		}
 		for _, e := range d.manager.TakeResults() {
-			d.metrics.Ended(&e, roles.SlowStartLoss(d.set.StartCapacity, d.set.ColdFor).Seconds())
+			d.metrics.ChangeEnded(&e, roles.SlowStartLoss(d.set.InitialCapacity, d.set.SlowStartTime).Seconds())
 			level := slog.LevelInfo
 			if !e.Succeeded {
 				level = slog.LevelWarn
@@ -239,7 +239,7 @@
 		id := uint64(e.ID())
 		d.byID[id] = e
 		kind, other := &d.set.Kinds[k], &d.set.Kinds[d.set.KindIndex(d.set.Kinds[k].Becomes)]
-		info := roles.EngineInfo{ID: id, Kind: min(k, d.set.KindIndex(other.Name)), Cell: discovery.Number(e.Cell), Role: stageOf(kind), Draining: e.State != decide.Ready}
+		info := roles.EngineInfo{ID: id, Kind: min(k, d.set.KindIndex(other.Name)), Cell: discovery.LocationNumber(e.Cell), Role: stageOf(kind), Draining: e.State != decide.Ready}
 		info.Capacity[stageOf(kind)], info.Capacity[stageOf(other)] = kind.Capacity, other.Capacity
 		infos = append(infos, info)
 	}
@@ -340,7 +340,7 @@
 		go func() {
 			defer d.work.Done()
 			// What comes of it is seen at the next look.
-			if _, _, err := d.engines.StayRole(ctx, addr, &engine.RoleStay{Epoch: epoch}); err != nil {
+			if _, _, err := d.engines.CancelRoleChange(ctx, addr, &engine.RoleChangeCancel{Epoch: epoch}); err != nil {
 				d.log.Warn("call back failed", "engine", addr, "err", err)
 			}
 		}()
@@ -365,8 +365,8 @@
 		if v.Draining {
 			e.State = decide.Draining
 		}
-		if v.StartedAt.After(e.Since) {
-			e.Since = v.StartedAt
+		if v.StartedAt.After(e.StartedAt) {
+			e.StartedAt = v.StartedAt
 		}
 	}
 	return out
@@ -379,7 +379,7 @@
 		return
 	}
 	d.report.Store(&r)
-	d.metrics.Planned(&r, took.Seconds())
+	d.metrics.PlanMade(&r, took.Seconds())
 	if r.Err != nil {
 		d.log.Error("plan of roles", "err", r.Err)
 	}
@@ -388,7 +388,7 @@
 	}
 	d.log.Info("plan of roles", "read/s", int(r.Demand[roles.Prefill].Mean), "write/s", int(r.Demand[roles.Decode].Mean), "moves", len(r.Plan.Moves),
 		"served", r.Plan.ServedNow, "then", r.Plan.ServedAfter, "confidence", r.Verdict.Confidence, "why", r.Verdict.Reason, "begun", r.ChangesBegun,
-		"dry", d.set.Shift.Mode == "dry", "unseen", d.missed.Load())
+		"dry", d.set.RoleChanges.Mode == "dry", "unseen", d.missed.Load())
 }
 
 func (d *Driver) nameOf(id uint64) string {
--- a/internal/sim/node.go
+++ b/internal/sim/node.go
@@ -93,7 +93,7 @@
 		cfg.TurnOrder.Index, cfg.TurnOrder.Routers = n.index, n.s.cfg.Settings.Routers
 		n.manager = roles.NewManager(cfg, n.s.wall())
 	}
-	n.tell(&decide.Event{Kind: decide.ListCached, Servers: servers, Report: engine.Untold()})
+	n.tell(&decide.Event{Kind: decide.ListCached, Servers: servers, Report: engine.NoReport()})
 	if n.manager != nil {
 		n.infos()
 		n.look(n.life)
@@ -117,11 +117,11 @@
 			u := a.u
 			n.s.after(n.s.cfg.Net, func() { u.leave(a) })
 			if h := a.from; h != nil {
-				n.s.after(time.Duration(n.s.cfg.Settings.LetGoWithin), h.free)
+				n.s.after(time.Duration(n.s.cfg.Settings.HoldTimeout), h.free)
 			}
 		}
 		if h := f.state; h != nil {
-			n.s.after(time.Duration(n.s.cfg.Settings.LetGoWithin), h.free)
+			n.s.after(time.Duration(n.s.cfg.Settings.HoldTimeout), h.free)
 		}
 	}
 	clear(n.flights)
@@ -143,7 +143,7 @@
 		l.Condition = decide.Draining
 	}
 	if !v.StartedAt.IsZero() {
-		l.Since = decide.Time(v.StartedAt.UnixNano())
+		l.StartedAt = decide.Time(v.StartedAt.UnixNano())
 	}
 	return l
 }
@@ -163,7 +163,7 @@
 			n.views[u.index] = v
 		}
 		n.infos()
-		n.tell(&decide.Event{Kind: decide.ListChanged, Servers: []decide.Listing{n.listing(u)}, Report: engine.Untold()})
+		n.tell(&decide.Event{Kind: decide.ListChanged, Servers: []decide.Listing{n.listing(u)}, Report: engine.NoReport()})
 	}
 }
 
@@ -231,7 +231,7 @@
 				}
 			}
 			n.views[u.index] = v
-			n.tell(&decide.Event{Kind: decide.ListChanged, Servers: []decide.Listing{n.listing(u)}, Report: engine.Untold()})
+			n.tell(&decide.Event{Kind: decide.ListChanged, Servers: []decide.Listing{n.listing(u)}, Report: engine.NoReport()})
 		case roles.RequestChange:
 			n.s.after(net, func() {
 				if !u.up || u.faults[Mute] > 0 {
@@ -262,7 +262,7 @@
 	n.flights[f.id] = f
 	n.s.open++
 	if n.manager != nil {
-		n.manager.ObserveArrival(n.s.wall(), roles.RequestInfo{Class: e.Class, PromptTokens: float64(e.Prompt)})
+		n.manager.ObserveArrival(n.s.wall(), roles.RequestInfo{Class: e.Class, PromptTokens: float64(e.PromptTokens)})
 	}
 	n.s.after(f.deadline-n.s.now, func() {
 		if f.answered || f.out != nil && f.out.streaming {
@@ -270,17 +270,17 @@
 		}
 		f.finish(0)
 		if n.flights[f.id] == f {
-			n.tell(&decide.Event{Kind: decide.ClientGone, Request: f.id, Report: engine.Untold()})
+			n.tell(&decide.Event{Kind: decide.ClientLeft, Request: f.id, Report: engine.NoReport()})
 			n.settle(f)
 		}
 	})
 	var text uint64
-	if e.Text != "" {
-		text = max(xxhash.Sum64String(e.Text), 1)
+	if e.PrefixID != "" {
+		text = max(xxhash.Sum64String(e.PrefixID), 1)
 	}
-	n.tell(&decide.Event{Kind: decide.Arrived, Request: f.id, Report: engine.Untold(), Job: decide.Job{Class: e.Class, Tenant: 1 << 20,
-		Text: text, Session: uint64(f.id) | 1<<63, Deadline: module(f.deadline), Prompt: float64(e.Prompt), Prefix: float64(e.Shared),
-		MaxOut: float64(n.s.cfg.MaxAnswer)}})
+	n.tell(&decide.Event{Kind: decide.Arrived, Request: f.id, Report: engine.NoReport(), Job: decide.Job{Class: e.Class, Tenant: 1 << 20,
+		PrefixID: text, SessionID: uint64(f.id) | 1<<63, Deadline: module(f.deadline), PromptTokens: float64(e.PromptTokens), PrefixTokens: float64(e.PrefixTokens),
+		MaxOutputTokens: float64(n.s.cfg.MaxAnswer)}})
 	n.settle(f)
 }
 
@@ -304,11 +304,11 @@
 
 func (n *node) act(a *decide.Action) {
 	s := n.s
-	if a.Kind == decide.WakeMe {
-		life, token := n.life, a.Token
+	if a.Kind == decide.SetTimer {
+		life, token := n.life, a.TimerID
 		s.after(time.Duration(a.After), func() {
 			if n.life == life {
-				n.tell(&decide.Event{Kind: decide.Timer, Token: token, Report: engine.Untold()})
+				n.tell(&decide.Event{Kind: decide.Timer, TimerID: token, Report: engine.NoReport()})
 			}
 		})
 		return
@@ -361,8 +361,8 @@
 		}
 		number := f.sends
 		f.sends++
-		n.later = append(n.later, decide.Event{Kind: decide.Ended, Request: f.id, Server: act.Server, Attempt: number, Outcome: decide.Moot,
-			Closed: f.answered, Report: engine.Untold()})
+		n.later = append(n.later, decide.Event{Kind: decide.AttemptEnded, Request: f.id, Server: act.Server, Attempt: number, Outcome: decide.NotStarted,
+			Closed: f.answered, Report: engine.NoReport()})
 		return
 	}
 	if grace := time.Duration(s.cfg.Settings.DrainGrace); v.Draining && v.drained > 0 && s.now-v.drained > grace+s.cfg.CheckDelay {
@@ -391,7 +391,7 @@
 	a.ending = true
 	s := a.f.n.s
 	s.after(s.cfg.Net, func() { a.u.leave(a) })
-	s.after(2*s.cfg.Net, func() { a.over(why, engine.Untold(), false, 0) })
+	s.after(2*s.cfg.Net, func() { a.over(why, engine.NoReport(), false, 0) })
 }
 
 // begun takes in the first token.
@@ -404,8 +404,8 @@
 	a.streaming = true
 	f.state = nil
 	f.began = n.s.now
-	n.tell(&decide.Event{Kind: decide.FirstToken, Request: f.id, Server: a.u.id(), Attempt: a.number, Spent: decide.Duration(n.s.now - a.sentAt),
-		Report: engine.Untold()})
+	n.tell(&decide.Event{Kind: decide.FirstToken, Request: f.id, Server: a.u.id(), Attempt: a.number, Elapsed: decide.Duration(n.s.now - a.sentAt),
+		Report: engine.NoReport()})
 }
 
 // over takes in an attempt's end.
@@ -424,21 +424,21 @@
 	case out == decide.ReadDone:
 		f.state = a.state
 		if n.manager != nil {
-			n.manager.ObserveRead(roles.RequestInfo{Class: e.Class, PromptTokens: float64(e.Prompt), CachedTokens: kept})
+			n.manager.ObserveRead(roles.RequestInfo{Class: e.Class, PromptTokens: float64(e.PromptTokens), CachedTokens: kept})
 		}
 	case out == decide.Served || noState:
 		f.state = nil
 	}
 	if a.streaming {
 		if n.manager != nil {
-			n.manager.ObserveOutput(roles.RequestInfo{Class: e.Class, OutputTokens: float64(s.answer(e.Answer)), Truncated: out != decide.Served})
+			n.manager.ObserveOutput(roles.RequestInfo{Class: e.Class, OutputTokens: float64(s.answer(e.OutputTokens)), Truncated: out != decide.Served})
 		}
 		if out == decide.Served {
 			c := &s.cfg.Settings.Classes[e.Class]
-			worth := c.Worth
-			aim := time.Duration(c.Aim) + time.Duration(float64(c.AimPerK)*float64(e.Prompt)/1000)
+			worth := c.Value
+			aim := time.Duration(c.FirstTokenTarget) + time.Duration(float64(c.FirstTokenTargetPerK)*float64(e.PromptTokens)/1000)
 			if f.began-f.asked > aim {
-				worth *= c.LateWorth
+				worth *= c.LateValue
 				s.res.Late++
 			} else {
 				s.res.InTime++
@@ -449,8 +449,8 @@
 			f.finish(0)
 		}
 	}
-	n.tell(&decide.Event{Kind: decide.Ended, Request: f.id, Server: a.u.id(), Attempt: a.number, Outcome: out, Closed: f.answered,
-		NoState: noState, Kept: kept, Spent: decide.Duration(s.now - a.sentAt), Report: report})
+	n.tell(&decide.Event{Kind: decide.AttemptEnded, Request: f.id, Server: a.u.id(), Attempt: a.number, Outcome: out, Closed: f.answered,
+		NoState: noState, CachedTokens: kept, Elapsed: decide.Duration(s.now - a.sentAt), Report: report})
 	n.settle(f)
 }
 
--- a/internal/sim/property_test.go
+++ b/internal/sim/property_test.go
@@ -17,8 +17,8 @@
 	cfg := sc.Config(tr)
 	cfg.Roles = sc.Shifting()
 	cfg.Look, cfg.Change = 250*time.Millisecond, 300*time.Millisecond
-	cfg.Prefill.ColdFor, cfg.Decode.ColdFor = 2*time.Second, 2*time.Second
-	cfg.Settings.ColdFor = 2.4e9
+	cfg.Prefill.SlowStartTime, cfg.Decode.SlowStartTime = 2*time.Second, 2*time.Second
+	cfg.Settings.SlowStartTime = 2.4e9
 	r := cfg.Roles
 	r.Costs.Horizon, r.Costs.AwayTime, r.PlanInterval, r.SlowStartTime, r.Confidence = 4*time.Second, 900*time.Millisecond, 500*time.Millisecond, 2400*time.Millisecond, 0.6
 	r.Timeouts.EmptyTimeout, r.Timeouts.ChangeTimeout, r.Timeouts.Backoff, r.TurnOrder.SlotLength = 5*time.Second, 3*time.Second, time.Second, time.Second
@@ -35,9 +35,9 @@
 		seed := rapid.Uint64Range(1, 1<<30).Draw(t, "seed")
 		shapes := []string{"day", "steps", "flicker", "gusts", "ramps"}
 		sw := trace.Swing{Shape: rapid.SampledFrom(shapes).Draw(t, "shape"), Length: 30 * time.Second,
-			Period: time.Duration(rapid.IntRange(5, 45).Draw(t, "period")) * time.Second, Seed: seed, Low: 0.2, High: 0.8, Engines: engines,
+			Period: time.Duration(rapid.IntRange(5, 45).Draw(t, "period")) * time.Second, Seed: seed, MinReadShare: 0.2, MaxReadShare: 0.8, Engines: engines,
 			Load: rapid.Float64Range(0.3, 1.3).Draw(t, "load"), ReadPerS: 17500, WritePerS: 3000}
-		tr, err := sw.Make()
+		tr, err := sw.Generate()
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/sim/sim.go
+++ b/internal/sim/sim.go
@@ -86,7 +86,7 @@
 	Broken                                       []string      // rules that were broken
 	Stuck                                        int           // changes that had not ended when the run had
 	MostAway                                     int
-	Readers                                      []Step // the split as it was, by change
+	Splits                                       []Step // the split as it was, by change
 }
 
 // event is something to happen. Events of one time happen in the order in which they were made.
@@ -230,7 +230,7 @@
 	s.after(e.At-s.now, func() {
 		s.arrival(i + 1)
 		s.res.Asked++
-		s.partOf(e.At).asked += s.cfg.Settings.Classes[e.Class].Worth
+		s.partOf(e.At).asked += s.cfg.Settings.Classes[e.Class].Value
 		if n := s.pick(); n != nil {
 			n.arrive(e)
 		} else {
@@ -284,7 +284,7 @@
 			readers++
 		}
 	}
-	s.res.Readers = append(s.res.Readers, Step{s.now, readers})
+	s.res.Splits = append(s.res.Splits, Step{s.now, readers})
 }
 
 // finish checks what is left, and sums up.
@@ -352,7 +352,7 @@
 			if u.fixed || !u.up || u.will() != from || u.granted != 0 || s.lastOf(u) {
 				continue
 			}
-			if best == nil || u.core.Load() < best.core.Load() {
+			if best == nil || u.core.TaskCount() < best.core.TaskCount() {
 				best = u
 			}
 		}
--- a/internal/sim/unit.go
+++ b/internal/sim/unit.go
@@ -22,7 +22,7 @@
 	life     int
 	core     *standin.Core
 	first    roles.Stage // its role before any change
-	turns    standin.Turns
+	turns    standin.RoleState
 	since    time.Time // of its last start; zero: long ago
 	stepping bool
 	tasks    map[*attempt]bool
@@ -51,7 +51,7 @@
 
 // stage is the role that it has, will the one that it has or is on its way to.
 func (u *unit) stage() roles.Stage {
-	if u.turns.Swap {
+	if u.turns.Swapped {
 		return 1 - u.first
 	}
 	return u.first
@@ -90,7 +90,7 @@
 }
 
 func (u *unit) stay(epoch uint64) {
-	if u.up && u.turns.Stay(epoch) {
+	if u.up && u.turns.Cancel(epoch) {
 		u.ended()
 	}
 }
@@ -146,9 +146,9 @@
 	u.ended()
 	u.s.res.Changes++
 	u.since = u.s.wall()
-	u.core = u.core.Next(u.s.calls[u.stage()], u.s.wall(), u.s.cfg.Keeps)
+	u.core = u.core.AfterRoleChange(u.s.calls[u.stage()], u.s.wall(), u.s.cfg.Keeps)
 	spec := u.s.calls[u.stage()]
-	u.s.res.ColdLost += roles.SlowStartLoss(spec.ColdFrom, spec.ColdFor)
+	u.s.res.ColdLost += roles.SlowStartLoss(spec.InitialCapacity, spec.SlowStartTime)
 	u.s.noteSplit()
 }
 
@@ -169,7 +169,7 @@
 		return cmp.Or(a.f.n.index-b.f.n.index, cmp.Compare(a.f.id, b.f.id), a.number-b.number)
 	})
 	for _, a := range out {
-		u.s.after(u.s.cfg.Net, func() { a.over(decide.Reset, engine.Untold(), false, 0) })
+		u.s.after(u.s.cfg.Net, func() { a.over(decide.Reset, engine.NoReport(), false, 0) })
 	}
 	clear(u.tasks)
 	clear(u.held)
@@ -220,10 +220,10 @@
 		return // called off on its way
 	}
 	if !u.up {
-		s.after(s.cfg.Net, func() { a.over(decide.ConnectFailed, engine.Untold(), false, 0) })
+		s.after(s.cfg.Net, func() { a.over(decide.ConnectFailed, engine.NoReport(), false, 0) })
 		return
 	}
-	if u.core.Weigh(s.wall()) {
+	if u.core.CountSend(s.wall()) {
 		s.broken("rule 4: engine %d was pushed over while it was cold", u.index)
 		u.crash(5 * time.Second)
 		return
@@ -247,11 +247,11 @@
 	}
 	began := s.now
 	e := a.f.entry
-	a.task = &standin.Task{Prompt: e.Prompt, Shared: e.Shared, Text: e.Text}
+	a.task = &standin.Task{PromptTokens: e.PromptTokens, SharedTokens: e.PrefixTokens, PrefixID: e.PrefixID}
 	life := u.life
 	if a.stage == roles.Prefill {
-		a.task.Read = func(kept int) {
-			u.core.Waited(s.now - began)
+		a.task.OnRead = func(kept int) {
+			u.core.RecordLatency(s.now - began)
 			h := &held{u, life, a.task}
 			u.held[h] = true
 			delete(u.tasks, a)
@@ -270,12 +270,12 @@
 			turn(true)
 			return
 		}
-		a.task.State = true
-		a.task.Answer = s.answer(e.Answer)
-		a.task.Granted = func() { s.after(0, func() { u.fetch(a) }) }
-		a.task.Token = func(first, last bool) {
+		a.task.NeedsState = true
+		a.task.AnswerTokens = s.answer(e.OutputTokens)
+		a.task.OnAdmitted = func() { s.after(0, func() { u.fetch(a) }) }
+		a.task.OnToken = func(first, last bool) {
 			if first {
-				u.core.Waited(s.now - began)
+				u.core.RecordLatency(s.now - began)
 				report := u.core.Report(s.wall())
 				s.after(s.cfg.Net, func() { a.begun(report) })
 			}
@@ -314,8 +314,8 @@
 		s.after(s.cfg.Net, func() { a.over(decide.Full, report, true, 0) })
 		return
 	}
-	tokens := float64(a.f.entry.Prompt)
-	d := s.cfg.Net*2 + seconds(tokens/s.cfg.Decode.PortPerS)
+	tokens := float64(a.f.entry.PromptTokens)
+	d := s.cfg.Net*2 + seconds(tokens/s.cfg.Decode.PortTokensPerSecond)
 	if from := a.from.u.cell; from != u.cell && s.cfg.Link > 0 {
 		free := max(s.links[from], s.now) + seconds(tokens/s.cfg.Link)
 		s.links[from] = free
@@ -333,7 +333,7 @@
 			return
 		}
 		h.free()
-		u.core.Fetched(a.task)
+		u.core.StateFetched(a.task)
 		u.kick()
 	})
 }
@@ -344,7 +344,7 @@
 func (u *unit) leave(a *attempt) {
 	if u.tasks[a] {
 		delete(u.tasks, a)
-		u.core.Leave(a.task)
+		u.core.Remove(a.task)
 		u.kick()
 	}
 }
@@ -358,6 +358,6 @@
 		return
 	}
 	delete(h.u.held, h)
-	h.u.core.Leave(h.task)
+	h.u.core.Remove(h.task)
 	h.u.kick()
 }
--- a/internal/simwire/decode.go
+++ b/internal/simwire/decode.go
@@ -43,9 +43,9 @@
 
 // The kinds of records.
 const (
-	Happened Kind = iota // Event is for the instance
-	Start                // a new instance with Seed and Settings
-	Stop                 // the instance is no more
+	InstanceEvent Kind = iota // Event is for the instance
+	Start                     // a new instance with Seed and Settings
+	Stop                      // the instance is no more
 )
 
 // Record is one record of a batch that concerns an instance.
@@ -75,8 +75,8 @@
 	return &Decoder{in: bufio.NewReaderSize(in, 1<<16)}
 }
 
-// SetFields tells which values load reports carry, in order.
-func (d *Decoder) SetFields(names []string) { d.fields = names }
+// SetReportFields tells which values load reports carry, in order.
+func (d *Decoder) SetReportFields(names []string) { d.fields = names }
 
 // Batch reads the next batch whole and returns its clock. io.EOF ends the stream between batches.
 func (d *Decoder) Batch() (decide.Time, error) {
@@ -181,14 +181,14 @@
 			return false, err
 		}
 		ev.Kind, ev.Request, ev.Attempt = decide.FirstToken, request(b[4:]), int(b[8])
-		ev.Spent, ev.Server = span(b[9:]), server(b[17:])
+		ev.Elapsed, ev.Server = span(b[9:]), server(b[17:])
 	case codeNote:
 		b, err := fixed(20, "HELD_NOTE")
 		if err != nil {
 			return false, err
 		}
-		ev.Kind, ev.Request, ev.Attempt = decide.PlaceAnswer, request(b[4:]), int(b[12])
-		ev.Server, ev.Held = server(b[13:]), b[19] == 1
+		ev.Kind, ev.Request, ev.Attempt = decide.ReservationAnswer, request(b[4:]), int(b[12])
+		ev.Server, ev.Granted = server(b[13:]), b[19] == 1
 	case codeOutcome:
 		b, err := fixed(30, "VERDICT")
 		if err != nil {
@@ -200,19 +200,19 @@
 		if err != nil {
 			return false, err
 		}
-		ev.Kind, ev.Request = decide.ClientGone, request(b[4:])
+		ev.Kind, ev.Request = decide.ClientLeft, request(b[4:])
 	case codeTimer:
 		b, err := fixed(12, "FIRED")
 		if err != nil {
 			return false, err
 		}
-		ev.Kind, ev.Token = decide.Timer, binary.BigEndian.Uint64(b[4:])
+		ev.Kind, ev.TimerID = decide.Timer, binary.BigEndian.Uint64(b[4:])
 	case codeProbed:
 		b, err := fixed(20, "PING_RESULT")
 		if err != nil {
 			return false, err
 		}
-		ev.Kind, ev.Server, ev.Spent = decide.Probed, server(b[4:]), span(b[11:])
+		ev.Kind, ev.Server, ev.Elapsed = decide.Probed, server(b[4:]), span(b[11:])
 		if ev.Outcome, err = outcome(b[10]); err != nil {
 			return false, err
 		}
@@ -236,12 +236,12 @@
 	ev.Kind, ev.Request = decide.Arrived, request(b[4:])
 	ev.Job = decide.Job{
 		Class: int(binary.BigEndian.Uint16(b[8:])), Tenant: int(binary.BigEndian.Uint32(b[10:])),
-		Session: binary.BigEndian.Uint64(b[14:]), Deadline: span(b[22:]),
-		Text: binary.BigEndian.Uint64(b[38:]), Prompt: float(b[46:]), Prefix: float(b[50:]),
-		MaxOut: float(b[54:]), ClientRepeat: marks&2 != 0, AfterBreak: marks&16 != 0,
+		SessionID: binary.BigEndian.Uint64(b[14:]), Deadline: span(b[22:]),
+		PrefixID: binary.BigEndian.Uint64(b[38:]), PromptTokens: float(b[46:]), PrefixTokens: float(b[50:]),
+		MaxOutputTokens: float(b[54:]), ClientRetry: marks&2 != 0, AfterInterruption: marks&16 != 0,
 	}
 	if marks&1 != 0 {
-		ev.Job.Hint = span(b[30:])
+		ev.Job.LengthHint = span(b[30:])
 	}
 }
 
@@ -250,13 +250,13 @@
 	if ev.Outcome, err = outcome(b[15]); err != nil {
 		return err
 	}
-	ev.Kind, ev.Request, ev.Attempt, ev.Server = decide.Ended, request(b[4:]), int(b[8]), server(b[9:])
-	ev.Spent, ev.Closed = span(b[16:]), b[24] != 0
+	ev.Kind, ev.Request, ev.Attempt, ev.Server = decide.AttemptEnded, request(b[4:]), int(b[8]), server(b[9:])
+	ev.Elapsed, ev.Closed = span(b[16:]), b[24] != 0
 	info := binary.BigEndian.Uint32(b[25:])
 	if ev.Outcome == decide.Full {
 		ev.NoState = info == 1
 	} else {
-		ev.Kept = float64(info)
+		ev.CachedTokens = float64(info)
 	}
 	return d.report(b[29], &ev.Report)
 }
@@ -308,7 +308,7 @@
 		entries[i] = decide.Listing{
 			Server: server(b), Zone: int(binary.BigEndian.Uint16(b[6:])),
 			Kind: int(binary.BigEndian.Uint16(b[8:])), Cell: int(binary.BigEndian.Uint16(b[10:])),
-			Condition: decide.Condition(b[12]), Weight: float(b[13:]), Since: span(b[17:]),
+			Condition: decide.Condition(b[12]), Weight: float(b[13:]), StartedAt: span(b[17:]),
 		}
 	}
 	d.tables[table], d.known[table] = entries, true
@@ -321,7 +321,7 @@
 	if err != nil {
 		return err
 	}
-	*rep = settings.Report(func(name string) (float64, bool) {
+	*rep = settings.ParseReport(func(name string) (float64, bool) {
 		for i := 0; i < int(n) && i < len(d.fields); i++ {
 			if d.fields[i] == name {
 				return float(b[4*i:]), true
@@ -349,7 +349,7 @@
 	case 111:
 		return decide.ConnectFailed, nil
 	case 114:
-		return decide.Moot, nil
+		return decide.NotStarted, nil
 	case 125:
 		return decide.Cancelled, nil
 	}
--- a/internal/standin/chat/run.go
+++ b/internal/standin/chat/run.go
@@ -22,7 +22,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	b := &e.behaviour
-	p := &plan{turnAway: e.chance("turned away", b.TurnAway), slowness: max(b.Slowness, 1)}
+	p := &plan{turnAway: e.chance("turned away", b.Refuse), slowness: max(b.Slowdown, 1)}
 	if e.busy >= e.opts.Slots {
 		p.turnAway = true
 	}
@@ -31,15 +31,15 @@
 	}
 	p.fail = e.chance("errors", b.Fail)
 	p.resetAtStart = e.chance("resets at the start", b.ResetAtStart)
-	p.spoilAtStart = e.chance("spoilt answers", b.SpoilAtStart)
-	p.endless = e.chance("endless heads", b.Endless)
-	p.interim = e.chance("interim answers", b.Interim)
-	p.secondAnswer = e.chance("second answers", b.SecondAnswer)
-	p.closeIdle = e.chance("idle connections closed", b.CloseIdle)
+	p.spoilAtStart = e.chance("spoilt answers", b.MalformedAnswer)
+	p.endless = e.chance("endless heads", b.EndlessHeader)
+	p.interim = e.chance("interim answers", b.InterimResponse)
+	p.secondAnswer = e.chance("second answers", b.DuplicateAnswer)
+	p.closeIdle = e.chance("idle connections closed", b.CloseAfterAnswer)
 	if e.opts.Writer {
 		p.resetInStream = e.chance("resets in a stream", b.ResetInStream)
-		p.spoilInStream = e.chance("spoilt streams", b.SpoilInStream)
-		p.cut = 1 + e.random.IntN(max(e.opts.Work.Events, 1))
+		p.spoilInStream = e.chance("spoilt streams", b.MalformedStream)
+		p.cut = 1 + e.random.IntN(max(e.opts.Timing.EventsPerStream, 1))
 	}
 	return p
 }
@@ -55,8 +55,8 @@
 	e := c.engine
 	p := e.plan()
 	if p.turnAway {
-		ok := c.answer(503, "", platform.UnrunHeader+": 1")
-		e.opts.Cluster.end(a, TurnedAway)
+		ok := c.answer(503, "", platform.UnprocessedHeader+": 1")
+		e.opts.Cluster.end(a, Refused)
 		return ok
 	}
 	e.count(1)
@@ -67,7 +67,7 @@
 	outcome := c.carryOut(ctx, a, p)
 	stop()
 	switch outcome {
-	case Streamed, Read, Broken, Spoilt: // it had ended before a router could give it up
+	case Streamed, Read, ConnReset, Spoilt: // it had ended before a router could give it up
 	default:
 		if ctx.Err() != nil {
 			outcome = GivenUp
@@ -80,7 +80,7 @@
 	e.mu.Unlock()
 	e.opts.Cluster.end(a, outcome)
 	switch outcome {
-	case Broken:
+	case ConnReset:
 		reset(c.Conn)
 		return false
 	case Spoilt: // open, and of no use; the router has to close it
@@ -101,7 +101,7 @@
 	e := c.engine
 	switch {
 	case p.resetAtStart:
-		return Broken
+		return ConnReset
 	case !c.works(ctx, 0):
 		return GivenUp
 	case p.spoilAtStart:
@@ -111,7 +111,7 @@
 		return c.endless(ctx)
 	case p.fail:
 		c.answer(500, "")
-		return Errored
+		return Failed
 	case p.interim:
 		io.WriteString(c, "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n")
 	}
@@ -119,7 +119,7 @@
 		return c.read(ctx, a, p)
 	}
 	if !e.opts.Cluster.isHeld(a.Request) {
-		c.answer(410, "", platform.UnrunHeader+": 1")
+		c.answer(410, "", platform.UnprocessedHeader+": 1")
 		return StateGone
 	}
 	return c.write(ctx, a, p)
@@ -158,7 +158,7 @@
 }
 
 func (c *engineConn) read(ctx context.Context, a *Attempt, p *plan) Outcome {
-	if !c.works(ctx, p.takes(c.engine.opts.Work.Read)) {
+	if !c.works(ctx, p.takes(c.engine.opts.Timing.ReadTime)) {
 		return GivenUp
 	}
 	c.engine.opts.Cluster.hold(a.Request, c.engine.opts.ID)
@@ -169,21 +169,21 @@
 }
 
 func (c *engineConn) write(ctx context.Context, a *Attempt, p *plan) Outcome {
-	w := c.engine.opts.Work
-	if !c.works(ctx, p.takes(w.FirstToken)) {
+	w := c.engine.opts.Timing
+	if !c.works(ctx, p.takes(w.FirstTokenTime)) {
 		return GivenUp
 	}
 	c.engine.opts.Cluster.letGo(a.Request) // the stream has it now
-	_, err := io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Type: "+platform.EventsType+"\r\nTransfer-Encoding: chunked\r\n\r\n")
+	_, err := io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Type: "+platform.EventStreamType+"\r\nTransfer-Encoding: chunked\r\n\r\n")
 	if err != nil {
 		return GivenUp
 	}
-	for n := range w.Events {
-		if n > 0 && !c.works(ctx, p.takes(w.Event)) {
+	for n := range w.EventsPerStream {
+		if n > 0 && !c.works(ctx, p.takes(w.EventInterval)) {
 			return GivenUp
 		}
 		if n == p.cut && p.resetInStream {
-			return Broken
+			return ConnReset
 		}
 		if n == p.cut && p.spoilInStream {
 			io.WriteString(c, "zz\r\n")
--- a/internal/standin/fleet/fleet.go
+++ b/internal/standin/fleet/fleet.go
@@ -87,7 +87,7 @@
 	links := map[string]*standin.Link{}
 	for _, c := range f.cfg.Cells {
 		if cfg.LinkPS > 0 {
-			links[c] = &standin.Link{PerS: cfg.LinkPS}
+			links[c] = &standin.Link{TokensPerSecond: cfg.LinkPS}
 		}
 	}
 	for gi := range f.cfg.Groups {
@@ -95,7 +95,7 @@
 		for i := range g.Count {
 			m := &Member{Name: fmt.Sprintf("%s%d", g.Prefix, i+1), Group: g, Cell: f.cfg.Cells[i%len(f.cfg.Cells)]}
 			m.Engine = standin.New(standin.Config{Name: m.Name, Addr: "127.0.0.1:0", Cell: m.Cell, Spec: g.Spec,
-				Other: g.Other, Change: g.Change, Link: links[m.Cell], Seed: cfg.Seed + uint64(len(f.members)), Record: cfg.Record, Log: cfg.Log},
+				OtherRole: g.Other, RoleChangeTime: g.Change, Link: links[m.Cell], Seed: cfg.Seed + uint64(len(f.members)), AuditLog: cfg.Record, Log: cfg.Log},
 				func(since time.Time) { f.started(m, since) })
 			f.members = append(f.members, m)
 			if err := m.Engine.Start(); err != nil {
@@ -126,7 +126,7 @@
 	m.starts++
 	f.mu.Unlock()
 	f.later(f.cfg.Add, m, func(m *Member) {
-		m.entry.State, m.entry.Since, m.listed = decide.Ready, since, true
+		m.entry.State, m.entry.StartedAt, m.listed = decide.Ready, since, true
 	})
 }
 
@@ -212,7 +212,7 @@
 
 // Play plays a fault on an engine and, late, in the list.
 func (f *Fleet) Play(m *Member, fault standin.Fault) error {
-	if err := m.Engine.Play(fault); err != nil {
+	if err := m.Engine.InjectFault(fault); err != nil {
 		return err
 	}
 	gone := func(m *Member) { m.listed = false }
@@ -222,7 +222,7 @@
 	case "vanish":
 		f.goneUnlessBack(m, f.cfg.Silent, gone)
 	case "ageing":
-		f.goneUnlessBack(m, fault.For+f.cfg.Notice, gone)
+		f.goneUnlessBack(m, fault.Duration+f.cfg.Notice, gone)
 	case "preempt":
 		f.later(0, m, func(m *Member) { m.entry.State = decide.Draining })
 		f.goneUnlessBack(m, time.Duration(fault.Size*float64(time.Second))+f.cfg.Notice, gone)
