--- a/internal/shift/shift.go
+++ b/internal/shift/shift.go
@@ -1,7 +1,7 @@
-// Package shift carries out the shifting of roles: it stands between discovery and the router's core, asks
-// engines for their roles, tells the decisions in package roles what happens, and carries out what they
-// decide. Towards the core it is a source of lists like any other: an engine on its way is listed as
-// draining, one that has changed as of its new kind and just started.
+// Package shift carries out role changes. It sits between discovery and the router's core: it asks engines for their
+// roles, reports traffic and role states to the decisions in package roles, and carries out the resulting actions. It
+// does not decide on roles itself. For the core it is a source of server lists like any other: an engine that is
+// changing is listed as draining, and one that has changed is listed as of its new kind and just started.
 package shift
 
 import (
@@ -22,86 +22,87 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// EngineClient is what the driver asks of engines; *engine.Client does it.
+// EngineClient is what the driver calls on engines; *engine.Client implements it.
 type EngineClient interface {
 	Role(ctx context.Context, addr string) (engine.Role, error)
 	ChangeRole(ctx context.Context, addr string, q *engine.RoleChange) (engine.Role, bool, error)
 	CancelRoleChange(ctx context.Context, addr string, q *engine.RoleChangeCancel) (engine.Role, bool, error)
 }
 
-// Driver shifts roles. It is a discovery.Source over another one, and a router.Observer.
+// Driver carries out role changes. It is a discovery.Source that wraps another one, and a router.Observer.
 type Driver struct {
-	set     *config.Settings
-	source  discovery.Source
-	engines EngineClient
-	name    string
-	log     *slog.Logger
-	metrics *metrics.RoleMetrics // nil: none
-
-	seen    chan observation
-	missed  atomic.Int64 // observations that did not fit
-	results chan result
-	report  atomic.Pointer[roles.PlanReport]
-	status  atomic.Pointer[Status]
-
-	// What follows belongs to Run's loop.
-	manager *roles.Manager
-	base    []discovery.Engine
-	byID    map[uint64]*discovery.Engine
-	views   map[uint64]roles.Listing
-	asking  map[uint64]bool // a question about its role is out
-	work    sync.WaitGroup
+	settings *config.Settings
+	source   discovery.Source
+	engines  EngineClient
+	name     string
+	log      *slog.Logger
+	metrics  *metrics.RoleMetrics // may be nil
+
+	observations chan observation
+	dropped      atomic.Int64 // observations dropped because the channel was full
+	results      chan result
+	lastReport   atomic.Pointer[roles.PlanReport]
+	status       atomic.Pointer[Status]
+
+	// The following fields belong to Run's loop.
+	manager  *roles.Manager
+	list     []discovery.Engine
+	byID     map[uint64]*discovery.Engine
+	listings map[uint64]roles.Listing
+	asking   map[uint64]bool // engines with a role check in flight
+	work     sync.WaitGroup
 }
 
-// observation is one thing seen of the traffic.
+// observation is one event of the traffic.
 type observation struct {
 	kind    uint8
 	at      time.Time
-	arrival roles.RequestInfo
+	request roles.RequestInfo
 }
 
 const (
-	sawArrival uint8 = iota
-	sawRead
-	sawWritten
+	observedArrival uint8 = iota
+	observedRead
+	observedOutput
 )
 
-// result is an engine's word.
+// result is an engine's reply.
 type result struct {
-	id      uint64
-	asked   bool // an answer to a change that was asked for
-	granted bool
-	role    engine.Role
-	err     error
+	id           uint64
+	changeAnswer bool // the answer to a change request
+	granted      bool
+	role         engine.Role
+	err          error
 }
 
-// Bounds of the driver.
+// Limits of the driver.
 const (
 	maxObservations = 8192
-	tickEvery       = 100 * time.Millisecond
+	checkInterval   = 100 * time.Millisecond
 )
 
-// New returns a driver for the settings, which have shifting on or dry.
+// New returns a driver for settings in which role changes are on or dry.
 func New(set *config.Settings, source discovery.Source, engines EngineClient, name string, log *slog.Logger, m *metrics.RoleMetrics) *Driver {
-	return &Driver{set: set, source: source, engines: engines, name: name, log: log, metrics: m,
-		seen: make(chan observation, maxObservations), results: make(chan result, 64),
-		byID: map[uint64]*discovery.Engine{}, views: map[uint64]roles.Listing{}, asking: map[uint64]bool{},
+	return &Driver{settings: set, source: source, engines: engines, name: name, log: log, metrics: m,
+		observations: make(chan observation, maxObservations), results: make(chan result, 64),
+		byID: map[uint64]*discovery.Engine{}, listings: map[uint64]roles.Listing{}, asking: map[uint64]bool{},
 		manager: roles.NewManager(set.Roles(), time.Now())}
 }
 
-// RequestArrived, Read and Written are the router.Observer. They never block: what does not fit is counted.
+// RequestArrived, PromptRead and AnswerWritten implement router.Observer. They never block: an observation that does
+// not fit the channel is dropped and counted.
 func (d *Driver) RequestArrived(j *router.Job) {
-	d.observe(observation{kind: sawArrival, arrival: roles.RequestInfo{Class: j.Class, PromptTokens: j.PromptTokens, Retry: j.ClientRetry}})
+	d.observe(observation{kind: observedArrival, request: roles.RequestInfo{Class: j.Class, PromptTokens: j.PromptTokens, Retry: j.ClientRetry}})
 }
 
 // PromptRead implements router.Observer.
 func (d *Driver) PromptRead(j *router.Job, kept float64) {
-	d.observe(observation{kind: sawRead, arrival: roles.RequestInfo{Class: j.Class, PromptTokens: j.PromptTokens, CachedTokens: kept}})
+	d.observe(observation{kind: observedRead, request: roles.RequestInfo{Class: j.Class, PromptTokens: j.PromptTokens, CachedTokens: kept}})
 }
 
 // AnswerWritten implements router.Observer.
 func (d *Driver) AnswerWritten(j *router.Job, tokens int, whole bool) {
-	d.observe(observation{kind: sawWritten, arrival: roles.RequestInfo{Class: j.Class, OutputTokens: float64(tokens), Truncated: !whole}})
+	d.observe(observation{kind: observedOutput, request: roles.RequestInfo{Class: j.Class, OutputTokens: float64(tokens), Truncated: !whole}})
 }
 
 // RequestDone implements router.Observer.
@@ -110,33 +111,33 @@
 func (d *Driver) observe(o observation) {
 	o.at = time.Now()
 	select {
-	case d.seen <- o:
+	case d.observations <- o:
 	default:
-		d.missed.Add(1)
+		d.dropped.Add(1)
 		d.metrics.ObservationDropped()
 	}
 }
 
-// Status is the state of shifting, for people.
+// Status is the state of role changes, for operators.
 type Status struct {
 	At                  time.Time
 	Mode                string
 	Plan                roles.PlanReport
 	Engines             []EngineStatus
-	DroppedObservations int64 // observations of the traffic that did not fit
+	DroppedObservations int64 `json:"Unseen"` // observations of the traffic dropped because the channel was full
 }
 
-// EngineStatus is one engine that can change.
+// EngineStatus is the status of one engine that can change its role.
 type EngineStatus struct {
 	Name string
 	roles.Status
 }
 
-// Status returns the state as of the last tick, or nil before the first.
+// Status returns the state as of the last periodic check, or nil before the first.
 func (d *Driver) Status() *Status { return d.status.Load() }
 
-func (d *Driver) keepStatus(now time.Time) {
-	st := &Status{At: now, Mode: d.set.RoleChanges.Mode, Plan: d.manager.LastReport(), DroppedObservations: d.missed.Load()}
+func (d *Driver) storeStatus(now time.Time) {
+	st := &Status{At: now, Mode: d.settings.RoleChanges.Mode, Plan: d.manager.LastReport(), DroppedObservations: d.dropped.Load()}
 	list := d.manager.Status(now)
 	d.metrics.SetEngines(list)
 	for _, e := range list {
@@ -166,11 +167,11 @@
 }
 
 func (d *Driver) loop(ctx context.Context, updates <-chan discovery.Update, tell func(discovery.Update)) {
-	tick, look := time.NewTicker(tickEvery), time.NewTicker(d.set.RoleChanges.CheckInterval)
+	tick, roleCheck := time.NewTicker(checkInterval), time.NewTicker(d.settings.RoleChanges.CheckInterval)
 	defer tick.Stop()
-	defer look.Stop()
+	defer roleCheck.Stop()
 	for {
-		var acts []roles.Action
+		var actions []roles.Action
 		changed := false
 		now := time.Now()
 		select {
@@ -181,32 +182,32 @@
 				tell(u)
 				continue
 			}
-			acts = d.listed(ctx, u.Engines)
+			actions = d.updateList(ctx, u.Engines)
 			changed = true
-		case o := <-d.seen:
-			d.take(&o)
+		case o := <-d.observations:
+			d.handleObservation(&o)
 			continue
 		case r := <-d.results:
-			acts = d.answered(now, &r)
-		case <-look.C:
+			actions = d.handleReply(now, &r)
+		case <-roleCheck.C:
 			for id, e := range d.byID {
 				d.ask(ctx, id, e.Addr, nil)
 			}
 		case <-tick.C:
-			acts = d.manager.Tick(now, nil)
-			d.tellPlan(time.Since(now))
-			d.keepStatus(now)
+			actions = d.manager.Tick(now, nil)
+			d.reportPlan(time.Since(now))
+			d.storeStatus(now)
 		}
-		for i := range acts {
-			changed = d.carry(ctx, &acts[i]) || changed
+		for i := range actions {
+			changed = d.carryOut(ctx, &actions[i]) || changed
 		}
 		for _, e := range d.manager.TakeResults() {
-			d.metrics.ChangeEnded(&e, roles.SlowStartLoss(d.set.InitialCapacity, d.set.SlowStartTime).Seconds())
+			d.metrics.ChangeEnded(&e, roles.SlowStartLoss(d.settings.InitialCapacity, d.settings.SlowStartTime).Seconds())
 			level := slog.LevelInfo
 			if !e.Succeeded {
 				level = slog.LevelWarn
 			}
-			d.log.Log(ctx, level, "change of role ended", "engine", d.nameOf(e.Engine), "to", stageName(e.To), "done", e.Succeeded, "why", e.Reason, "took", e.Elapsed)
+			d.log.Log(ctx, level, "role change ended", "engine", d.nameOf(e.Engine), "to", stageName(e.To), "done", e.Succeeded, "why", e.Reason, "took", e.Elapsed)
 		}
 		if changed {
 			tell(discovery.Update{Engines: d.overlay(), At: now})
@@ -214,45 +215,45 @@
 	}
 }
 
-func (d *Driver) take(o *observation) {
+func (d *Driver) handleObservation(o *observation) {
 	switch o.kind {
-	case sawArrival:
-		d.manager.ObserveArrival(o.at, o.arrival)
-	case sawRead:
-		d.manager.ObserveRead(o.arrival)
-	case sawWritten:
-		d.manager.ObserveOutput(o.arrival)
+	case observedArrival:
+		d.manager.ObserveArrival(o.at, o.request)
+	case observedRead:
+		d.manager.ObserveRead(o.request)
+	case observedOutput:
+		d.manager.ObserveOutput(o.request)
 	}
 }
 
-// listed takes in a list of the source.
-func (d *Driver) listed(ctx context.Context, list []discovery.Engine) []roles.Action {
-	d.base = list
+// updateList takes a list from the wrapped source.
+func (d *Driver) updateList(ctx context.Context, list []discovery.Engine) []roles.Action {
+	d.list = list
 	clear(d.byID)
 	var infos []roles.EngineInfo
-	for i := range d.base {
-		e := &d.base[i]
-		k := d.set.KindIndex(e.Kind)
-		if k < 0 || d.set.Kinds[k].Becomes == "" {
+	for i := range d.list {
+		e := &d.list[i]
+		k := d.settings.KindIndex(e.Kind)
+		if k < 0 || d.settings.Kinds[k].Becomes == "" {
 			continue
 		}
 		id := uint64(e.ID())
 		d.byID[id] = e
-		kind, other := &d.set.Kinds[k], &d.set.Kinds[d.set.KindIndex(d.set.Kinds[k].Becomes)]
-		info := roles.EngineInfo{ID: id, Kind: min(k, d.set.KindIndex(other.Name)), Cell: discovery.LocationNumber(e.Cell), Role: stageOf(kind), Draining: e.State != decide.Ready}
+		kind, other := &d.settings.Kinds[k], &d.settings.Kinds[d.settings.KindIndex(d.settings.Kinds[k].Becomes)]
+		info := roles.EngineInfo{ID: id, Kind: min(k, d.settings.KindIndex(other.Name)), Cell: discovery.LocationNumber(e.Cell), Role: stageOf(kind), Draining: e.State != decide.Ready}
 		info.Capacity[stageOf(kind)], info.Capacity[stageOf(other)] = kind.Capacity, other.Capacity
 		infos = append(infos, info)
 	}
-	acts := d.manager.UpdateEngines(time.Now(), infos, nil)
-	for id := range d.views {
+	actions := d.manager.UpdateEngines(time.Now(), infos, nil)
+	for id := range d.listings {
 		if d.byID[id] == nil {
-			delete(d.views, id)
+			delete(d.listings, id)
 		}
 	}
 	for id, e := range d.byID {
 		d.ask(ctx, id, e.Addr, nil)
 	}
-	return acts
+	return actions
 }
 
 func stageOf(k *config.Kind) roles.Stage {
@@ -269,7 +270,8 @@
 	return engine.StageDecode
 }
 
-// ask asks an engine for its role, or for a change of it. One question about a role is out at a time.
+// ask asks an engine for its role or, if change is not nil, to change it. One role check per engine is in flight at a
+// time.
 func (d *Driver) ask(ctx context.Context, id uint64, addr string, change *engine.RoleChange) {
 	if change == nil {
 		if d.asking[id] {
@@ -280,7 +282,7 @@
 	d.work.Add(1)
 	go func() {
 		defer d.work.Done()
-		r := result{id: id, asked: change != nil}
+		r := result{id: id, changeAnswer: change != nil}
 		if change != nil {
 			r.role, r.granted, r.err = d.engines.ChangeRole(ctx, addr, change)
 		} else {
@@ -293,25 +295,25 @@
 	}()
 }
 
-func (d *Driver) answered(now time.Time, r *result) []roles.Action {
-	if !r.asked {
+func (d *Driver) handleReply(now time.Time, r *result) []roles.Action {
+	if !r.changeAnswer {
 		delete(d.asking, r.id)
 	}
 	if r.err != nil || d.byID[r.id] == nil {
-		return nil // no word: the deadlines see to it
+		return nil // without a reply, the deadlines of the change apply
 	}
-	s, ok := standing(&r.role)
+	s, ok := roleStateOf(&r.role)
 	if !ok {
 		return nil
 	}
-	if r.asked {
+	if r.changeAnswer {
 		return d.manager.HandleAnswer(now, r.id, r.granted, s, nil)
 	}
 	return d.manager.ObserveState(now, r.id, s, nil)
 }
 
-// standing turns an engine's word into the decisions' terms.
-func standing(r *engine.Role) (roles.RoleState, bool) {
+// roleStateOf converts an engine's reply to the terms of package roles.
+func roleStateOf(r *engine.Role) (roles.RoleState, bool) {
 	stages := map[string]roles.Stage{engine.StagePrefill: roles.Prefill, engine.StageDecode: roles.Decode}
 	phases := map[string]roles.Phase{engine.PhaseSteady: roles.Steady, engine.PhaseEmptying: roles.Emptying, engine.PhaseChanging: roles.Changing}
 	role, ok := stages[r.Role]
@@ -319,48 +321,48 @@
 	return roles.RoleState{Role: role, Epoch: roles.Epoch(r.Epoch), To: stages[r.To], Phase: phase, StartedAt: r.Since}, ok && known
 }
 
-// carry carries out an action and tells whether the list has changed.
-func (d *Driver) carry(ctx context.Context, a *roles.Action) bool {
+// carryOut carries out an action and reports whether the list has changed.
+func (d *Driver) carryOut(ctx context.Context, a *roles.Action) bool {
 	e := d.byID[a.Engine]
 	if e == nil {
 		return false
 	}
 	switch a.Kind {
 	case roles.UpdateListing:
-		d.views[a.Engine] = a.Listing
+		d.listings[a.Engine] = a.Listing
 		return true
 	case roles.RequestChange:
-		d.log.Info("change of role asked for", "engine", e.Name, "to", stageName(a.To), "epoch", a.Epoch)
+		d.log.Info("role change requested", "engine", e.Name, "to", stageName(a.To), "epoch", a.Epoch)
 		d.ask(ctx, a.Engine, e.Addr, &engine.RoleChange{To: stageName(a.To), Epoch: uint64(a.Epoch), Router: d.name,
 			NoticeMillis: float64(a.Notice) / 1e6})
 	case roles.CancelChange:
-		d.log.Info("change of role called back", "engine", e.Name, "why", a.Reason)
+		d.log.Info("role change cancelled", "engine", e.Name, "why", a.Reason)
 		addr, epoch := e.Addr, uint64(a.Epoch)
 		d.work.Add(1)
 		go func() {
 			defer d.work.Done()
-			// What comes of it is seen at the next look.
+			// The next role check shows the result.
 			if _, _, err := d.engines.CancelRoleChange(ctx, addr, &engine.RoleChangeCancel{Epoch: epoch}); err != nil {
-				d.log.Warn("call back failed", "engine", addr, "err", err)
+				d.log.Warn("cancelling the role change failed", "engine", addr, "err", err)
 			}
 		}()
 	}
 	return false
 }
 
-// overlay is the source's list with the engines' own words on their roles.
+// overlay returns the wrapped source's list with the roles that the engines report.
 func (d *Driver) overlay() []discovery.Engine {
-	out := make([]discovery.Engine, len(d.base))
-	copy(out, d.base)
+	out := make([]discovery.Engine, len(d.list))
+	copy(out, d.list)
 	for i := range out {
 		e := &out[i]
-		v, ok := d.views[uint64(e.ID())]
+		v, ok := d.listings[uint64(e.ID())]
 		if !ok {
 			continue
 		}
-		kind := &d.set.Kinds[d.set.KindIndex(e.Kind)]
+		kind := &d.settings.Kinds[d.settings.KindIndex(e.Kind)]
 		if stageOf(kind) != v.Role {
-			e.Kind = kind.Becomes // the list shows the old role for a while
+			e.Kind = kind.Becomes // the list still shows the old role
 		}
 		if v.Draining {
 			e.State = decide.Draining
@@ -372,23 +374,23 @@
 	return out
 }
 
-// tellPlan logs a plan that would move something, once.
-func (d *Driver) tellPlan(took time.Duration) {
+// reportPlan records a new plan in the metrics and logs it, once, if it would move engines.
+func (d *Driver) reportPlan(took time.Duration) {
 	r := d.manager.LastReport()
-	if last := d.report.Load(); last != nil && last.At.Equal(r.At) {
+	if last := d.lastReport.Load(); last != nil && last.At.Equal(r.At) {
 		return
 	}
-	d.report.Store(&r)
+	d.lastReport.Store(&r)
 	d.metrics.PlanMade(&r, took.Seconds())
 	if r.Err != nil {
-		d.log.Error("plan of roles", "err", r.Err)
+		d.log.Error("planning roles failed", "err", r.Err)
 	}
 	if len(r.Plan.Moves) == 0 {
 		return
 	}
-	d.log.Info("plan of roles", "read/s", int(r.Demand[roles.Prefill].Mean), "write/s", int(r.Demand[roles.Decode].Mean), "moves", len(r.Plan.Moves),
+	d.log.Info("role plan", "read/s", int(r.Demand[roles.Prefill].Mean), "write/s", int(r.Demand[roles.Decode].Mean), "moves", len(r.Plan.Moves),
 		"served", r.Plan.ServedNow, "then", r.Plan.ServedAfter, "confidence", r.Verdict.Confidence, "why", r.Verdict.Reason, "begun", r.ChangesBegun,
-		"dry", d.set.RoleChanges.Mode == "dry", "unseen", d.missed.Load())
+		"dry", d.settings.RoleChanges.Mode == "dry", "unseen", d.dropped.Load())
 }
 
 func (d *Driver) nameOf(id uint64) string {
--- a/internal/shift/shift_test.go
+++ b/internal/shift/shift_test.go
@@ -17,52 +17,52 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// words are engines that say what the test wants.
-type words struct {
+// scriptedEngines is an EngineClient whose engines report the role that the test sets.
+type scriptedEngines struct {
 	mu   sync.Mutex
 	role engine.Role
 }
 
-func (w *words) say(r engine.Role) {
+func (w *scriptedEngines) setRole(r engine.Role) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.role = r
 }
 
-func (w *words) Role(context.Context, string) (engine.Role, error) {
+func (w *scriptedEngines) Role(context.Context, string) (engine.Role, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.role, nil
 }
 
-func (w *words) ChangeRole(context.Context, string, *engine.RoleChange) (engine.Role, bool, error) {
+func (w *scriptedEngines) ChangeRole(context.Context, string, *engine.RoleChange) (engine.Role, bool, error) {
 	return w.role, false, nil
 }
 
-func (w *words) CancelRoleChange(context.Context, string, *engine.RoleChangeCancel) (engine.Role, bool, error) {
+func (w *scriptedEngines) CancelRoleChange(context.Context, string, *engine.RoleChangeCancel) (engine.Role, bool, error) {
 	return w.role, false, nil
 }
 
-// still is a source whose list never changes.
-type still []discovery.Engine
+// staticSource is a source whose list never changes.
+type staticSource []discovery.Engine
 
-func (s still) Run(ctx context.Context, tell func(discovery.Update)) error {
+func (s staticSource) Run(ctx context.Context, tell func(discovery.Update)) error {
 	tell(discovery.Update{Engines: s})
 	<-ctx.Done()
 	return nil
 }
 
-// What an engine says of its role overrules the list: on its way it is listed as draining, after its change
-// as of the other kind and just started, however long the list shows the old one.
-func TestEnginesWordOverrulesTheList(t *testing.T) {
+// The role that an engine reports takes precedence over the list: it is listed as draining while it is changing, and
+// afterwards as of the other kind and just started, however long the list shows the old role.
+func TestReportedRoleOverridesList(t *testing.T) {
 	set, err := config.Parse("x", "list x\nshift dry\nshift-look 1ms\nclass a\nkind p\nrole prefill\nbecomes d\ncapacity 10k\n"+
 		"kind d\nrole decode\nbecomes p\ncapacity 1k\n")
 	if err != nil {
 		t.Fatal(err)
 	}
-	list := still{{Name: "e", Addr: "x:1", Kind: "p", State: decide.Ready, Weight: 1}}
-	w := &words{}
-	w.say(engine.Role{Role: engine.StagePrefill, Epoch: 1, Phase: engine.PhaseSteady})
+	list := staticSource{{Name: "e", Addr: "x:1", Kind: "p", State: decide.Ready, Weight: 1}}
+	w := &scriptedEngines{}
+	w.setRole(engine.Role{Role: engine.StagePrefill, Epoch: 1, Phase: engine.PhaseSteady})
 	d := New(set, list, w, "r", slog.New(slog.DiscardHandler), nil)
 	updates := make(chan discovery.Update, 100)
 	ctx, cancel := context.WithCancel(t.Context())
@@ -82,10 +82,10 @@
 		}
 	}
 	until("as it stands", func(e *discovery.Engine) bool { return e.Kind == "p" && e.State == decide.Ready })
-	w.say(engine.Role{Role: engine.StagePrefill, Epoch: 1, Phase: engine.PhaseEmptying, To: engine.StageDecode})
+	w.setRole(engine.Role{Role: engine.StagePrefill, Epoch: 1, Phase: engine.PhaseEmptying, To: engine.StageDecode})
 	until("draining on its way", func(e *discovery.Engine) bool { return e.Kind == "p" && e.State == decide.Draining })
 	changed := time.Now()
-	w.say(engine.Role{Role: engine.StageDecode, Epoch: 2, Phase: engine.PhaseSteady, Since: changed})
+	w.setRole(engine.Role{Role: engine.StageDecode, Epoch: 2, Phase: engine.PhaseSteady, Since: changed})
 	until("in its new role and cold", func(e *discovery.Engine) bool {
 		return e.Kind == "d" && e.State == decide.Ready && e.StartedAt.Equal(changed)
 	})
--- a/roles/demand_test.go
+++ b/roles/demand_test.go
@@ -9,7 +9,7 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// feed adds random arrivals at the given rate for a time, with their reads and answers, and returns the end of that
+// feedTraffic adds random arrivals at the given rate for a time, with their reads and answers, and returns the end of that
 // time.
 func feedTraffic(d *DemandEstimator, rng *rand.Rand, from, length time.Duration, rate float64, class int, prompt, answer float64) time.Duration {
 	gap := distuv.Exponential{Rate: rate, Src: rng}
