--- a/internal/trace/recorder.go
+++ b/internal/trace/recorder.go
@@ -13,119 +13,121 @@
 	"mintdoor/internal/router"
 )
 
-// Recorder writes a trace of live traffic. It is a router.Observer; what does not fit its queue is counted
-// and left out, since no record is worth holding up an answer.
+// Recorder writes a trace of live traffic. It is a router.Observer. An event that does not fit its queue is counted
+// and dropped, since no record is worth delaying an answer.
 type Recorder struct {
 	path    string
 	classes []string
 	log     *slog.Logger
-	notes   chan note
-	missed  atomic.Int64
+	events  chan event
+	dropped atomic.Int64
 	written atomic.Int64
 	start   time.Time
 }
 
-type note struct {
-	kind   uint8
-	job    *router.Job
-	at     time.Time
-	tokens int
-	whole  bool
+type event struct {
+	kind     uint8
+	job      *router.Job
+	at       time.Time
+	tokens   int
+	complete bool
 }
 
 const (
-	came uint8 = iota
-	wrote
-	over
+	eventArrived uint8 = iota
+	eventWritten
+	eventOver
 )
 
-// Bounds of a recorder: notes that wait, and requests whose end is waited for. Entries are written in order
-// of arrival, so that a long answer holds up those behind it: at most so many, and so long.
+// Limits of a recorder: events that wait in the channel, and requests whose end is awaited. Entries are written in
+// order of arrival, so a long answer delays the entries behind it, but at most maxOpen of them and for at most
+// openTimeout.
 const (
-	maxNotes  = 16384
-	maxOpen   = 100_000
-	openFor   = 2 * time.Minute
-	flushEach = time.Second
+	maxEvents     = 16384
+	maxOpen       = 100_000
+	openTimeout   = 2 * time.Minute
+	flushInterval = time.Second
 )
 
 // NewRecorder returns a recorder that begins a new file when it runs.
 func NewRecorder(path string, classes []string, log *slog.Logger) *Recorder {
-	return &Recorder{path: path, classes: classes, log: log, notes: make(chan note, maxNotes), start: time.Now()}
+	return &Recorder{path: path, classes: classes, log: log, events: make(chan event, maxEvents), start: time.Now()}
 }
 
 // RequestArrived implements router.Observer.
-func (r *Recorder) RequestArrived(j *router.Job) { r.put(note{kind: came, job: j}) }
+func (r *Recorder) RequestArrived(j *router.Job) { r.enqueue(event{kind: eventArrived, job: j}) }
 
 // PromptRead implements router.Observer.
 func (r *Recorder) PromptRead(*router.Job, float64) {}
 
 // AnswerWritten implements router.Observer.
 func (r *Recorder) AnswerWritten(j *router.Job, tokens int, whole bool) {
-	r.put(note{kind: wrote, job: j, tokens: tokens, whole: whole})
+	r.enqueue(event{kind: eventWritten, job: j, tokens: tokens, complete: whole})
 }
 
 // RequestDone implements router.Observer.
-func (r *Recorder) RequestDone(j *router.Job) { r.put(note{kind: over, job: j}) }
+func (r *Recorder) RequestDone(j *router.Job) { r.enqueue(event{kind: eventOver, job: j}) }
 
-func (r *Recorder) put(n note) {
-	n.at = time.Now()
+func (r *Recorder) enqueue(e event) {
+	e.at = time.Now()
 	select {
-	case r.notes <- n:
+	case r.events <- e:
 	default:
-		r.missed.Add(1)
+		r.dropped.Add(1)
 	}
 }
 
-// Counts returns the entries that were written, and the notes that did not fit.
-func (r *Recorder) Counts() (written, missed int64) { return r.written.Load(), r.missed.Load() }
+// Counts returns the number of entries written and of events dropped.
+func (r *Recorder) Counts() (written, dropped int64) { return r.written.Load(), r.dropped.Load() }
 
-// queue keeps the entries until they are whole, in order of arrival.
+// queue keeps entries in order of arrival until they are complete.
 type queue struct {
-	open map[*router.Job]*waiting
-	list []*waiting // from head on
+	open map[*router.Job]*pendingEntry
+	list []*pendingEntry // from index head on
 	head int
 }
 
-type waiting struct {
-	entry Entry
-	job   *router.Job
-	at    time.Time
-	done  bool
+type pendingEntry struct {
+	entry    Entry
+	job      *router.Job
+	at       time.Time
+	complete bool
 }
 
-func (q *queue) take(n *note, start time.Time) {
-	switch n.kind {
-	case came:
-		// A client's repeat is left out: whoever plays the trace brings its own.
-		if n.job.ClientRetry {
+func (q *queue) handle(e *event, start time.Time) {
+	switch e.kind {
+	case eventArrived:
+		// A client's retry is left out, because a client that replays the trace makes its own retries.
+		if e.job.ClientRetry {
 			return
 		}
-		w := &waiting{job: n.job, at: n.at, entry: Entry{At: n.at.Sub(start), Class: n.job.Class, PromptTokens: int(n.job.PromptTokens),
-			PrefixTokens: min(int(n.job.PrefixTokens), int(n.job.PromptTokens)), PrefixID: n.job.SharedPrefix}}
-		if w.entry.PrefixID == "" {
-			w.entry.PrefixTokens = 0
+		pending := &pendingEntry{job: e.job, at: e.at, entry: Entry{At: e.at.Sub(start), Class: e.job.Class, PromptTokens: int(e.job.PromptTokens),
+			PrefixTokens: min(int(e.job.PrefixTokens), int(e.job.PromptTokens)), PrefixID: e.job.SharedPrefix}}
+		if pending.entry.PrefixID == "" {
+			pending.entry.PrefixTokens = 0
 		}
-		q.open[n.job] = w
-		q.list = append(q.list, w)
-	case wrote:
-		if w := q.open[n.job]; w != nil {
-			w.entry.OutputTokens, w.entry.Truncated = n.tokens, !n.whole
+		q.open[e.job] = pending
+		q.list = append(q.list, pending)
+	case eventWritten:
+		if w := q.open[e.job]; w != nil {
+			w.entry.OutputTokens, w.entry.Truncated = e.tokens, !e.complete
 		}
-	case over:
-		if w := q.open[n.job]; w != nil {
-			w.done = true
-			delete(q.open, n.job)
+	case eventOver:
+		if w := q.open[e.job]; w != nil {
+			w.complete = true
+			delete(q.open, e.job)
 		}
 	}
 }
 
-// pop returns the first entry if it need not be waited for.
+// pop removes and returns the first entry if it is complete or has waited long enough. With all set, it does not
+// wait.
 func (q *queue) pop(now time.Time, all bool) (*Entry, bool) {
 	if q.head == len(q.list) {
 		return nil, false
 	}
 	w := q.list[q.head]
-	if !w.done && !all && len(q.list)-q.head <= maxOpen && now.Sub(w.at) < openFor {
+	if !w.complete && !all && len(q.list)-q.head <= maxOpen && now.Sub(w.at) < openTimeout {
 		return nil, false
 	}
 	delete(q.open, w.job)
@@ -137,16 +139,17 @@
 	return &w.entry, true
 }
 
-// Run records until ctx ends. A failing disk ends the recording, never the router: it is logged.
+// Run records until ctx ends. If writing fails, for example because the disk is full, it logs the error and ends the
+// recording; the router goes on.
 func (r *Recorder) Run(ctx context.Context) error {
 	if err := r.run(ctx); err != nil {
-		r.log.Error("recording of traffic has ended", "path", r.path, "err", err)
+		r.log.Error("recording of traffic failed", "path", r.path, "err", err)
 	}
 	return nil
 }
 
 func (r *Recorder) run(ctx context.Context) (err error) {
-	// What an earlier run has recorded is not lost at a restart: one trace is kept aside.
+	// A restart must not lose what the previous run recorded, so one previous trace is kept.
 	if err := os.Rename(r.path, r.path+".1"); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return err
 	}
@@ -163,7 +166,7 @@
 	if err != nil {
 		return fmt.Errorf("trace: %w", err)
 	}
-	q := queue{open: map[*router.Job]*waiting{}}
+	q := queue{open: map[*router.Job]*pendingEntry{}}
 	write := func(all bool) error {
 		now := time.Now()
 		for {
@@ -177,12 +180,12 @@
 			r.written.Add(1)
 		}
 	}
-	flush := time.NewTicker(flushEach)
+	flush := time.NewTicker(flushInterval)
 	defer flush.Stop()
 	for {
 		select {
-		case n := <-r.notes:
-			q.take(&n, r.start)
+		case n := <-r.events:
+			q.handle(&n, r.start)
 		case <-flush.C:
 			if err := write(false); err != nil {
 				return err
@@ -191,9 +194,9 @@
 				return err
 			}
 		case <-ctx.Done():
-			for len(r.notes) > 0 {
-				n := <-r.notes
-				q.take(&n, r.start)
+			for len(r.events) > 0 {
+				n := <-r.events
+				q.handle(&n, r.start)
 			}
 			if err := write(true); err != nil {
 				return err
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -1,5 +1,6 @@
-// Package trace keeps recorded traffic: when each request came, its class, and how long its prompt and its
-// answer were; no texts, no names. A trace is lines of words, compressed:
+// Package trace stores recorded traffic: the arrival time and class of each request, and the lengths of its prompt
+// and its answer. It contains no texts and no names of clients. A trace consists of lines of words, compressed with
+// zstd:
 //
 //	mintdoor-trace 1
 //	class rate-check
@@ -8,9 +9,9 @@
 //	3 1 420 0 - 160+
 //	0 0 1840 1600 rates-may ?
 //
-// A line of traffic has the milliseconds since the line before, the class by its place, the prompt's
-// tokens, how many of them are a shared text's, the text's name (or -), and the answer's tokens: with + when
-// it was cut off there, ? when none was given.
+// A line of traffic consists of the milliseconds since the previous line, the index of the class, the tokens of the
+// prompt, how many of them belong to a shared prefix, the name of the prefix (or -), and the tokens of the answer:
+// followed by + if it was cut off there, or ? if there was no answer.
 package trace
 
 import (
@@ -29,13 +30,13 @@
 
 // Entry is one request.
 type Entry struct {
-	At           time.Duration // since the trace began; does not fall from entry to entry
+	At           time.Duration // since the start of the trace; does not decrease from entry to entry
 	Class        int           // index of the trace's classes
-	PromptTokens int           // tokens
-	PrefixTokens int           // of them, the shared text's
-	PrefixID     string        // name of the shared text; "" none
-	OutputTokens int           // tokens; 0 while not known
-	Truncated    bool          // the answer was cut off after Answer tokens
+	PromptTokens int
+	PrefixTokens int    // tokens of the prompt that belong to the shared prefix
+	PrefixID     string // name of the shared prefix; "" if there is none
+	OutputTokens int    // 0 while unknown
+	Truncated    bool   // the answer was cut off after OutputTokens
 }
 
 // Trace is traffic in memory.
@@ -44,7 +45,7 @@
 	Entries []Entry
 }
 
-// Length is the time of the last entry.
+// Length returns the arrival time of the last entry.
 func (t *Trace) Length() time.Duration {
 	if len(t.Entries) == 0 {
 		return 0
@@ -52,7 +53,7 @@
 	return t.Entries[len(t.Entries)-1].At
 }
 
-// Bounds of what is read.
+// Limits of the format.
 const (
 	maxClasses = 256
 	maxTokens  = 10_000_000
@@ -61,19 +62,19 @@
 	magic      = "mintdoor-trace 1"
 )
 
-// ErrTruncated is wrapped by errors of traces that end in the middle, as when their recorder was killed. What
-// was read until there is good.
-var ErrTruncated = errors.New("the trace is cut off")
+// ErrTruncated is wrapped by errors about traces that end in the middle, for example because their recorder was
+// killed. The entries before the end are valid.
+var ErrTruncated = errors.New("the trace is truncated")
 
 // Writer writes a trace. It is not safe for concurrent use.
 type Writer struct {
 	z       *zstd.Encoder
 	classes int
-	last    time.Duration // rounded as it was written
+	last    time.Duration // time of the last entry, as rounded in the output
 	line    []byte
 }
 
-// NewWriter begins a trace of the named classes.
+// NewWriter begins a trace with the named classes.
 func NewWriter(w io.Writer, classes []string) (*Writer, error) {
 	if len(classes) == 0 || len(classes) > maxClasses {
 		return nil, fmt.Errorf("trace: %d classes, expected 1 to %d", len(classes), maxClasses)
@@ -85,7 +86,7 @@
 	t := &Writer{z: z, classes: len(classes)}
 	t.line = append(append(t.line, magic...), '\n')
 	for _, c := range classes {
-		if err := name(c); err != nil {
+		if err := checkName(c); err != nil {
 			z.Close()
 			return nil, fmt.Errorf("trace: class: %w", err)
 		}
@@ -95,30 +96,30 @@
 	return t, err
 }
 
-// name checks that a word can stand in a line.
-func name(s string) error {
+// checkName checks that s can be written as one word of a line.
+func checkName(s string) error {
 	if s == "" || s == "-" || len(s) > maxName || strings.ContainsFunc(s, func(r rune) bool { return r <= ' ' || r == 0x7f || r == '\ufffd' }) {
-		return fmt.Errorf("%q is no name, expected 1 to %d bytes without blanks", s, maxName)
+		return fmt.Errorf("%q is not a valid name, expected 1 to %d bytes without white space", s, maxName)
 	}
 	return nil
 }
 
-// Times are kept in steps of so much.
-const grain = 100 * time.Microsecond
+// timeStep is the resolution of the times in a trace.
+const timeStep = 100 * time.Microsecond
 
-// Write adds an entry. Entries come in order of time; one that is earlier than the last counts as of its
-// time.
+// Write adds an entry. Entries have to be in order of time; an earlier time is replaced by that of the previous
+// entry.
 func (t *Writer) Write(e *Entry) error {
 	if e.Class < 0 || e.Class >= t.classes {
-		return fmt.Errorf("trace: class %d of %d", e.Class, t.classes)
+		return fmt.Errorf("trace: entry has class %d, but the trace has %d classes", e.Class, t.classes)
 	}
-	at := max(e.At.Round(grain), t.last)
+	at := max(e.At.Round(timeStep), t.last)
 	b := strconv.AppendFloat(t.line[:0], float64(at-t.last)/1e6, 'f', -1, 64)
 	b = strconv.AppendInt(append(b, ' '), int64(e.Class), 10)
 	b = strconv.AppendInt(append(b, ' '), int64(e.PromptTokens), 10)
 	b = strconv.AppendInt(append(b, ' '), int64(e.PrefixTokens), 10)
 	b = append(b, ' ')
-	if name(e.PrefixID) == nil {
+	if checkName(e.PrefixID) == nil {
 		b = append(b, e.PrefixID...)
 	} else {
 		b = append(b, '-')
@@ -138,7 +139,7 @@
 	return err
 }
 
-// Flush brings what was written so far out, so that a kill loses nothing of it.
+// Flush writes out all entries so far, so that a kill does not lose them.
 func (t *Writer) Flush() error { return t.z.Flush() }
 
 // Close ends the trace.
@@ -155,9 +156,9 @@
 	at      time.Duration
 }
 
-// NewReader reads a trace's head.
+// NewReader reads the header of a trace.
 func NewReader(r io.Reader) (*Reader, error) {
-	const window = 64 << 20 // of memory; a trace from elsewhere may ask for more
+	const window = 64 << 20 // bytes; a trace from another source can ask for a larger window
 	z, err := zstd.NewReader(r, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxWindow(window))
 	if err != nil {
 		return nil, fmt.Errorf("trace: %w", err)
@@ -166,7 +167,7 @@
 	t.lines.Buffer(make([]byte, 0, 4096), maxLine)
 	line, err := t.next()
 	if err == nil && line != magic {
-		err = t.wrong("found %q, expected %q", line, magic)
+		err = t.formatError("found %q, expected %q", line, magic)
 	}
 	for err == nil {
 		line, err = t.next()
@@ -179,25 +180,25 @@
 			t.pending = line
 			break
 		}
-		if wrong := name(class); wrong != nil || len(t.Classes) == maxClasses {
-			err = t.wrong("found class %q, expected a name, and at most %d of them", class, maxClasses)
+		if wrong := checkName(class); wrong != nil || len(t.Classes) == maxClasses {
+			err = t.formatError("found class %q, expected a name, and at most %d classes", class, maxClasses)
 		}
 		t.Classes = append(t.Classes, class)
 	}
 	if err == nil && len(t.Classes) == 0 {
-		err = t.wrong("no class is named, expected 'class NAME'")
+		err = t.formatError("no class line found, expected 'class NAME'")
 	}
 	if err != nil {
 		z.Close()
 		if errors.Is(err, io.EOF) {
-			err = fmt.Errorf("trace: %w before its head", ErrTruncated)
+			err = fmt.Errorf("trace: %w within its header", ErrTruncated)
 		}
 		return nil, err
 	}
 	return t, nil
 }
 
-func (t *Reader) wrong(format string, args ...any) error {
+func (t *Reader) formatError(format string, args ...any) error {
 	return fmt.Errorf("trace: line %d: %s", t.number, fmt.Sprintf(format, args...))
 }
 
@@ -228,11 +229,11 @@
 	}
 	f := strings.Fields(line)
 	if len(f) != 6 {
-		return Entry{}, t.wrong("found %d words, expected time, class, prompt, shared, text and answer", len(f))
+		return Entry{}, t.formatError("found %d words, expected time, class, prompt, shared prefix tokens, prefix name and answer", len(f))
 	}
 	ms, err := strconv.ParseFloat(f[0], 64)
 	if err != nil || math.IsNaN(ms) || ms < 0 || ms > 1e12 {
-		return Entry{}, t.wrong("found %q, expected milliseconds since the line before", f[0])
+		return Entry{}, t.formatError("found %q, expected milliseconds since the previous line", f[0])
 	}
 	var e Entry
 	t.at += time.Duration(math.Round(ms * 1e6))
@@ -249,27 +250,27 @@
 	}{{f[1], len(t.Classes) - 1, &e.Class}, {f[2], maxTokens, &e.PromptTokens}, {f[3], maxTokens, &e.PrefixTokens}, {answer, maxTokens, &e.OutputTokens}} {
 		n, err := strconv.Atoi(v.word)
 		if err != nil || n < 0 || n > v.most {
-			return Entry{}, t.wrong("found %q, expected a number from 0 to %d", v.word, v.most)
+			return Entry{}, t.formatError("found %q, expected a number from 0 to %d", v.word, v.most)
 		}
 		*v.to = n
 	}
 	if e.PrefixTokens > e.PromptTokens {
-		return Entry{}, t.wrong("%d tokens of a prompt of %d are shared", e.PrefixTokens, e.PromptTokens)
+		return Entry{}, t.formatError("%d shared prefix tokens in a prompt of %d tokens", e.PrefixTokens, e.PromptTokens)
 	}
 	if f[4] != "-" {
-		if name(f[4]) != nil {
-			return Entry{}, t.wrong("found %q, expected a text's name or -", f[4])
+		if checkName(f[4]) != nil {
+			return Entry{}, t.formatError("found %q, expected the name of a prefix or -", f[4])
 		}
 		e.PrefixID = f[4]
 	}
 	return e, nil
 }
 
-// Close gives back what the reader holds.
+// Close releases the resources of the reader.
 func (t *Reader) Close() { t.z.Close() }
 
-// ReadAll reads a trace of at most so many entries. With ErrCutOff what was read is returned too.
-func ReadAll(r io.Reader, most int) (*Trace, error) {
+// ReadAll reads a trace of at most limit entries. With ErrTruncated it also returns the entries read.
+func ReadAll(r io.Reader, limit int) (*Trace, error) {
 	rd, err := NewReader(r)
 	if err != nil {
 		return nil, err
@@ -285,17 +286,17 @@
 			return t, err
 		case err != nil:
 			return nil, err
-		case len(t.Entries) == most:
-			return nil, fmt.Errorf("trace: more than %d requests", most)
+		case len(t.Entries) == limit:
+			return nil, fmt.Errorf("trace: more than %d requests", limit)
 		}
 		t.Entries = append(t.Entries, e)
 	}
 }
 
-// MaxEntries is how many requests Load takes: some 100 bytes of memory each.
+// MaxEntries is the number of requests that Load accepts. Each takes about 100 bytes of memory.
 const MaxEntries = 20_000_000
 
-// Load reads a trace's file. With ErrCutOff what was read is returned too.
+// Load reads a trace from a file. With ErrTruncated it also returns the entries read.
 func Load(path string) (*Trace, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -309,7 +310,7 @@
 	return t, err
 }
 
-// Save writes a trace's file: whole, or not at all.
+// Save writes a trace to a file, atomically.
 func Save(path string, t *Trace) error {
 	f, err := os.CreateTemp(dirOf(path), ".trace-*")
 	if err != nil {
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -20,7 +20,7 @@
 	"pgregory.net/rapid"
 )
 
-func packed(t *testing.T, text string) io.Reader {
+func compressed(t *testing.T, text string) io.Reader {
 	t.Helper()
 	var b bytes.Buffer
 	z, err := zstd.NewWriter(&b)
@@ -32,13 +32,13 @@
 	return &b
 }
 
-// What is written is read back, to a tenth of a millisecond.
+// A trace that is written and read back is unchanged, with times rounded to a tenth of a millisecond.
 func TestRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		in := &Trace{Classes: []string{"a", "b", "c"}}
 		at := time.Duration(0)
 		for range rapid.IntRange(0, 50).Draw(t, "n") {
-			at += time.Duration(rapid.IntRange(0, 100000).Draw(t, "gap")) * grain
+			at += time.Duration(rapid.IntRange(0, 100000).Draw(t, "gap")) * timeStep
 			e := Entry{At: at, Class: rapid.IntRange(0, 2).Draw(t, "class"), PromptTokens: rapid.IntRange(1, 50000).Draw(t, "prompt"),
 				OutputTokens: rapid.IntRange(0, 2000).Draw(t, "answer")}
 			e.Truncated = e.OutputTokens > 0 && rapid.Bool().Draw(t, "cut")
@@ -67,21 +67,21 @@
 	})
 }
 
-func TestBadTraces(t *testing.T) {
+func TestMalformedTraces(t *testing.T) {
 	head := "mintdoor-trace 1\nclass a\n"
 	for _, c := range []struct{ text, want string }{
 		{"hello\n", "line 1: found \"hello\", expected \"mintdoor-trace 1\""},
-		{"mintdoor-trace 1\n", "no class is named"},
+		{"mintdoor-trace 1\n", "no class line found"},
 		{"mintdoor-trace 1\nclass \n", "expected a name"},
 		{head + "1 0 5\n", "line 3: found 3 words"},
 		{head + "1 0 5 0 - 5\n-1 0 5 0 - 5\n", "line 4: found \"-1\", expected milliseconds"},
 		{head + "NaN 0 5 0 - 5\n", "expected milliseconds"},
 		{head + "1 1 5 0 - 5\n", "found \"1\", expected a number from 0 to 0"},
-		{head + "1 0 5 6 x 5\n", "6 tokens of a prompt of 5"},
+		{head + "1 0 5 6 x 5\n", "6 shared prefix tokens in a prompt of 5"},
 		{head + "1 0 99999999999 0 x 5\n", "expected a number from 0"},
 		{head + strings.Repeat("1", 5000) + "\n", "token too long"},
 	} {
-		_, err := ReadAll(packed(t, c.text), 10)
+		_, err := ReadAll(compressed(t, c.text), 10)
 		if err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%.40q: %v, want %q", c.text, err, c.want)
 		}
@@ -89,13 +89,13 @@
 	if _, err := ReadAll(strings.NewReader("no zstd at all"), 10); err == nil {
 		t.Error("plain text was read as a trace")
 	}
-	if _, err := ReadAll(packed(t, head+"1 0 5 0 - 5\n1 0 5 0 - 5\n"), 1); err == nil {
-		t.Error("a bound was passed")
+	if _, err := ReadAll(compressed(t, head+"1 0 5 0 - 5\n1 0 5 0 - 5\n"), 1); err == nil {
+		t.Error("a trace with more entries than the limit was accepted")
 	}
 }
 
-// A recorder that was killed leaves a trace that is good up to its last flush.
-func TestCutOff(t *testing.T) {
+// A recorder that was killed leaves a trace that is valid up to its last flush.
+func TestTruncatedTrace(t *testing.T) {
 	var b bytes.Buffer
 	w, err := NewWriter(&b, []string{"a"})
 	if err != nil {
@@ -131,8 +131,8 @@
 	}
 }
 
-// Live traffic is recorded in order of arrival, whatever the order of the ends; what was refused and what
-// was cut off is in it, a repeat is not.
+// Live traffic is recorded in order of arrival, in whatever order requests end. Refused and truncated requests are
+// included, retries are not.
 func TestRecorder(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "live.trace")
 	if err := Save(path, &Trace{Classes: []string{"old"}}); err != nil {
@@ -173,9 +173,9 @@
 		}
 	}
 	if old, err := Load(path + ".1"); err != nil || old.Classes[0] != "old" {
-		t.Errorf("the trace of the run before is lost: %v", err)
+		t.Errorf("the trace of the previous run is lost: %v", err)
 	}
 	if n, missed := r.Counts(); n != 4 || missed != 0 {
-		t.Errorf("%d, %d", n, missed)
+		t.Errorf("%d entries written, %d events dropped", n, missed)
 	}
 }
