--- a/internal/sim/node.go
+++ b/internal/sim/node.go
@@ -14,78 +14,79 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// node is a router: the decision module, the manager of roles, and what internal/router and internal/shift
-// are around them.
-type node struct {
-	s       *Sim
-	index   int
-	up      bool
-	life    int
-	module  *decide.Router
-	manager *roles.Manager
-	flights map[decide.RequestID]*flight
-	last    decide.RequestID
-	views   map[int]view
-	gone    map[int]bool // engines that the list does not show
-	later   []decide.Event
-	acts    []decide.Action
-	telling bool
+// simRouter is a router: the decision module and the role manager, with what internal/router and internal/shift do
+// around them.
+type simRouter struct {
+	s             *Sim
+	index         int
+	up            bool
+	generation    int
+	module        *decide.Router
+	manager       *roles.Manager
+	requests      map[decide.RequestID]*request
+	lastID        decide.RequestID
+	listings      map[int]listing
+	unlisted      map[int]bool // engines that the server list does not show
+	pendingEvents []decide.Event
+	actions       []decide.Action
+	handling      bool
 }
 
-// view is how an engine is listed to the module.
-type view struct {
+// listing is how an engine is listed to the decision module.
+type listing struct {
 	roles.Listing
-	drained time.Duration // since when it is draining; 0: it is not
+	drainingSince time.Duration // since when it is draining; 0 if it is not
 }
 
-// flight is a request at a router.
-type flight struct {
-	n        *node
-	id       decide.RequestID
-	entry    *trace.Entry
-	asked    time.Duration
-	deadline time.Duration
-	out      *attempt
-	sends    int
-	answered bool
-	state    *held
-	began    time.Duration
+// request is the state of one request at a router.
+type request struct {
+	router       *simRouter
+	id           decide.RequestID
+	entry        *trace.Entry
+	arrivedAt    time.Duration
+	deadline     time.Duration
+	inFlight     *attempt
+	attempts     int
+	answered     bool
+	state        *heldState
+	firstTokenAt time.Duration
 }
 
-// attempt is one send.
+// attempt is one attempt of a request at an engine.
 type attempt struct {
-	f         *flight
-	u         *unit
+	request   *request
+	engine    *simEngine
 	stage     roles.Stage
 	number    int
 	sentAt    time.Duration
 	task      *standin.Task
-	from      *held // the state that it writes from
-	state     *held // that it leaves
+	from      *heldState // the KV state that it writes from
+	state     *heldState // the KV state that it leaves at its reader
 	streaming bool
-	ending    bool
+	cancelled bool
 	ended     bool
 }
 
-// start brings the router up: with the list as it is, and nothing else known.
-func (n *node) start() {
+// start brings the router up with the current server list and no other state.
+func (n *simRouter) start() {
 	if n.up {
 		return
 	}
 	n.up = true
-	n.life++
+	n.generation++
 	set := n.s.cfg.Settings
 	set.Index = n.index
-	n.flights, n.views, n.gone = map[decide.RequestID]*flight{}, map[int]view{}, map[int]bool{}
-	n.later = nil
-	n.module = decide.New(&set, n.s.cfg.Seed*1000+uint64(n.index)*10+uint64(n.life), module(n.s.now))
+	n.requests, n.listings, n.unlisted = map[decide.RequestID]*request{}, map[int]listing{}, map[int]bool{}
+	n.pendingEvents = nil
+	n.module = decide.New(&set, n.s.cfg.Seed*1000+uint64(n.index)*10+uint64(n.generation), moduleTime(n.s.now))
 	var servers []decide.Listing
-	for _, u := range n.s.units {
+	for _, u := range n.s.engines {
 		if !u.up {
-			n.gone[u.index] = true
+			n.unlisted[u.index] = true
 			continue
 		}
-		n.views[u.index] = view{Listing: roles.Listing{Role: u.first, StartedAt: u.since}} // the list knows of no changes
+		// The list does not know of role changes.
+		n.listings[u.index] = listing{Listing: roles.Listing{Role: u.initialStage, StartedAt: u.startedAt}}
 		servers = append(servers, n.listing(u))
 	}
 	if n.s.cfg.Roles != nil {
@@ -93,51 +94,51 @@
 		cfg.TurnOrder.Index, cfg.TurnOrder.Routers = n.index, n.s.cfg.Settings.Routers
 		n.manager = roles.NewManager(cfg, n.s.wall())
 	}
-	n.tell(&decide.Event{Kind: decide.ListCached, Servers: servers, Report: engine.NoReport()})
+	n.handle(&decide.Event{Kind: decide.ListCached, Servers: servers, Report: engine.NoReport()})
 	if n.manager != nil {
-		n.infos()
-		n.look(n.life)
-		n.tick(n.life)
+		n.updateEngines()
+		n.checkRoles(n.generation)
+		n.tick(n.generation)
 	}
 }
 
-// kill takes the router down with all that it knows. Its clients see their connections break; engines notice
-// that nobody reads, and let states go by their own lease.
-func (n *node) kill() {
+// kill stops the router, which loses all its state. Its clients' connections break; engines notice that nobody reads
+// from theirs, and release KV states after their own timeout.
+func (n *simRouter) kill() {
 	if !n.up {
 		return
 	}
 	n.up = false
-	n.life++
-	for _, id := range sortedIDs(n.flights) {
-		f := n.flights[id]
+	n.generation++
+	for _, id := range sortedIDs(n.requests) {
+		f := n.requests[id]
 		f.finish(0)
-		if a := f.out; a != nil {
+		if a := f.inFlight; a != nil {
 			a.ended = true
-			u := a.u
-			n.s.after(n.s.cfg.Net, func() { u.leave(a) })
+			u := a.engine
+			n.s.after(n.s.cfg.NetworkDelay, func() { u.leave(a) })
 			if h := a.from; h != nil {
-				n.s.after(time.Duration(n.s.cfg.Settings.HoldTimeout), h.free)
+				n.s.after(time.Duration(n.s.cfg.Settings.HoldTimeout), h.release)
 			}
 		}
 		if h := f.state; h != nil {
-			n.s.after(time.Duration(n.s.cfg.Settings.HoldTimeout), h.free)
+			n.s.after(time.Duration(n.s.cfg.Settings.HoldTimeout), h.release)
 		}
 	}
-	clear(n.flights)
+	clear(n.requests)
 }
 
-// stop ends the run for a router.
-func (n *node) stop() {
+// stop ends the router's part in the run.
+func (n *simRouter) stop() {
 	n.up = false
-	n.life++
+	n.generation++
 }
 
-func (n *node) listing(u *unit) decide.Listing {
-	v := n.views[u.index]
+func (n *simRouter) listing(u *simEngine) decide.Listing {
+	v := n.listings[u.index]
 	l := decide.Listing{Server: u.id(), Cell: u.cell, Kind: int(v.Role), Condition: decide.Ready, Weight: 1}
 	switch {
-	case n.gone[u.index]:
+	case n.unlisted[u.index]:
 		l.Condition = decide.Gone
 	case v.Draining:
 		l.Condition = decide.Draining
@@ -148,100 +149,101 @@
 	return l
 }
 
-// listed tells all routers that an engine has come or gone.
-func (s *Sim) listed(u *unit, there bool) {
-	for _, n := range s.nodes {
+// setListed reports to all routers that an engine was added to the server list or removed from it.
+func (s *Sim) setListed(u *simEngine, listed bool) {
+	for _, n := range s.routers {
 		if !n.up {
 			continue
 		}
-		was := n.gone[u.index]
-		n.gone[u.index] = !there
-		if v := n.views[u.index]; there && was {
-			n.views[u.index] = view{Listing: roles.Listing{Role: u.first, StartedAt: u.since}} // the list knows of no changes
-		} else if there && u.since.After(v.StartedAt) { // it never left the list: what it said itself still counts
-			v.StartedAt = u.since
-			n.views[u.index] = v
+		wasUnlisted := n.unlisted[u.index]
+		n.unlisted[u.index] = !listed
+		if v := n.listings[u.index]; listed && wasUnlisted {
+			// The list does not know of role changes.
+			n.listings[u.index] = listing{Listing: roles.Listing{Role: u.initialStage, StartedAt: u.startedAt}}
+		} else if listed && u.startedAt.After(v.StartedAt) { // it stayed listed, so its last reported role counts
+			v.StartedAt = u.startedAt
+			n.listings[u.index] = v
 		}
-		n.infos()
-		n.tell(&decide.Event{Kind: decide.ListChanged, Servers: []decide.Listing{n.listing(u)}, Report: engine.NoReport()})
+		n.updateEngines()
+		n.handle(&decide.Event{Kind: decide.ListChanged, Servers: []decide.Listing{n.listing(u)}, Report: engine.NoReport()})
 	}
 }
 
-// infos tells the manager which engines there are.
-func (n *node) infos() {
+// updateEngines passes the listed engines to the role manager.
+func (n *simRouter) updateEngines() {
 	if n.manager == nil {
 		return
 	}
 	var list []roles.EngineInfo
-	for _, u := range n.s.units {
-		if u.fixed || n.gone[u.index] {
+	for _, u := range n.s.engines {
+		if u.fixed || n.unlisted[u.index] {
 			continue
 		}
-		list = append(list, roles.EngineInfo{ID: uint64(u.id()), Cell: u.cell, Role: u.first,
+		list = append(list, roles.EngineInfo{ID: uint64(u.id()), Cell: u.cell, Role: u.initialStage,
 			Capacity: [2]float64{roles.Prefill: n.s.cfg.Prefill.Capacity(), roles.Decode: n.s.cfg.Decode.Capacity()}})
 	}
-	n.carry(n.manager.UpdateEngines(n.s.wall(), list, nil))
+	n.carryOut(n.manager.UpdateEngines(n.s.wall(), list, nil))
 }
 
-// look asks every engine for its role, now and then.
-func (n *node) look(life int) {
-	if n.life != life {
+// checkRoles asks every engine for its role, at regular intervals.
+func (n *simRouter) checkRoles(generation int) {
+	if n.generation != generation {
 		return
 	}
-	net := n.s.cfg.Net
-	for _, u := range n.s.units {
-		if u.fixed || n.gone[u.index] {
+	net := n.s.cfg.NetworkDelay
+	for _, u := range n.s.engines {
+		if u.fixed || n.unlisted[u.index] {
 			continue
 		}
 		n.s.after(net, func() {
-			if !u.up || u.faults[Mute] > 0 {
+			if !u.up || u.activeFaults[HideRole] > 0 {
 				return
 			}
-			word := u.standing()
+			state := u.state()
 			n.s.after(net, func() {
-				if n.life == life {
-					n.carry(n.manager.ObserveState(n.s.wall(), uint64(u.id()), word, nil))
+				if n.generation == generation {
+					n.carryOut(n.manager.ObserveState(n.s.wall(), uint64(u.id()), state, nil))
 				}
 			})
 		})
 	}
-	n.s.after(n.s.cfg.Look, func() { n.look(life) })
+	n.s.after(n.s.cfg.CheckInterval, func() { n.checkRoles(generation) })
 }
 
-func (n *node) tick(life int) {
-	const every = 100 * time.Millisecond
-	if n.life != life {
+func (n *simRouter) tick(generation int) {
+	const tickInterval = 100 * time.Millisecond
+	if n.generation != generation {
 		return
 	}
-	n.carry(n.manager.Tick(n.s.wall(), nil))
-	n.s.after(every, func() { n.tick(life) })
+	n.carryOut(n.manager.Tick(n.s.wall(), nil))
+	n.s.after(tickInterval, func() { n.tick(generation) })
 }
 
-// carry carries out what the manager decides.
-func (n *node) carry(acts []roles.Action) {
-	life, net := n.life, n.s.cfg.Net
-	for _, a := range acts {
-		u := n.s.units[a.Engine-1]
+// carryOut carries out the role manager's actions.
+func (n *simRouter) carryOut(actions []roles.Action) {
+	generation, net := n.generation, n.s.cfg.NetworkDelay
+	for _, a := range actions {
+		u := n.s.engines[a.Engine-1]
 		switch a.Kind {
 		case roles.UpdateListing:
-			v := view{Listing: a.Listing}
-			if old := n.views[u.index]; a.Listing.Draining {
-				if v.drained = old.drained; !old.Draining {
-					v.drained = n.s.now
+			v := listing{Listing: a.Listing}
+			if old := n.listings[u.index]; a.Listing.Draining {
+				if v.drainingSince = old.drainingSince; !old.Draining {
+					v.drainingSince = n.s.now
 				}
 			}
-			n.views[u.index] = v
-			n.tell(&decide.Event{Kind: decide.ListChanged, Servers: []decide.Listing{n.listing(u)}, Report: engine.NoReport()})
+			n.listings[u.index] = v
+			n.handle(&decide.Event{Kind: decide.ListChanged, Servers: []decide.Listing{n.listing(u)}, Report: engine.NoReport()})
 		case roles.RequestChange:
 			n.s.after(net, func() {
-				if !u.up || u.faults[Mute] > 0 {
+				if !u.up || u.activeFaults[HideRole] > 0 {
 					return
 				}
 				granted := u.grant(uint64(a.Epoch), a.To, a.Notice)
-				word := u.standing()
+				state := u.state()
 				n.s.after(net, func() {
-					if n.life == life {
-						n.carry(n.manager.HandleAnswer(n.s.wall(), a.Engine, granted, word, nil))
+					if n.generation == generation {
+						n.carryOut(n.manager.HandleAnswer(n.s.wall(), a.Engine, granted, state, nil))
 					}
 				})
 			})
@@ -254,66 +256,66 @@
 	}
 }
 
-// arrive takes a request in.
-func (n *node) arrive(e *trace.Entry) {
-	n.last++
+// arrive handles a new request.
+func (n *simRouter) arrive(e *trace.Entry) {
+	n.lastID++
 	c := &n.s.cfg.Settings.Classes[e.Class]
-	f := &flight{n: n, id: n.last, entry: e, asked: n.s.now, deadline: n.s.now + time.Duration(c.Deadline)}
-	n.flights[f.id] = f
-	n.s.open++
+	f := &request{router: n, id: n.lastID, entry: e, arrivedAt: n.s.now, deadline: n.s.now + time.Duration(c.Deadline)}
+	n.requests[f.id] = f
+	n.s.openRequests++
 	if n.manager != nil {
 		n.manager.ObserveArrival(n.s.wall(), roles.RequestInfo{Class: e.Class, PromptTokens: float64(e.PromptTokens)})
 	}
 	n.s.after(f.deadline-n.s.now, func() {
-		if f.answered || f.out != nil && f.out.streaming {
+		if f.answered || f.inFlight != nil && f.inFlight.streaming {
 			return
 		}
 		f.finish(0)
-		if n.flights[f.id] == f {
-			n.tell(&decide.Event{Kind: decide.ClientLeft, Request: f.id, Report: engine.NoReport()})
-			n.settle(f)
+		if n.requests[f.id] == f {
+			n.handle(&decide.Event{Kind: decide.ClientLeft, Request: f.id, Report: engine.NoReport()})
+			n.forget(f)
 		}
 	})
-	var text uint64
+	var prefixID uint64
 	if e.PrefixID != "" {
-		text = max(xxhash.Sum64String(e.PrefixID), 1)
+		prefixID = max(xxhash.Sum64String(e.PrefixID), 1)
 	}
-	n.tell(&decide.Event{Kind: decide.Arrived, Request: f.id, Report: engine.NoReport(), Job: decide.Job{Class: e.Class, Tenant: 1 << 20,
-		PrefixID: text, SessionID: uint64(f.id) | 1<<63, Deadline: module(f.deadline), PromptTokens: float64(e.PromptTokens), PrefixTokens: float64(e.PrefixTokens),
-		MaxOutputTokens: float64(n.s.cfg.MaxAnswer)}})
-	n.settle(f)
+	n.handle(&decide.Event{Kind: decide.Arrived, Request: f.id, Report: engine.NoReport(), Job: decide.Job{Class: e.Class, Tenant: 1 << 20,
+		PrefixID: prefixID, SessionID: uint64(f.id) | 1<<63, Deadline: moduleTime(f.deadline), PromptTokens: float64(e.PromptTokens), PrefixTokens: float64(e.PrefixTokens),
+		MaxOutputTokens: float64(n.s.cfg.MaxOutputTokens)}})
+	n.forget(f)
 }
 
-// tell gives the module an event and carries out its actions.
-func (n *node) tell(ev *decide.Event) {
-	n.later = append(n.later, *ev)
-	if n.telling {
+// handle passes an event to the decision module and carries out its actions.
+func (n *simRouter) handle(ev *decide.Event) {
+	n.pendingEvents = append(n.pendingEvents, *ev)
+	if n.handling {
 		return
 	}
-	n.telling = true
-	for len(n.later) > 0 {
-		next := n.later[0]
-		n.later = n.later[1:]
-		n.acts = n.module.Handle(module(n.s.now), &next, n.acts[:0])
-		for i := range n.acts {
-			n.act(&n.acts[i])
+	n.handling = true
+	for len(n.pendingEvents) > 0 {
+		next := n.pendingEvents[0]
+		n.pendingEvents = n.pendingEvents[1:]
+		n.actions = n.module.Handle(moduleTime(n.s.now), &next, n.actions[:0])
+		for i := range n.actions {
+			n.carryOutAction(&n.actions[i])
 		}
 	}
-	n.telling = false
+	n.handling = false
 }
 
-func (n *node) act(a *decide.Action) {
+func (n *simRouter) carryOutAction(a *decide.Action) {
 	s := n.s
 	if a.Kind == decide.SetTimer {
-		life, token := n.life, a.TimerID
+		generation, token := n.generation, a.TimerID
 		s.after(time.Duration(a.After), func() {
-			if n.life == life {
-				n.tell(&decide.Event{Kind: decide.Timer, TimerID: token, Report: engine.NoReport()})
+			if n.generation == generation {
+				n.handle(&decide.Event{Kind: decide.Timer, TimerID: token, Report: engine.NoReport()})
 			}
 		})
 		return
 	}
-	f := n.flights[a.Request]
+	f := n.requests[a.Request]
 	if f == nil {
 		return
 	}
@@ -321,7 +323,7 @@
 	case decide.Send:
 		n.send(f, a)
 	case decide.Cancel:
-		if o := f.out; o != nil && o.number == a.Attempt && !o.streaming && !o.ending {
+		if o := f.inFlight; o != nil && o.number == a.Attempt && !o.streaming && !o.cancelled {
 			o.cancel(decide.Cancelled)
 		}
 	case decide.Refuse:
@@ -336,146 +338,146 @@
 	}
 }
 
-func (n *node) release(f *flight) {
-	if h := f.state; h != nil && (f.out == nil || f.out.stage == roles.Prefill) {
+func (n *simRouter) release(f *request) {
+	if h := f.state; h != nil && (f.inFlight == nil || f.inFlight.stage == roles.Prefill) {
 		f.state = nil
-		n.s.after(n.s.cfg.Net, h.free)
+		n.s.after(n.s.cfg.NetworkDelay, h.release)
 	}
 }
 
-// settle forgets a request that is over.
-func (n *node) settle(f *flight) {
-	if f.answered && f.out == nil && n.flights[f.id] == f {
+// forget removes a request that is over.
+func (n *simRouter) forget(f *request) {
+	if f.answered && f.inFlight == nil && n.requests[f.id] == f {
 		n.release(f)
-		delete(n.flights, f.id)
+		delete(n.requests, f.id)
 	}
 }
 
-func (n *node) send(f *flight, act *decide.Action) {
+func (n *simRouter) send(f *request, act *decide.Action) {
 	s := n.s
 	i := int(act.Server) - 1
-	v, known := n.views[i]
-	if f.answered || f.out != nil || !known || n.gone[i] || s.now >= f.deadline || f.sends >= s.cfg.Settings.MaxAttempts {
-		if f.out != nil {
-			s.broken("rule 2: request %d has two attempts out", f.id)
+	v, known := n.listings[i]
+	if f.answered || f.inFlight != nil || !known || n.unlisted[i] || s.now >= f.deadline || f.attempts >= s.cfg.Settings.MaxAttempts {
+		if f.inFlight != nil {
+			s.addViolation("rule 2: request %d has two attempts in flight", f.id)
 		}
-		number := f.sends
-		f.sends++
-		n.later = append(n.later, decide.Event{Kind: decide.AttemptEnded, Request: f.id, Server: act.Server, Attempt: number, Outcome: decide.NotStarted,
+		number := f.attempts
+		f.attempts++
+		n.pendingEvents = append(n.pendingEvents, decide.Event{Kind: decide.AttemptEnded, Request: f.id, Server: act.Server, Attempt: number, Outcome: decide.NotStarted,
 			Closed: f.answered, Report: engine.NoReport()})
 		return
 	}
-	if grace := time.Duration(s.cfg.Settings.DrainGrace); v.Draining && v.drained > 0 && s.now-v.drained > grace+s.cfg.CheckDelay {
-		s.broken("rule 3: sent to engine %d, which is draining for %v", i, s.now-v.drained)
+	if grace := time.Duration(s.cfg.Settings.DrainGrace); v.Draining && v.drainingSince > 0 && s.now-v.drainingSince > grace+s.cfg.DrainSlack {
+		s.addViolation("rule 3: sent to engine %d, which is draining for %v", i, s.now-v.drainingSince)
 	}
-	a := &attempt{f: f, u: s.units[i], stage: v.Role, number: f.sends, sentAt: s.now}
+	a := &attempt{request: f, engine: s.engines[i], stage: v.Role, number: f.attempts, sentAt: s.now}
 	if a.stage == roles.Decode {
 		a.from = f.state
 	}
-	f.out = a
-	f.sends++
+	f.inFlight = a
+	f.attempts++
 	at := f.deadline
 	if act.After != 0 {
 		at = min(at, s.now+time.Duration(act.After))
 	}
 	s.after(at-s.now, func() {
-		if !a.streaming && !a.ending && !a.ended {
+		if !a.streaming && !a.cancelled && !a.ended {
 			a.cancel(decide.TimedOut)
 		}
 	})
-	s.after(s.cfg.Net, func() { a.u.enter(a) })
+	s.after(s.cfg.NetworkDelay, func() { a.engine.enter(a) })
 }
 
-// cancel calls an attempt off: the engine hears of it, and lets go of what it has read.
-func (a *attempt) cancel(why decide.Outcome) {
-	a.ending = true
-	s := a.f.n.s
-	s.after(s.cfg.Net, func() { a.u.leave(a) })
-	s.after(2*s.cfg.Net, func() { a.over(why, engine.NoReport(), false, 0) })
+// cancel cancels an attempt: the engine is notified and releases what it has read.
+func (a *attempt) cancel(outcome decide.Outcome) {
+	a.cancelled = true
+	s := a.request.router.s
+	s.after(s.cfg.NetworkDelay, func() { a.engine.leave(a) })
+	s.after(2*s.cfg.NetworkDelay, func() { a.end(outcome, engine.NoReport(), false, 0) })
 }
 
-// begun takes in the first token.
-func (a *attempt) begun(report decide.Report) {
-	f := a.f
-	if a.ended || a.ending || f.answered || f.out != a {
+// firstToken handles the first token of an attempt.
+func (a *attempt) firstToken(report decide.Report) {
+	f := a.request
+	if a.ended || a.cancelled || f.answered || f.inFlight != a {
 		return
 	}
-	n := f.n
+	n := f.router
 	a.streaming = true
 	f.state = nil
-	f.began = n.s.now
-	n.tell(&decide.Event{Kind: decide.FirstToken, Request: f.id, Server: a.u.id(), Attempt: a.number, Elapsed: decide.Duration(n.s.now - a.sentAt),
+	f.firstTokenAt = n.s.now
+	n.handle(&decide.Event{Kind: decide.FirstToken, Request: f.id, Server: a.engine.id(), Attempt: a.number, Elapsed: decide.Duration(n.s.now - a.sentAt),
 		Report: engine.NoReport()})
 }
 
-// over takes in an attempt's end.
-func (a *attempt) over(out decide.Outcome, report decide.Report, noState bool, kept float64) {
+// end handles the end of an attempt.
+func (a *attempt) end(outcome decide.Outcome, report decide.Report, noState bool, cachedTokens float64) {
 	if a.ended {
 		if a.state != nil {
-			a.state.free()
+			a.state.release()
 		}
 		return
 	}
 	a.ended = true
-	f, n, s := a.f, a.f.n, a.f.n.s
-	f.out = nil
+	f, n, s := a.request, a.request.router, a.request.router.s
+	f.inFlight = nil
 	e := f.entry
 	switch {
-	case out == decide.ReadDone:
+	case outcome == decide.ReadDone:
 		f.state = a.state
 		if n.manager != nil {
-			n.manager.ObserveRead(roles.RequestInfo{Class: e.Class, PromptTokens: float64(e.PromptTokens), CachedTokens: kept})
+			n.manager.ObserveRead(roles.RequestInfo{Class: e.Class, PromptTokens: float64(e.PromptTokens), CachedTokens: cachedTokens})
 		}
-	case out == decide.Served || noState:
+	case outcome == decide.Served || noState:
 		f.state = nil
 	}
 	if a.streaming {
 		if n.manager != nil {
-			n.manager.ObserveOutput(roles.RequestInfo{Class: e.Class, OutputTokens: float64(s.answer(e.OutputTokens)), Truncated: out != decide.Served})
+			n.manager.ObserveOutput(roles.RequestInfo{Class: e.Class, OutputTokens: float64(s.outputTokens(e.OutputTokens)), Truncated: outcome != decide.Served})
 		}
-		if out == decide.Served {
+		if outcome == decide.Served {
 			c := &s.cfg.Settings.Classes[e.Class]
-			worth := c.Value
-			aim := time.Duration(c.FirstTokenTarget) + time.Duration(float64(c.FirstTokenTargetPerK)*float64(e.PromptTokens)/1000)
-			if f.began-f.asked > aim {
-				worth *= c.LateValue
+			value := c.Value
+			target := time.Duration(c.FirstTokenTarget) + time.Duration(float64(c.FirstTokenTargetPerK)*float64(e.PromptTokens)/1000)
+			if f.firstTokenAt-f.arrivedAt > target {
+				value *= c.LateValue
 				s.res.Late++
 			} else {
 				s.res.InTime++
 			}
 			s.res.Served++
-			f.finish(worth)
+			f.finish(value)
 		} else {
 			f.finish(0)
 		}
 	}
-	n.tell(&decide.Event{Kind: decide.AttemptEnded, Request: f.id, Server: a.u.id(), Attempt: a.number, Outcome: out, Closed: f.answered,
-		NoState: noState, CachedTokens: kept, Elapsed: decide.Duration(s.now - a.sentAt), Report: report})
-	n.settle(f)
+	n.handle(&decide.Event{Kind: decide.AttemptEnded, Request: f.id, Server: a.engine.id(), Attempt: a.number, Outcome: outcome, Closed: f.answered,
+		NoState: noState, CachedTokens: cachedTokens, Elapsed: decide.Duration(s.now - a.sentAt), Report: report})
+	n.forget(f)
 }
 
-// finish gives the final answer: worth is over 0 for one that was served.
-func (f *flight) finish(worth float64) {
-	if f.answered {
+// finish gives a request its final answer; value is over 0 if it was served.
+func (r *request) finish(worth float64) {
+	if r.answered {
 		return
 	}
-	s := f.n.s
+	s := r.router.s
 	if worth > 0 {
-		s.partOf(f.asked).got += worth
+		s.intervalOf(r.arrivedAt).delivered += worth
 	} else {
 		s.res.Failed++
 	}
-	if s.now > f.deadline+time.Duration(s.cfg.Settings.AnswerGrace) && f.began == 0 {
-		s.broken("rule 1: request %d was answered %v after its deadline", f.id, s.now-f.deadline)
+	if s.now > r.deadline+time.Duration(s.cfg.Settings.AnswerGrace) && r.firstTokenAt == 0 {
+		s.addViolation("rule 1: request %d was answered %v after its deadline", r.id, s.now-r.deadline)
 	}
-	f.close()
+	r.close()
 }
 
-func (f *flight) close() {
-	f.answered = true
-	f.n.s.open--
+func (r *request) close() {
+	r.answered = true
+	r.router.s.openRequests--
 }
 
-func sortedIDs(m map[decide.RequestID]*flight) []decide.RequestID {
+func sortedIDs(m map[decide.RequestID]*request) []decide.RequestID {
 	return slices.Sorted(maps.Keys(m))
 }
--- a/internal/sim/property_test.go
+++ b/internal/sim/property_test.go
@@ -11,12 +11,13 @@
 	"pgregory.net/rapid"
 )
 
-// hasty is a run in which roles change as often as they may: short horizons, short turns, a mix that swings.
-func hasty(tr *trace.Trace, engines, readers, routers int, seed uint64) Config {
-	sc := Scene{Engines: engines, Readers: readers, Routers: routers, Seed: seed, Away: 2}
+// frequentChanges returns a run in which roles change as often as possible: short horizons, short turns, an
+// alternating mix.
+func frequentChanges(tr *trace.Trace, engines, readers, routers int, seed uint64) Config {
+	sc := Scenario{Engines: engines, Readers: readers, Routers: routers, Seed: seed, MaxAway: 2}
 	cfg := sc.Config(tr)
-	cfg.Roles = sc.Shifting()
-	cfg.Look, cfg.Change = 250*time.Millisecond, 300*time.Millisecond
+	cfg.Roles = sc.RoleConfig()
+	cfg.CheckInterval, cfg.RoleChangeTime = 250*time.Millisecond, 300*time.Millisecond
 	cfg.Prefill.SlowStartTime, cfg.Decode.SlowStartTime = 2*time.Second, 2*time.Second
 	cfg.Settings.SlowStartTime = 2.4e9
 	r := cfg.Roles
@@ -25,9 +26,9 @@
 	return cfg
 }
 
-// Whatever the demand, the failures and the delays: no engine is sent work of a role that it has left or does
-// not have, every change ends, every request has one answer, and the five rules are kept.
-func TestNoWorkForARoleThatWasLeft(t *testing.T) {
+// Whatever the demand, the faults and the delays: no engine is sent work of a role that it has left or does not have,
+// every change ends, every request has one answer, and the five rules are kept.
+func TestNoWorkInLeftRole(t *testing.T) {
 	changes, begun, runs := 0, 0, 0
 	rapid.Check(t, func(t *rapid.T) {
 		engines := rapid.IntRange(4, 7).Draw(t, "engines")
@@ -41,39 +42,39 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		cfg := hasty(tr, engines, rapid.IntRange(1, engines-1).Draw(t, "readers"), routers, seed)
+		cfg := frequentChanges(tr, engines, rapid.IntRange(1, engines-1).Draw(t, "readers"), routers, seed)
 		for range routers {
 			cfg.Weights = append(cfg.Weights, rapid.Float64Range(0.1, 1).Draw(t, "weight"))
 		}
-		mute := 0
+		hidden := 0
 		for range rapid.IntRange(0, 8).Draw(t, "troubles") {
-			tb := Trouble{At: time.Duration(rapid.IntRange(0, 29000).Draw(t, "at")) * time.Millisecond,
-				For: time.Duration(rapid.IntRange(1, 8000).Draw(t, "for")) * time.Millisecond, Kind: TroubleKind(rapid.IntRange(int(Crash), int(Restart)).Draw(t, "kind"))}
-			if tb.On = rapid.IntRange(0, engines-1).Draw(t, "on"); tb.Kind == Kill {
-				tb.On %= routers
+			tb := Fault{At: time.Duration(rapid.IntRange(0, 29000).Draw(t, "at")) * time.Millisecond,
+				Duration: time.Duration(rapid.IntRange(1, 8000).Draw(t, "for")) * time.Millisecond, Kind: FaultKind(rapid.IntRange(int(CrashEngine), int(RestartEngine)).Draw(t, "kind"))}
+			if tb.Target = rapid.IntRange(0, engines-1).Draw(t, "on"); tb.Kind == KillRouter {
+				tb.Target %= routers
 			}
-			if tb.Kind == Mute {
-				if mute++; 2*mute > engines { // where most are silent they are not doubted
+			if tb.Kind == HideRole {
+				if hidden++; 2*hidden > engines { // engines stay trusted while most are unresponsive
 					continue
 				}
 			}
-			cfg.Troubles = append(cfg.Troubles, tb)
+			cfg.Faults = append(cfg.Faults, tb)
 		}
 		res, err := Run(cfg)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if len(res.Broken) > 0 || res.WrongRole > 0 || res.Stuck > 0 {
-			t.Fatalf("broken %v, %d attempts at engines without the role, %d changes that did not end; troubles %+v", res.Broken, res.WrongRole,
-				res.Stuck, cfg.Troubles)
+		if len(res.Violations) > 0 || res.WrongRoleAttempts > 0 || res.UnfinishedChanges > 0 {
+			t.Fatalf("violations %v, %d attempts at engines without the role, %d changes that did not end; faults %+v", res.Violations, res.WrongRoleAttempts,
+				res.UnfinishedChanges, cfg.Faults)
 		}
-		if n := res.Served + res.Refused + res.Failed; n != res.Asked {
-			t.Fatalf("%d answers to %d requests", n, res.Asked)
+		if n := res.Served + res.Refused + res.Failed; n != res.Requests {
+			t.Fatalf("%d answers to %d requests", n, res.Requests)
 		}
-		changes, begun, runs = changes+res.Changes, begun+res.Begun, runs+1
+		changes, begun, runs = changes+res.ChangesDone, begun+res.ChangesBegun, runs+1
 	})
 	t.Logf("%d runs, %d changes begun, %d done", runs, begun, changes)
 	if changes < runs/4 || begun == changes {
-		t.Errorf("%d changes begun and %d done in %d runs: the test has seen too little", begun, changes, runs)
+		t.Errorf("%d changes begun and %d done in %d runs: too few changes for the test to be meaningful", begun, changes, runs)
 	}
 }
--- a/internal/sim/sim.go
+++ b/internal/sim/sim.go
@@ -1,6 +1,6 @@
-// Package sim plays a trace in simulated time: the same decision module, the same decisions on roles and the
-// same engine model as behind sockets, without sockets and without waiting. What it yields are simulated
-// figures. One goroutine, one clock, one seed: the same run each time.
+// Package sim plays a trace in simulated time. It uses the same decision module, role decisions and engine model as
+// the runs on sockets, but no sockets and no waiting, so its results are simulated figures. A run uses one goroutine,
+// one clock and one seed, and is reproducible.
 package sim
 
 import (
@@ -16,118 +16,121 @@
 
 // Engine is one engine of a run.
 type Engine struct {
-	Cell  int
-	Role  roles.Stage
-	Fixed bool // it has only this role
+	Cell      int
+	Role      roles.Stage
+	FixedRole bool // it supports only this role
 }
 
-// Step is a split that is carried out at a time, whatever the traffic.
-type Step struct {
+// SplitStep is a split of the engines that is carried out at a fixed time, whatever the traffic.
+type SplitStep struct {
 	At      time.Duration
 	Readers int
 }
 
-// Trouble strikes something for a while.
-type Trouble struct {
-	At, For time.Duration
-	Kind    TroubleKind
-	On      int // engine or router
+// Fault is a fault of an engine or a router, for a limited time.
+type Fault struct {
+	At, Duration time.Duration
+	Kind         FaultKind
+	Target       int // index of the engine or router
 }
 
-// TroubleKind is a kind of trouble.
-type TroubleKind uint8
+// FaultKind is a kind of fault.
+type FaultKind uint8
 
-// The kinds of trouble.
+// The kinds of faults.
 const (
-	Crash   TroubleKind = iota // an engine dies, and is back after For, cold
-	Refuse                     // it grants no change
-	Hang                       // a change does not end
-	Die                        // it dies at the end of a change, and is back after For
-	Old                        // it comes back in its old role
-	Mute                       // it does not tell its role
-	Kill                       // a router dies, and is back after For
-	Restart                    // an engine dies and is back at once, without a word of the list
+	CrashEngine     FaultKind = iota // an engine dies and restarts cold after Duration
+	RefuseChange                     // an engine grants no change
+	HangInChange                     // a change does not end
+	DieInChange                      // an engine dies at the end of a change and restarts after Duration
+	ReturnInOldRole                  // an engine comes back from a change in its old role
+	HideRole                         // an engine does not report its role
+	KillRouter                       // a router dies and restarts after Duration
+	RestartEngine                    // an engine dies and restarts at once, without a change of the list
 )
 
-// Config is a run.
+// Config configures a run.
 type Config struct {
-	Seed       uint64
-	Settings   decide.Settings // its kinds are those of roles.Prefill and roles.Decode; Index is set by router
-	Weights    []float64       // parts of the traffic by router; nil: equal
-	Engines    []Engine
-	Prefill    standin.Spec
-	Decode     standin.Spec
-	Change     time.Duration // an engine takes for a change
-	Keeps      bool          // it keeps its texts over one
-	Roles      *roles.Config // nil: roles stay, and nobody asks for them; Turn is set by router
-	Look       time.Duration // between askings for roles
-	Schedule   []Step        // a split by the clock, carried out by asking the engines; Roles has to be set
-	Net        time.Duration // one way
-	Link       float64       // tokens a second out of a cell; 0: no bound
-	Silent     time.Duration // until the list knows of a crash
-	Add        time.Duration // until it knows of a start
-	Troubles   []Trouble
-	Trace      *trace.Trace
-	MaxAnswer  int           // tokens
-	Unknown    int           // tokens of an answer that the trace does not know
-	CheckDelay time.Duration // beyond the drain's grace, for what is on its way
+	Seed                uint64
+	Settings            decide.Settings // its kinds are roles.Prefill and roles.Decode; Index is set for each router
+	Weights             []float64       // parts of the traffic by router; nil: equal
+	Engines             []Engine
+	Prefill             standin.Spec
+	Decode              standin.Spec
+	RoleChangeTime      time.Duration // duration of a role change
+	KeepsPrefixCache    bool          // an engine keeps its prefix cache over a role change
+	Roles               *roles.Config // nil: roles do not change and are not checked; TurnOrder is set for each router
+	CheckInterval       time.Duration // between two role checks
+	Schedule            []SplitStep   // splits carried out at fixed times by asking the engines; requires Roles
+	NetworkDelay        time.Duration // one way
+	LinkRate            float64       // tokens a second out of a cell; 0: no limit
+	CrashNotice         time.Duration // time until the list shows a crash
+	StartNotice         time.Duration // time until the list shows a start
+	Faults              []Fault
+	Trace               *trace.Trace
+	MaxOutputTokens     int
+	DefaultOutputTokens int           // output tokens of an answer whose length the trace does not know
+	DrainSlack          time.Duration // tolerance beyond the drain grace, for attempts on their way
 }
 
-// Result is what a run came to. All figures are simulated.
+// Result is the result of a run. All figures are simulated.
 type Result struct {
-	Asked, Served, InTime, Late, Refused, Failed int
-	Service                                      float64 // worth in time over worth asked
-	Parts                                        []float64
-	Changes, Begun                               int           // changes that were carried through, and granted
-	Away                                         time.Duration // engines' time in changes, from grant to return
-	ColdLost                                     time.Duration // and what coldness took after them, as full time
-	WrongRole                                    int           // attempts that reached an engine that does not do the stage
-	Turned                                       int           // that reached one on its way
-	Broken                                       []string      // rules that were broken
-	Stuck                                        int           // changes that had not ended when the run had
-	MostAway                                     int
-	Splits                                       []Step // the split as it was, by change
+	Requests, Served, InTime, Late, Refused, Failed int
+	Service                                         float64 // value delivered in time divided by the value requested
+	ServiceByInterval                               []float64
+	ChangesDone, ChangesBegun                       int           // changes that were completed, and granted
+	AwayTime                                        time.Duration // engine time in changes, from grant to return
+	// Engine time lost to slow start after changes, as time at full capacity.
+	SlowStartLoss time.Duration
+	// Attempts that reached an engine that does not serve the stage.
+	WrongRoleAttempts int
+	RejectedInChange  int      // attempts that reached an engine in a change
+	Violations        []string // violations of rules
+	UnfinishedChanges int      // changes that had not ended when the run did
+	MaxAway           int
+	Splits            []SplitStep // number of readers after each change
 }
 
-// event is something to happen. Events of one time happen in the order in which they were made.
+// event is something that happens at a time. Events of the same time happen in the order in which they were
+// scheduled.
 type event struct {
-	at   time.Duration
-	seq  uint64
-	what func()
+	at  time.Duration
+	seq uint64
+	run func()
 }
 
-// Sim is a run under way.
+// Sim is a run in progress.
 type Sim struct {
-	cfg   Config
-	now   time.Duration
-	queue []event // a heap
-	seq   uint64
-	rng   *rand.Rand
-	units []*unit
-	nodes []*node
-	res   Result
-	links map[int]time.Duration // when the link of a cell is free
-	parts []part                // service over time
-	end   time.Duration
-	open  int
-	calls [roles.Decode + 1]standin.Spec
+	cfg          Config
+	now          time.Duration
+	queue        []event // a heap ordered by time
+	seq          uint64
+	rng          *rand.Rand
+	engines      []*simEngine
+	routers      []*simRouter
+	res          Result
+	links        map[int]time.Duration // time at which the link of a cell becomes free
+	intervals    []interval            // service over time
+	end          time.Duration
+	openRequests int
+	specs        [roles.Decode + 1]standin.Spec
 }
 
-// part is the service of a part of the run.
-type part struct{ got, asked float64 }
+// interval is the service of one part of the run.
+type interval struct{ delivered, requested float64 }
 
-// base is the wall time at which runs begin; turns hang on it.
+// base is the wall time at which runs begin; the turn order depends on it.
 var base = time.Unix(1_700_000_000, 0)
 
 func (s *Sim) wall() time.Time { return base.Add(s.now) }
 
-// module is a time as the decision module has it.
-func module(d time.Duration) decide.Time { return decide.Time(base.UnixNano()) + decide.Time(d) }
+// moduleTime converts a time of the run to the decision module's time.
+func moduleTime(d time.Duration) decide.Time { return decide.Time(base.UnixNano()) + decide.Time(d) }
 
-// after makes something happen later.
-func (s *Sim) after(d time.Duration, what func()) {
+// after schedules an event.
+func (s *Sim) after(d time.Duration, run func()) {
 	s.seq++
-	s.queue = append(s.queue, event{s.now + max(d, 0), s.seq, what})
+	s.queue = append(s.queue, event{s.now + max(d, 0), s.seq, run})
 	for i := len(s.queue) - 1; i > 0; {
 		p := (i - 1) / 2
 		if !s.less(i, p) {
@@ -176,62 +179,62 @@
 	case len(cfg.Trace.Classes) > len(cfg.Settings.Classes):
 		return nil, fmt.Errorf("sim: the trace has %d classes, the settings %d", len(cfg.Trace.Classes), len(cfg.Settings.Classes))
 	case cfg.Schedule != nil && cfg.Roles == nil:
-		return nil, fmt.Errorf("sim: a schedule needs roles that are followed")
+		return nil, fmt.Errorf("sim: a schedule requires Roles")
 	}
 	if cfg.Roles != nil {
 		r := *cfg.Roles
-		r.Timeouts.CheckInterval, r.Timeouts.ReplyTimeout = cfg.Look, 2*cfg.Net
+		r.Timeouts.CheckInterval, r.Timeouts.ReplyTimeout = cfg.CheckInterval, 2*cfg.NetworkDelay
 		cfg.Roles = &r
 	}
 	s := &Sim{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 0x73696d)), links: map[int]time.Duration{}}
-	s.calls = [...]standin.Spec{roles.Prefill: cfg.Prefill, roles.Decode: cfg.Decode}
-	const partsOf = 60
-	s.parts = make([]part, partsOf)
+	s.specs = [...]standin.Spec{roles.Prefill: cfg.Prefill, roles.Decode: cfg.Decode}
+	const intervals = 60
+	s.intervals = make([]interval, intervals)
 	s.end = cfg.Trace.Length() + time.Second
 	for i, e := range cfg.Engines {
-		s.units = append(s.units, newUnit(s, i, e))
+		s.engines = append(s.engines, newUnit(s, i, e))
 	}
 	for i := range cfg.Settings.Routers {
-		n := &node{s: s, index: i}
-		s.nodes = append(s.nodes, n)
+		n := &simRouter{s: s, index: i}
+		s.routers = append(s.routers, n)
 		n.start()
 	}
-	s.noteSplit()
-	for i := range cfg.Troubles {
-		t := &cfg.Troubles[i]
-		s.after(t.At, func() { s.strike(t) })
+	s.recordSplit()
+	for i := range cfg.Faults {
+		t := &cfg.Faults[i]
+		s.after(t.At, func() { s.inject(t) })
 	}
 	for i := range cfg.Schedule {
 		step := &cfg.Schedule[i]
 		s.after(step.At, func() { s.split(step.Readers) })
 	}
-	s.arrival(0)
+	s.scheduleArrival(0)
 	for len(s.queue) > 0 {
 		e := s.pop()
 		s.now = e.at
-		e.what()
-		if s.now > s.end && s.open == 0 {
+		e.run()
+		if s.now > s.end && s.openRequests == 0 {
 			break
 		}
 		if s.now > s.end+time.Hour {
-			return nil, fmt.Errorf("sim: %d requests are open an hour after the end", s.open)
+			return nil, fmt.Errorf("sim: %d requests are open an hour after the end", s.openRequests)
 		}
 	}
 	s.finish()
 	return &s.res, nil
 }
 
-// arrival lets a request of the trace come, and the next be waited for.
-func (s *Sim) arrival(i int) {
+// scheduleArrival schedules the arrival of request i of the trace, which in turn schedules the next one.
+func (s *Sim) scheduleArrival(i int) {
 	if i == len(s.cfg.Trace.Entries) {
 		return
 	}
 	e := &s.cfg.Trace.Entries[i]
 	s.after(e.At-s.now, func() {
-		s.arrival(i + 1)
-		s.res.Asked++
-		s.partOf(e.At).asked += s.cfg.Settings.Classes[e.Class].Value
-		if n := s.pick(); n != nil {
+		s.scheduleArrival(i + 1)
+		s.res.Requests++
+		s.intervalOf(e.At).requested += s.cfg.Settings.Classes[e.Class].Value
+		if n := s.pickRouter(); n != nil {
 			n.arrive(e)
 		} else {
 			s.res.Failed++
@@ -239,15 +242,15 @@
 	})
 }
 
-func (s *Sim) partOf(at time.Duration) *part {
-	return &s.parts[min(int(int64(at)*int64(len(s.parts))/int64(s.end)), len(s.parts)-1)]
+func (s *Sim) intervalOf(at time.Duration) *interval {
+	return &s.intervals[min(int(int64(at)*int64(len(s.intervals))/int64(s.end)), len(s.intervals)-1)]
 }
 
-// pick is the front layer: a router that is up, by its weight.
-func (s *Sim) pick() *node {
+// pickRouter is the front layer: it picks a running router at random by weight.
+func (s *Sim) pickRouter() *simRouter {
 	sum := 0.0
 	weight := func(i int) float64 {
-		if !s.nodes[i].up {
+		if !s.routers[i].up {
 			return 0
 		}
 		if s.cfg.Weights == nil {
@@ -255,11 +258,11 @@
 		}
 		return s.cfg.Weights[i]
 	}
-	for i := range s.nodes {
+	for i := range s.routers {
 		sum += weight(i)
 	}
 	x := s.rng.Float64() * sum
-	for i, n := range s.nodes {
+	for i, n := range s.routers {
 		if w := weight(i); w > 0 {
 			if x -= w; x < 0 {
 				return n
@@ -269,76 +272,77 @@
 	return nil
 }
 
-func (s *Sim) broken(format string, args ...any) {
-	const most = 20
-	if len(s.res.Broken) < most {
-		s.res.Broken = append(s.res.Broken, fmt.Sprintf("%v: %s", s.now, fmt.Sprintf(format, args...)))
+func (s *Sim) addViolation(format string, args ...any) {
+	const maxViolations = 20
+	if len(s.res.Violations) < maxViolations {
+		s.res.Violations = append(s.res.Violations, fmt.Sprintf("%v: %s", s.now, fmt.Sprintf(format, args...)))
 	}
 }
 
-// noteSplit keeps the split as it is now.
-func (s *Sim) noteSplit() {
+// recordSplit records the current split.
+func (s *Sim) recordSplit() {
 	readers := 0
-	for _, u := range s.units {
+	for _, u := range s.engines {
 		if u.stage() == roles.Prefill {
 			readers++
 		}
 	}
-	s.res.Splits = append(s.res.Splits, Step{s.now, readers})
+	s.res.Splits = append(s.res.Splits, SplitStep{s.now, readers})
 }
 
-// finish checks what is left, and sums up.
+// finish checks what remains and sums up the results.
 func (s *Sim) finish() {
-	for _, n := range s.nodes {
+	for _, n := range s.routers {
 		n.stop()
 	}
 	for end := s.now + time.Minute; len(s.queue) > 0 && s.queue[0].at < end; {
 		e := s.pop()
 		s.now = e.at
-		e.what()
+		e.run()
 	}
-	got, asked := 0.0, 0.0
-	for _, p := range s.parts {
-		got, asked = got+p.got, asked+p.asked
-		s.res.Parts = append(s.res.Parts, p.got/max(p.asked, 1e-9))
+	delivered, requested := 0.0, 0.0
+	for _, p := range s.intervals {
+		delivered, requested = delivered+p.delivered, requested+p.requested
+		s.res.ServiceByInterval = append(s.res.ServiceByInterval, p.delivered/max(p.requested, 1e-9))
 	}
-	s.res.Service = got / max(asked, 1e-9)
-	for _, u := range s.units {
+	s.res.Service = delivered / max(requested, 1e-9)
+	for _, u := range s.engines {
 		if u.up && !u.core.Empty() {
-			s.broken("rule 5: engine %d still holds something", u.index)
+			s.addViolation("rule 5: engine %d still holds something at the end", u.index)
 		}
-		if u.granted != 0 {
-			s.res.Stuck++
+		if u.grantedAt != 0 {
+			s.res.UnfinishedChanges++
 		}
 	}
 }
 
-// strike begins a trouble and ends it.
-func (s *Sim) strike(t *Trouble) {
-	if t.Kind == Kill {
-		n := s.nodes[t.On%len(s.nodes)]
+// inject begins a fault and schedules its end.
+func (s *Sim) inject(fault *Fault) {
+	if fault.Kind == KillRouter {
+		n := s.routers[fault.Target%len(s.routers)]
 		n.kill()
-		s.after(t.For, n.start)
+		s.after(fault.Duration, n.start)
 		return
 	}
-	u := s.units[t.On%len(s.units)]
-	switch t.Kind {
-	case Crash:
-		u.crash(t.For)
-	case Restart:
+	u := s.engines[fault.Target%len(s.engines)]
+	switch fault.Kind {
+	case CrashEngine:
+		u.crash(fault.Duration)
+	case RestartEngine:
 		u.crash(0)
 	default:
-		u.faults[t.Kind]++
-		u.dieFor = t.For
-		s.after(t.For, func() { u.faults[t.Kind]--; u.look() })
+		u.activeFaults[fault.Kind]++
+		u.downtime = fault.Duration
+		s.after(fault.Duration, func() { u.activeFaults[fault.Kind]--; u.advance() })
 	}
 }
 
-// split asks engines for a split. Those that carry least go first; the last of a role in a cell stays.
+// split asks engines to change roles until the given number read. Engines with the least load go first, and the last
+// one of a role in a cell stays.
 func (s *Sim) split(readers int) {
 	now := 0
-	for _, u := range s.units {
-		if u.will() == roles.Prefill {
+	for _, u := range s.engines {
+		if u.nextStage() == roles.Prefill {
 			now++
 		}
 	}
@@ -347,9 +351,9 @@
 		from, n = roles.Decode, -n
 	}
 	for ; n > 0; n-- {
-		var best *unit
-		for _, u := range s.units {
-			if u.fixed || !u.up || u.will() != from || u.granted != 0 || s.lastOf(u) {
+		var best *simEngine
+		for _, u := range s.engines {
+			if u.fixed || !u.up || u.nextStage() != from || u.grantedAt != 0 || s.lastOfRole(u) {
 				continue
 			}
 			if best == nil || u.core.TaskCount() < best.core.TaskCount() {
@@ -359,13 +363,13 @@
 		if best == nil {
 			return
 		}
-		best.grant(best.turns.Epoch, 1-from, s.cfg.Roles.Timeouts.NoticePeriod())
+		best.grant(best.roleChange.Epoch, 1-from, s.cfg.Roles.Timeouts.NoticePeriod())
 	}
 }
 
-func (s *Sim) lastOf(u *unit) bool {
-	for _, v := range s.units {
-		if v != u && v.up && v.cell == u.cell && v.will() == u.will() && v.granted == 0 {
+func (s *Sim) lastOfRole(u *simEngine) bool {
+	for _, v := range s.engines {
+		if v != u && v.up && v.cell == u.cell && v.nextStage() == u.nextStage() && v.grantedAt == 0 {
 			return false
 		}
 	}
--- a/internal/sim/unit.go
+++ b/internal/sim/unit.go
@@ -12,188 +12,188 @@
 	"mintdoor/roles"
 )
 
-// unit is an engine: the stand-in's model, and its side of changes of role.
-type unit struct {
-	s        *Sim
-	index    int
-	cell     int
-	fixed    bool
-	up       bool
-	life     int
-	core     *standin.Core
-	first    roles.Stage // its role before any change
-	turns    standin.RoleState
-	since    time.Time // of its last start; zero: long ago
-	stepping bool
-	tasks    map[*attempt]bool
-	held     map[*held]bool
-	faults   [Restart + 1]int
-	dieFor   time.Duration
-	granted  time.Duration // when the change under way was; 0: none is
-	looking  bool
+// simEngine is an engine: the stand-in's model and the engine's side of role changes.
+type simEngine struct {
+	s            *Sim
+	index        int
+	cell         int
+	fixed        bool
+	up           bool
+	generation   int
+	core         *standin.Core
+	initialStage roles.Stage // role before any change
+	roleChange   standin.RoleState
+	startedAt    time.Time // time of its last start; zero: long ago
+	stepping     bool
+	tasks        map[*attempt]bool
+	held         map[*heldState]bool
+	activeFaults [RestartEngine + 1]int
+	downtime     time.Duration
+	grantedAt    time.Duration // time at which the change in progress was granted; 0: none is
+	advancing    bool
 }
 
-// held is a read state that waits at its engine.
-type held struct {
-	u    *unit
-	life int
-	task *standin.Task
+// heldState is the KV state of a read, which waits at its engine.
+type heldState struct {
+	engine     *simEngine
+	generation int
+	task       *standin.Task
 }
 
-func newUnit(s *Sim, index int, e Engine) *unit {
-	u := &unit{s: s, index: index, cell: e.Cell, fixed: e.Fixed, up: true, first: e.Role, tasks: map[*attempt]bool{}, held: map[*held]bool{}}
-	u.turns.Epoch, u.turns.Phase = 1, engine.PhaseSteady
-	u.core = standin.NewCore(s.calls[u.first], s.wall(), false)
+func newUnit(s *Sim, index int, e Engine) *simEngine {
+	u := &simEngine{s: s, index: index, cell: e.Cell, fixed: e.FixedRole, up: true, initialStage: e.Role, tasks: map[*attempt]bool{}, held: map[*heldState]bool{}}
+	u.roleChange.Epoch, u.roleChange.Phase = 1, engine.PhaseSteady
+	u.core = standin.NewCore(s.specs[u.initialStage], s.wall(), false)
 	return u
 }
 
-func (u *unit) id() decide.ServerID { return decide.ServerID(u.index + 1) }
+func (u *simEngine) id() decide.ServerID { return decide.ServerID(u.index + 1) }
 
-// stage is the role that it has, will the one that it has or is on its way to.
-func (u *unit) stage() roles.Stage {
-	if u.turns.Swapped {
-		return 1 - u.first
+// stage returns the engine's role, nextStage the role that it has or is changing to.
+func (u *simEngine) stage() roles.Stage {
+	if u.roleChange.Swapped {
+		return 1 - u.initialStage
 	}
-	return u.first
+	return u.initialStage
 }
 
-func (u *unit) will() roles.Stage {
-	if u.turns.Phase != engine.PhaseSteady {
+func (u *simEngine) nextStage() roles.Stage {
+	if u.roleChange.Phase != engine.PhaseSteady {
 		return 1 - u.stage()
 	}
 	return u.stage()
 }
 
-// standing is its word on its role.
-func (u *unit) standing() roles.RoleState {
+// state returns the state that the engine reports.
+func (u *simEngine) state() roles.RoleState {
 	phases := map[string]roles.Phase{engine.PhaseSteady: roles.Steady, engine.PhaseEmptying: roles.Emptying, engine.PhaseChanging: roles.Changing}
-	return roles.RoleState{Role: u.stage(), Epoch: roles.Epoch(u.turns.Epoch), To: 1 - u.stage(), Phase: phases[u.turns.Phase], StartedAt: u.since}
+	return roles.RoleState{Role: u.stage(), Epoch: roles.Epoch(u.roleChange.Epoch), To: 1 - u.stage(), Phase: phases[u.roleChange.Phase], StartedAt: u.startedAt}
 }
 
-// grant answers an asking for a change.
-func (u *unit) grant(epoch uint64, to roles.Stage, notice time.Duration) bool {
+// grant answers a change request.
+func (u *simEngine) grant(epoch uint64, to roles.Stage, notice time.Duration) bool {
 	names := [...]string{roles.Prefill: engine.StagePrefill, roles.Decode: engine.StageDecode}
-	if !u.up || u.fixed || u.faults[Refuse] > 0 || to == u.stage() || !u.turns.Grant(u.s.wall(), names[to], epoch, notice) {
+	if !u.up || u.fixed || u.activeFaults[RefuseChange] > 0 || to == u.stage() || !u.roleChange.Grant(u.s.wall(), names[to], epoch, notice) {
 		return false
 	}
-	u.granted = max(u.s.now, 1)
-	u.s.res.Begun++
+	u.grantedAt = max(u.s.now, 1)
+	u.s.res.ChangesBegun++
 	away := 0
-	for _, v := range u.s.units {
-		if v.granted != 0 {
+	for _, v := range u.s.engines {
+		if v.grantedAt != 0 {
 			away++
 		}
 	}
-	u.s.res.MostAway = max(u.s.res.MostAway, away)
-	u.s.after(notice, u.look)
+	u.s.res.MaxAway = max(u.s.res.MaxAway, away)
+	u.s.after(notice, u.advance)
 	return true
 }
 
-func (u *unit) stay(epoch uint64) {
-	if u.up && u.turns.Cancel(epoch) {
-		u.ended()
+func (u *simEngine) stay(epoch uint64) {
+	if u.up && u.roleChange.Cancel(epoch) {
+		u.endChange()
 	}
 }
 
-// ended counts the time that a change took.
-func (u *unit) ended() {
-	if u.granted != 0 {
-		u.s.res.Away += u.s.now - u.granted
-		u.granted = 0
+// endChange adds up the time that a change took.
+func (u *simEngine) endChange() {
+	if u.grantedAt != 0 {
+		u.s.res.AwayTime += u.s.now - u.grantedAt
+		u.grantedAt = 0
 	}
 }
 
-// look goes on with a change, if it can.
-func (u *unit) look() {
-	const again = 20 * time.Millisecond
-	if !u.up || u.looking {
+// advance continues a role change if possible.
+func (u *simEngine) advance() {
+	const retryInterval = 20 * time.Millisecond
+	if !u.up || u.advancing {
 		return
 	}
-	life := u.life
-	switch u.turns.Phase {
+	generation := u.generation
+	switch u.roleChange.Phase {
 	case engine.PhaseEmptying:
-		if u.turns.Begin(u.s.wall(), u.core.Empty() && len(u.tasks) == 0) {
-			u.looking = true
-			u.s.after(u.s.cfg.Change, func() {
-				u.looking = false
-				if u.life == life {
-					u.change()
+		if u.roleChange.Begin(u.s.wall(), u.core.Empty() && len(u.tasks) == 0) {
+			u.advancing = true
+			u.s.after(u.s.cfg.RoleChangeTime, func() {
+				u.advancing = false
+				if u.generation == generation {
+					u.completeChange()
 				}
 			})
 			return
 		}
-		u.looking = true
-		u.s.after(again, func() { u.looking = false; u.look() })
-	case engine.PhaseChanging: // it hung
-		u.change()
+		u.advancing = true
+		u.s.after(retryInterval, func() { u.advancing = false; u.advance() })
+	case engine.PhaseChanging: // the change hung
+		u.completeChange()
 	}
 }
 
-// change is the end of a change.
-func (u *unit) change() {
+// completeChange ends a role change.
+func (u *simEngine) completeChange() {
 	switch {
-	case u.turns.Phase != engine.PhaseChanging || u.faults[Hang] > 0:
+	case u.roleChange.Phase != engine.PhaseChanging || u.activeFaults[HangInChange] > 0:
 		return
-	case u.faults[Die] > 0:
-		u.crash(u.dieFor)
+	case u.activeFaults[DieInChange] > 0:
+		u.crash(u.downtime)
 		return
-	case u.faults[Old] > 0:
-		u.turns.End(false)
-		u.ended()
+	case u.activeFaults[ReturnInOldRole] > 0:
+		u.roleChange.End(false)
+		u.endChange()
 		return
 	}
-	u.turns.End(true)
-	u.ended()
-	u.s.res.Changes++
-	u.since = u.s.wall()
-	u.core = u.core.AfterRoleChange(u.s.calls[u.stage()], u.s.wall(), u.s.cfg.Keeps)
-	spec := u.s.calls[u.stage()]
-	u.s.res.ColdLost += roles.SlowStartLoss(spec.InitialCapacity, spec.SlowStartTime)
-	u.s.noteSplit()
+	u.roleChange.End(true)
+	u.endChange()
+	u.s.res.ChangesDone++
+	u.startedAt = u.s.wall()
+	u.core = u.core.AfterRoleChange(u.s.specs[u.stage()], u.s.wall(), u.s.cfg.KeepsPrefixCache)
+	spec := u.s.specs[u.stage()]
+	u.s.res.SlowStartLoss += roles.SlowStartLoss(spec.InitialCapacity, spec.SlowStartTime)
+	u.s.recordSplit()
 }
 
-// crash takes the engine down, and brings it up later: cold, in the role that it last had.
-func (u *unit) crash(back time.Duration) {
+// crash stops the engine and restarts it later: cold, in the role that it last had.
+func (u *simEngine) crash(downtime time.Duration) {
 	if !u.up {
 		return
 	}
 	u.up = false
-	u.life++
+	u.generation++
 	u.stepping = false
-	u.looking = false
-	if u.turns.Phase != engine.PhaseSteady {
-		u.turns.End(false)
+	u.advancing = false
+	if u.roleChange.Phase != engine.PhaseSteady {
+		u.roleChange.End(false)
 	}
-	u.ended()
-	out := slices.SortedFunc(maps.Keys(u.tasks), func(a, b *attempt) int {
-		return cmp.Or(a.f.n.index-b.f.n.index, cmp.Compare(a.f.id, b.f.id), a.number-b.number)
+	u.endChange()
+	attempts := slices.SortedFunc(maps.Keys(u.tasks), func(a, b *attempt) int {
+		return cmp.Or(a.request.router.index-b.request.router.index, cmp.Compare(a.request.id, b.request.id), a.number-b.number)
 	})
-	for _, a := range out {
-		u.s.after(u.s.cfg.Net, func() { a.over(decide.Reset, engine.NoReport(), false, 0) })
+	for _, a := range attempts {
+		u.s.after(u.s.cfg.NetworkDelay, func() { a.end(decide.Reset, engine.NoReport(), false, 0) })
 	}
 	clear(u.tasks)
 	clear(u.held)
-	life := u.life
-	if back > 0 {
-		u.s.after(u.s.cfg.Silent, func() {
-			if u.life == life && !u.up {
-				u.s.listed(u, false)
+	generation := u.generation
+	if downtime > 0 {
+		u.s.after(u.s.cfg.CrashNotice, func() {
+			if u.generation == generation && !u.up {
+				u.s.setListed(u, false)
 			}
 		})
 	}
-	u.s.after(back, func() {
-		u.up, u.since = true, u.s.wall()
-		u.core = standin.NewCore(u.s.calls[u.stage()], u.s.wall(), true)
-		u.s.after(u.s.cfg.Add, func() {
-			if u.up && u.life == life {
-				u.s.listed(u, true)
+	u.s.after(downtime, func() {
+		u.up, u.startedAt = true, u.s.wall()
+		u.core = standin.NewCore(u.s.specs[u.stage()], u.s.wall(), true)
+		u.s.after(u.s.cfg.StartNotice, func() {
+			if u.up && u.generation == generation {
+				u.s.setListed(u, true)
 			}
 		})
 	})
 }
 
-// kick starts the engine's next step, if there is one.
-func (u *unit) kick() {
+// nextStep starts the engine's next step, if there is one.
+func (u *simEngine) nextStep() {
 	if u.stepping || !u.up {
 		return
 	}
@@ -202,162 +202,165 @@
 		return
 	}
 	u.stepping = true
-	core, life := u.core, u.life
+	core, generation := u.core, u.generation
 	u.s.after(d, func() {
-		if u.life != life {
+		if u.generation != generation {
 			return
 		}
 		core.Finish()
 		u.stepping = false
-		u.kick()
+		u.nextStep()
 	})
 }
 
-// enter takes an attempt in at the engine's door.
-func (u *unit) enter(a *attempt) {
+// enter handles the arrival of an attempt at the engine.
+func (u *simEngine) enter(a *attempt) {
 	s := u.s
-	if a.ended || a.ending {
-		return // called off on its way
+	if a.ended || a.cancelled {
+		return // cancelled on its way
 	}
 	if !u.up {
-		s.after(s.cfg.Net, func() { a.over(decide.ConnectFailed, engine.NoReport(), false, 0) })
+		s.after(s.cfg.NetworkDelay, func() { a.end(decide.ConnectFailed, engine.NoReport(), false, 0) })
 		return
 	}
 	if u.core.CountSend(s.wall()) {
-		s.broken("rule 4: engine %d was pushed over while it was cold", u.index)
+		s.addViolation("rule 4: engine %d failed under overload while it was cold", u.index)
 		u.crash(5 * time.Second)
 		return
 	}
-	turn := func(noState bool) {
+	reject := func(noState bool) {
 		report := u.core.Report(s.wall())
-		s.after(s.cfg.Net, func() { a.over(decide.Full, report, noState, 0) })
+		s.after(s.cfg.NetworkDelay, func() { a.end(decide.Full, report, noState, 0) })
 	}
-	if u.turns.Phase != engine.PhaseSteady {
-		s.res.Turned++
-		if u.turns.Phase == engine.PhaseChanging {
-			s.res.WrongRole++ // it has left the role
+	if u.roleChange.Phase != engine.PhaseSteady {
+		s.res.RejectedInChange++
+		if u.roleChange.Phase == engine.PhaseChanging {
+			s.res.WrongRoleAttempts++ // it has left the role
 		}
-		turn(false)
+		reject(false)
 		return
 	}
 	if u.stage() != a.stage {
-		s.res.WrongRole++
-		turn(false)
+		s.res.WrongRoleAttempts++
+		reject(false)
 		return
 	}
-	began := s.now
-	e := a.f.entry
+	arrivedAt := s.now
+	e := a.request.entry
 	a.task = &standin.Task{PromptTokens: e.PromptTokens, SharedTokens: e.PrefixTokens, PrefixID: e.PrefixID}
-	life := u.life
+	generation := u.generation
 	if a.stage == roles.Prefill {
-		a.task.OnRead = func(kept int) {
-			u.core.RecordLatency(s.now - began)
-			h := &held{u, life, a.task}
+		a.task.OnRead = func(cachedTokens int) {
+			u.core.RecordLatency(s.now - arrivedAt)
+			h := &heldState{u, generation, a.task}
 			u.held[h] = true
 			delete(u.tasks, a)
 			report := u.core.Report(s.wall())
-			s.after(s.cfg.Net, func() {
-				if a.ended || a.ending { // given up meanwhile: it is called off
-					h.free()
+			s.after(s.cfg.NetworkDelay, func() {
+				if a.ended || a.cancelled { // cancelled in the meantime
+					h.release()
 					return
 				}
 				a.state = h
-				a.over(decide.ReadDone, report, false, float64(kept))
+				a.end(decide.ReadDone, report, false, float64(cachedTokens))
 			})
 		}
 	} else {
-		if !a.from.there() {
-			turn(true)
+		if !a.from.waiting() {
+			reject(true)
 			return
 		}
 		a.task.NeedsState = true
-		a.task.AnswerTokens = s.answer(e.OutputTokens)
+		a.task.AnswerTokens = s.outputTokens(e.OutputTokens)
 		a.task.OnAdmitted = func() { s.after(0, func() { u.fetch(a) }) }
 		a.task.OnToken = func(first, last bool) {
 			if first {
-				u.core.RecordLatency(s.now - began)
+				u.core.RecordLatency(s.now - arrivedAt)
 				report := u.core.Report(s.wall())
-				s.after(s.cfg.Net, func() { a.begun(report) })
+				s.after(s.cfg.NetworkDelay, func() { a.firstToken(report) })
 			}
 			if last {
 				delete(u.tasks, a)
 				report := u.core.Report(s.wall())
-				s.after(s.cfg.Net, func() { a.over(decide.Served, report, false, 0) })
+				s.after(s.cfg.NetworkDelay, func() { a.end(decide.Served, report, false, 0) })
 			}
 		}
 	}
 	if !u.core.Admit(a.task) {
-		turn(false)
+		reject(false)
 		return
 	}
 	u.tasks[a] = true
-	u.kick()
+	u.nextStep()
 }
 
-// answer is how long an answer is.
-func (s *Sim) answer(known int) int {
+// outputTokens returns the length of an answer.
+func (s *Sim) outputTokens(known int) int {
 	if known <= 0 {
-		known = s.cfg.Unknown
+		known = s.cfg.DefaultOutputTokens
 	}
-	return min(max(known, 1), max(s.cfg.MaxAnswer, 1))
+	return min(max(known, 1), max(s.cfg.MaxOutputTokens, 1))
 }
 
-// fetch moves an answer's state to the engine: over its port, and over the cell's link if it comes from another.
-func (u *unit) fetch(a *attempt) {
-	s, life := u.s, u.life
+// fetch transfers an answer's KV state to the engine: over the engine's port, and over the cell's link if the state
+// is in another cell.
+func (u *simEngine) fetch(a *attempt) {
+	s, generation := u.s, u.generation
 	if !u.tasks[a] {
 		return
 	}
-	if !a.from.there() {
+	if !a.from.waiting() {
 		u.leave(a)
 		report := u.core.Report(s.wall())
-		s.after(s.cfg.Net, func() { a.over(decide.Full, report, true, 0) })
+		s.after(s.cfg.NetworkDelay, func() { a.end(decide.Full, report, true, 0) })
 		return
 	}
-	tokens := float64(a.f.entry.PromptTokens)
-	d := s.cfg.Net*2 + seconds(tokens/s.cfg.Decode.PortTokensPerSecond)
-	if from := a.from.u.cell; from != u.cell && s.cfg.Link > 0 {
-		free := max(s.links[from], s.now) + seconds(tokens/s.cfg.Link)
+	tokens := float64(a.request.entry.PromptTokens)
+	d := s.cfg.NetworkDelay*2 + seconds(tokens/s.cfg.Decode.PortTokensPerSecond)
+	if from := a.from.engine.cell; from != u.cell && s.cfg.LinkRate > 0 {
+		free := max(s.links[from], s.now) + seconds(tokens/s.cfg.LinkRate)
 		s.links[from] = free
 		d = max(d, free-s.now)
 	}
 	h := a.from
 	s.after(d, func() {
-		if u.life != life || !u.tasks[a] {
+		if u.generation != generation || !u.tasks[a] {
 			return
 		}
-		if !h.there() {
+		if !h.waiting() {
 			u.leave(a)
 			report := u.core.Report(s.wall())
-			s.after(s.cfg.Net, func() { a.over(decide.Full, report, true, 0) })
+			s.after(s.cfg.NetworkDelay, func() { a.end(decide.Full, report, true, 0) })
 			return
 		}
-		h.free()
+		h.release()
 		u.core.StateFetched(a.task)
-		u.kick()
+		u.nextStep()
 	})
 }
 
 func seconds(x float64) time.Duration { return time.Duration(x * 1e9) }
 
-// leave takes an attempt out.
-func (u *unit) leave(a *attempt) {
+// leave removes an attempt from the engine.
+func (u *simEngine) leave(a *attempt) {
 	if u.tasks[a] {
 		delete(u.tasks, a)
 		u.core.Remove(a.task)
-		u.kick()
+		u.nextStep()
 	}
 }
 
-// there tells whether a state still waits.
-func (h *held) there() bool { return h != nil && h.u.up && h.u.life == h.life && h.u.held[h] }
+// waiting reports whether the state still waits at its engine.
+func (h *heldState) waiting() bool {
+	return h != nil && h.engine.up && h.engine.generation == h.generation && h.engine.held[h]
+}
 
-// free lets a state go; again is nothing.
-func (h *held) free() {
-	if !h.there() {
+// release releases the state; calling it again has no effect.
+func (h *heldState) release() {
+	if !h.waiting() {
 		return
 	}
-	delete(h.u.held, h)
-	h.u.core.Remove(h.task)
-	h.u.kick()
+	delete(h.engine.held, h)
+	h.engine.core.Remove(h.task)
+	h.engine.nextStep()
 }
--- a/internal/swing/compare.go
+++ b/internal/swing/compare.go
@@ -16,34 +16,34 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Experiment is one swing at one size, over some seeds.
+// Experiment is one swing at one number of engines, over several seeds.
 type Experiment struct {
-	Swing   trace.Swing // its seed is set by seed; paces and engines too
+	Swing   trace.Swing // seed, rates and engines are set for each run
 	Engines int
 	Seeds   []uint64
 	Load    float64
-	// SplitInterval bounds the fixed splits that are tried: each so many engines; 0: each.
-	SplitInterval int
-	Keeps         bool
-	// Change adjusts the decisions on roles; nil: as the standard scene has them.
-	Change func(*roles.Config)
+	// SplitInterval limits the fixed splits that are tried to every SplitInterval-th number of readers; 0: all.
+	SplitInterval    int
+	KeepsPrefixCache bool
+	// AdjustRoles adjusts the configuration of the role decisions; nil: the standard scenario's.
+	AdjustRoles func(*roles.Config)
 }
 
-// Row is one seed's figures; all are simulated.
+// Row is the result for one seed. All figures are simulated.
 type Row struct {
 	Seed                                                            uint64
 	BestFixedReaders                                                int // readers of the best fixed split
 	BestFixedService, MeanSplitService, OracleService, ShiftService float64
-	MeanSplit                                                       int
+	MeanSplitReaders                                                int
 	Changes, OracleChanges                                          int
-	AwayTime, SlowStartLoss                                         time.Duration // engines' time lost to changes
+	AwayTime, SlowStartLoss                                         time.Duration // engine time lost to changes
 	Violations                                                      []string
 	WrongRoleAttempts, UnfinishedChanges, MaxAway                   int
-	Result                                                          *sim.Result // of shifting
+	Result                                                          *sim.Result // of the run with role changes
 }
 
-// GapClosed is how far shifting has come from the best fixed split to the oracle: 1 is all the way. It is not a number
-// where the oracle is no better than the split.
+// GapClosed returns how much of the gap between the best fixed split and the oracle role changes close; 1 is all of
+// it. It is NaN if the oracle is no better than the best fixed split.
 func (r *Row) GapClosed() float64 {
 	if r.OracleService <= r.BestFixedService {
 		return math.NaN()
@@ -62,35 +62,35 @@
 	return rows, nil
 }
 
-// pace is what an engine of the standard scene does.
-func pace(cfg *sim.Config) Pace {
-	limits := roles.Timeouts{CheckInterval: cfg.Look, ReplyTimeout: 2 * cfg.Net}
-	return Pace{Read: cfg.Prefill.Capacity(), Write: cfg.Decode.Capacity(), Away: limits.NoticePeriod() + cfg.Change + roles.SlowStartLoss(cfg.Prefill.InitialCapacity, cfg.Prefill.SlowStartTime)}
+// engineRates returns the rates of an engine of the standard scenario.
+func engineRates(cfg *sim.Config) EngineRates {
+	timeouts := roles.Timeouts{CheckInterval: cfg.CheckInterval, ReplyTimeout: 2 * cfg.NetworkDelay}
+	return EngineRates{ReadPerS: cfg.Prefill.Capacity(), WritePerS: cfg.Decode.Capacity(), AwayTime: timeouts.NoticePeriod() + cfg.RoleChangeTime + roles.SlowStartLoss(cfg.Prefill.InitialCapacity, cfg.Prefill.SlowStartTime)}
 }
 
 func (e *Experiment) seed(ctx context.Context, seed uint64, row *Row) error {
-	scene := sim.Scene{Engines: e.Engines, Seed: seed}
-	base := scene.Config(nil)
-	p := pace(&base)
-	sw := e.Swing
-	sw.Seed, sw.Engines, sw.Load, sw.ReadPerS, sw.WritePerS = seed, e.Engines, e.Load, p.Read, p.Write
-	t, err := sw.Generate()
+	scenario := sim.Scenario{Engines: e.Engines, Seed: seed}
+	base := scenario.Config(nil)
+	rates := engineRates(&base)
+	swing := e.Swing
+	swing.Seed, swing.Engines, swing.Load, swing.ReadPerS, swing.WritePerS = seed, e.Engines, e.Load, rates.ReadPerS, rates.WritePerS
+	t, err := swing.Generate()
 	if err != nil {
 		return err
 	}
-	row.Seed, row.MeanSplit = seed, Mean(t, e.Engines, p)
+	row.Seed, row.MeanSplitReaders = seed, MeanSplit(t, e.Engines, rates)
 	g, ctx := errgroup.WithContext(ctx)
 	g.SetLimit(runtime.GOMAXPROCS(0))
 	var mu sync.Mutex
-	play := func(readers int, change func(*sim.Config), take func(*sim.Result)) {
+	run := func(readers int, change func(*sim.Config), record func(*sim.Result)) {
 		g.Go(func() error {
 			if ctx.Err() != nil {
 				return ctx.Err()
 			}
-			s := scene
+			s := scenario
 			s.Readers = readers
 			cfg := s.Config(t)
-			cfg.Keeps = e.Keeps
+			cfg.KeepsPrefixCache = e.KeepsPrefixCache
 			if change != nil {
 				change(&cfg)
 			}
@@ -100,70 +100,70 @@
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			for _, b := range res.Broken {
+			for _, b := range res.Violations {
 				row.Violations = append(row.Violations, fmt.Sprintf("%d readers: %s", readers, b))
 			}
-			row.WrongRoleAttempts += res.WrongRole
-			row.UnfinishedChanges += res.Stuck
-			take(res)
+			row.WrongRoleAttempts += res.WrongRoleAttempts
+			row.UnfinishedChanges += res.UnfinishedChanges
+			record(res)
 			return nil
 		})
 	}
-	for _, n := range e.splits(t, p, row.MeanSplit) {
-		play(n, nil, func(r *sim.Result) {
+	for _, n := range e.splits(t, rates, row.MeanSplitReaders) {
+		run(n, nil, func(r *sim.Result) {
 			if r.Service > row.BestFixedService {
 				row.BestFixedService, row.BestFixedReaders = r.Service, n
 			}
-			if n == row.MeanSplit {
+			if n == row.MeanSplitReaders {
 				row.MeanSplitService = r.Service
 			}
 		})
 	}
 	loads := []float64{0.75, 0.85, 0.95}
-	if e.Engines > many { // a run takes minutes, and the best of them differs little
+	if e.Engines > manyEngines { // a run takes minutes, and the oracle loads differ little
 		loads = loads[1:2]
 	}
 	for _, load := range loads {
-		first, steps := Oracle(t, e.Engines, p, load, max(e.Engines/6, 2))
-		play(first, func(c *sim.Config) {
-			c.Roles = scene.Shifting()
+		first, steps := Oracle(t, e.Engines, rates, load, max(e.Engines/6, 2))
+		run(first, func(c *sim.Config) {
+			c.Roles = scenario.RoleConfig()
 			c.Roles.DryRun = true
 			c.Schedule = steps
 			if c.Schedule == nil {
-				c.Schedule = []sim.Step{}
+				c.Schedule = []sim.SplitStep{}
 			}
 		}, func(r *sim.Result) {
 			if r.Service > row.OracleService {
-				row.OracleService, row.OracleChanges = r.Service, r.Changes
+				row.OracleService, row.OracleChanges = r.Service, r.ChangesDone
 			}
 		})
 	}
-	play(row.MeanSplit, func(c *sim.Config) {
-		c.Roles = scene.Shifting()
-		if e.Change != nil {
-			e.Change(c.Roles)
+	run(row.MeanSplitReaders, func(c *sim.Config) {
+		c.Roles = scenario.RoleConfig()
+		if e.AdjustRoles != nil {
+			e.AdjustRoles(c.Roles)
 		}
 	}, func(r *sim.Result) {
-		row.ShiftService, row.Changes, row.AwayTime, row.SlowStartLoss, row.MaxAway, row.Result = r.Service, r.Changes, r.Away, r.ColdLost, r.MostAway, r
+		row.ShiftService, row.Changes, row.AwayTime, row.SlowStartLoss, row.MaxAway, row.Result = r.Service, r.ChangesDone, r.AwayTime, r.SlowStartLoss, r.MaxAway, r
 	})
 	if err := g.Wait(); err != nil {
 		return err
 	}
-	// An oracle may leave the split alone: it knows the best one too.
+	// An oracle can also leave the split alone, and it knows the best fixed one.
 	row.OracleService = max(row.OracleService, row.BestFixedService)
 	slices.Sort(row.Violations)
 	return nil
 }
 
-// many engines make the oracle's loads one.
-const many = 50
+// manyEngines is the number of engines above which the oracle is tried with one load only.
+const manyEngines = 50
 
-// splits are the fixed splits that are tried: all, or some around the mean's.
-func (e *Experiment) splits(t *trace.Trace, p Pace, mean int) []int {
+// splits returns the fixed splits that are tried: all of them, or some around that of the mean work.
+func (e *Experiment) splits(t *trace.Trace, p EngineRates, mean int) []int {
 	every := max(e.SplitInterval, 1)
 	var out []int
 	for n := mean % every; n < e.Engines; n += every {
-		// Far from the mean none is best; what is tried is a quarter of the engines each way.
+		// No split far from the mean's is the best, so only those within a quarter of the engines of it are tried.
 		if n >= 1 && n >= mean-e.Engines/4 && n <= mean+e.Engines/4 {
 			out = append(out, n)
 		}
@@ -171,9 +171,9 @@
 	return out
 }
 
-// StandardRates is what one engine of the standard scene reads and writes, in tokens a second.
+// StandardRates returns what one engine of the standard scenario reads and writes, in tokens a second.
 func StandardRates() (read, write float64) {
-	cfg := sim.Scene{Engines: 2}.Config(nil)
-	p := pace(&cfg)
-	return p.Read, p.Write
+	cfg := sim.Scenario{Engines: 2}.Config(nil)
+	p := engineRates(&cfg)
+	return p.ReadPerS, p.WritePerS
 }
--- a/internal/swing/oracle.go
+++ b/internal/swing/oracle.go
@@ -1,5 +1,5 @@
-// Package swing measures shifted roles: a recorded swing of the mix is played in simulated time with every
-// fixed split, with an oracle that knows the trace, and with roles shifted by what the routers see.
+// Package swing measures the benefit of role changes: it plays generated traffic with a changing mix in simulated
+// time with every fixed split, with an oracle that knows the trace, and with roles changed by what the routers see.
 package swing
 
 import (
@@ -10,51 +10,51 @@
 	"mintdoor/internal/trace"
 )
 
-// Pace is what one engine does in each role, in tokens a second, and what a change costs it.
-type Pace struct {
-	Read, Write float64
-	Away        time.Duration // announced, changed and cold, as full time lost
+// EngineRates is the throughput of one engine in each role, in tokens a second, and the cost of a role change.
+type EngineRates struct {
+	ReadPerS, WritePerS float64
+	AwayTime            time.Duration // notice period, change and slow start, as time at full capacity lost
 }
 
-// missed is the part of shared texts that is read all the same, as in trace.Swing.
-const missed = 0.05
+// missShare is the part of shared prefixes that is not found in the cache, as in trace.Swing.
+const missShare = 0.05
 
-// work sums up the tokens that are asked in each window.
-func work(t *trace.Trace, window time.Duration) (read, write, asked []float64) {
+// work adds up the tokens and the requests in each window.
+func work(t *trace.Trace, window time.Duration) (read, write, requests []float64) {
 	n := int(t.Length()/window) + 1
-	read, write, asked = make([]float64, n), make([]float64, n), make([]float64, n)
+	read, write, requests = make([]float64, n), make([]float64, n), make([]float64, n)
 	for i := range t.Entries {
 		e := &t.Entries[i]
 		k := int(e.At / window)
-		read[k] += float64(e.PromptTokens) - (1-missed)*float64(e.PrefixTokens)
+		read[k] += float64(e.PromptTokens) - (1-missShare)*float64(e.PrefixTokens)
 		write[k] += float64(e.OutputTokens)
-		asked[k]++
+		requests[k]++
 	}
-	return read, write, asked
+	return read, write, requests
 }
 
-// Mean is the fixed split of the trace's mean work: readers among so many engines.
-func Mean(t *trace.Trace, engines int, p Pace) int {
+// MeanSplit returns the number of readers in the best fixed split for the mean work of the trace.
+func MeanSplit(t *trace.Trace, engines int, p EngineRates) int {
 	read, write, _ := work(t, t.Length()+1)
-	r, w := read[0]/p.Read, write[0]/p.Write
+	r, w := read[0]/p.ReadPerS, write[0]/p.WritePerS
 	return min(max(int(math.Round(float64(engines)*r/(r+w))), 1), engines-1)
 }
 
-// Oracle finds the splits over time that serve most of a trace that is known as a whole, and the split to
-// begin with. It is a dynamic program over windows and numbers of readers: an engine that changes is away
-// for its window. load is the part of its time to which an engine may be used; away bounds how many engines
-// change in one window.
-func Oracle(t *trace.Trace, engines int, p Pace, load float64, away int) (first int, steps []sim.Step) {
-	window := max(p.Away, time.Second)
-	read, write, asked := work(t, window)
+// Oracle returns the splits over time that serve the most of a trace known in advance, and the number of readers to
+// begin with. It is a dynamic program over windows and numbers of readers, in which an engine that changes serves
+// nothing for one window. load is the highest utilization of an engine; away bounds how many engines change in one
+// window.
+func Oracle(t *trace.Trace, engines int, p EngineRates, load float64, away int) (first int, steps []sim.SplitStep) {
+	window := max(p.AwayTime, time.Second)
+	read, write, requests := work(t, window)
 	span := window.Seconds()
-	part := func(k, readers, writers int) float64 {
-		used := max(read[k]/(float64(readers)*p.Read*span), write[k]/(float64(writers)*p.Write*span))
-		// Where all is served, the split that leaves more room is the better one: queues are shorter.
-		const room = 0.05
-		return min(1, load/max(used, 1e-9)) - room*math.Pow(min(used, 1), 4)
+	score := func(k, readers, writers int) float64 {
+		utilization := max(read[k]/(float64(readers)*p.ReadPerS*span), write[k]/(float64(writers)*p.WritePerS*span))
+		// If all work is served, the split with more spare capacity is better, because its queues are shorter.
+		const spareWeight = 0.05
+		return min(1, load/max(utilization, 1e-9)) - spareWeight*math.Pow(min(utilization, 1), 4)
 	}
-	const idle = 1e-4 // of a window's requests: a change that brings nothing is not made
+	const changeCost = 1e-4 // cost of a change in requests of a window, so that a change without a gain is not made
 	value := make([]float64, engines)
 	next := make([]float64, engines)
 	from := make([][]int, len(read))
@@ -70,7 +70,7 @@
 				if moved < 0 {
 					moved = -moved
 				}
-				v := value[n] + asked[k]*(part(k, min(n, to), engines-max(n, to))-idle*float64(moved))
+				v := value[n] + requests[k]*(score(k, min(n, to), engines-max(n, to))-changeCost*float64(moved))
 				if v > next[to] || v == next[to] && n == to {
 					next[to], from[k][to] = v, n
 				}
@@ -91,7 +91,7 @@
 	}
 	for k := 1; k < len(splits); k++ {
 		if splits[k] != splits[k-1] {
-			steps = append(steps, sim.Step{At: time.Duration(k) * window, Readers: splits[k]})
+			steps = append(steps, sim.SplitStep{At: time.Duration(k) * window, Readers: splits[k]})
 		}
 	}
 	return splits[0], steps
