--- a/internal/eventually/eventually.go
+++ b/internal/eventually/eventually.go
@@ -1,4 +1,4 @@
-// Package eventually is for tests that wait for a condition, not for a time.
+// Package eventually lets tests wait for a condition instead of for a fixed time.
 package eventually
 
 import (
@@ -6,15 +6,16 @@
 	"time"
 )
 
-// patience is what a condition may take on a machine that is busy with other things.
-const patience = 30 * time.Second
+// timeout is how long a condition may take, on a machine that is busy with other work.
+const timeout = 30 * time.Second
 
-// Is waits until cond holds; if it never does, the test fails with what was waited for and what state tells.
+// Is waits until cond holds. If it does not within the timeout, the test fails with a description of the condition
+// and the result of state.
 func Is(t testing.TB, what string, cond func() bool, state func() any) {
 	t.Helper()
-	for end := time.Now().Add(patience); !cond(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(timeout); !cond(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("not seen: %s; %+v", what, state())
+			t.Fatalf("condition not met: %s; state %+v", what, state())
 		}
 	}
 }
--- a/internal/seeded/seeded.go
+++ b/internal/seeded/seeded.go
@@ -1,11 +1,11 @@
-// Package seeded fixes the seed of property tests, so that each run has the same verdict. A test package imports
-// it for that alone; '-rapid.seed=0' draws anew, '-rapid.checks=N' goes further.
+// Package seeded fixes the seed of property tests, so that every run has the same result. A test package imports it
+// only for this effect; '-rapid.seed=0' draws a new seed, '-rapid.checks=N' runs more cases.
 package seeded
 
 import (
 	"flag"
 
-	_ "pgregory.net/rapid" // its flags have to be there
+	_ "pgregory.net/rapid" // defines the flags set here
 )
 
 func init() {
