--- a/internal/audit/check.go
+++ b/internal/audit/check.go
@@ -108,6 +108,7 @@
 	return report
 }
 
+// routers collects the times at which routers were down.
 func (c *checker) routers(records []Record) {
 	open := map[string]int{}
 	for _, r := range records {
@@ -193,6 +194,7 @@
 	slices.Sort(c.report.FirstToken)
 }
 
+// checkAnswer checks that a try has exactly one ending, in time, and counts it.
 func (c *checker) checkAnswer(id string, t *try) {
 	if len(t.endings) == 0 {
 		c.report.addFinding(1, t.sent.At, "try %s of class %s has no ending", id, t.sent.Class)
--- a/internal/day/client.go
+++ b/internal/day/client.go
@@ -117,6 +117,7 @@
 
 var errClientLeft = errors.New("the client left")
 
+// read sends the request of a try and reads its answer. It stops leaveTimer at the first token.
 func (c *clients) read(ctx context.Context, id string, body []byte, leaveTimer *time.Timer) outcome {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, c.url+"/v2/models/helpline/generate_stream", bytes.NewReader(body))
 	if err != nil {
--- a/internal/day/run.go
+++ b/internal/day/run.go
@@ -125,6 +125,7 @@
 		LoadLag: lag}, nil
 }
 
+// start starts the engines, the routers and the front layer.
 func (p *player) start(ctx context.Context) error {
 	list := filepath.Join(p.options.Dir, "engines.list")
 	var cells []string
--- a/internal/day/script.go
+++ b/internal/day/script.go
@@ -172,6 +172,7 @@
 	return func(s string) (err error) { *p, err = config.ParseCount(s); return }
 }
 
+// build makes a script of the lines of a file. All errors are collected, those of reading the file included.
 func build(file string, lines []config.Line, errs config.Errors) (*Script, error) {
 	s := DefaultScript()
 	s.File = file
--- a/internal/shift/shift.go
+++ b/internal/shift/shift.go
@@ -166,6 +166,8 @@
 	return g.Wait()
 }
 
+// loop owns the manager: it handles list updates, observations, replies of engines and the periodic checks until ctx
+// ends.
 func (d *Driver) loop(ctx context.Context, updates <-chan discovery.Update, tell func(discovery.Update)) {
 	tick, roleCheck := time.NewTicker(checkInterval), time.NewTicker(d.settings.RoleChanges.CheckInterval)
 	defer tick.Stop()
@@ -295,6 +297,7 @@
 	}()
 }
 
+// handleReply passes an engine's reply to the manager and returns the resulting actions.
 func (d *Driver) handleReply(now time.Time, r *result) []roles.Action {
 	if !r.changeAnswer {
 		delete(d.asking, r.id)
--- a/internal/sim/node.go
+++ b/internal/sim/node.go
@@ -134,6 +134,7 @@
 	n.generation++
 }
 
+// listing returns an engine as it is listed to the decision module.
 func (n *simRouter) listing(u *simEngine) decide.Listing {
 	v := n.listings[u.index]
 	l := decide.Listing{Server: u.id(), Cell: u.cell, Kind: int(v.Role), Condition: decide.Ready, Weight: 1}
@@ -304,6 +305,7 @@
 	n.handling = false
 }
 
+// carryOutAction carries out one action of the decision module.
 func (n *simRouter) carryOutAction(a *decide.Action) {
 	s := n.s
 	if a.Kind == decide.SetTimer {
@@ -353,6 +355,7 @@
 	}
 }
 
+// send starts an attempt that the decision module has decided on, and checks rules 2 and 3.
 func (n *simRouter) send(f *request, act *decide.Action) {
 	s := n.s
 	i := int(act.Server) - 1
--- a/internal/sim/unit.go
+++ b/internal/sim/unit.go
@@ -89,6 +89,7 @@
 	return true
 }
 
+// stay handles the request to cancel the change from the given epoch.
 func (u *simEngine) stay(epoch uint64) {
 	if u.up && u.roleChange.Cancel(epoch) {
 		u.endChange()
--- a/internal/swing/compare.go
+++ b/internal/swing/compare.go
@@ -68,6 +68,7 @@
 	return EngineRates{ReadPerS: cfg.Prefill.Capacity(), WritePerS: cfg.Decode.Capacity(), AwayTime: timeouts.NoticePeriod() + cfg.RoleChangeTime + roles.SlowStartLoss(cfg.Prefill.InitialCapacity, cfg.Prefill.SlowStartTime)}
 }
 
+// seed plays all runs of one seed and fills in its row.
 func (e *Experiment) seed(ctx context.Context, seed uint64, row *Row) error {
 	scenario := sim.Scenario{Engines: e.Engines, Seed: seed}
 	base := scenario.Config(nil)
--- a/internal/trace/recorder.go
+++ b/internal/trace/recorder.go
@@ -25,6 +25,7 @@
 	start   time.Time
 }
 
+// event is an observation of a request.
 type event struct {
 	kind     uint8
 	job      *router.Job
@@ -87,6 +88,7 @@
 	head int
 }
 
+// pendingEntry is an entry that is not written yet.
 type pendingEntry struct {
 	entry    Entry
 	job      *router.Job
--- a/roles/change.go
+++ b/roles/change.go
@@ -70,6 +70,7 @@
 // maxStateAge is the age from which a reported role is too old to route by; 0 means no limit.
 func (l *Timeouts) maxStateAge() time.Duration { return maxMissedChecks * l.CheckInterval }
 
+// isTooOld reports whether a state that was reported at reportedAt is too old to route by.
 func (l *Timeouts) isTooOld(now, reportedAt time.Time) bool {
 	return l.CheckInterval > 0 && now.Sub(reportedAt) >= l.maxStateAge()
 }
@@ -269,6 +270,7 @@
 	return t.updateListing(c, out)
 }
 
+// setStep moves an engine to a step of a change to role, which may have been begun by another router.
 func (t *RoleTracker) setStep(now time.Time, c *trackedEngine, to step, role Stage, deadline time.Time) {
 	if c.step == idle || c.step == backingOff {
 		c.startedAt, c.fromEpoch, c.cancelRequested = now, c.state.Epoch, false
@@ -364,6 +366,7 @@
 	return out
 }
 
+// finish adds the result of a change that is over.
 func (t *RoleTracker) finish(now time.Time, c *trackedEngine, succeeded bool, reason string) {
 	t.results = append(t.results, ChangeResult{c.engine, c.target, succeeded, reason, now.Sub(c.startedAt)})
 }
--- a/roles/demand_test.go
+++ b/roles/demand_test.go
@@ -9,8 +9,8 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// feedTraffic adds random arrivals at the given rate for a time, with their reads and answers, and returns the end of that
-// time.
+// feedTraffic adds random arrivals at the given rate for a time, with their reads and answers, and returns the end of
+// that time.
 func feedTraffic(d *DemandEstimator, rng *rand.Rand, from, length time.Duration, rate float64, class int, prompt, answer float64) time.Duration {
 	gap := distuv.Exponential{Rate: rate, Src: rng}
 	p := distuv.LogNormal{Mu: math.Log(prompt) - 0.32, Sigma: 0.8, Src: rng}
--- a/roles/manager.go
+++ b/roles/manager.go
@@ -164,6 +164,8 @@
 	return out
 }
 
+// plan makes and evaluates a plan, cancels obsolete changes, and begins the changes of the plan if it is this
+// router's turn.
 func (m *Manager) plan(now time.Time, out []Action) []Action {
 	// Each router sees a part of the traffic. The front layer spreads requests evenly, apart from random variation,
 	// which is part of the forecast's standard deviation and is scaled with it.
--- a/roles/predict.go
+++ b/roles/predict.go
@@ -86,7 +86,7 @@
 		for i, f := range p.forecasts[at] {
 			squaredError := (f - actual) * (f - actual)
 			if meanError := p.loss[i] / (p.weight - 1); p.weight > 2*float64(p.horizon) && meanError > 0 {
-				// a single burst does not raise the error for long; repeated ones do
+				// A single burst does not raise the error for long; repeated ones do.
 				squaredError = math.Min(squaredError, maxErrorRatio*meanError)
 			}
 			p.loss[i] = decay*p.loss[i] + squaredError
--- a/roles/when.go
+++ b/roles/when.go
@@ -11,8 +11,8 @@
 	// a random sample of the forecast, and among many samples one passes by chance alone.
 	ConsecutivePlans int
 
-	direction float64 // the role that the last confident plans agree on, as in netDirection, and how many they are
-	agreed    int
+	direction float64 // the role that the last confident plans agree on, as in netDirection
+	agreed    int     // the number of these plans
 }
 
 // Verdict is the result of an evaluation.
--- a/roles/when_test.go
+++ b/roles/when_test.go
@@ -47,7 +47,7 @@
 		now, then [stages]float64
 		want      float64
 	}{
-		// helps in the third case; the others are served in full by both
+		// Helps in the third case; both capacities serve the others in full.
 		{[stages]float64{100, 20}, [stages]float64{200, 20}, 1},
 		{[stages]float64{100, 20}, [stages]float64{200, 15}, 0.5}, // helps in the third case and harms in the second
 		{[stages]float64{200, 20}, [stages]float64{100, 20}, 0},
