--- a/internal/day/day_test.go
+++ b/internal/day/day_test.go
@@ -47,13 +47,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	asks := s.scaled().draw()
-	if again := s.scaled().draw(); !reflect.DeepEqual(asks, again) {
+	requests := s.scaled().draw()
+	if again := s.scaled().draw(); !reflect.DeepEqual(requests, again) {
 		t.Error("the same seed draws different traffic")
 	}
 	within := func(from, to time.Duration, ok func(*request) bool) (n int) {
-		for i := range asks {
-			if a := &asks[i]; a.at >= from*time.Second && a.at < to*time.Second && ok(a) {
+		for i := range requests {
+			if a := &requests[i]; a.at >= from*time.Second && a.at < to*time.Second && ok(a) {
 				n++
 			}
 		}
@@ -73,13 +73,13 @@
 	if n := within(300, 350, func(a *request) bool { return !a.clientLeaves }); n > 0 {
 		t.Errorf("%d clients do not leave although all should", n)
 	}
-	for i := range asks {
-		if a := &asks[i]; a.promptTokens < 1 || a.outputTokens < 1 || a.prefixTokens > a.promptTokens || a.promptTokens+500 > 32000 {
+	for i := range requests {
+		if a := &requests[i]; a.promptTokens < 1 || a.outputTokens < 1 || a.prefixTokens > a.promptTokens || a.promptTokens+500 > 32000 {
 			t.Fatalf("%+v", a)
 		}
 	}
 	s.Seed++
-	if other := s.scaled().draw(); reflect.DeepEqual(asks, other) {
+	if other := s.scaled().draw(); reflect.DeepEqual(requests, other) {
 		t.Error("another seed draws the same traffic")
 	}
 }
--- a/internal/day/run.go
+++ b/internal/day/run.go
@@ -135,7 +135,7 @@
 	var err error
 	p.fleet, err = fleet.Start(fleet.Config{
 		Groups: p.script.groups(),
-		Cells:  cells, ListPath: list, CrashListDelay: p.script.CrashNotice, SilenceListDelay: p.script.SilenceNotice, StartListDelay: p.script.StartNotice, LinkTokensPerSecond: p.script.LinkRate,
+		Cells:  cells, ListPath: list, CrashListDelay: p.script.CrashListDelay, SilenceListDelay: p.script.SilenceListDelay, StartListDelay: p.script.StartListDelay, LinkTokensPerSecond: p.script.LinkRate,
 		Seed: p.script.Seed, AuditLog: p.auditLog, Log: p.options.Log})
 	if err != nil {
 		return err
--- a/internal/shift/shift_test.go
+++ b/internal/shift/shift_test.go
@@ -61,9 +61,9 @@
 		t.Fatal(err)
 	}
 	list := staticSource{{Name: "e", Addr: "x:1", Kind: "p", State: decide.Ready, Weight: 1}}
-	w := &scriptedEngines{}
-	w.setRole(engine.Role{Role: engine.StagePrefill, Epoch: 1, Phase: engine.PhaseSteady})
-	d := New(set, list, w, "r", slog.New(slog.DiscardHandler), nil)
+	engines := &scriptedEngines{}
+	engines.setRole(engine.Role{Role: engine.StagePrefill, Epoch: 1, Phase: engine.PhaseSteady})
+	d := New(set, list, engines, "r", slog.New(slog.DiscardHandler), nil)
 	updates := make(chan discovery.Update, 100)
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error, 1)
@@ -82,10 +82,10 @@
 		}
 	}
 	until("as it stands", func(e *discovery.Engine) bool { return e.Kind == "p" && e.State == decide.Ready })
-	w.setRole(engine.Role{Role: engine.StagePrefill, Epoch: 1, Phase: engine.PhaseEmptying, To: engine.StageDecode})
+	engines.setRole(engine.Role{Role: engine.StagePrefill, Epoch: 1, Phase: engine.PhaseEmptying, To: engine.StageDecode})
 	until("draining on its way", func(e *discovery.Engine) bool { return e.Kind == "p" && e.State == decide.Draining })
 	changed := time.Now()
-	w.setRole(engine.Role{Role: engine.StageDecode, Epoch: 2, Phase: engine.PhaseSteady, Since: changed})
+	engines.setRole(engine.Role{Role: engine.StageDecode, Epoch: 2, Phase: engine.PhaseSteady, Since: changed})
 	until("in its new role and cold", func(e *discovery.Engine) bool {
 		return e.Kind == "d" && e.State == decide.Ready && e.StartedAt.Equal(changed)
 	})
--- a/internal/sim/hard_test.go
+++ b/internal/sim/hard_test.go
@@ -13,12 +13,12 @@
 	day := trace.Swing{Shape: "day", Length: 8 * time.Minute, Period: 12 * time.Minute, MinReadShare: 0.25, MaxReadShare: 0.75, Load: 0.7}
 	with := func(change func(*trace.Swing)) trace.Swing { s := day; change(&s); return s }
 	for _, c := range []struct {
-		name    string
-		swing   trace.Swing
-		change  func(*Config)
-		least   int // changes
-		most    int
-		atLeast float64 // service minus that of fixed roles
+		name       string
+		swing      trace.Swing
+		change     func(*Config)
+		minChanges int // changes
+		maxChanges int
+		minGain    float64 // service minus that of fixed roles
 	}{
 		{"a slow change of the mix is followed", day, nil, 2, 12, 0.02},
 		{"three routers with unequal parts of the traffic", day, func(c *Config) { c.Weights = []float64{0.7, 0.2, 0.1} }, 2, 14, 0},
@@ -68,9 +68,9 @@
 			}
 			fixed, shifted := got[0], got[1]
 			t.Logf("fixed %.4f, shifted %.4f, %d changes of %d begun", fixed.Service, shifted.Service, shifted.ChangesDone, shifted.ChangesBegun)
-			if shifted.ChangesDone < c.least || shifted.ChangesDone > c.most || shifted.Service-fixed.Service < c.atLeast {
+			if shifted.ChangesDone < c.minChanges || shifted.ChangesDone > c.maxChanges || shifted.Service-fixed.Service < c.minGain {
 				t.Errorf("fixed %.4f, shifted %.4f with %d changes; want %d to %d of them and %+.3f", fixed.Service, shifted.Service, shifted.ChangesDone,
-					c.least, c.most, c.atLeast)
+					c.minChanges, c.maxChanges, c.minGain)
 			}
 			if shifted.MaxAway > 2 {
 				t.Errorf("%d engines were away at once, want at most 2", shifted.MaxAway)
--- a/internal/sim/property_test.go
+++ b/internal/sim/property_test.go
@@ -46,19 +46,19 @@
 		for range routers {
 			cfg.Weights = append(cfg.Weights, rapid.Float64Range(0.1, 1).Draw(t, "weight"))
 		}
-		hidden := 0
+		hiddenRoles := 0
 		for range rapid.IntRange(0, 8).Draw(t, "troubles") {
-			tb := Fault{At: time.Duration(rapid.IntRange(0, 29000).Draw(t, "at")) * time.Millisecond,
+			fault := Fault{At: time.Duration(rapid.IntRange(0, 29000).Draw(t, "at")) * time.Millisecond,
 				Duration: time.Duration(rapid.IntRange(1, 8000).Draw(t, "for")) * time.Millisecond, Kind: FaultKind(rapid.IntRange(int(CrashEngine), int(RestartEngine)).Draw(t, "kind"))}
-			if tb.Target = rapid.IntRange(0, engines-1).Draw(t, "on"); tb.Kind == KillRouter {
-				tb.Target %= routers
+			if fault.Target = rapid.IntRange(0, engines-1).Draw(t, "on"); fault.Kind == KillRouter {
+				fault.Target %= routers
 			}
-			if tb.Kind == HideRole {
-				if hidden++; 2*hidden > engines { // engines stay trusted while most are unresponsive
+			if fault.Kind == HideRole {
+				if hiddenRoles++; 2*hiddenRoles > engines { // engines stay trusted while most are unresponsive
 					continue
 				}
 			}
-			cfg.Faults = append(cfg.Faults, tb)
+			cfg.Faults = append(cfg.Faults, fault)
 		}
 		res, err := Run(cfg)
 		if err != nil {
--- a/internal/sim/sim.go
+++ b/internal/sim/sim.go
@@ -64,8 +64,8 @@
 	Schedule            []SplitStep   // splits carried out at fixed times by asking the engines; requires Roles
 	NetworkDelay        time.Duration // one way
 	LinkRate            float64       // tokens a second out of a cell; 0: no limit
-	CrashNotice         time.Duration // time until the list shows a crash
-	StartNotice         time.Duration // time until the list shows a start
+	CrashListDelay      time.Duration // time until the list shows a crash
+	StartListDelay      time.Duration // time until the list shows a start
 	Faults              []Fault
 	Trace               *trace.Trace
 	MaxOutputTokens     int
--- a/internal/sim/unit.go
+++ b/internal/sim/unit.go
@@ -176,7 +176,7 @@
 	clear(u.held)
 	generation := u.generation
 	if downtime > 0 {
-		u.s.after(u.s.cfg.CrashNotice, func() {
+		u.s.after(u.s.cfg.CrashListDelay, func() {
 			if u.generation == generation && !u.up {
 				u.s.setListed(u, false)
 			}
@@ -185,7 +185,7 @@
 	u.s.after(downtime, func() {
 		u.up, u.startedAt = true, u.s.wall()
 		u.core = standin.NewCore(u.s.specs[u.stage()], u.s.wall(), true)
-		u.s.after(u.s.cfg.StartNotice, func() {
+		u.s.after(u.s.cfg.StartListDelay, func() {
 			if u.up && u.generation == generation {
 				u.s.setListed(u, true)
 			}
--- a/roles/change_test.go
+++ b/roles/change_test.go
@@ -67,15 +67,15 @@
 // follows.
 func TestFailedChanges(t *testing.T) {
 	old := RoleState{Role: Prefill, Epoch: 3, StartedAt: at(-100)}
-	empty := RoleState{Role: Prefill, Epoch: 3, To: Decode, Phase: Emptying, StartedAt: at(-100)}
-	busy := RoleState{Role: Prefill, Epoch: 3, To: Decode, Phase: Changing, StartedAt: at(-100)}
-	anew := RoleState{Role: Prefill, Epoch: 3, StartedAt: at(2)}
+	emptying := RoleState{Role: Prefill, Epoch: 3, To: Decode, Phase: Emptying, StartedAt: at(-100)}
+	changing := RoleState{Role: Prefill, Epoch: 3, To: Decode, Phase: Changing, StartedAt: at(-100)}
+	restarted := RoleState{Role: Prefill, Epoch: 3, StartedAt: at(2)}
 	other := RoleState{Role: Prefill, Epoch: 5, StartedAt: at(2)}
 	for _, c := range []struct {
-		name string
-		play func(f *RoleTracker)
-		why  string
-		view Listing
+		name    string
+		play    func(f *RoleTracker)
+		reason  string
+		listing Listing
 	}{
 		{"engine refuses", func(f *RoleTracker) { f.HandleAnswer(at(0.1), 1, false, old, nil) }, "the engine refused: it is at another epoch or in another change",
 			Listing{Role: Prefill, StartedAt: at(-100)}},
@@ -84,38 +84,38 @@
 		{"no answer", func(f *RoleTracker) { f.Tick(at(1), nil) }, "no answer to the change request", Listing{Role: Prefill, StartedAt: at(-100)}},
 		{"engine restarts while emptying", func(f *RoleTracker) {
 			f.HandleAnswer(at(0.1), 1, true, old, nil)
-			f.ObserveState(at(1), 1, empty, nil)
-			f.ObserveState(at(2), 1, anew, nil)
+			f.ObserveState(at(1), 1, emptying, nil)
+			f.ObserveState(at(2), 1, restarted, nil)
 		}, "the engine restarted in its old role", Listing{Role: Prefill, StartedAt: at(2)}},
 		{"engine cancels by itself", func(f *RoleTracker) {
 			f.HandleAnswer(at(0.1), 1, true, old, nil)
-			f.ObserveState(at(1), 1, empty, nil)
+			f.ObserveState(at(1), 1, emptying, nil)
 			f.ObserveState(at(2), 1, old, nil)
 		}, "the engine stayed in its old role", Listing{Role: Prefill, StartedAt: at(-100)}},
 		{"engine neither finishes its work nor cancels", func(f *RoleTracker) {
 			f.HandleAnswer(at(0.1), 1, true, old, nil)
-			f.ObserveState(at(1), 1, empty, nil)
+			f.ObserveState(at(1), 1, emptying, nil)
 			f.Tick(at(11), nil)
 			f.Tick(at(13), nil)
 		}, "the engine neither finishes its work nor cancels the change", Listing{Role: Prefill, Draining: true, StartedAt: at(-100)}},
 		{"change hangs", func(f *RoleTracker) {
 			f.HandleAnswer(at(0.1), 1, true, old, nil)
-			f.ObserveState(at(1), 1, busy, nil)
+			f.ObserveState(at(1), 1, changing, nil)
 			f.Tick(at(22), nil)
 		}, "the change timed out", Listing{Role: Prefill, Draining: true, StartedAt: at(-100)}},
 		{"engine comes back in its old role", func(f *RoleTracker) {
 			f.HandleAnswer(at(0.1), 1, true, old, nil)
-			f.ObserveState(at(1), 1, busy, nil)
+			f.ObserveState(at(1), 1, changing, nil)
 			f.ObserveState(at(2), 1, old, nil)
 		}, "the engine came back in its old role", Listing{Role: Prefill, StartedAt: at(-100)}},
 		{"engine comes back in another role", func(f *RoleTracker) {
 			f.HandleAnswer(at(0.1), 1, true, old, nil)
-			f.ObserveState(at(1), 1, busy, nil)
+			f.ObserveState(at(1), 1, changing, nil)
 			f.ObserveState(at(2), 1, other, nil)
 		}, "the engine came back in another role", Listing{Role: Prefill, StartedAt: at(2)}},
 		{"change is cancelled", func(f *RoleTracker) {
 			f.HandleAnswer(at(0.1), 1, true, old, nil)
-			f.ObserveState(at(1), 1, empty, nil)
+			f.ObserveState(at(1), 1, emptying, nil)
 			if out := f.Cancel(1, "half of the readers died", nil); len(out) != 1 || out[0].Kind != CancelChange || out[0].Epoch != 3 {
 				panic(out)
 			}
@@ -127,16 +127,16 @@
 		f.BeginChange(at(0), 1, Decode, nil)
 		c.play(f)
 		e := f.TakeResults()
-		if len(e) != 1 || e[0].Succeeded || e[0].Reason != c.why {
+		if len(e) != 1 || e[0].Succeeded || e[0].Reason != c.reason {
 			t.Errorf("%s: %+v", c.name, e)
 		}
 		if f.ChangingEngines() != 0 {
 			t.Errorf("%s: the change is still in progress", c.name)
 		}
-		if ch := f.engines[1]; ch != nil && ch.listing != c.view {
-			t.Errorf("%s: listed as %+v, want %+v", c.name, ch.listing, c.view)
+		if ch := f.engines[1]; ch != nil && ch.listing != c.listing {
+			t.Errorf("%s: listed as %+v, want %+v", c.name, ch.listing, c.listing)
 		}
-		if c.why != "the change was cancelled" && f.CanChange(1) {
+		if c.reason != "the change was cancelled" && f.CanChange(1) {
 			t.Errorf("%s: no backoff after a failure", c.name)
 		}
 		f.Tick(at(200), nil)
@@ -181,7 +181,7 @@
 		now := t0
 		e := &fakeEngine{state: RoleState{Role: Prefill, Epoch: 1, StartedAt: at(-100)}, alive: true}
 		routers := make([]*RoleTracker, 3)
-		views := make([]Listing, 3)
+		listings := make([]Listing, 3)
 		begun, ended := make([]int, 3), make([]int, 3)
 		var messages []func() // in flight: delivered in any order, or never
 		var do func(i int, acts []Action)
@@ -189,7 +189,7 @@
 			for _, a := range acts {
 				switch a.Kind {
 				case UpdateListing:
-					views[i] = a.Listing
+					listings[i] = a.Listing
 				case RequestChange:
 					messages = append(messages, func() {
 						granted := e.ask(a.To, a.Epoch)
@@ -213,8 +213,8 @@
 		check := func(i int, s RoleState) {
 			do(i, routers[i].ObserveState(now, 1, s, nil))
 			c := routers[i].engines[1]
-			if !views[i].Draining && (c.state.Phase != Steady || views[i].Role != c.state.Role) {
-				t.Fatalf("router %d lists the engine as %+v, but its last report is %+v", i, views[i], c.state)
+			if !listings[i].Draining && (c.state.Phase != Steady || listings[i].Role != c.state.Role) {
+				t.Fatalf("router %d lists the engine as %+v, but its last report is %+v", i, listings[i], c.state)
 			}
 		}
 		restart := func(i int) {
@@ -241,7 +241,7 @@
 				if out, err := routers[i].BeginChange(now, 1, to, nil); err == nil {
 					begun[i]++
 					do(i, out)
-					if !views[i].Draining {
+					if !listings[i].Draining {
 						t.Fatal("the decision module can still send to an engine that is asked to change")
 					}
 				}
@@ -305,8 +305,8 @@
 			if r.ChangingEngines() != 0 || !r.CanChange(1) {
 				t.Fatalf("router %d is left at step %v", i, r.engines[1].step)
 			}
-			if views[i] != (Listing{Role: e.state.Role, StartedAt: e.state.StartedAt}) {
-				t.Fatalf("router %d lists the engine as %+v, its state is %+v", i, views[i], e.state)
+			if listings[i] != (Listing{Role: e.state.Role, StartedAt: e.state.StartedAt}) {
+				t.Fatalf("router %d lists the engine as %+v, its state is %+v", i, listings[i], e.state)
 			}
 			if ended[i] < begun[i] {
 				t.Fatalf("router %d began %d changes and %d ended", i, begun[i], ended[i])
--- a/roles/predict_test.go
+++ b/roles/predict_test.go
@@ -49,17 +49,17 @@
 	}
 	a, b, c := noise(20), noise(20), noise(20)
 	for _, tc := range []struct {
-		name  string
-		f     func(i int) float64
-		plain float64
-		most  float64 // upper bound of the error, as a multiple of the simple average's
+		name          string
+		f             func(i int) float64
+		plain         float64
+		maxErrorRatio float64 // upper bound of the error, as a multiple of the simple average's
 	}{
 		{"a slow oscillation", func(i int) float64 { return 100 + 50*math.Sin(2*math.Pi*float64(i)/900) + a() }, 16, 0.6},
 		{"an oscillation of ten buckets", func(i int) float64 { return 100 + 50*float64(i/5%2) + b() }, 8, 0.5},
 		{"noise around a level", func(i int) float64 { return 100 + c() }, 512, 1.25},
 	} {
 		mix, plain, inside := score(tc.f, 45, 3000, tc.plain)
-		if mix > tc.most*plain || inside < 0.8 {
+		if mix > tc.maxErrorRatio*plain || inside < 0.8 {
 			t.Errorf("%s: error %.2f, a simple average over %.0f buckets has %.2f; the 90%% interval contains the actual value in %.2f", tc.name, mix, tc.plain, plain, inside)
 		}
 	}
