--- a/roles/plan_test.go
+++ b/roles/plan_test.go
@@ -154,7 +154,7 @@
 // bruteForce returns the served share of the best of all subsets of moves.
 func bruteForce(f []Engine, demand [stages]WorkForecast, c Costs) float64 {
 	cases := demandCases(demand)
-	here := 1 - c.AwayTime.Seconds()/c.Horizon.Seconds()
+	remaining := 1 - c.AwayTime.Seconds()/c.Horizon.Seconds()
 	best := 0.0
 	for set := range 1 << len(f) {
 		if bits.OnesCount(uint(set)) > c.MaxChanging {
@@ -176,7 +176,7 @@
 				continue
 			}
 			ok = ok && !e.Fixed && e.Capacity[1-e.Role] > 0
-			cap[1-e.Role] += e.Capacity[1-e.Role] * here
+			cap[1-e.Role] += e.Capacity[1-e.Role] * remaining
 			total[1-e.Role]++
 		}
 		for key := range was { // engines that change are cold, so the last available one has to stay
@@ -195,12 +195,12 @@
 // The order of the engines does not matter: routers that know the same engines make the same plan.
 func TestPlanIgnoresEngineOrder(t *testing.T) {
 	f := fleet(8, 8)
-	back := make([]Engine, 0, len(f))
+	reversed := make([]Engine, 0, len(f))
 	for i := range f {
-		back = append(back, f[len(f)-1-i])
+		reversed = append(reversed, f[len(f)-1-i])
 	}
 	a, _ := Solve(f, work(110000, 3000), costs())
-	b, _ := Solve(back, work(110000, 3000), costs())
+	b, _ := Solve(reversed, work(110000, 3000), costs())
 	if fmt.Sprint(a) != fmt.Sprint(b) || len(a.Moves) == 0 {
 		t.Errorf("plans differ, or are empty: %+v and %+v", a, b)
 	}
--- a/roles/predict_test.go
+++ b/roles/predict_test.go
@@ -25,14 +25,14 @@
 		if i < n/3 {
 			continue
 		}
-		came := 0.0
+		actual := 0.0
 		for _, v := range values[i+1 : i+1+horizon] {
-			came += v / float64(horizon)
+			actual += v / float64(horizon)
 		}
 		mean, square, _ := p.predict()
-		mix += (mean - came) * (mean - came)
-		simple += (s.once - came) * (s.once - came)
-		if math.Abs(mean-came) < 1.645*math.Sqrt(square) {
+		mix += (mean - actual) * (mean - actual)
+		simple += (s.once - actual) * (s.once - actual)
+		if math.Abs(mean-actual) < 1.645*math.Sqrt(square) {
 			inside++
 		}
 		scored++
@@ -107,12 +107,12 @@
 	rapid.Check(t, func(t *rapid.T) {
 		horizon := rapid.IntRange(1, 50).Draw(t, "horizon")
 		p := newPredictor(time.Duration(horizon) * bucket)
-		most := 0.0
+		maxValue := 0.0
 		for _, v := range rapid.SliceOfN(rapid.Float64Range(0, 1e9), 1, 300).Draw(t, "values") {
 			p.add(v)
-			most = math.Max(most, v)
+			maxValue = math.Max(maxValue, v)
 			mean, square, horizons := p.predict()
-			if math.IsNaN(mean) || mean < 0 || mean > 20*most+1 || math.IsNaN(square) || square < 0 || horizons < 0 {
+			if math.IsNaN(mean) || mean < 0 || mean > 20*maxValue+1 || math.IsNaN(square) || square < 0 || horizons < 0 {
 				t.Fatalf("%v %v %v after %v", mean, square, horizons, v)
 			}
 		}
