--- a/internal/day/bench.go
+++ b/internal/day/bench.go
@@ -128,8 +128,8 @@
 	s := DefaultScript()
 	s.File, s.Length, s.Load = path, us(d.Length), d.Traffic.Load
 	s.FrontNotice, s.DrainGrace, s.OverloadMultiple, s.OverloadWindow = us(d.Notice), us(d.DrainGrace), d.FallTimes, us(d.FallFor)
-	s.CrashListDelay, s.SilenceListDelay, s.StartListDelay = us(d.Discovery.Notice), us(d.Discovery.Silent), us(d.Discovery.Add)
-	s.HoldTimeout, s.Resume, s.LinkRate = us(d.Fam.Release), d.Fam.Resume, d.Fam.Far
+	s.CrashListDelay, s.UnresponsiveListDelay, s.StartListDelay = us(d.Discovery.Notice), us(d.Discovery.Silent), us(d.Discovery.Add)
+	s.HoldTimeout, s.Resume, s.LinkTokensPerSecond = us(d.Fam.Release), d.Fam.Resume, d.Fam.Far
 	s.InitialCapacity, s.SlowStartTime = d.Tiers[0].StartCapacity, us(d.Tiers[0].ColdFor)
 	s.MaxRetryAfter = us(d.Clients.MaxRetry)
 	s.Clients = Clients{Retries: d.Clients.Retries, Backoff: us(d.Clients.Wait), HonourShare: d.Clients.Honour, Patience: d.Clients.TryShare}
--- a/internal/day/run.go
+++ b/internal/day/run.go
@@ -135,7 +135,7 @@
 	var err error
 	p.fleet, err = fleet.Start(fleet.Config{
 		Groups: p.script.groups(),
-		Cells:  cells, ListPath: list, CrashListDelay: p.script.CrashListDelay, UnresponsiveListDelay: p.script.SilenceListDelay, StartListDelay: p.script.StartListDelay, LinkTokensPerSecond: p.script.LinkRate,
+		Cells:  cells, ListPath: list, CrashListDelay: p.script.CrashListDelay, UnresponsiveListDelay: p.script.UnresponsiveListDelay, StartListDelay: p.script.StartListDelay, LinkTokensPerSecond: p.script.LinkTokensPerSecond,
 		Seed: p.script.Seed, AuditLog: p.auditLog, Log: p.options.Log})
 	if err != nil {
 		return err
--- a/internal/day/script.go
+++ b/internal/day/script.go
@@ -92,12 +92,12 @@
 
 	Cells int
 	// Tokens a second out of a cell; 0: the engines' own rate.
-	LinkRate                                                      float64
-	CrashListDelay, SilenceListDelay, StartListDelay, FrontNotice time.Duration
-	Clients                                                       Clients
-	Classes                                                       []Class
-	Prefill, Decode                                               Group
-	Events                                                        []Event
+	LinkTokensPerSecond                                                float64
+	CrashListDelay, UnresponsiveListDelay, StartListDelay, FrontNotice time.Duration
+	Clients                                                            Clients
+	Classes                                                            []Class
+	Prefill, Decode                                                    Group
+	Events                                                             []Event
 
 	AnswerGrace, DrainGrace, HoldTimeout time.Duration
 	OverloadMultiple                     float64
@@ -119,8 +119,8 @@
 // DefaultScript returns a scenario without faults, of a size that one machine can run.
 func DefaultScript() Script {
 	return Script{
-		Length: time.Minute, Seed: 1, Speed: 1, Routers: 3, Cells: 2, LinkRate: 300e3, Load: 0.5,
-		CrashListDelay: 2 * time.Second, SilenceListDelay: 5 * time.Second, StartListDelay: time.Second, FrontNotice: 1500 * time.Millisecond,
+		Length: time.Minute, Seed: 1, Speed: 1, Routers: 3, Cells: 2, LinkTokensPerSecond: 300e3, Load: 0.5,
+		CrashListDelay: 2 * time.Second, UnresponsiveListDelay: 5 * time.Second, StartListDelay: time.Second, FrontNotice: 1500 * time.Millisecond,
 		Clients: Clients{Retries: 1, Backoff: 100 * time.Millisecond, HonourShare: 0.7, Patience: 1},
 		Prefill: Group{Prefix: "p", Count: 4, Spec: standin.Prefill()}, Decode: Group{Prefix: "d", Count: 6, Spec: standin.Decode()},
 		AnswerGrace: 16 * time.Millisecond, DrainGrace: time.Second, HoldTimeout: 300 * time.Millisecond,
@@ -180,7 +180,7 @@
 	top := []field{
 		{"length", parseDuration(&s.Length)}, {"seed", seed}, {"speed", parseNumber(&s.Speed)}, {"routers", parseCount(&s.Routers)},
 		{"rate", func(v string) (err error) { s.Rate, err = config.ParseRate(v); return }}, {"load", parseNumber(&s.Load)},
-		{"cells", parseCount(&s.Cells)}, {"link", parseTokens(&s.LinkRate)}, {"notice", parseDuration(&s.CrashListDelay)}, {"silent-notice", parseDuration(&s.SilenceListDelay)},
+		{"cells", parseCount(&s.Cells)}, {"link", parseTokens(&s.LinkTokensPerSecond)}, {"notice", parseDuration(&s.CrashListDelay)}, {"silent-notice", parseDuration(&s.UnresponsiveListDelay)},
 		{"add", parseDuration(&s.StartListDelay)}, {"front-notice", parseDuration(&s.FrontNotice)},
 		{"answer-grace", parseDuration(&s.AnswerGrace)}, {"drain-grace", parseDuration(&s.DrainGrace)}, {"let-go-within", parseDuration(&s.HoldTimeout)},
 		{"fall-multiple", parseNumber(&s.OverloadMultiple)}, {"fall-within", parseDuration(&s.OverloadWindow)}, {"start-capacity", parseNumber(&s.InitialCapacity)},
@@ -347,7 +347,7 @@
 			*d = time.Duration(float64(*d) / s.Speed)
 		}
 	}
-	f(&c.Length, &c.CrashListDelay, &c.SilenceListDelay, &c.StartListDelay, &c.FrontNotice, &c.Clients.Backoff, &c.OverloadWindow, &c.SlowStartTime, &c.MaxRetryAfter,
+	f(&c.Length, &c.CrashListDelay, &c.UnresponsiveListDelay, &c.StartListDelay, &c.FrontNotice, &c.Clients.Backoff, &c.OverloadWindow, &c.SlowStartTime, &c.MaxRetryAfter,
 		&c.DrainGrace, &c.RoleChangeTime)
 	for i := range c.Events {
 		f(&c.Events[i].At, &c.Events[i].Duration)
@@ -362,7 +362,7 @@
 	}
 	c.Prefill.Spec.SpeedUp(s.Speed)
 	c.Decode.Spec.SpeedUp(s.Speed)
-	c.LinkRate *= s.Speed
+	c.LinkTokensPerSecond *= s.Speed
 	c.Rate = s.rate() * s.Speed
 	for _, g := range []*Group{&c.Prefill, &c.Decode} {
 		g.Spec.OverloadMultiple, g.Spec.OverloadWindow = c.OverloadMultiple, c.OverloadWindow
@@ -470,8 +470,8 @@
 		fmt.Fprintf(&b, "# not carried over: %s\n", n)
 	}
 	fmt.Fprintf(&b, "length %v\nseed %d\nspeed %v\nrouters %d\nload %v\ncells %d\nlink %.0f\n", s.Length, s.Seed, s.Speed, s.Routers, s.Load,
-		s.Cells, s.LinkRate)
-	fmt.Fprintf(&b, "notice %v\nsilent-notice %v\nadd %v\nfront-notice %v\n", s.CrashListDelay, s.SilenceListDelay, s.StartListDelay, s.FrontNotice)
+		s.Cells, s.LinkTokensPerSecond)
+	fmt.Fprintf(&b, "notice %v\nsilent-notice %v\nadd %v\nfront-notice %v\n", s.CrashListDelay, s.UnresponsiveListDelay, s.StartListDelay, s.FrontNotice)
 	fmt.Fprintf(&b, "answer-grace %v\ndrain-grace %v\nlet-go-within %v\nfall-multiple %v\nfall-within %v\nstart-capacity %v\ncold-for %v\nretry-after %v\n",
 		s.AnswerGrace, s.DrainGrace, s.HoldTimeout, s.OverloadMultiple, s.OverloadWindow, s.InitialCapacity, s.SlowStartTime, s.MaxRetryAfter)
 	if s.TraceFile != "" {
--- a/internal/sim/scene.go
+++ b/internal/sim/scene.go
@@ -38,7 +38,7 @@
 		return decide.Class{FirstTokenTarget: decide.Second, FirstTokenTargetPerK: 40e6, Deadline: 4 * decide.Second, TokenIntervalTarget: 60e6, Value: value, LateValue: 0.2}
 	}
 	c := Config{Seed: s.Seed, Prefill: read, Decode: write, RoleChangeTime: 2 * time.Second, CheckInterval: time.Second, NetworkDelay: 300 * time.Microsecond,
-		LinkRate: 600e3, CrashListDelay: 3 * time.Second, StartListDelay: time.Second, MaxOutputTokens: 1000, DefaultOutputTokens: 100, DrainSlack: 10 * time.Millisecond, Trace: t}
+		LinkTokensPerSecond: 600e3, CrashListDelay: 3 * time.Second, StartListDelay: time.Second, MaxOutputTokens: 1000, DefaultOutputTokens: 100, DrainSlack: 10 * time.Millisecond, Trace: t}
 	c.Settings = decide.Settings{Routers: s.Routers, Classes: []decide.Class{class(3), class(1)}, MayCancel: true, MaxAttempts: 6,
 		MaxRetryAfter: decide.Second / 2, DialTimeout: decide.Second / 4, AnswerGrace: 16e6, DrainGrace: decide.Second, HoldTimeout: 300e6,
 		OverloadMultiple: read.OverloadMultiple, OverloadWindow: decide.Duration(read.OverloadWindow), InitialCapacity: read.InitialCapacity * 0.87,
--- a/internal/sim/sim.go
+++ b/internal/sim/sim.go
@@ -63,7 +63,7 @@
 	CheckInterval       time.Duration // between two role checks
 	Schedule            []SplitStep   // splits carried out at fixed times by asking the engines; requires Roles
 	NetworkDelay        time.Duration // one way
-	LinkRate            float64       // tokens a second out of a cell; 0: no limit
+	LinkTokensPerSecond float64       // tokens a second out of a cell; 0: no limit
 	CrashListDelay      time.Duration // time until the list shows a crash
 	StartListDelay      time.Duration // time until the list shows a start
 	Faults              []Fault
--- a/internal/sim/unit.go
+++ b/internal/sim/unit.go
@@ -318,8 +318,8 @@
 	}
 	tokens := float64(a.request.entry.PromptTokens)
 	d := s.cfg.NetworkDelay*2 + seconds(tokens/s.cfg.Decode.PortTokensPerSecond)
-	if from := a.from.engine.cell; from != u.cell && s.cfg.LinkRate > 0 {
-		free := max(s.links[from], s.now) + seconds(tokens/s.cfg.LinkRate)
+	if from := a.from.engine.cell; from != u.cell && s.cfg.LinkTokensPerSecond > 0 {
+		free := max(s.links[from], s.now) + seconds(tokens/s.cfg.LinkTokensPerSecond)
 		s.links[from] = free
 		d = max(d, free-s.now)
 	}
