--- a/internal/soak/badclient.go
+++ b/internal/soak/badclient.go
@@ -12,11 +12,11 @@
 	"mintdoor/internal/platform"
 )
 
-// badWithin is how long a bad client may be left without an error or a close.
-const badWithin = 3 * time.Second
+// badClientTimeout is how long a bad client may be left without an error or a close.
+const badClientTimeout = 3 * time.Second
 
-// nonsense is what bad clients send, by its kind.
-var nonsense = map[string]string{
+// badRequests is what bad clients send, by its kind.
+var badRequests = map[string]string{
 	"noise":              "\x00\x01\x02 not http\r\n\r\n",
 	"half a head":        "POST " + platform.ChatPath + " HTTP/1.1\r\nHost: a\r\nX-Corre",
 	"half a body":        "POST " + platform.ChatPath + " HTTP/1.1\r\nHost: a\r\nContent-Length: 500\r\n\r\n{\"model\":",
@@ -30,20 +30,20 @@
 	"a body that is bad": "POST " + platform.ChatPath + " HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: bad3\r\nX-Service-Class: price-ask\r\nX-Time-Left-Ms: 500\r\nContent-Length: 3\r\n\r\n{]}",
 }
 
-var nonsenseKinds = []string{"noise", "half a head", "half a body", "negative length", "huge length", "two lengths", "unknown class",
+var badRequestKinds = []string{"noise", "half a head", "half a body", "negative length", "huge length", "two lengths", "unknown class",
 	"no time", "no id", "nothing", "a body that is bad"}
 
-// misbehave is one bad client at a router.
-func (t *traffic) misbehave(r *Router, random *rand.Rand) {
-	kind := nonsenseKinds[random.IntN(len(nonsenseKinds))]
+// runBadClient is one bad client at a router.
+func (t *traffic) runBadClient(r *Router, random *rand.Rand) {
+	kind := badRequestKinds[random.IntN(len(badRequestKinds))]
 	c, err := dial(r)
 	if err != nil {
 		return
 	}
 	defer c.Close()
 	b := badClient{kind: kind, router: r.Index, began: time.Now()}
-	io.WriteString(c, nonsense[kind])
-	c.SetReadDeadline(b.began.Add(badWithin + answerSlack))
+	io.WriteString(c, badRequests[kind])
+	c.SetReadDeadline(b.began.Add(badClientTimeout + answerSlack))
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	var late net.Error
 	switch {
@@ -51,7 +51,7 @@
 		b.served = resp.StatusCode < 400
 		resp.Body.Close()
 	case errors.As(err, &late) && late.Timeout():
-		b.noWord = true
+		b.noResponse = true
 	}
 	b.waited = time.Since(b.began)
 	t.log.addBad(b)
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -18,15 +18,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// Times of clients.
+// Time-outs of clients.
 const (
-	dialWithin = 2 * time.Second
-	// answerSlack is how long beyond the deadline a client waits for a word, to tell a late answer from none.
+	dialTimeout = 2 * time.Second
+	// answerSlack is how long after the deadline a client still waits, to tell a late answer from none.
 	answerSlack = 3 * time.Second
-	// streamSilence is how long a client waits for the next event of a stream.
-	streamSilence = 8 * time.Second
-	// resetShows is how long after the end of a connection a reset may show behind it.
-	resetShows = 100 * time.Millisecond
+	// streamReadTimeout is how long a client waits for the next event of a stream.
+	streamReadTimeout = 8 * time.Second
+	// resetWait is how long after the end of a connection a reset may follow.
+	resetWait = 100 * time.Millisecond
 )
 
 // conn is a client's connection to a router.
@@ -37,83 +37,85 @@
 	uses   int
 }
 
+// dial connects to a router.
 func dial(r *Router) (*conn, error) {
-	c, err := net.DialTimeout("tcp", r.Addr, dialWithin)
+	c, err := net.DialTimeout("tcp", r.Addr, dialTimeout)
 	if err != nil {
 		return nil, err
 	}
 	return &conn{TCPConn: c.(*net.TCPConn), br: bufio.NewReader(c), router: r.Index}, nil
 }
 
-// manner is how a client behaves with one request.
-type manner struct {
-	pieces    int           // the request is written in so many pieces ...
-	pause     time.Duration // ... with so much time between them
-	leaves    time.Duration // the client leaves so long after its last byte; 0: it stays
-	byReset   bool          // with a reset
-	halfClose bool          // with the end of its sending only
-	behind    string        // is written behind the request before the client leaves
+// clientBehaviour is how a client behaves with one request.
+type clientBehaviour struct {
+	pieces       int           // the request is written in this many pieces ...
+	pause        time.Duration // ... with this pause between them
+	leaveAfter   time.Duration // the client leaves this long after its last byte; 0: it stays
+	leaveByReset bool          // leaves with a reset
+	halfClose    bool          // leaves by closing only its sending direction
+	trailing     string        // written after the request before the client leaves
 }
 
-// question is what a client asks.
-type question struct {
-	id    string
-	class *class
-	index int // of the class
-	left  time.Duration
-	key   string // session
+// clientRequest is a request of a client.
+type clientRequest struct {
+	id       string
+	class    *class
+	index    int // of the class
+	timeLeft time.Duration
+	key      string // session key
 }
 
-func (q *question) text(random *rand.Rand) string {
+// wireText returns the HTTP request.
+func (q *clientRequest) wireText(random *rand.Rand) string {
 	body := fmt.Sprintf(`{"model":"chat","stream":true,"max_tokens":100,"messages":[{"role":"user","content":%q}]}`,
 		strings.Repeat("x", random.IntN(2000)))
 	head := "POST " + platform.ChatPath + " HTTP/1.1\r\nHost: origin.svc\r\n" + platform.IDHeader + ": " + q.id + "\r\n" +
 		platform.ClassHeader + ": " + q.class.Name + "\r\n" + platform.SessionHeader + ": " + q.key + "\r\n" +
-		fmt.Sprintf("%s: %d\r\n", platform.TimeLeftHeader, q.left.Milliseconds()) +
+		fmt.Sprintf("%s: %d\r\n", platform.TimeLeftHeader, q.timeLeft.Milliseconds()) +
 		fmt.Sprintf("%s: prefix=%x,prompt_len=%d,prefix_len=200,max_out=100\r\n", platform.FactsHeader, random.IntN(8), 300+random.IntN(1500))
-	if q.class.Repeat == keyed {
+	if q.class.RetryPolicy == retryKeyed {
 		head += "Idempotency-Key: " + q.id + "\r\n"
 	}
-	if random.IntN(4) == 0 { // a legal form as good as the other
+	if random.IntN(4) == 0 { // an equally valid encoding
 		return head + fmt.Sprintf("Transfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", len(body), body)
 	}
 	return head + fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(body), body)
 }
 
 // exchange sends a request on a connection and reads its answer. It reports whether the connection can be used again.
-func (c *conn) exchange(q *question, m *manner, random *rand.Rand, log *askLog) (*ask, bool) {
-	a := &ask{id: q.id, class: q.index, router: c.router, left: q.left, first: c.uses == 0, began: time.Now()}
+func (c *conn) exchange(q *clientRequest, m *clientBehaviour, random *rand.Rand, log *requestLog) (*requestRecord, bool) {
+	a := &requestRecord{id: q.id, class: q.index, router: c.router, timeLeft: q.timeLeft, firstOnConn: c.uses == 0, startedAt: time.Now()}
 	c.uses++
 	defer log.add(a)
-	if !c.write(q.text(random), m) {
-		a.ending, a.ended = endUnread, time.Now()
+	if !c.write(q.wireText(random), m) {
+		a.ending, a.endedAt = endUnread, time.Now()
 		return a, false
 	}
-	a.sent = time.Now()
-	if m.leaves > 0 {
-		stop := time.AfterFunc(m.leaves, func() { c.leave(m) })
+	a.sentAt = time.Now()
+	if m.leaveAfter > 0 {
+		stop := time.AfterFunc(m.leaveAfter, func() { c.leave(m) })
 		defer stop.Stop()
 	}
 	reuse := c.read(a)
-	if m.leaves > 0 && time.Since(a.sent) >= m.leaves {
-		if quit := a.sent.Add(m.leaves); a.ended.IsZero() || !a.whole || quit.Before(a.ended) {
-			a.quit = quit
+	if m.leaveAfter > 0 && time.Since(a.sentAt) >= m.leaveAfter {
+		if quit := a.sentAt.Add(m.leaveAfter); a.endedAt.IsZero() || !a.complete || quit.Before(a.endedAt) {
+			a.leftAt = quit
 		}
 		return a, false
 	}
 	return a, reuse
 }
 
-// leave ends the connection in the client's way.
-func (c *conn) leave(m *manner) {
-	if m.behind != "" {
+// leave ends the connection in the way that the behaviour says.
+func (c *conn) leave(m *clientBehaviour) {
+	if m.trailing != "" {
 		c.SetWriteDeadline(time.Now().Add(time.Millisecond))
-		io.WriteString(c, m.behind)
+		io.WriteString(c, m.trailing)
 	}
 	switch {
 	case m.halfClose:
 		c.CloseWrite()
-	case m.byReset:
+	case m.leaveByReset:
 		c.SetLinger(0)
 		c.Close()
 	default:
@@ -121,7 +123,8 @@
 	}
 }
 
-func (c *conn) write(text string, m *manner) bool {
+// write writes the request in pieces. It returns false if the connection fails.
+func (c *conn) write(text string, m *clientBehaviour) bool {
 	n := max(m.pieces, 1)
 	for i := range n {
 		piece := text[len(text)*i/n : len(text)*(i+1)/n]
@@ -135,46 +138,47 @@
 	return true
 }
 
-// read reads the answer to a request that was written whole.
-func (c *conn) read(a *ask) bool {
-	defer func() { a.ended = time.Now() }()
+// read reads the answer to a request that was written completely.
+func (c *conn) read(a *requestRecord) bool {
+	defer func() { a.endedAt = time.Now() }()
 	c.SetReadDeadline(a.deadline().Add(answerSlack))
 	if _, err := c.br.Peek(1); err != nil {
-		a.ending = c.endedBy(err)
+		a.ending = c.endingOf(err)
 		return false
 	}
 	resp, err := http.ReadResponse(c.br, nil)
 	if err != nil {
-		a.ending, a.wrong = endBroken, "the head is malformed: "+err.Error()
+		a.ending, a.contentError = endBroken, "the response header is malformed: "+err.Error()
 		return false
 	}
-	a.status, a.answered = resp.StatusCode, time.Now()
+	a.status, a.answeredAt = resp.StatusCode, time.Now()
 	if resp.StatusCode != http.StatusOK {
 		if _, err := io.Copy(io.Discard, resp.Body); err != nil {
 			a.ending = endBroken
 			return false
 		}
-		a.whole = true
+		a.complete = true
 		return !resp.Close
 	}
 	if err := c.stream(a, resp.Body); err != nil {
 		a.ending = endBroken
 		return false
 	}
-	a.whole = true
+	a.complete = true
 	return !resp.Close
 }
 
-// stream reads the events of an answer to its end, and checks that they are one engine's for this request.
-func (c *conn) stream(a *ask, body io.Reader) error {
+// stream reads the events of an answer to its end, and checks that all of them come from one engine and belong to
+// this request.
+func (c *conn) stream(a *requestRecord, body io.Reader) error {
 	lines := bufio.NewReader(body)
 	engine, done := "", false
 	for n := 0; ; {
-		c.SetReadDeadline(time.Now().Add(streamSilence))
+		c.SetReadDeadline(time.Now().Add(streamReadTimeout))
 		line, err := lines.ReadString('\n')
 		if errors.Is(err, io.EOF) && line == "" {
 			if !done {
-				a.wrong = "the answer is whole without its last event"
+				a.contentError = "the answer is complete but its last event is missing"
 			}
 			return nil
 		}
@@ -193,17 +197,17 @@
 		request, from, number, ok := standin.ParseEvent(data)
 		switch {
 		case !ok || request != a.id || number != n || done:
-			a.wrong = fmt.Sprintf("event %d is %.80q", n, data)
+			a.contentError = fmt.Sprintf("event %d is %.80q", n, data)
 		case engine != "" && from != engine:
-			a.wrong = fmt.Sprintf("events of %s and %s", engine, from)
+			a.contentError = fmt.Sprintf("events of %s and %s", engine, from)
 		}
 		engine = from
 		n++
 	}
 }
 
-// endedBy tells how a connection ended on which no byte of an answer has come.
-func (c *conn) endedBy(err error) ending {
+// endingOf returns how a connection ended on which no byte of an answer has come.
+func (c *conn) endingOf(err error) ending {
 	var t net.Error
 	switch {
 	case errors.As(err, &t) && t.Timeout():
@@ -211,10 +215,10 @@
 	case errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE):
 		return endUnread
 	case !errors.Is(err, io.EOF):
-		return endNone // closed on this side
+		return endNone // closed by the client itself
 	}
-	// The router has ended its sending. If it left the request unread, a reset comes behind.
-	for until := time.Now().Add(resetShows); time.Now().Before(until); time.Sleep(time.Millisecond) {
+	// The router has closed its sending direction. If it left the request unread, a reset follows.
+	for until := time.Now().Add(resetWait); time.Now().Before(until); time.Sleep(time.Millisecond) {
 		if c.wasReset() {
 			return endUnread
 		}
@@ -222,13 +226,13 @@
 	return endClosed
 }
 
-// wasReset tells whether the connection is over in both directions.
+// wasReset reports whether the connection is closed in both directions.
 func (c *conn) wasReset() bool {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return true
 	}
-	const tcpClose = 7 // TCP_CLOSE of the kernel's states
+	const tcpClose = 7 // TCP_CLOSE of the kernel's connection states
 	over := false
 	raw.Control(func(fd uintptr) {
 		info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
@@ -237,8 +241,8 @@
 	return over
 }
 
-// stands tells whether nothing has come on a connection that rests.
-func (c *conn) stands() bool {
+// isIdleOpen reports whether an idle connection is still open and has received nothing.
+func (c *conn) isIdleOpen() bool {
 	if c.br.Buffered() > 0 {
 		return false
 	}
--- a/internal/soak/evidence.go
+++ b/internal/soak/evidence.go
@@ -9,33 +9,34 @@
 	standin "mintdoor/internal/standin/chat"
 )
 
-// evidence is all that was seen of a run.
+// evidence is everything that was recorded of a run.
 type evidence struct {
 	began   time.Time
 	routers int
 	classes []class
-	figures figures
-	work    standin.Timing
-	// readerSlots and writerSlots are how many requests an engine of a role does at once.
+	params  ruleParams
+	timing  standin.Timing
+	// readerSlots and writerSlots are how many requests an engine of a role processes at once.
 	readerSlots, writerSlots int
-	asks                     []*ask
-	bad                      []badClient
+	requests                 []*requestRecord
+	badClients               []badClient
 	record                   *standin.Record
-	lives                    [][]ProcessRun                // by router
-	told                     []map[string]time.Time        // by router and engine: since when it was told that the engine takes nothing new
-	starts                   map[string]time.Time          // of engines that were started cold
-	paths                    []map[string]*path            // by router and engine
-	lags                     []Pause                       // times in which the soak itself did not run
-	failed                   []string                      // starts of routers that failed
-	slack                    time.Duration                 // for a machine that is too slow
-	attempts                 map[string][]*standin.Attempt // by request, in their order
-	byID                     map[string]*ask
+	runs                     [][]ProcessRun                // by router
+	drainsReported           []map[string]time.Time        // by router and engine: when the router was told of a drain
+	coldStarts               map[string]time.Time          // start times of the engines that were started cold
+	reachability             []map[string]*reachability    // by router and engine
+	soakPauses               []Pause                       // intervals in which the soak itself did not run
+	failedStarts             []string                      // failed starts of routers
+	slack                    time.Duration                 // added to every allowed time, for a machine that is too slow
+	attempts                 map[string][]*standin.Attempt // by request, in the order of their last bytes
+	requestByID              map[string]*requestRecord
 }
 
+// index fills the maps from requests to their attempts and records.
 func (e *evidence) index() {
-	e.attempts, e.byID = map[string][]*standin.Attempt{}, map[string]*ask{}
-	for _, a := range e.asks {
-		e.byID[a.id] = a
+	e.attempts, e.requestByID = map[string][]*standin.Attempt{}, map[string]*requestRecord{}
+	for _, a := range e.requests {
+		e.requestByID[a.id] = a
 	}
 	for i := range e.record.Attempts {
 		a := &e.record.Attempts[i]
@@ -46,12 +47,15 @@
 	}
 }
 
-func (e *evidence) at(t time.Time) time.Duration { return t.Sub(e.began).Round(time.Millisecond) }
+// sinceStart returns the time since the start of the run, in whole milliseconds.
+func (e *evidence) sinceStart(t time.Time) time.Duration {
+	return t.Sub(e.began).Round(time.Millisecond)
+}
 
-// lifeAt returns the run of a router's process that was under way at a time; nil if there was none.
-func (e *evidence) lifeAt(router int, t time.Time) *ProcessRun {
-	for i := range e.lives[router] {
-		l := &e.lives[router][i]
+// runAt returns the run of a router's process that was in progress at a time, or nil if there was none.
+func (e *evidence) runAt(router int, t time.Time) *ProcessRun {
+	for i := range e.runs[router] {
+		l := &e.runs[router][i]
 		if !t.Before(l.Started) && (l.Exited.IsZero() || t.Before(l.Exited)) {
 			return l
 		}
@@ -59,9 +63,9 @@
 	return nil
 }
 
-// excused is how much later something may be between two times: for as long as the router's process was kept from running
-// beyond its terms, and the soak itself did not run.
-func (e *evidence) excused(router int, from, until time.Time) (late time.Duration) {
+// allowance returns how much later than usual something may happen between two times: the time for which the router's
+// process was paused longer than the rules allow, and the time in which the soak itself did not run.
+func (e *evidence) allowance(router int, from, until time.Time) (late time.Duration) {
 	late = e.slack
 	overlap := func(s Pause) time.Duration {
 		end := s.Until
@@ -74,25 +78,28 @@
 		}
 		return max(end.Sub(begin), 0)
 	}
-	for i := range e.lives[router] {
-		for _, s := range e.lives[router][i].Pauses {
-			if s.Until.IsZero() || s.Until.Sub(s.From) > mayBeHeldUp+lagTold {
+	for i := range e.runs[router] {
+		for _, s := range e.runs[router][i].Pauses {
+			if s.Until.IsZero() || s.Until.Sub(s.From) > maxProcessPause+pauseThreshold {
 				late += overlap(s)
 			}
 		}
 	}
-	for _, s := range e.lags {
+	for _, s := range e.soakPauses {
 		late += overlap(s)
 	}
 	return late
 }
 
-// lag is how much later than at one time something may be seen at another, as far as the soak itself is to blame.
-func (e *evidence) lag(from, until time.Time) time.Duration { return e.slack + e.notRun(from, until) }
+// soakAllowance returns how much later than at one time something may be seen at another, because the soak itself did
+// not run in between.
+func (e *evidence) soakAllowance(from, until time.Time) time.Duration {
+	return e.slack + e.soakPausedFor(from, until)
+}
 
-// notRun is for how long the soak itself did not run between two times.
-func (e *evidence) notRun(from, until time.Time) (sum time.Duration) {
-	for _, s := range e.lags {
+// soakPausedFor returns how long the soak itself did not run in pauses that overlap two times.
+func (e *evidence) soakPausedFor(from, until time.Time) (sum time.Duration) {
+	for _, s := range e.soakPauses {
 		if s.Until.After(from) && s.From.Before(until) {
 			sum += s.Until.Sub(s.From)
 		}
@@ -100,7 +107,8 @@
 	return sum
 }
 
-func (e *evidence) lastWriter(a *ask) *standin.Attempt {
+// lastWriter returns the last attempt of a request at a writer, or nil.
+func (e *evidence) lastWriter(a *requestRecord) *standin.Attempt {
 	list := e.attempts[a.id]
 	for i := len(list) - 1; i >= 0; i-- {
 		if list[i].Writer {
@@ -110,24 +118,24 @@
 	return nil
 }
 
-// story tells what is known of a request.
-func (e *evidence) story(a *ask) string {
+// describe returns what is known of a request, for a finding.
+func (e *evidence) describe(a *requestRecord) string {
 	var b strings.Builder
 	c := &e.classes[a.class]
-	fmt.Fprintf(&b, "; %s, sent %v, waits %v", c.Repeat, e.at(a.sent), a.left)
-	if !a.quit.IsZero() {
-		fmt.Fprintf(&b, ", left %v", e.at(a.quit))
+	fmt.Fprintf(&b, "; retry policy %s, sent at %v, deadline after %v", c.RetryPolicy, e.sinceStart(a.sentAt), a.timeLeft)
+	if !a.leftAt.IsZero() {
+		fmt.Fprintf(&b, ", client left at %v", e.sinceStart(a.leftAt))
 	}
 	if a.status != 0 {
-		fmt.Fprintf(&b, ", status %d at %v", a.status, e.at(a.answered))
+		fmt.Fprintf(&b, ", status %d at %v", a.status, e.sinceStart(a.answeredAt))
 	}
-	fmt.Fprintf(&b, ", ended %v whole %v", e.at(a.ended), a.whole)
+	fmt.Fprintf(&b, ", ended at %v, complete: %v", e.sinceStart(a.endedAt), a.complete)
 	for _, t := range e.attempts[a.id] {
-		fmt.Fprintf(&b, " | %s %v", t.Engine, e.at(t.LastByte))
+		fmt.Fprintf(&b, " | %s %v", t.Engine, e.sinceStart(t.LastByte))
 		if t.Ended.IsZero() {
-			b.WriteString(" out")
+			b.WriteString(" in flight")
 		} else {
-			fmt.Fprintf(&b, " %s %v", t.Outcome, e.at(t.Ended))
+			fmt.Fprintf(&b, " %s %v", t.Outcome, e.sinceStart(t.Ended))
 		}
 	}
 	return b.String()
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -11,68 +11,71 @@
 	standin "mintdoor/internal/standin/chat"
 )
 
-// fault is a kind of fault: how often it is drawn, and what it does. strike returns when the fault is over and undone.
+// fault is a kind of fault: how often it is drawn, and what it does. inject returns when the fault is over and
+// undone.
 type fault struct {
 	name   string
 	weight int
-	strike func(*injector, *rand.Rand)
+	inject func(*injector, *rand.Rand)
 }
 
 // faults are all kinds, in the order in which they are drawn.
 var faults = []fault{
-	{"SIGTERM", 14, (*injector).terminate},
-	{"SIGKILL", 5, (*injector).kill},
-	{"SIGSTOP, short", 12, (*injector).holdUp},
-	{"SIGSTOP, long", 3, (*injector).stop},
-	{"SIGHUP", 6, (*injector).reload},
-	{"cut", 6, (*injector).cut},
-	{"silence", 8, (*injector).silence},
-	{"connections forgotten", 5, (*injector).forget},
-	{"role silent", 2, (*injector).silentRole},
-	{"slow dials", 5, (*injector).slowDials},
-	{"dials that do not come up", 5, (*injector).stalledDials},
-	{"engines hang", 8, (*injector).hang},
-	{"engines fail", 8, (*injector).sicken},
-	{"engine dies", 4, (*injector).die},
-	{"engine drains", 6, (*injector).drain},
-	{"release", 1, (*injector).release},
-	{"engines vanish", 3, (*injector).vanish},
+	{"SIGTERM", 14, (*injector).terminateRouter},
+	{"SIGKILL", 5, (*injector).killRouter},
+	{"SIGSTOP, short", 12, (*injector).pauseBriefly},
+	{"SIGSTOP, long", 3, (*injector).pauseLong},
+	{"SIGHUP", 6, (*injector).changeAgents},
+	{"cut", 6, (*injector).resetConnections},
+	{"silence", 8, (*injector).dropTraffic},
+	{"connections forgotten", 5, (*injector).blackholeConnections},
+	{"role silent", 2, (*injector).dropTrafficOfRole},
+	{"slow dials", 5, (*injector).delayNewConnections},
+	{"dials that do not come up", 5, (*injector).stallDials},
+	{"engines hang", 8, (*injector).hangEngines},
+	{"engines fail", 8, (*injector).failEngines},
+	{"engine dies", 4, (*injector).killEngine},
+	{"engine drains", 6, (*injector).drainOne},
+	{"release", 1, (*injector).rollingReplacement},
+	{"engines vanish", 3, (*injector).loseGroups},
 	{"discovery down", 4, (*injector).discoveryDown},
-	{"watches silent", 4, (*injector).silentWatches},
+	{"watches silent", 4, (*injector).hangWatches},
 	{"watches reset", 4, (*injector).resetWatches},
 	{"bad clients", 6, (*injector).badClients},
-	{"crowd", 3, (*injector).crowd},
+	{"crowd", 3, (*injector).idleConnections},
 	{"burst", 4, (*injector).burst},
 }
 
-// injector strikes a world with faults and counts what they met. It is safe for concurrent use.
+// injector injects faults into a testbed and counts them. It is safe for concurrent use.
 type injector struct {
-	world   *Testbed
-	traffic *traffic
-	front   *front
-	kills   time.Duration // after SIGTERM, at the soonest
-	ready   time.Duration // within which a router has to be ready
+	testbed      *Testbed
+	traffic      *traffic
+	picker       *routerPicker
+	killDelay    time.Duration // minimum time from SIGTERM to SIGKILL
+	readyTimeout time.Duration // time within which a router has to be ready
 
-	mu      sync.Mutex
-	large   bool // a fault of many engines is under way
-	struck  map[string]int
-	busy    map[int]bool // routers whose process ends or starts
-	sick    map[string][]*standin.Behaviour
-	silent  map[*standin.Proxy]int
-	stalled map[*standin.Proxy]int
-	slow    map[*standin.Proxy]int
-	failed  []string // starts that failed
-	broken  error    // of the soak itself
+	mu           sync.Mutex
+	largeFault   bool // a fault of many engines is in progress
+	faultCounts  map[string]int
+	busyRouters  map[int]bool // routers whose process is stopping or starting
+	behaviours   map[string][]*standin.Behaviour
+	silent       map[*standin.Proxy]int
+	stalled      map[*standin.Proxy]int
+	slow         map[*standin.Proxy]int
+	failedStarts []string // failed starts of routers
+	injectErr    error    // an error of the soak itself
 }
 
-func newInjector(w *Testbed, t *traffic, f *front) *injector {
-	return &injector{world: w, traffic: t, front: f, kills: killAfter(w.opts.classes), ready: 30 * time.Second, struck: map[string]int{},
-		busy: map[int]bool{}, sick: map[string][]*standin.Behaviour{}, silent: map[*standin.Proxy]int{}, stalled: map[*standin.Proxy]int{},
+// newInjector returns an injector without faults.
+func newInjector(w *Testbed, t *traffic, f *routerPicker) *injector {
+	return &injector{testbed: w, traffic: t, picker: f, killDelay: minKillDelay(w.opts.classes), readyTimeout: 30 * time.Second, faultCounts: map[string]int{},
+		busyRouters: map[int]bool{}, behaviours: map[string][]*standin.Behaviour{}, silent: map[*standin.Proxy]int{}, stalled: map[*standin.Proxy]int{},
 		slow: map[*standin.Proxy]int{}}
 }
 
-// killAfter is the soonest time after SIGTERM at which a router is killed.
-func killAfter(classes []class) time.Duration {
+// minKillDelay returns the minimum time from SIGTERM to SIGKILL: the longest deadline of a class, at most 3 s, plus
+// 700 ms.
+func minKillDelay(classes []class) time.Duration {
 	longest := time.Duration(0)
 	for i := range classes {
 		longest = max(longest, classes[i].Deadline)
@@ -80,7 +83,7 @@
 	return min(longest, 3*time.Second) + 700*time.Millisecond
 }
 
-// run strikes with faults at random until ctx ends, and returns when all of them are over.
+// run injects random faults until ctx ends, and returns when all of them are over.
 func (in *injector) run(ctx context.Context, every time.Duration, seed uint64) {
 	random := rand.New(rand.NewPCG(seed, 2))
 	var work sync.WaitGroup
@@ -93,16 +96,17 @@
 			return
 		case <-pause.C:
 		}
-		f := draw(random)
+		f := drawFault(random)
 		own := rand.New(rand.NewPCG(seed, 10_000+n))
 		work.Go(func() {
 			in.count(f.name, 1)
-			f.strike(in, own)
+			f.inject(in, own)
 		})
 	}
 }
 
-func draw(random *rand.Rand) *fault {
+// drawFault draws a fault by the weights.
+func drawFault(random *rand.Rand) *fault {
 	sum := 0
 	for i := range faults {
 		sum += faults[i].weight
@@ -116,21 +120,24 @@
 	return &faults[0]
 }
 
+// count adds to the count of a fault.
 func (in *injector) count(what string, n int) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	in.struck[what] += n
+	in.faultCounts[what] += n
 }
 
-// between draws a time.
-func between(random *rand.Rand, least, most time.Duration) time.Duration {
+// randomDuration draws a duration between two limits.
+func randomDuration(random *rand.Rand, least, most time.Duration) time.Duration {
 	return least + time.Duration(random.Int64N(int64(most-least)+1))
 }
 
+// millis returns a number of milliseconds as a duration.
 func millis(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// hold applies something to paths that no other fault applies already, and takes it back after a while.
-func (in *injector) hold(held map[*standin.Proxy]int, paths []*standin.Proxy, d time.Duration, begin, end func(*standin.Proxy) error) {
+// applyFor applies a fault to proxies, except those to which another call applies it already, and reverts it after a
+// duration on those to which no other call still applies it.
+func (in *injector) applyFor(held map[*standin.Proxy]int, paths []*standin.Proxy, d time.Duration, begin, end func(*standin.Proxy) error) {
 	in.mu.Lock()
 	var fresh []*standin.Proxy
 	for _, p := range paths {
@@ -139,7 +146,7 @@
 		}
 	}
 	in.mu.Unlock()
-	in.atOnce(fresh, begin)
+	in.inParallel(fresh, begin)
 	time.Sleep(d)
 	in.mu.Lock()
 	var last []*standin.Proxy
@@ -150,17 +157,17 @@
 		}
 	}
 	in.mu.Unlock()
-	in.atOnce(last, end)
+	in.inParallel(last, end)
 }
 
-// atOnce does something to all of some proxies side by side. What fails is a fault of the soak's own.
-func (in *injector) atOnce(proxies []*standin.Proxy, do func(*standin.Proxy) error) {
+// inParallel calls do for each proxy concurrently. A failure is an error of the soak itself.
+func (in *injector) inParallel(proxies []*standin.Proxy, do func(*standin.Proxy) error) {
 	var work sync.WaitGroup
 	for _, p := range proxies {
 		work.Go(func() {
 			if err := do(p); err != nil && !errors.Is(err, net.ErrClosed) {
 				in.mu.Lock()
-				in.broken = err
+				in.injectErr = err
 				in.mu.Unlock()
 			}
 		})
--- a/internal/soak/faults_discovery.go
+++ b/internal/soak/faults_discovery.go
@@ -1,6 +1,6 @@
 package soak
 
-// Faults of discovery.
+// Discovery faults.
 
 import (
 	"math/rand/v2"
@@ -8,44 +8,46 @@
 	"time"
 )
 
-// discoveryDown has all agents silent for a while. Engines begin to drain in that time and right after it.
+// discoveryDown makes all agents unresponsive for a while. Engines begin to drain during that time and right after
+// it.
 func (in *injector) discoveryDown(random *rand.Rand) {
-	in.world.Directory.BeginOutage()
+	in.testbed.Directory.BeginOutage()
 	var beside sync.WaitGroup
 	defer beside.Wait()
 	drain := func() {
-		if e := in.retire(random); e != nil {
+		if e := in.claimEngine(random); e != nil {
 			in.count("drains around an outage of discovery", 1)
 			own := rand.New(rand.NewPCG(random.Uint64(), 4))
 			beside.Go(func() { in.drainEngine(e, own) })
 		}
 	}
-	down := between(random, millis(500), millis(5000))
+	down := randomDuration(random, millis(500), millis(5000))
 	time.Sleep(down / 2)
 	drain()
 	time.Sleep(down / 2)
-	in.world.Directory.EndOutage()
-	time.Sleep(between(random, 0, millis(600)))
+	in.testbed.Directory.EndOutage()
+	time.Sleep(randomDuration(random, 0, millis(600)))
 	drain()
 }
 
-// silentWatches has open watches fall silent, and an engine drain right after.
-func (in *injector) silentWatches(random *rand.Rand) {
-	for _, r := range in.world.Routers {
+// hangWatches makes open watches hang, and drains an engine right after.
+func (in *injector) hangWatches(random *rand.Rand) {
+	for _, r := range in.testbed.Routers {
 		if random.IntN(4) > 0 {
 			r.CurrentAgent().HangWatches()
 		}
 	}
-	time.Sleep(between(random, 0, millis(800)))
-	in.drain(random)
+	time.Sleep(randomDuration(random, 0, millis(800)))
+	in.drainOne(random)
 }
 
+// resetWatches resets the connections to agents, and drains an engine right after.
 func (in *injector) resetWatches(random *rand.Rand) {
-	for _, r := range in.world.Routers {
+	for _, r := range in.testbed.Routers {
 		if random.IntN(4) > 0 {
 			r.CurrentAgent().ResetWatches()
 		}
 	}
-	time.Sleep(between(random, 0, millis(300)))
-	in.drain(random)
+	time.Sleep(randomDuration(random, 0, millis(300)))
+	in.drainOne(random)
 }
--- a/internal/soak/faults_engines.go
+++ b/internal/soak/faults_engines.go
@@ -1,6 +1,6 @@
 package soak
 
-// Faults of engines.
+// Engine faults.
 
 import (
 	"math/rand/v2"
@@ -10,35 +10,35 @@
 	standin "mintdoor/internal/standin/chat"
 )
 
-// someEngines picks a part of the engines, one at least.
-func (in *injector) someEngines(random *rand.Rand, most float64) []*standin.Engine {
-	all := in.world.Engines()
+// pickEngines picks a random subset of the engines, at least one.
+func (in *injector) pickEngines(random *rand.Rand, most float64) []*standin.Engine {
+	all := in.testbed.Engines()
 	random.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 	n := 1 + random.IntN(max(int(most*float64(len(all))), 1))
 	return all[:min(n, len(all))]
 }
 
-// afflict has engines behave in some way until the function that it returns is called. What several faults ask of one
-// engine is added.
-func (in *injector) afflict(engines []*standin.Engine, b standin.Behaviour) (release func()) {
+// applyBehaviour gives engines a behaviour until the returned function is called. The behaviours that several faults
+// give one engine are combined.
+func (in *injector) applyBehaviour(engines []*standin.Engine, b standin.Behaviour) (release func()) {
 	for _, e := range engines {
 		in.mu.Lock()
-		in.sick[e.ID()] = append(in.sick[e.ID()], &b)
-		e.SetBehaviour(sum(in.sick[e.ID()]))
+		in.behaviours[e.ID()] = append(in.behaviours[e.ID()], &b)
+		e.SetBehaviour(combineBehaviours(in.behaviours[e.ID()]))
 		in.mu.Unlock()
 	}
 	return func() {
 		for _, e := range engines {
 			in.mu.Lock()
-			in.sick[e.ID()] = slices.DeleteFunc(in.sick[e.ID()], func(of *standin.Behaviour) bool { return of == &b })
-			e.SetBehaviour(sum(in.sick[e.ID()]))
+			in.behaviours[e.ID()] = slices.DeleteFunc(in.behaviours[e.ID()], func(of *standin.Behaviour) bool { return of == &b })
+			e.SetBehaviour(combineBehaviours(in.behaviours[e.ID()]))
 			in.mu.Unlock()
 		}
 	}
 }
 
-// sum adds up behaviours.
-func sum(all []*standin.Behaviour) (out standin.Behaviour) {
+// combineBehaviours returns the worst of each part of several behaviours.
+func combineBehaviours(all []*standin.Behaviour) (out standin.Behaviour) {
 	for _, b := range all {
 		out.Hang = out.Hang || b.Hang
 		out.Refuse = max(out.Refuse, b.Refuse)
@@ -56,63 +56,67 @@
 	return out
 }
 
-func (in *injector) hang(random *rand.Rand) {
-	release := in.afflict(in.someEngines(random, 0.5), standin.Behaviour{Hang: true})
-	time.Sleep(between(random, millis(300), millis(4000)))
+// hangEngines makes up to half of the engines hang.
+func (in *injector) hangEngines(random *rand.Rand) {
+	release := in.applyBehaviour(in.pickEngines(random, 0.5), standin.Behaviour{Hang: true})
+	time.Sleep(randomDuration(random, millis(300), millis(4000)))
 	release()
 }
 
-// sicken has a few engines fail in random ways.
-func (in *injector) sicken(random *rand.Rand) {
+// failEngines makes a few engines fail in random ways.
+func (in *injector) failEngines(random *rand.Rand) {
 	share := func() float64 {
 		if random.IntN(3) > 0 {
 			return 0
 		}
 		return 0.5 * random.Float64()
 	}
-	release := in.afflict(in.someEngines(random, 0.3), standin.Behaviour{Refuse: share(), Fail: share(), ResetAtStart: share(),
+	release := in.applyBehaviour(in.pickEngines(random, 0.3), standin.Behaviour{Refuse: share(), Fail: share(), ResetAtStart: share(),
 		ResetInStream: share(), MalformedAnswer: share(), MalformedStream: share(), EndlessHeader: share() / 2, DuplicateAnswer: share(),
 		InterimResponse: share(), CloseAfterAnswer: 2 * share(), Slowdown: 1 + 4*share()})
-	time.Sleep(between(random, millis(500), millis(5000)))
+	time.Sleep(randomDuration(random, millis(500), millis(5000)))
 	release()
 }
 
-// leastOfRole is how many engines of a role stay.
-const leastOfRole = 3
+// minEnginesPerRole is how many engines of a role are always kept.
+const minEnginesPerRole = 3
 
-// retire picks an engine that may go, and holds the others; nil if its role would run short.
-func (in *injector) retire(random *rand.Rand) *standin.Engine {
-	all := in.world.Engines()
+// claimEngine picks an engine that may be removed, and claims it so that no other fault removes it. It returns nil if
+// too few of its role would be left, or if it is claimed already.
+func (in *injector) claimEngine(random *rand.Rand) *standin.Engine {
+	all := in.testbed.Engines()
 	e := all[random.IntN(len(all))]
-	if in.world.ReadyEngines(e.Writer()) <= leastOfRole || !in.world.ClaimForRemoval(e.ID()) {
+	if in.testbed.ReadyEngines(e.Writer()) <= minEnginesPerRole || !in.testbed.ClaimForRemoval(e.ID()) {
 		return nil
 	}
 	return e
 }
 
-// replace starts a new engine in the place of one that has gone.
-func (in *injector) replace(writer bool) {
-	if err := in.world.AddEngines(1, writer, time.Now().UnixMilli()); err == nil {
+// startReplacement starts a cold engine in place of one that was removed.
+func (in *injector) startReplacement(writer bool) {
+	if err := in.testbed.AddEngines(1, writer, time.Now().UnixMilli()); err == nil {
 		in.count("engines started cold", 1)
 	}
 }
 
-func (in *injector) die(random *rand.Rand) {
-	e := in.retire(random)
+// killEngine kills an engine, which leaves the list later, and replaces it.
+func (in *injector) killEngine(random *rand.Rand) {
+	e := in.claimEngine(random)
 	if e == nil {
 		in.count("engine dies, skipped", 1)
 		return
 	}
 	e.Kill()
-	time.Sleep(between(random, millis(300), millis(3000)))
-	in.world.UnlistEngines(e.ID())
-	time.Sleep(between(random, millis(200), millis(1000)))
-	in.world.RemoveEngine(e.ID())
-	in.replace(e.Writer())
+	time.Sleep(randomDuration(random, millis(300), millis(3000)))
+	in.testbed.UnlistEngines(e.ID())
+	time.Sleep(randomDuration(random, millis(200), millis(1000)))
+	in.testbed.RemoveEngine(e.ID())
+	in.startReplacement(e.Writer())
 }
 
-func (in *injector) drain(random *rand.Rand) {
-	e := in.retire(random)
+// drainOne drains an engine, removes it and replaces it.
+func (in *injector) drainOne(random *rand.Rand) {
+	e := in.claimEngine(random)
 	if e == nil {
 		in.count("engine drains, skipped", 1)
 		return
@@ -120,11 +124,12 @@
 	in.drainEngine(e, random)
 }
 
+// drainEngine drains a claimed engine, removes it and replaces it.
 func (in *injector) drainEngine(e *standin.Engine, random *rand.Rand) {
-	in.world.DrainEngines(e.ID())
-	time.Sleep(between(random, millis(2500), millis(6000)))
-	in.world.UnlistEngines(e.ID())
+	in.testbed.DrainEngines(e.ID())
+	time.Sleep(randomDuration(random, millis(2500), millis(6000)))
+	in.testbed.UnlistEngines(e.ID())
 	time.Sleep(millis(500))
-	in.world.RemoveEngine(e.ID())
-	in.replace(e.Writer())
+	in.testbed.RemoveEngine(e.ID())
+	in.startReplacement(e.Writer())
 }
--- a/internal/soak/faults_fleet.go
+++ b/internal/soak/faults_fleet.go
@@ -1,6 +1,6 @@
 package soak
 
-// Faults of many engines at once. They strike where engines are many, one at a time.
+// Faults of many engines at once. They are injected only if there are many engines, and one at a time.
 
 import (
 	"math/rand/v2"
@@ -10,104 +10,106 @@
 )
 
 const (
-	// manyEngines is from how many engines on faults of many strike.
-	manyEngines = 100
-	// releaseSteps is in how many steps engines are replaced.
+	// minEnginesForLargeFault is the number of engines from which on these faults are injected.
+	minEnginesForLargeFault = 100
+	// releaseSteps is the number of steps in which engines are replaced.
 	releaseSteps = 8
 )
 
-// beginLarge tells whether a fault of many engines may begin.
+// beginLarge reports whether a fault of many engines may begin, and marks it as begun.
 func (in *injector) beginLarge() bool {
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	if in.large || len(in.world.Engines()) < manyEngines {
+	if in.largeFault || len(in.testbed.Engines()) < minEnginesForLargeFault {
 		return false
 	}
-	in.large = true
+	in.largeFault = true
 	return true
 }
 
+// endLarge marks the end of a fault of many engines.
 func (in *injector) endLarge() {
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	in.large = false
+	in.largeFault = false
 }
 
-// release replaces up to half of the engines, in steps: each drains, and a cold one comes for it.
-func (in *injector) release(random *rand.Rand) {
+// rollingReplacement replaces up to half of the engines in steps, as the release of a new version does: each drains,
+// and a cold one replaces it.
+func (in *injector) rollingReplacement(random *rand.Rand) {
 	if !in.beginLarge() {
 		in.count("release, skipped", 1)
 		return
 	}
 	defer in.endLarge()
-	leaving := in.claimSome(in.someEngines(random, 0.5))
+	leaving := in.claimEngines(in.pickEngines(random, 0.5))
 	in.count("engines replaced in releases", len(leaving))
 	size := (len(leaving) + releaseSteps - 1) / releaseSteps
 	for len(leaving) > 0 {
 		step := leaving[:min(size, len(leaving))]
 		leaving = leaving[len(step):]
-		in.world.DrainEngines(ids(step)...)
-		in.replaceAll(step)
-		time.Sleep(between(random, millis(100), millis(800)))
-		time.AfterFunc(between(random, millis(2500), millis(4000)), func() { in.takeAway(step) })
+		in.testbed.DrainEngines(engineIDs(step)...)
+		in.startReplacements(step)
+		time.Sleep(randomDuration(random, millis(100), millis(800)))
+		time.AfterFunc(randomDuration(random, millis(2500), millis(4000)), func() { in.removeEngines(step) })
 	}
 	time.Sleep(millis(5000))
 }
 
-// vanish has all engines of some networks fall silent, as in a zone that is lost. The list tells it later, and later yet cold
-// ones come for them.
-func (in *injector) vanish(random *rand.Rand) {
+// loseGroups drops the traffic of all engines of some networks, as in the loss of a zone. The list reports it with a
+// delay, and cold engines replace the lost ones after a further delay.
+func (in *injector) loseGroups(random *rand.Rand) {
 	if !in.beginLarge() {
 		in.count("engines vanish, skipped", 1)
 		return
 	}
 	defer in.endLarge()
-	lost := map[*group]bool{}
+	lost := map[*engineGroup]bool{}
 	var paths []*standin.Proxy
-	for _, g := range in.someGroups(random, 0.4) {
+	for _, g := range in.pickGroups(random, 0.4) {
 		lost[g] = true
 		paths = append(paths, g.proxies...)
 	}
 	var engines []*standin.Engine
-	for _, e := range in.world.Engines() {
-		if lost[in.world.groupOfEngine(e.ID())] {
+	for _, e := range in.testbed.Engines() {
+		if lost[in.testbed.groupOfEngine(e.ID())] {
 			engines = append(engines, e)
 		}
 	}
 	told := make(chan struct{})
-	listedAfter := between(random, millis(1000), millis(4000))
+	listedAfter := randomDuration(random, millis(1000), millis(4000))
 	go func() {
 		defer close(told)
 		time.Sleep(listedAfter)
-		engines = in.claimSome(engines)
-		in.takeAway(engines)
+		engines = in.claimEngines(engines)
+		in.removeEngines(engines)
 	}()
-	in.beSilent(paths, listedAfter+between(random, millis(500), millis(2500)))
+	in.dropTrafficFor(paths, listedAfter+randomDuration(random, millis(500), millis(2500)))
 	<-told
 	in.count("engines vanished", len(engines))
-	in.replaceAll(engines)
+	in.startReplacements(engines)
 }
 
-// claimSome claims engines that are to go, as long as enough of their role stay.
-func (in *injector) claimSome(engines []*standin.Engine) (claimed []*standin.Engine) {
+// claimEngines claims engines that are to be removed, as long as enough of their role are left.
+func (in *injector) claimEngines(engines []*standin.Engine) (claimed []*standin.Engine) {
 	for _, e := range engines {
-		if in.world.ReadyEngines(e.Writer()) > leastOfRole && in.world.ClaimForRemoval(e.ID()) {
+		if in.testbed.ReadyEngines(e.Writer()) > minEnginesPerRole && in.testbed.ClaimForRemoval(e.ID()) {
 			claimed = append(claimed, e)
 		}
 	}
 	return claimed
 }
 
-// takeAway takes engines off the list and ends them.
-func (in *injector) takeAway(engines []*standin.Engine) {
-	in.world.UnlistEngines(ids(engines)...)
+// removeEngines takes engines off the list and stops them.
+func (in *injector) removeEngines(engines []*standin.Engine) {
+	in.testbed.UnlistEngines(engineIDs(engines)...)
 	for _, e := range engines {
-		in.world.RemoveEngine(e.ID())
+		in.testbed.RemoveEngine(e.ID())
 	}
 }
 
-// replaceAll starts a cold engine for each of some, and lists them in one change.
-func (in *injector) replaceAll(engines []*standin.Engine) {
+// startReplacements starts a cold engine for each of the given ones, and lists those of each role in one change.
+func (in *injector) startReplacements(engines []*standin.Engine) {
 	now := time.Now().UnixMilli()
 	for _, writers := range []bool{false, true} {
 		n := 0
@@ -116,13 +118,14 @@
 				n++
 			}
 		}
-		if n > 0 && in.world.AddEngines(n, writers, now) == nil {
+		if n > 0 && in.testbed.AddEngines(n, writers, now) == nil {
 			in.count("engines started cold", n)
 		}
 	}
 }
 
-func ids(engines []*standin.Engine) (out []string) {
+// engineIDs returns the ids of engines.
+func engineIDs(engines []*standin.Engine) (out []string) {
 	for _, e := range engines {
 		out = append(out, e.ID())
 	}
--- a/internal/soak/front.go
+++ b/internal/soak/front.go
@@ -5,26 +5,27 @@
 	"sync"
 )
 
-// front spreads clients over the routers that it takes to be up. It learns late that one is not.
-type front struct {
+// routerPicker spreads clients over the routers that it considers up. It is told with a delay that a router is down.
+type routerPicker struct {
 	mu      sync.Mutex
 	routers []*Router
 	up      []bool
 }
 
-func newFront(routers []*Router) *front {
-	return &front{routers: routers, up: make([]bool, len(routers))}
+// newRouterPicker returns a picker that considers all routers down.
+func newRouterPicker(routers []*Router) *routerPicker {
+	return &routerPicker{routers: routers, up: make([]bool, len(routers))}
 }
 
-// notice takes a router in or out.
-func (f *front) notice(router int, up bool) {
+// setUp marks a router as up or down.
+func (f *routerPicker) setUp(router int, up bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.up[router] = up
 }
 
-// pick returns a router that is taken to be up; nil if none is.
-func (f *front) pick(random *rand.Rand) *Router {
+// pick returns a random router that is considered up, or nil if there is none.
+func (f *routerPicker) pick(random *rand.Rand) *Router {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n := len(f.routers)
--- a/internal/soak/judge.go
+++ b/internal/soak/judge.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// Finding is an invariant that did not hold.
+// Finding is an invariant that was violated.
 type Finding struct {
 	Rule    string
 	Request string
 	Router  int
-	At      time.Duration // since the run's begin
+	At      time.Duration // since the start of the run
 	Text    string
 }
 
-// The rules.
+// The rules. Their names are printed in the report.
 const (
 	ruleLost       = "lost"
 	ruleRefused    = "refused after a run"
@@ -34,26 +34,27 @@
 	ruleUnknown    = "call that no client made"
 )
 
-// Terms of the rules, as the platform has them, with what is added to every time on sockets.
+// Limits of the rules as the platform sets them, and the tolerances that are added because times are measured on
+// sockets.
 const (
-	socketSlack   = 50 * time.Millisecond
-	answerLate    = 500 * time.Millisecond // beyond the deadline
-	owedAfterTerm = 700 * time.Millisecond // requests that come later have to be answered before the kill
-	leaveGrace    = 100 * time.Millisecond
-	deadlineSlack = 150 * time.Millisecond
-	holdSlack     = 300 * time.Millisecond
-	brokenWithin  = 5 * time.Second // for the end of a connection whose stream has broken
-	told          = 6 * time.Second // after which a change counts as told
-	eventDelay    = 300 * time.Millisecond
-	delayedShare  = 0.1
-	mayBeHeldUp   = 150 * time.Millisecond // a process
+	socketSlack         = 50 * time.Millisecond
+	answerTolerance     = 500 * time.Millisecond // after the deadline
+	answerDueWindow     = 700 * time.Millisecond // after SIGTERM; later requests have to be answered before the kill
+	clientLeftGrace     = 100 * time.Millisecond
+	deadlineTolerance   = 150 * time.Millisecond
+	holdSlack           = 300 * time.Millisecond
+	brokenStreamTimeout = 5 * time.Second // until a connection whose stream has broken is closed
+	maxReportDelay      = 6 * time.Second // after which a router counts as told of a change
+	maxEventDelay       = 300 * time.Millisecond
+	maxDelayedShare     = 0.1
+	maxProcessPause     = 150 * time.Millisecond // longest pause of a process that the rules allow for
 )
 
-// judge checks all invariants.
-func judge(e *evidence) []Finding {
+// evaluate checks all invariants and returns the violations in the order of their times.
+func evaluate(e *evidence) []Finding {
 	var out []Finding
-	for _, check := range []func(*evidence) []Finding{(*evidence).answers, (*evidence).attemptsOfRequests, (*evidence).drains,
-		(*evidence).slowStarts, (*evidence).holds, (*evidence).badClients, (*evidence).processes, (*evidence).delays} {
+	for _, check := range []func(*evidence) []Finding{(*evidence).checkAnswers, (*evidence).checkAttempts, (*evidence).checkDrains,
+		(*evidence).checkSlowStarts, (*evidence).checkHolds, (*evidence).checkBadClients, (*evidence).checkProcesses, (*evidence).checkDelays} {
 		out = append(out, check(e)...)
 	}
 	slices.SortStableFunc(out, func(a, b Finding) int { return cmp.Compare(a.At, b.At) })
--- a/internal/soak/judge_answers.go
+++ b/internal/soak/judge_answers.go
@@ -1,6 +1,6 @@
 package soak
 
-// What clients got.
+// Checks of what clients received.
 
 import (
 	"fmt"
@@ -10,89 +10,90 @@
 	standin "mintdoor/internal/standin/chat"
 )
 
-// answers checks what every client got.
-func (e *evidence) answers() (out []Finding) {
-	for _, a := range e.asks {
+// checkAnswers checks what every client received.
+func (e *evidence) checkAnswers() (out []Finding) {
+	for _, a := range e.requests {
 		add := func(rule, format string, args ...any) {
-			out = append(out, Finding{Rule: rule, Request: a.id, Router: a.router, At: e.at(a.began),
-				Text: strings.TrimSpace(a.note + " " + fmt.Sprintf(format, args...) + e.story(a))})
+			out = append(out, Finding{Rule: rule, Request: a.id, Router: a.router, At: e.sinceStart(a.startedAt),
+				Text: strings.TrimSpace(a.note + " " + fmt.Sprintf(format, args...) + e.describe(a))})
 		}
-		if a.wrong != "" {
-			add(ruleContent, "%s", a.wrong)
+		if a.contentError != "" {
+			add(ruleContent, "%s", a.contentError)
 		}
-		if a.sent.IsZero() || !a.quit.IsZero() || a.ending == endUnread || a.ending == endNone && !a.whole {
-			continue // it was never whole, or nobody is there to get the answer, or the router has not read it
+		if a.sentAt.IsZero() || !a.leftAt.IsZero() || a.ending == endUnread || a.ending == endNone && !a.complete {
+			continue // it was never sent completely, or the client has left, or the router has not read it
 		}
-		late := answerLate + socketSlack + e.excused(a.router, a.sent, a.ended)
+		late := answerTolerance + socketSlack + e.allowance(a.router, a.sentAt, a.endedAt)
 		switch {
-		case e.freed(a):
+		case e.excusedByExit(a):
 		case a.status == 0:
 			add(ruleLost, "%s", a.ending)
-		case a.answered.After(a.deadline().Add(late)):
-			add(ruleLost, "answered %v after its deadline", a.answered.Sub(a.deadline()))
-		case !a.whole:
-			e.cutStream(a, add)
-		case a.refused() && e.mayHaveRun(a) && !e.mayRefuse(a):
+		case a.answeredAt.After(a.deadline().Add(late)):
+			add(ruleLost, "answered %v after the deadline", a.answeredAt.Sub(a.deadline()))
+		case !a.complete:
+			e.checkCutStream(a, add)
+		case a.refused() && e.mayHaveExecuted(a) && !e.mayRefuse(a):
 			add(ruleRefused, "status %d", a.status)
-		case a.status == 200 && !e.streamed(a):
+		case a.status == 200 && !e.servedByEngine(a):
 			add(ruleContent, "no engine has written this answer to its end")
 		}
 	}
 	return out
 }
 
-// freed tells whether a process's end frees a request of its answer: a kill without a word before, or one after SIGTERM if
-// the request came soon after that.
-func (e *evidence) freed(a *ask) bool {
-	l := e.lifeAt(a.router, a.sent)
+// excusedByExit reports whether the end of a process excuses a missing answer: the process was killed without a
+// SIGTERM before, or it was killed after SIGTERM and the request came soon after that signal.
+func (e *evidence) excusedByExit(a *requestRecord) bool {
+	l := e.runAt(a.router, a.sentAt)
 	if l == nil {
-		return true // nobody was there to take it
+		return true // no process was there to accept it
 	}
 	end := l.Exited
-	if end.IsZero() || a.whole {
+	if end.IsZero() || a.complete {
 		return false
 	}
-	if l.Killed.IsZero() || !a.ended.IsZero() && a.ended.Before(l.Killed) {
-		return false // the process has ended by itself, or the client had its end before
+	if l.Killed.IsZero() || !a.endedAt.IsZero() && a.endedAt.Before(l.Killed) {
+		return false // the process has ended by itself, or the client's connection had ended before the kill
 	}
-	return l.Terminated.IsZero() || a.sent.Before(l.Terminated.Add(owedAfterTerm))
+	return l.Terminated.IsZero() || a.sentAt.Before(l.Terminated.Add(answerDueWindow))
 }
 
-// cutStream checks an answer that was cut off: its engine has to be the one that ended it.
-func (e *evidence) cutStream(a *ask, add func(rule, format string, args ...any)) {
+// checkCutStream checks an answer that was cut off: its engine has to be the one that ended it.
+func (e *evidence) checkCutStream(a *requestRecord, add func(rule, format string, args ...any)) {
 	last := e.lastWriter(a)
 	switch {
 	case last == nil:
-		add(ruleContent, "a stream without an attempt at a writer")
+		add(ruleContent, "the answer is a stream but there was no attempt at a writer")
 	case last.ConnLost:
-		e.leftWaiting(a, last, add)
-	case last.Outcome == standin.Streamed && !stoppedWriting(a):
-		add(ruleLost, "cut off though its engine has written it to its end")
-	case last.Outcome == standin.Cancelled && !stoppedWriting(a):
+		e.checkStalledStream(a, last, add)
+	case last.Outcome == standin.Streamed && !eventsStopped(a):
+		add(ruleLost, "cut off although its engine has written it to its end")
+	case last.Outcome == standin.Cancelled && !eventsStopped(a):
 		add(ruleLost, "cut off while its engine was writing")
 	default:
-		e.leftWaiting(a, last, add)
+		e.checkStalledStream(a, last, add)
 	}
 }
 
-// leftWaiting checks that a client whose stream has stopped is not left to wait.
-func (e *evidence) leftWaiting(a *ask, last *standin.Attempt, add func(rule, format string, args ...any)) {
+// checkStalledStream checks that a client whose stream has stopped does not wait too long.
+func (e *evidence) checkStalledStream(a *requestRecord, last *standin.Attempt, add func(rule, format string, args ...any)) {
 	if len(last.Events) == 0 || len(a.events) == 0 {
 		return
 	}
 	since := a.events[len(a.events)-1]
-	if most := brokenWithin + socketSlack + e.excused(a.router, since, a.ended); a.ended.Sub(since) > most {
-		add(ruleLost, "its client was left to wait for %v after the last event", a.ended.Sub(since))
+	if most := brokenStreamTimeout + socketSlack + e.allowance(a.router, since, a.endedAt); a.endedAt.Sub(since) > most {
+		add(ruleLost, "the client had to wait for %v after the last event", a.endedAt.Sub(since))
 	}
 }
 
-// stoppedWriting tells whether an answer's events had stopped well before its end.
-func stoppedWriting(a *ask) bool {
-	const stopped = brokenWithin - 500*time.Millisecond
-	return len(a.events) == 0 || a.ended.Sub(a.events[len(a.events)-1]) > stopped
+// eventsStopped reports whether the events of an answer had stopped well before its end.
+func eventsStopped(a *requestRecord) bool {
+	const stopped = brokenStreamTimeout - 500*time.Millisecond
+	return len(a.events) == 0 || a.endedAt.Sub(a.events[len(a.events)-1]) > stopped
 }
 
-func (e *evidence) streamed(a *ask) bool {
+// servedByEngine reports whether an engine has written an answer to the request to its end.
+func (e *evidence) servedByEngine(a *requestRecord) bool {
 	for _, t := range e.attempts[a.id] {
 		if t.Writer && t.Outcome == standin.Streamed {
 			return true
@@ -101,8 +102,8 @@
 	return false
 }
 
-// mayHaveRun tells whether a request has had an effect, as far as anybody but its engines can know.
-func (e *evidence) mayHaveRun(a *ask) bool {
+// mayHaveExecuted reports whether the request may have had an effect, as far as anybody but its engines can know.
+func (e *evidence) mayHaveExecuted(a *requestRecord) bool {
 	for _, t := range e.attempts[a.id] {
 		if t.Writer && !t.Outcome.NeverRan() {
 			return true
@@ -111,42 +112,45 @@
 	return false
 }
 
-// mayRefuse tells whether a class's requests may be refused though they may have run.
-func (e *evidence) mayRefuse(a *ask) bool { return e.classes[a.class].Repeat != unsafe }
+// mayRefuse reports whether requests of the class may be refused although they may have been executed.
+func (e *evidence) mayRefuse(a *requestRecord) bool {
+	return e.classes[a.class].RetryPolicy != retryUnsafe
+}
 
-// delays checks that events go out as they come.
-func (e *evidence) delays() []Finding {
+// checkDelays checks that the routers forward events as they come.
+func (e *evidence) checkDelays() []Finding {
 	streams, delayed := 0, 0
-	for _, a := range e.asks {
+	for _, a := range e.requests {
 		t := e.lastWriter(a)
-		if a.status != 200 || !a.quit.IsZero() || t == nil {
+		if a.status != 200 || !a.leftAt.IsZero() || t == nil {
 			continue
 		}
 		streams++
 		for i, at := range a.events {
-			if i < len(t.Events) && at.Sub(t.Events[i]) > eventDelay+e.excused(a.router, t.Events[i], at) {
+			if i < len(t.Events) && at.Sub(t.Events[i]) > maxEventDelay+e.allowance(a.router, t.Events[i], at) {
 				delayed++
 				break
 			}
 		}
 	}
-	if float64(delayed) > delayedShare*float64(streams) {
+	if float64(delayed) > maxDelayedShare*float64(streams) {
 		return []Finding{{Rule: ruleDelay, Text: fmt.Sprintf("in %d of %d streams", delayed, streams)}}
 	}
 	return nil
 }
 
-func (e *evidence) badClients() (out []Finding) {
-	for _, b := range e.bad {
+// checkBadClients checks that bad clients get an error or a close in time, and are not served.
+func (e *evidence) checkBadClients() (out []Finding) {
+	for _, b := range e.badClients {
 		add := func(text string) {
-			out = append(out, Finding{Rule: ruleBadClient, Router: b.router, At: e.at(b.began), Text: b.kind + ": " + text})
+			out = append(out, Finding{Rule: ruleBadClient, Router: b.router, At: e.sinceStart(b.began), Text: b.kind + ": " + text})
 		}
-		late := badWithin + socketSlack + e.excused(b.router, b.began, b.began.Add(b.waited))
+		late := badClientTimeout + socketSlack + e.allowance(b.router, b.began, b.began.Add(b.waited))
 		switch {
 		case b.served:
 			add("served")
-		case b.noWord || b.waited > late:
-			add(fmt.Sprintf("no word for %v", b.waited))
+		case b.noResponse || b.waited > late:
+			add(fmt.Sprintf("no response for %v", b.waited))
 		}
 	}
 	return out
--- a/internal/soak/judge_holds.go
+++ b/internal/soak/judge_holds.go
@@ -1,6 +1,6 @@
 package soak
 
-// What is held at engines.
+// Checks of what engines hold.
 
 import (
 	"fmt"
@@ -9,43 +9,45 @@
 	standin "mintdoor/internal/standin/chat"
 )
 
-// holds checks that nothing stays held: the time runs while no attempt of the request is out.
-func (e *evidence) holds() (out []Finding) {
+// checkHolds checks that no KV state stays held too long. The hold timer runs while no attempt of the request is in
+// flight.
+func (e *evidence) checkHolds() (out []Finding) {
 	for i := range e.record.Holds {
 		h := &e.record.Holds[i]
 		until := h.Until
 		if until.IsZero() {
 			until = time.Now()
 		}
-		idle := e.idle(h.Request, h.From, until)
-		a := e.byID[h.Request]
+		idle := e.longestIdle(h.Request, h.From, until)
+		a := e.requestByID[h.Request]
 		if a == nil {
 			continue
 		}
-		limit := e.figures.letGo + holdSlack + socketSlack + e.excused(a.router, h.From, until)
-		if idle > limit && !e.ownerDied(a, until) && e.reachable(a.router, until.Add(-limit), until) {
-			out = append(out, Finding{Rule: rulePinned, Request: h.Request, Router: a.router, At: e.at(h.From),
-				Text: fmt.Sprintf("held at %s for %v with no attempt out", h.Engine, idle) + e.story(a)})
+		limit := e.params.holdTimeout + holdSlack + socketSlack + e.allowance(a.router, h.From, until)
+		if idle > limit && !e.ownerExited(a, until) && e.reachable(a.router, until.Add(-limit), until) {
+			out = append(out, Finding{Rule: rulePinned, Request: h.Request, Router: a.router, At: e.sinceStart(h.From),
+				Text: fmt.Sprintf("held at %s for %v with no attempt in flight", h.Engine, idle) + e.describe(a)})
 		}
 	}
 	return out
 }
 
-// path is how a router reaches an engine: from when on, and in which times not.
-type path struct {
-	since time.Time
-	gaps  []standin.Interval
+// reachability is when a router could reach an engine: from since on, except during the outages.
+type reachability struct {
+	since   time.Time
+	outages []standin.Interval
 }
 
-// reachable tells whether a router could reach an engine that it may have known, for long enough to let go of something.
+// reachable reports whether the router could reach some engine that it may have known, for long enough to release a
+// hold.
 func (e *evidence) reachable(router int, from, until time.Time) bool {
 	const enough = 600 * time.Millisecond
-	for _, p := range e.paths[router] {
+	for _, p := range e.reachability[router] {
 		at := from
 		if p.since.After(from) {
 			continue
 		}
-		for _, g := range p.gaps {
+		for _, g := range p.outages {
 			if g.Until.IsZero() || g.Until.After(at) {
 				if g.From.Sub(at) >= enough {
 					return true
@@ -62,8 +64,8 @@
 	return false
 }
 
-// idle is the longest time between two times in which no attempt of a request was out.
-func (e *evidence) idle(request string, from, until time.Time) (longest time.Duration) {
+// longestIdle returns the longest time between two times in which no attempt of a request was in flight.
+func (e *evidence) longestIdle(request string, from, until time.Time) (longest time.Duration) {
 	at := from
 	for _, t := range e.attempts[request] {
 		end := t.Ended
@@ -76,14 +78,14 @@
 		if t.Arrived.After(until) {
 			break
 		}
-		longest = max(longest, t.Arrived.Sub(at)) // a send that has not arrived is not out
+		longest = max(longest, t.Arrived.Sub(at)) // an attempt that has not arrived is not in flight here
 		at = end
 	}
 	return max(longest, until.Sub(at))
 }
 
-// ownerDied tells whether the process that has to let go was killed.
-func (e *evidence) ownerDied(a *ask, until time.Time) bool {
-	l := e.lifeAt(a.router, a.sent)
+// ownerExited reports whether the process that has to release the hold had ended before, or ended within a second.
+func (e *evidence) ownerExited(a *requestRecord, until time.Time) bool {
+	l := e.runAt(a.router, a.sentAt)
 	return l == nil || !l.Exited.IsZero() && l.Exited.Before(until.Add(time.Second))
 }
--- a/internal/soak/judge_test.go
+++ b/internal/soak/judge_test.go
@@ -10,24 +10,25 @@
 
 var began = time.Unix(1_000_000, 0)
 
-// after is an instant of the run.
+// after returns the instant some milliseconds after the start of the run.
 func after(ms int) time.Time { return began.Add(time.Duration(ms) * time.Millisecond) }
 
-// sound is a run of one router and one request, of a class: read, written and served.
-func sound(class int) *evidence {
-	a := &ask{id: "q", class: class, left: 2 * time.Second, began: after(0), sent: after(0), status: 200, answered: after(200),
-		events: []time.Time{after(200), after(300)}, whole: true, ended: after(400)}
+// validEvidence returns a run of one router and one request of a class that violates no rule: read, written and
+// served.
+func validEvidence(class int) *evidence {
+	a := &requestRecord{id: "q", class: class, timeLeft: 2 * time.Second, startedAt: after(0), sentAt: after(0), status: 200, answeredAt: after(200),
+		events: []time.Time{after(200), after(300)}, complete: true, endedAt: after(400)}
 	read := standin.Attempt{Request: "q", Engine: "p", FirstByte: after(1), LastByte: after(3), Arrived: after(3), TimeLeft: time.Second,
 		Outcome: standin.Read, Ended: after(100)}
 	write := standin.Attempt{Request: "q", Engine: "d", Writer: true, FirstByte: after(101), LastByte: after(103), Arrived: after(103),
 		TimeLeft: time.Second, Events: []time.Time{after(199), after(299)}, Outcome: standin.Streamed, Ended: after(399)}
-	return &evidence{began: began, routers: 1, classes: defaultClasses(), figures: defaultFigures(), work: usualWork,
-		readerSlots: readerSlots, writerSlots: writerSlots, asks: []*ask{a},
+	return &evidence{began: began, routers: 1, classes: defaultClasses(), params: defaultRuleParams(), timing: engineTiming,
+		readerSlots: maxReaderSlots, writerSlots: maxWriterSlots, requests: []*requestRecord{a},
 		record: &standin.Record{Attempts: []standin.Attempt{read, write},
 			Holds: []standin.Hold{{Request: "q", Engine: "p", From: after(100), Until: after(198)}}},
-		lives: [][]ProcessRun{{{Started: after(-1000), Ready: after(-500), Terminated: after(5000), Exited: after(6000)}}},
-		told:  []map[string]time.Time{{}}, starts: map[string]time.Time{},
-		paths: []map[string]*path{{"p": {since: after(-1000)}, "d": {since: after(-1000)}}}}
+		runs:           [][]ProcessRun{{{Started: after(-1000), Ready: after(-500), Terminated: after(5000), Exited: after(6000)}}},
+		drainsReported: []map[string]time.Time{{}}, coldStarts: map[string]time.Time{},
+		reachability: []map[string]*reachability{{"p": {since: after(-1000)}, "d": {since: after(-1000)}}}}
 }
 
 const (
@@ -36,127 +37,128 @@
 	classKeyed
 )
 
-// second is a further attempt at a writer.
-func second(from int, outcome standin.Outcome) standin.Attempt {
+// writerAttempt returns a further attempt at a writer.
+func writerAttempt(from int, outcome standin.Outcome) standin.Attempt {
 	return standin.Attempt{Request: "q", Engine: "d2", Writer: true, FirstByte: after(from), LastByte: after(from), Arrived: after(from),
 		TimeLeft: 100 * time.Millisecond, Outcome: outcome, Ended: after(from + 50)}
 }
 
-// Each rule is seen to be broken, by evidence that breaks it alone, and what is just within it is not.
+// TestEvaluate checks that each rule is found violated by evidence that violates it alone, and that evidence just
+// within the rule's limit is not.
 func TestJudge(t *testing.T) {
 	for name, tt := range map[string]struct {
 		class  int
-		change func(e *evidence, a *ask, read, write *standin.Attempt)
-		want   string // the rule; "": none
+		change func(e *evidence, a *requestRecord, read, write *standin.Attempt)
+		want   string // the violated rule; "": none
 	}{
-		"sound": {change: func(*evidence, *ask, *standin.Attempt, *standin.Attempt) {}},
-		"no answer": {change: func(_ *evidence, a *ask, _, _ *standin.Attempt) {
-			a.status, a.whole, a.ending, a.ended = 0, false, endTimeout, after(5400)
+		"sound": {change: func(*evidence, *requestRecord, *standin.Attempt, *standin.Attempt) {}},
+		"no answer": {change: func(_ *evidence, a *requestRecord, _, _ *standin.Attempt) {
+			a.status, a.complete, a.ending, a.endedAt = 0, false, endTimeout, after(5400)
 		}, want: ruleLost},
-		"closed unanswered": {change: func(_ *evidence, a *ask, _, _ *standin.Attempt) {
-			a.status, a.whole, a.ending = 0, false, endClosed
+		"closed unanswered": {change: func(_ *evidence, a *requestRecord, _, _ *standin.Attempt) {
+			a.status, a.complete, a.ending = 0, false, endClosed
 		}, want: ruleLost},
-		"reset unread": {change: func(e *evidence, a *ask, _, _ *standin.Attempt) {
-			a.status, a.whole, a.ending = 0, false, endUnread
+		"reset unread": {change: func(e *evidence, a *requestRecord, _, _ *standin.Attempt) {
+			a.status, a.complete, a.ending = 0, false, endUnread
 		}},
-		"a late answer": {change: func(_ *evidence, a *ask, _, _ *standin.Attempt) { a.answered = after(2600) }, want: ruleLost},
-		"an answer just after its deadline": {change: func(_ *evidence, a *ask, _, _ *standin.Attempt) {
-			a.answered = after(2500)
+		"a late answer": {change: func(_ *evidence, a *requestRecord, _, _ *standin.Attempt) { a.answeredAt = after(2600) }, want: ruleLost},
+		"an answer just after its deadline": {change: func(_ *evidence, a *requestRecord, _, _ *standin.Attempt) {
+			a.answeredAt = after(2500)
 		}},
-		"a late answer of a process that was stopped": {change: func(e *evidence, a *ask, _, _ *standin.Attempt) {
-			a.answered, a.ended = after(2600), after(2700)
-			e.lives[0][0].Pauses = []Pause{{after(500), after(1000)}}
+		"a late answer of a process that was stopped": {change: func(e *evidence, a *requestRecord, _, _ *standin.Attempt) {
+			a.answeredAt, a.endedAt = after(2600), after(2700)
+			e.runs[0][0].Pauses = []Pause{{after(500), after(1000)}}
 		}},
-		"killed with an open request": {change: func(e *evidence, a *ask, _, _ *standin.Attempt) {
-			a.status, a.whole, a.ending, a.ended = 0, false, endClosed, after(151)
-			e.lives[0][0] = ProcessRun{Started: after(-1000), Killed: after(150), Exited: after(150), Signaled: true}
+		"killed with an open request": {change: func(e *evidence, a *requestRecord, _, _ *standin.Attempt) {
+			a.status, a.complete, a.ending, a.endedAt = 0, false, endClosed, after(151)
+			e.runs[0][0] = ProcessRun{Started: after(-1000), Killed: after(150), Exited: after(150), Signaled: true}
 		}},
-		"killed with one that came late after SIGTERM": {change: func(e *evidence, a *ask, _, _ *standin.Attempt) {
-			a.status, a.whole, a.ending, a.ended = 0, false, endClosed, after(2951)
-			e.lives[0][0] = ProcessRun{Started: after(-1000), Terminated: after(-750), Killed: after(2950), Exited: after(2950), Signaled: true}
+		"killed with one that came late after SIGTERM": {change: func(e *evidence, a *requestRecord, _, _ *standin.Attempt) {
+			a.status, a.complete, a.ending, a.endedAt = 0, false, endClosed, after(2951)
+			e.runs[0][0] = ProcessRun{Started: after(-1000), Terminated: after(-750), Killed: after(2950), Exited: after(2950), Signaled: true}
 		}, want: ruleLost},
-		"killed with one that came soon after SIGTERM": {change: func(e *evidence, a *ask, _, _ *standin.Attempt) {
-			a.status, a.whole, a.ending, a.ended = 0, false, endClosed, after(3051)
-			e.lives[0][0] = ProcessRun{Started: after(-1000), Terminated: after(-650), Killed: after(3050), Exited: after(3050), Signaled: true}
+		"killed with one that came soon after SIGTERM": {change: func(e *evidence, a *requestRecord, _, _ *standin.Attempt) {
+			a.status, a.complete, a.ending, a.endedAt = 0, false, endClosed, after(3051)
+			e.runs[0][0] = ProcessRun{Started: after(-1000), Terminated: after(-650), Killed: after(3050), Exited: after(3050), Signaled: true}
 		}},
-		"cut while its engine wrote": {change: func(_ *evidence, a *ask, _, write *standin.Attempt) {
-			a.whole, a.ending, write.Outcome = false, endBroken, standin.Cancelled
+		"cut while its engine wrote": {change: func(_ *evidence, a *requestRecord, _, write *standin.Attempt) {
+			a.complete, a.ending, write.Outcome = false, endBroken, standin.Cancelled
 		}, want: ruleLost},
-		"cut after its engine had ended": {change: func(_ *evidence, a *ask, _, _ *standin.Attempt) {
-			a.whole, a.ending = false, endBroken
+		"cut after its engine had ended": {change: func(_ *evidence, a *requestRecord, _, _ *standin.Attempt) {
+			a.complete, a.ending = false, endBroken
 		}, want: ruleLost},
-		"cut by its engine": {change: func(_ *evidence, a *ask, _, write *standin.Attempt) {
-			a.whole, a.ending, write.Outcome = false, endBroken, standin.ConnReset
+		"cut by its engine": {change: func(_ *evidence, a *requestRecord, _, write *standin.Attempt) {
+			a.complete, a.ending, write.Outcome = false, endBroken, standin.ConnReset
 		}},
-		"left to wait after a stream broke": {change: func(_ *evidence, a *ask, _, write *standin.Attempt) {
-			a.whole, a.ending, a.ended, write.Outcome = false, endBroken, after(5500), standin.ConnReset
+		"left to wait after a stream broke": {change: func(_ *evidence, a *requestRecord, _, write *standin.Attempt) {
+			a.complete, a.ending, a.endedAt, write.Outcome = false, endBroken, after(5500), standin.ConnReset
 		}, want: ruleLost},
-		"served by no engine": {change: func(_ *evidence, _ *ask, _, write *standin.Attempt) { write.Outcome = standin.Failed }, want: ruleContent},
-		"wrong events":        {change: func(_ *evidence, a *ask, _, _ *standin.Attempt) { a.wrong = "events of two engines" }, want: ruleContent},
-		"refused after a run": {class: classUnsafe, change: func(_ *evidence, a *ask, _, write *standin.Attempt) {
+		"served by no engine": {change: func(_ *evidence, _ *requestRecord, _, write *standin.Attempt) { write.Outcome = standin.Failed }, want: ruleContent},
+		"wrong events":        {change: func(_ *evidence, a *requestRecord, _, _ *standin.Attempt) { a.contentError = "events of two engines" }, want: ruleContent},
+		"refused after a run": {class: classUnsafe, change: func(_ *evidence, a *requestRecord, _, write *standin.Attempt) {
 			a.status, write.Outcome = 429, standin.ConnReset
 		}, want: ruleRefused},
-		"refused, never run": {class: classUnsafe, change: func(_ *evidence, a *ask, _, write *standin.Attempt) {
+		"refused, never run": {class: classUnsafe, change: func(_ *evidence, a *requestRecord, _, write *standin.Attempt) {
 			a.status, write.Outcome = 429, standin.Refused
 		}},
-		"two runs": {class: classUnsafe, change: func(e *evidence, _ *ask, _, write *standin.Attempt) {
+		"two runs": {class: classUnsafe, change: func(e *evidence, _ *requestRecord, _, write *standin.Attempt) {
 			write.Outcome, write.Ended = standin.ConnReset, after(110)
-			e.record.Attempts = append(e.record.Attempts, second(120, standin.Streamed))
+			e.record.Attempts = append(e.record.Attempts, writerAttempt(120, standin.Streamed))
 		}, want: ruleDuplicate},
-		"a repeat in its window": {class: classKeyed, change: func(e *evidence, _ *ask, _, write *standin.Attempt) {
+		"a repeat in its window": {class: classKeyed, change: func(e *evidence, _ *requestRecord, _, write *standin.Attempt) {
 			write.Outcome, write.Ended = standin.ConnReset, after(110)
-			e.record.Attempts = append(e.record.Attempts, second(120, standin.Streamed))
+			e.record.Attempts = append(e.record.Attempts, writerAttempt(120, standin.Streamed))
 		}},
-		"a repeat after its window": {class: classKeyed, change: func(e *evidence, a *ask, _, write *standin.Attempt) {
+		"a repeat after its window": {class: classKeyed, change: func(e *evidence, a *requestRecord, _, write *standin.Attempt) {
 			write.Outcome, write.Ended = standin.ConnReset, after(110)
-			e.record.Attempts = append(e.record.Attempts, second(1700, standin.Streamed))
+			e.record.Attempts = append(e.record.Attempts, writerAttempt(1700, standin.Streamed))
 		}, want: ruleDuplicate},
-		"a second copy": {change: func(e *evidence, _ *ask, _, _ *standin.Attempt) {
-			e.record.Attempts = append(e.record.Attempts, second(300, standin.Refused))
+		"a second copy": {change: func(e *evidence, _ *requestRecord, _, _ *standin.Attempt) {
+			e.record.Attempts = append(e.record.Attempts, writerAttempt(300, standin.Refused))
 		}, want: ruleSecondCopy},
-		"sent after the client left": {change: func(_ *evidence, a *ask, _, write *standin.Attempt) {
-			a.quit, write.LastByte = after(100), after(260)
+		"sent after the client left": {change: func(_ *evidence, a *requestRecord, _, write *standin.Attempt) {
+			a.leftAt, write.LastByte = after(100), after(260)
 		}, want: ruleLeft},
-		"sent just after the client left": {change: func(_ *evidence, a *ask, _, write *standin.Attempt) {
-			a.quit, write.LastByte = after(100), after(190)
+		"sent just after the client left": {change: func(_ *evidence, a *requestRecord, _, write *standin.Attempt) {
+			a.leftAt, write.LastByte = after(100), after(190)
 		}},
-		"deadline overstated": {change: func(_ *evidence, _ *ask, read, _ *standin.Attempt) { read.TimeLeft = 2160 * time.Millisecond },
+		"deadline overstated": {change: func(_ *evidence, _ *requestRecord, read, _ *standin.Attempt) { read.TimeLeft = 2160 * time.Millisecond },
 			want: ruleDeadline},
-		"sent to a draining engine": {change: func(e *evidence, _ *ask, _, _ *standin.Attempt) {
-			e.told[0]["d"] = after(-1000)
+		"sent to a draining engine": {change: func(e *evidence, _ *requestRecord, _, _ *standin.Attempt) {
+			e.drainsReported[0]["d"] = after(-1000)
 		}, want: ruleDrain},
-		"sent within the grace": {change: func(e *evidence, _ *ask, _, _ *standin.Attempt) { e.told[0]["d"] = after(-900) }},
-		"a cold engine pushed over": {change: func(e *evidence, _ *ask, _, _ *standin.Attempt) {
-			e.starts["d2"] = after(1000)
+		"sent within the grace": {change: func(e *evidence, _ *requestRecord, _, _ *standin.Attempt) { e.drainsReported[0]["d"] = after(-900) }},
+		"a cold engine pushed over": {change: func(e *evidence, _ *requestRecord, _, _ *standin.Attempt) {
+			e.coldStarts["d2"] = after(1000)
 			for i := range 60 {
 				e.record.Attempts = append(e.record.Attempts, standin.Attempt{Request: "q", Engine: "d2", Writer: true, FirstByte: after(2000 + i),
 					LastByte: after(2000 + i), Arrived: after(2000 + i), Outcome: standin.Refused, Ended: after(2000 + i)})
 			}
 		}, want: ruleSlowStart},
-		"held too long": {change: func(e *evidence, _ *ask, _, _ *standin.Attempt) { e.record.Holds[0].Until = after(2500) }, want: rulePinned},
-		"held with nobody to be reached": {change: func(e *evidence, _ *ask, _, _ *standin.Attempt) {
+		"held too long": {change: func(e *evidence, _ *requestRecord, _, _ *standin.Attempt) { e.record.Holds[0].Until = after(2500) }, want: rulePinned},
+		"held with nobody to be reached": {change: func(e *evidence, _ *requestRecord, _, _ *standin.Attempt) {
 			e.record.Holds[0].Until = after(2500)
-			for _, p := range e.paths[0] {
-				p.gaps = []standin.Interval{{From: after(300), Until: after(2400)}}
+			for _, p := range e.reachability[0] {
+				p.outages = []standin.Interval{{From: after(300), Until: after(2400)}}
 			}
 		}},
-		"a bad client without a word": {change: func(e *evidence, _ *ask, _, _ *standin.Attempt) {
-			e.bad = []badClient{{kind: "noise", began: after(0), waited: 3200 * time.Millisecond}}
+		"a bad client without a word": {change: func(e *evidence, _ *requestRecord, _, _ *standin.Attempt) {
+			e.badClients = []badClient{{kind: "noise", began: after(0), waited: 3200 * time.Millisecond}}
 		}, want: ruleBadClient},
-		"ended by itself": {change: func(e *evidence, _ *ask, _, _ *standin.Attempt) {
-			e.lives[0][0].Terminated = time.Time{}
+		"ended by itself": {change: func(e *evidence, _ *requestRecord, _, _ *standin.Attempt) {
+			e.runs[0][0].Terminated = time.Time{}
 		}, want: ruleProcess},
-		"a violation of its own account": {change: func(e *evidence, _ *ask, _, _ *standin.Attempt) {
-			e.lives[0][0].Violations = []string{"rule violated"}
+		"a violation of its own account": {change: func(e *evidence, _ *requestRecord, _, _ *standin.Attempt) {
+			e.runs[0][0].Violations = []string{"rule violated"}
 		}, want: ruleGuard},
-		"events held back": {change: func(_ *evidence, a *ask, _, _ *standin.Attempt) { a.events[1] = after(700) }, want: ruleDelay},
+		"events held back": {change: func(_ *evidence, a *requestRecord, _, _ *standin.Attempt) { a.events[1] = after(700) }, want: ruleDelay},
 	} {
 		t.Run(name, func(t *testing.T) {
-			e := sound(tt.class)
-			tt.change(e, e.asks[0], &e.record.Attempts[0], &e.record.Attempts[1])
+			e := validEvidence(tt.class)
+			tt.change(e, e.requests[0], &e.record.Attempts[0], &e.record.Attempts[1])
 			e.index()
 			var rules []string
-			for _, f := range judge(e) {
+			for _, f := range evaluate(e) {
 				if !slices.Contains(rules, f.Rule) {
 					rules = append(rules, f.Rule)
 				}
--- a/internal/soak/report.go
+++ b/internal/soak/report.go
@@ -8,41 +8,42 @@
 	"time"
 )
 
-// Report is what a soak has found.
+// Report is the result of a soak.
 type Report struct {
 	Seed        uint64
 	Routers     int
 	Length      time.Duration
 	Requests    Counts
-	FaultCounts map[string]int // how often each fault was injected, and what it met
-	SoakPaused  time.Duration  // in which the soak itself did not run
+	FaultCounts map[string]int // how often each fault was injected or applied, by name
+	SoakPaused  time.Duration  // total time in which the soak itself did not run
 	Findings    []Finding
 }
 
-// Counts are requests by what their clients got.
+// Counts are the numbers of requests by result, and of attempts, probes, bad clients and processes.
 type Counts struct {
 	Sent, Served, Refused, Failed, ClientLeft, CrossedClose, CutOff, Unanswered int
 	Attempts, Probes, BadClients, Processes                                     int
 }
 
+// newReport counts the requests of a run by their results.
 func newReport(o *Options, e *evidence, struck map[string]int) *Report {
 	r := &Report{Seed: o.Seed, Routers: o.Routers, Length: o.Length, FaultCounts: struck}
 	c := &r.Requests
-	c.Attempts, c.Probes, c.BadClients = len(e.record.Attempts), e.record.Probes, len(e.bad)
-	for _, lives := range e.lives {
+	c.Attempts, c.Probes, c.BadClients = len(e.record.Attempts), e.record.Probes, len(e.badClients)
+	for _, lives := range e.runs {
 		c.Processes += len(lives)
 	}
-	for _, s := range e.lags {
+	for _, s := range e.soakPauses {
 		r.SoakPaused += s.Until.Sub(s.From)
 	}
-	for _, a := range e.asks {
+	for _, a := range e.requests {
 		c.Sent++
-		if !a.quit.IsZero() {
+		if !a.leftAt.IsZero() {
 			c.ClientLeft++
-			r.met(e, a)
+			r.countLeft(e, a)
 		}
 		switch {
-		case !a.quit.IsZero():
+		case !a.leftAt.IsZero():
 		case a.ending == endUnread:
 			c.CrossedClose++
 		case a.status == 0:
@@ -51,7 +52,7 @@
 			c.Refused++
 		case a.status != 200:
 			c.Failed++
-		case !a.whole:
+		case !a.complete:
 			c.CutOff++
 		default:
 			c.Served++
@@ -63,21 +64,22 @@
 	return r
 }
 
-// met counts what a leaving client left behind: its leaving strikes only where an attempt was out or would have come.
-func (r *Report) met(e *evidence, a *ask) {
+// countLeft counts a client that left. Its leaving has an effect only if an attempt was in flight at that time, which
+// is counted as well.
+func (r *Report) countLeft(e *evidence, a *requestRecord) {
 	r.FaultCounts["clients left"]++
 	for _, t := range e.attempts[a.id] {
-		if t.LastByte.Before(a.quit) && (t.Ended.IsZero() || t.Ended.After(a.quit)) {
+		if t.LastByte.Before(a.leftAt) && (t.Ended.IsZero() || t.Ended.After(a.leftAt)) {
 			r.FaultCounts["clients left an attempt that was out"]++
 			return
 		}
 	}
 }
 
-// maxFindings is how many findings are written out.
+// maxFindings is how many findings are printed.
 const maxFindings = 40
 
-// Print writes a report for people.
+// Print prints the report for a person.
 func (r *Report) Print(out io.Writer) {
 	c := &r.Requests
 	fmt.Fprintf(out, "soak: seed %d, %d routers (%d processes), %v, the soak itself did not run for %v\n", r.Seed, r.Routers, c.Processes,
--- a/internal/soak/router.go
+++ b/internal/soak/router.go
@@ -21,14 +21,14 @@
 	standin "mintdoor/internal/standin/chat"
 )
 
-// Program is how a router is started: what follows has to be the platform's router.
+// Program is the command that starts a router of the platform.
 type Program struct {
 	Path string
 	Args []string
 	Env  []string // added to the environment
 }
 
-// ProcessRun is one run of a router's process, with times as seen from outside; zero times have not come.
+// ProcessRun is one run of a router's process, as seen from outside. A zero time has not come.
 type ProcessRun struct {
 	Started, Ready time.Time
 	Terminated     time.Time // SIGTERM was sent
@@ -37,25 +37,25 @@
 	ExitCode       int
 	Signaled       bool // it was ended by a signal
 	Pauses         []Pause
-	Violations     []string // lines of its own checks
+	Violations     []string // log lines of violations that the process has found itself
 	Panics         []string
 }
 
-// Pause is a time in which the process did not run.
+// Pause is an interval in which the process did not run.
 type Pause struct{ From, Until time.Time }
 
-// Router is one router's place: its name and address last over restarts of its process.
+// Router is one router. Its name and address stay the same over restarts of its process.
 type Router struct {
-	Index int
-	Addr  string
-	world *Testbed
+	Index   int
+	Addr    string
+	testbed *Testbed
 
 	mu     sync.Mutex
 	config config
 	agent  *standin.Agent
 	cmd    *exec.Cmd
-	life   *ProcessRun
-	past   []*ProcessRun
+	run    *ProcessRun
+	runs   []*ProcessRun
 	done   chan struct{} // closed when the process has ended
 	log    *os.File
 }
@@ -64,10 +64,10 @@
 func (r *Router) Start() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.life != nil && r.life.Exited.IsZero() {
-		return fmt.Errorf("router %d runs already", r.Index)
+	if r.run != nil && r.run.Exited.IsZero() {
+		return fmt.Errorf("router %d is already running", r.Index)
 	}
-	p := r.world.opts.Program
+	p := r.testbed.opts.Program
 	r.config.Seed = strconv.FormatUint(uint64(time.Now().UnixNano()), 16)
 	if err := r.writeConfig(); err != nil {
 		return err
@@ -82,18 +82,18 @@
 	if err := cmd.Start(); err != nil {
 		return fmt.Errorf("router %d: %w", r.Index, err)
 	}
-	r.cmd, r.life, r.done = cmd, &ProcessRun{Started: time.Now()}, make(chan struct{})
-	r.past = append(r.past, r.life)
-	go r.attend(cmd, stderr, r.life, r.done)
+	r.cmd, r.run, r.done = cmd, &ProcessRun{Started: time.Now()}, make(chan struct{})
+	r.runs = append(r.runs, r.run)
+	go r.watchProcess(cmd, stderr, r.run, r.done)
 	return nil
 }
 
-// attend reads a process's log until it ends.
-func (r *Router) attend(cmd *exec.Cmd, log io.Reader, life *ProcessRun, done chan struct{}) {
+// watchProcess reads a process's log until the process ends.
+func (r *Router) watchProcess(cmd *exec.Cmd, log io.Reader, life *ProcessRun, done chan struct{}) {
 	lines := bufio.NewScanner(log)
 	lines.Buffer(nil, 1<<20)
 	for lines.Scan() {
-		r.line(life, lines.Text())
+		r.handleLogLine(life, lines.Text())
 	}
 	io.Copy(io.Discard, log) // after a line that is too long
 	err := cmd.Wait()
@@ -110,7 +110,8 @@
 	close(done)
 }
 
-func (r *Router) line(life *ProcessRun, text string) {
+// handleLogLine keeps a log line, and collects violations and panics.
+func (r *Router) handleLogLine(life *ProcessRun, text string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.log != nil {
@@ -124,10 +125,12 @@
 	}
 }
 
+// configPath returns the path of the router's configuration file.
 func (r *Router) configPath() string {
-	return filepath.Join(r.world.opts.ConfigDir, r.config.Name+".json")
+	return filepath.Join(r.testbed.opts.ConfigDir, r.config.Name+".json")
 }
 
+// writeConfig replaces the router's configuration file atomically.
 func (r *Router) writeConfig() error {
 	b, err := json.Marshal(&r.config)
 	if err != nil {
@@ -140,47 +143,48 @@
 	return os.Rename(temp, r.configPath())
 }
 
-// Signal sends a signal to the process, and notes what matters for its rules.
+// Signal sends a signal to the process, and records the signals that the invariants depend on.
 func (r *Router) Signal(s syscall.Signal) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.life == nil || !r.life.Exited.IsZero() {
+	if r.run == nil || !r.run.Exited.IsZero() {
 		return
 	}
 	now := time.Now()
 	switch s {
 	case syscall.SIGTERM:
-		if r.life.Terminated.IsZero() {
-			r.life.Terminated = now
+		if r.run.Terminated.IsZero() {
+			r.run.Terminated = now
 		}
 	case syscall.SIGKILL:
-		if r.life.Killed.IsZero() {
-			r.life.Killed = now
+		if r.run.Killed.IsZero() {
+			r.run.Killed = now
 		}
 	case syscall.SIGSTOP:
-		r.life.Pauses = append(r.life.Pauses, Pause{From: now})
+		r.run.Pauses = append(r.run.Pauses, Pause{From: now})
 	case syscall.SIGCONT:
-		if n := len(r.life.Pauses); n > 0 && r.life.Pauses[n-1].Until.IsZero() {
-			r.life.Pauses[n-1].Until = now
+		if n := len(r.run.Pauses); n > 0 && r.run.Pauses[n-1].Until.IsZero() {
+			r.run.Pauses[n-1].Until = now
 		}
 	}
 	r.cmd.Process.Signal(s)
 }
 
-// terminateAgain sends SIGTERM to a process that was told to end before, and not to one that has come for it.
+// terminateAgain sends SIGTERM once more to a process that has had one. It does nothing if a new process has replaced
+// that one.
 func (r *Router) terminateAgain() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.life != nil && r.life.Exited.IsZero() && !r.life.Terminated.IsZero() {
+	if r.run != nil && r.run.Exited.IsZero() && !r.run.Terminated.IsZero() {
 		r.cmd.Process.Signal(syscall.SIGTERM)
 	}
 }
 
-// readyFor tells whether the process that runs now has been ready for some time.
+// readyFor reports whether the current process has been ready for at least d.
 func (r *Router) readyFor(d time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.life != nil && r.life.Exited.IsZero() && !r.life.Ready.IsZero() && time.Since(r.life.Ready) >= d
+	return r.run != nil && r.run.Exited.IsZero() && !r.run.Ready.IsZero() && time.Since(r.run.Ready) >= d
 }
 
 // Wait waits until the process has ended.
@@ -200,14 +204,14 @@
 	return r.done
 }
 
-// CurrentAgent is the agent of which the router was told last.
+// CurrentAgent returns the agent that the router was last configured with.
 func (r *Router) CurrentAgent() *standin.Agent {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.agent
 }
 
-// UseAgent tells the router of another agent with SIGHUP.
+// UseAgent configures the router with another agent and sends SIGHUP.
 func (r *Router) UseAgent(a *standin.Agent) error {
 	r.mu.Lock()
 	r.config.Discovery = a.Addr()
@@ -225,7 +229,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []ProcessRun
-	for _, l := range r.past {
+	for _, l := range r.runs {
 		copied := *l
 		copied.Pauses = append([]Pause(nil), l.Pauses...)
 		out = append(out, copied)
@@ -233,21 +237,22 @@
 	return out
 }
 
-// readyPoll is the time between two looks at whether a router is ready.
-const readyPoll = 10 * time.Millisecond
+// readyCheckInterval is the time between two checks of whether a router is ready.
+const readyCheckInterval = 10 * time.Millisecond
 
-// AwaitReady waits until the router says that it is ready, or has ended.
+// AwaitReady waits until the router reports that it is ready. It returns an error if the router has ended or time
+// runs out.
 func (r *Router) AwaitReady(within time.Duration) error {
 	ended := r.Ended()
-	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(readyPoll) {
+	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(readyCheckInterval) {
 		select {
 		case <-ended:
 			return fmt.Errorf("router %d ended before it was ready", r.Index)
 		default:
 		}
-		if r.up() {
+		if r.isReady() {
 			r.mu.Lock()
-			r.life.Ready = time.Now()
+			r.run.Ready = time.Now()
 			r.mu.Unlock()
 			return nil
 		}
@@ -255,7 +260,8 @@
 	return fmt.Errorf("router %d was not ready within %v", r.Index, within)
 }
 
-func (r *Router) up() bool {
+// isReady asks the router whether it is ready.
+func (r *Router) isReady() bool {
 	c, err := net.DialTimeout("tcp", r.Addr, time.Second)
 	if err != nil {
 		return false
--- a/internal/soak/settings.go
+++ b/internal/soak/settings.go
@@ -17,12 +17,14 @@
 	Settings  settings   `json:"settings"`
 }
 
+// limits are the resource limits of a router.
 type limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int     `json:"memory_mb"`
 	Sockets  int     `json:"sockets"`
 }
 
+// settings are the platform's settings. The JSON keys are the platform's.
 type settings struct {
 	Instances   int         `json:"instances"`
 	Index       int         `json:"index"`
@@ -32,7 +34,7 @@
 	Membership  string      `json:"membershipMode"`
 	Feedback    feedback    `json:"feedback"`
 	Family      family      `json:"familyInfo"`
-	Fees        fees        `json:"fees"`
+	Costs       costs       `json:"fees"`
 	Obligations obligations `json:"obligations"`
 	Permissions permissions `json:"permissions"`
 	Classes     []class     `json:"requestClasses"`
@@ -44,24 +46,24 @@
 }
 
 type family struct {
-	LetGoBy       time.Duration   `json:"letGoByNs"`
-	Roles         []string        `json:"kindRole"`
-	TokensByKind  []int           `json:"tokensByKind"`
-	TokenAims     []time.Duration `json:"tokenAimNs"`
-	AimPerKMicros []int           `json:"aimUsPer1000PromptTokens"`
+	HoldTimeout                time.Duration   `json:"letGoByNs"`
+	Roles                      []string        `json:"kindRole"`
+	TokensByKind               []int           `json:"tokensByKind"`
+	TokenIntervalTargets       []time.Duration `json:"tokenAimNs"`
+	FirstTokenTargetPerKMicros []int           `json:"aimUsPer1000PromptTokens"`
 }
 
-type fees struct {
+type costs struct {
 	Probe float64 `json:"probe"`
 }
 
 type obligations struct {
-	AnswerGrace   time.Duration `json:"graceToAnswerNs"`
-	DrainGrace    time.Duration `json:"drainGraceNs"`
-	FallMultiple  float64       `json:"fallMultiple"`
-	OverloadFor   time.Duration `json:"overloadForNs"`
-	StartCapacity float64       `json:"startCapacity"`
-	Cold          time.Duration `json:"coldNs"`
+	AnswerGrace      time.Duration `json:"graceToAnswerNs"`
+	DrainGrace       time.Duration `json:"drainGraceNs"`
+	OverloadMultiple float64       `json:"fallMultiple"`
+	OverloadWindow   time.Duration `json:"overloadForNs"`
+	InitialCapacity  float64       `json:"startCapacity"`
+	SlowStartTime    time.Duration `json:"coldNs"`
 }
 
 type permissions struct {
@@ -74,22 +76,22 @@
 	ConnIdle      time.Duration `json:"connIdleNs"`
 }
 
-// class is a class of requests, in the settings' form.
+// class is a request class in the form of the settings.
 type class struct {
-	Name     string        `json:"name"`
-	Aim      time.Duration `json:"aimNs"`
-	Deadline time.Duration `json:"deadlineNs"`
-	Value    float64       `json:"value"`
-	Repeat   string        `json:"repeat"`
-	Scope    string        `json:"keyScope,omitempty"`
-	Window   time.Duration `json:"windowNs,omitempty"`
+	Name             string        `json:"name"`
+	FirstTokenTarget time.Duration `json:"aimNs"`
+	Deadline         time.Duration `json:"deadlineNs"`
+	Value            float64       `json:"value"`
+	RetryPolicy      string        `json:"repeat"`
+	DedupScope       string        `json:"keyScope,omitempty"`
+	DedupWindow      time.Duration `json:"windowNs,omitempty"`
 }
 
-// The effects of a repeated request.
+// The retry policies of request classes.
 const (
-	safe   = "safe"
-	keyed  = "keyed"
-	unsafe = "unsafe"
+	retrySafe   = "safe"
+	retryKeyed  = "keyed"
+	retryUnsafe = "unsafe"
 )
 
 // The names in lists and settings.
@@ -99,43 +101,45 @@
 	writerKind = "decode"
 )
 
-// figures are the settings' figures that the invariants are about.
-type figures struct {
-	letGo, drainGrace, dialTimeout, cold, overload time.Duration
-	fallMultiple, startCapacity                    float64
-	maxAttempts                                    int
+// ruleParams are the values of the settings that the invariants depend on.
+type ruleParams struct {
+	holdTimeout, drainGrace, dialTimeout, slowStartTime, overloadWindow time.Duration
+	overloadMultiple, initialCapacity                                   float64
+	maxAttempts                                                         int
 }
 
-func defaultFigures() figures {
-	return figures{letGo: time.Second, drainGrace: time.Second, dialTimeout: 250 * time.Millisecond, cold: 6 * time.Second,
-		overload: time.Second, fallMultiple: 2.5, startCapacity: 0.3, maxAttempts: 6}
+// defaultRuleParams returns the values of a usual run.
+func defaultRuleParams() ruleParams {
+	return ruleParams{holdTimeout: time.Second, drainGrace: time.Second, dialTimeout: 250 * time.Millisecond, slowStartTime: 6 * time.Second,
+		overloadWindow: time.Second, overloadMultiple: 2.5, initialCapacity: 0.3, maxAttempts: 6}
 }
 
+// defaultClasses returns one class of each retry policy.
 func defaultClasses() []class {
 	return []class{
-		{Name: "price-ask", Aim: 800 * time.Millisecond, Deadline: 2500 * time.Millisecond, Value: 1, Repeat: safe},
-		{Name: "pen-booking", Aim: 1200 * time.Millisecond, Deadline: 4 * time.Second, Value: 3, Repeat: unsafe},
-		{Name: "stall-order", Aim: time.Second, Deadline: 3 * time.Second, Value: 2, Repeat: keyed, Scope: "all", Window: 1500 * time.Millisecond},
+		{Name: "price-ask", FirstTokenTarget: 800 * time.Millisecond, Deadline: 2500 * time.Millisecond, Value: 1, RetryPolicy: retrySafe},
+		{Name: "pen-booking", FirstTokenTarget: 1200 * time.Millisecond, Deadline: 4 * time.Second, Value: 3, RetryPolicy: retryUnsafe},
+		{Name: "stall-order", FirstTokenTarget: time.Second, Deadline: 3 * time.Second, Value: 2, RetryPolicy: retryKeyed, DedupScope: "all", DedupWindow: 1500 * time.Millisecond},
 	}
 }
 
-// settingsFor makes the settings of one router.
-func settingsFor(routers, index int, classes []class, f figures) settings {
+// settingsFor returns the settings of one router.
+func settingsFor(routers, index int, classes []class, f ruleParams) settings {
 	s := settings{
 		Instances: routers, Index: index, Zones: []string{zoneName}, Kinds: []string{readerKind, writerKind}, Membership: "push",
 		Feedback: feedback{How: "pull", Names: []string{"lat_ms", "x0", "x1"}},
-		Family: family{LetGoBy: f.letGo, Roles: []string{"read", "write"}, TokensByKind: []int{240_000, 160_000},
-			TokenAims: make([]time.Duration, len(classes)), AimPerKMicros: make([]int, len(classes))},
-		Fees: fees{Probe: 0.0026},
-		Obligations: obligations{AnswerGrace: 16 * time.Millisecond, DrainGrace: f.drainGrace, FallMultiple: f.fallMultiple,
-			OverloadFor: f.overload, StartCapacity: f.startCapacity, Cold: f.cold},
+		Family: family{HoldTimeout: f.holdTimeout, Roles: []string{"read", "write"}, TokensByKind: []int{240_000, 160_000},
+			TokenIntervalTargets: make([]time.Duration, len(classes)), FirstTokenTargetPerKMicros: make([]int, len(classes))},
+		Costs: costs{Probe: 0.0026},
+		Obligations: obligations{AnswerGrace: 16 * time.Millisecond, DrainGrace: f.drainGrace, OverloadMultiple: f.overloadMultiple,
+			OverloadWindow: f.overloadWindow, InitialCapacity: f.initialCapacity, SlowStartTime: f.slowStartTime},
 		Permissions: permissions{Probing: true, MayCancel: true, MaxAttempts: f.maxAttempts, DialTimeout: f.dialTimeout,
 			RetryAfter: true, MaxRetryAfter: 500 * time.Millisecond, ConnIdle: 5 * time.Second},
 		Classes: classes,
 	}
 	for i := range classes {
-		s.Family.TokenAims[i] = 60 * time.Millisecond
-		s.Family.AimPerKMicros[i] = 40_000
+		s.Family.TokenIntervalTargets[i] = 60 * time.Millisecond
+		s.Family.FirstTokenTargetPerKMicros[i] = 40_000
 	}
 	return s
 }
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -13,39 +13,41 @@
 	standin "mintdoor/internal/standin/chat"
 )
 
-// Options are how a soak is run.
+// Options are the options of a soak run.
 type Options struct {
 	Program           Program
-	ConfigDir         string // for configuration files; must exist
-	LogDir            string // folder for the routers' logs; "": none are kept
+	ConfigDir         string // folder for the routers' configuration files; must exist
+	LogDir            string // folder for the routers' logs; "": no logs are kept
 	Seed              uint64
 	Routers           int
 	Readers           int
 	Writers           int
-	Length            time.Duration // in which faults strike
-	RequestsPerSecond float64       // requests a second of one router, in the mean
-	FaultInterval     time.Duration // between two faults, in the mean
+	Length            time.Duration // how long faults are injected
+	RequestsPerSecond float64       // mean request rate per router
+	FaultInterval     time.Duration // mean time between two faults
 	// Slack is added to every time that the invariants allow, for a machine that is too slow for the run.
 	Slack time.Duration
-	// CPUShare is the part of a core that each router has; 0 is a whole one.
+	// CPUShare is the fraction of a CPU core that each router gets; 0 means a whole core.
 	CPUShare float64
 	Log      *slog.Logger
-	Progress io.Writer // progress for people; nil: none
+	Progress io.Writer // progress messages for a person; nil: none
 }
 
-// Times of a run.
+// Durations of a run.
 const (
-	startWithin = 60 * time.Second
-	// lagLook and lagTold: the soak looks at its own clock so often, and notes when it ran so much later.
-	lagLook = 10 * time.Millisecond
-	lagTold = 20 * time.Millisecond
-	tellAll = 5 * time.Second // between two words on the progress
+	startTimeout = 60 * time.Second
+	// The soak checks its own clock every pauseCheckInterval, and records a pause of its own process if a check is
+	// late by more than pauseThreshold.
+	pauseCheckInterval = 10 * time.Millisecond
+	pauseThreshold     = 20 * time.Millisecond
+	progressInterval   = 5 * time.Second // between two progress messages
 )
 
-// usualWork is what engines take: a stream takes about a second.
-var usualWork = standin.Timing{ReadTime: 40 * time.Millisecond, FirstTokenTime: 30 * time.Millisecond, EventInterval: 60 * time.Millisecond, EventsPerStream: 14}
+// engineTiming is how long engines take. A stream takes about a second.
+var engineTiming = standin.Timing{ReadTime: 40 * time.Millisecond, FirstTokenTime: 30 * time.Millisecond, EventInterval: 60 * time.Millisecond, EventsPerStream: 14}
 
-// Run runs a soak and judges it. The error tells that it could not be run; what the routers did wrong is in the report.
+// Run runs a soak and evaluates it. An error means that the soak could not be run; violations by the routers are in
+// the report.
 func Run(ctx context.Context, o Options) (*Report, error) {
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
@@ -54,17 +56,17 @@
 		o.Progress = io.Discard
 	}
 	w, err := NewTestbed(TestbedOptions{Program: o.Program, ConfigDir: o.ConfigDir, LogDir: o.LogDir, Routers: o.Routers, Readers: o.Readers, Writers: o.Writers,
-		Timing: usualWork, Seed: o.Seed})
+		Timing: engineTiming, Seed: o.Seed})
 	if err != nil {
 		return nil, err
 	}
 	defer w.Close()
-	lags := watchOwnClock()
-	f := newFront(w.Routers)
-	if err := startAll(w, f); err != nil {
+	lags := watchOwnPauses()
+	f := newRouterPicker(w.Routers)
+	if err := startRouters(w, f); err != nil {
 		return nil, err
 	}
-	log := &askLog{}
+	log := &requestLog{}
 	t := newTraffic(w, f, log, o.RequestsPerSecond*float64(o.Routers), o.Seed)
 	in := newInjector(w, t, f)
 	if o.CPUShare > 0 {
@@ -79,73 +81,74 @@
 	work.Go(func() { t.run(trafficCtx) })
 	struckCtx, endFaults := context.WithTimeout(ctx, o.Length)
 	defer endFaults()
-	work.Go(func() { tellProgress(struckCtx, o.Progress, began, log) })
+	work.Go(func() { printProgress(struckCtx, o.Progress, began, log) })
 	in.run(struckCtx, o.FaultInterval, o.Seed)
 	endTraffic()
 	work.Wait()
 	if err := ctx.Err(); err != nil {
 		return nil, err
 	}
-	endAll(w, in)
-	if in.broken != nil {
-		return nil, fmt.Errorf("a fault could not be injected: %w", in.broken)
+	stopRouters(w, in)
+	if in.injectErr != nil {
+		return nil, fmt.Errorf("a fault could not be injected: %w", in.injectErr)
 	}
-	e := &evidence{began: began, routers: o.Routers, classes: w.opts.classes, figures: w.opts.figures, work: w.opts.Timing,
-		readerSlots: w.opts.slots(false), writerSlots: w.opts.slots(true), asks: log.list, bad: log.bad,
-		record: w.Cluster.Record(), starts: w.starts, failed: in.failed, lags: lags(), slack: o.Slack}
+	e := &evidence{began: began, routers: o.Routers, classes: w.opts.classes, params: w.opts.params, timing: w.opts.Timing,
+		readerSlots: w.opts.slots(false), writerSlots: w.opts.slots(true), requests: log.list, badClients: log.bad,
+		record: w.Cluster.Record(), coldStarts: w.coldStarts, failedStarts: in.failedStarts, soakPauses: lags(), slack: o.Slack}
 	for _, r := range w.Routers {
-		e.lives = append(e.lives, r.Runs())
-		e.told = append(e.told, toldOfDrains(w.agentsOf(r.Index)))
-		e.paths = append(e.paths, w.pathsOf(r.Index))
+		e.runs = append(e.runs, r.Runs())
+		e.drainsReported = append(e.drainsReported, drainReports(w.agentsOf(r.Index)))
+		e.reachability = append(e.reachability, w.reachabilityOf(r.Index))
 	}
 	if e.record.Overflow {
-		return nil, errors.New("the run was too long: its record is not whole")
+		return nil, errors.New("the run was too long: its record is incomplete")
 	}
 	e.index()
-	report := newReport(&o, e, in.allStruck())
-	report.Findings = judge(e)
+	report := newReport(&o, e, in.allFaultCounts())
+	report.Findings = evaluate(e)
 	return report, nil
 }
 
-// startAll starts all routers and waits until they are ready.
-func startAll(w *Testbed, f *front) error {
+// startRouters starts all routers and waits until they are ready.
+func startRouters(w *Testbed, f *routerPicker) error {
 	for _, r := range w.Routers {
 		if err := r.Start(); err != nil {
 			return err
 		}
 	}
 	for _, r := range w.Routers {
-		if err := r.AwaitReady(startWithin); err != nil {
+		if err := r.AwaitReady(startTimeout); err != nil {
 			return err
 		}
-		f.notice(r.Index, true)
+		f.setUp(r.Index, true)
 	}
 	return nil
 }
 
-// endAll tells all routers to end; each has to do so by itself, as no client is left.
-func endAll(w *Testbed, in *injector) {
+// stopRouters sends SIGTERM to all routers. Each has to end by itself, since no client is left.
+func stopRouters(w *Testbed, in *injector) {
 	for _, r := range w.Routers {
 		r.Signal(syscall.SIGTERM)
 	}
 	for _, r := range w.Routers {
 		select {
 		case <-r.Ended():
-		case <-time.After(2 * in.kills):
+		case <-time.After(2 * in.killDelay):
 			in.mu.Lock()
-			in.failed = append(in.failed, fmt.Sprintf("router %d did not end though no client was left", r.Index))
+			in.failedStarts = append(in.failedStarts, fmt.Sprintf("router %d did not end although no client was left", r.Index))
 			in.mu.Unlock()
 		}
 	}
 }
 
-// watchOwnClock notes the times in which this process did not run. The function that it returns ends that and returns them.
-func watchOwnClock() func() []Pause {
+// watchOwnPauses records the intervals in which this process did not run. The returned function ends that and returns
+// the intervals.
+func watchOwnPauses() func() []Pause {
 	done, ended := make(chan struct{}), make(chan struct{})
 	var lags []Pause
 	go func() {
 		defer close(ended)
-		tick := time.NewTicker(lagLook)
+		tick := time.NewTicker(pauseCheckInterval)
 		defer tick.Stop()
 		for last := time.Now(); ; {
 			select {
@@ -154,7 +157,7 @@
 			case <-tick.C:
 			}
 			now := time.Now()
-			if now.Sub(last) > lagLook+lagTold {
+			if now.Sub(last) > pauseCheckInterval+pauseThreshold {
 				lags = append(lags, Pause{From: last, Until: now})
 			}
 			last = now
@@ -167,8 +170,9 @@
 	}
 }
 
-func tellProgress(ctx context.Context, out io.Writer, began time.Time, log *askLog) {
-	tick := time.NewTicker(tellAll)
+// printProgress prints the number of requests at each progress interval.
+func printProgress(ctx context.Context, out io.Writer, began time.Time, log *requestLog) {
+	tick := time.NewTicker(progressInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -183,8 +187,8 @@
 	}
 }
 
-// allStruck adds up how often each fault was injected, and what the stand-ins have counted.
-func (in *injector) allStruck() map[string]int {
+// allFaultCounts sums how often each fault was injected and how often the stand-ins have applied it.
+func (in *injector) allFaultCounts() map[string]int {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	out := map[string]int{}
@@ -193,18 +197,18 @@
 			out[k] += n
 		}
 	}
-	add(in.struck)
-	in.world.mu.Lock()
-	defer in.world.mu.Unlock()
-	for _, e := range in.world.all {
+	add(in.faultCounts)
+	in.testbed.mu.Lock()
+	defer in.testbed.mu.Unlock()
+	for _, e := range in.testbed.allEngines {
 		add(e.FaultCounts())
 	}
-	for _, g := range in.world.groups {
+	for _, g := range in.testbed.groups {
 		for _, p := range g.proxies {
 			add(p.FaultCounts())
 		}
 	}
-	for _, of := range in.world.agents {
+	for _, of := range in.testbed.agents {
 		for _, a := range of {
 			add(a.FaultCounts())
 		}
--- a/internal/soak/throttle.go
+++ b/internal/soak/throttle.go
@@ -6,60 +6,61 @@
 	"time"
 )
 
-// throttlePeriod is the time in which a router with a part of a core runs once. It is short against what a process may be held
-// up.
+// throttlePeriod is the period in which a router with a CPU share runs once. It is short compared with the longest
+// process pause that the rules allow.
 const throttlePeriod = 20 * time.Millisecond
 
-// throttle has every router run for a part of the time only, until ctx ends.
+// throttle lets every router run for a fraction of the time only, until ctx ends.
 func (w *Testbed) throttle(ctx context.Context, share float64) {
 	for _, r := range w.Routers {
 		go r.throttle(ctx, time.Duration(share*float64(throttlePeriod)))
 	}
 }
 
+// throttle pauses the process in each period after it has run for a time.
 func (r *Router) throttle(ctx context.Context, runs time.Duration) {
 	tick := time.NewTicker(throttlePeriod)
 	defer tick.Stop()
 	for {
-		r.runOn()
+		r.resumeProcess()
 		select {
 		case <-ctx.Done():
 			return
 		case <-time.After(runs):
 		}
-		r.hold()
+		r.pauseProcess()
 		select {
 		case <-ctx.Done():
-			r.runOn()
+			r.resumeProcess()
 			return
 		case <-tick.C:
 		}
 	}
 }
 
-// hold stops the process for a moment, which no rule excuses.
-func (r *Router) hold() {
+// pauseProcess pauses the process briefly. The invariants make no allowance for it.
+func (r *Router) pauseProcess() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.runs() {
+	if r.mayRun() {
 		r.cmd.Process.Signal(syscall.SIGSTOP)
 	}
 }
 
-// runOn ends hold, unless a fault keeps the process from running.
-func (r *Router) runOn() {
+// resumeProcess ends pauseProcess, unless a fault keeps the process paused.
+func (r *Router) resumeProcess() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.runs() {
+	if r.mayRun() {
 		r.cmd.Process.Signal(syscall.SIGCONT)
 	}
 }
 
-// runs tells whether the process runs and no fault keeps it from that. mu is held.
-func (r *Router) runs() bool {
-	if r.life == nil || !r.life.Exited.IsZero() {
+// mayRun reports whether the process is alive and no fault keeps it paused. mu is held.
+func (r *Router) mayRun() bool {
+	if r.run == nil || !r.run.Exited.IsZero() {
 		return false
 	}
-	n := len(r.life.Pauses)
-	return n == 0 || !r.life.Pauses[n-1].Until.IsZero()
+	n := len(r.run.Pauses)
+	return n == 0 || !r.run.Pauses[n-1].Until.IsZero()
 }
--- a/internal/soak/traffic.go
+++ b/internal/soak/traffic.go
@@ -9,52 +9,54 @@
 	"time"
 )
 
-// habits are how the clients of a run behave, as chances of a request.
-type habits struct {
-	leaves  float64 // before the answer's end
-	pieces  float64 // writes in pieces
-	slow    float64 // with pauses between them
-	retries float64 // comes again after a refusal
-	keeps   float64 // keeps its connection
-	short   float64 // has very little time
+// behaviourOdds are the probabilities per request of the clients' behaviours.
+type behaviourOdds struct {
+	leaves        float64 // leaves before the end of the answer
+	pieces        float64 // writes the request in pieces
+	slow          float64 // pauses between the pieces
+	retries       float64 // retries after a refusal
+	keepsConn     float64 // keeps its connection
+	shortDeadline float64 // has a very short deadline
 }
 
-func usualHabits() habits {
-	return habits{leaves: 0.12, pieces: 0.15, slow: 0.08, retries: 0.5, keeps: 0.85, short: 0.03}
+// defaultBehaviourOdds returns the probabilities of a run.
+func defaultBehaviourOdds() behaviourOdds {
+	return behaviourOdds{leaves: 0.12, pieces: 0.15, slow: 0.08, retries: 0.5, keepsConn: 0.85, shortDeadline: 0.03}
 }
 
-// Bounds of the traffic.
+// Limits of the traffic.
 const (
-	maxVisits   = 4096 // clients at a time
-	maxIdle     = 20   // connections that rest at one router
-	maxRetries  = 3
-	maxDials    = 4 // routers that a client tries to reach
-	leaveWithin = 1500 * time.Millisecond
-	backoff     = 300 * time.Millisecond
+	maxClients       = 4096 // concurrent clients
+	maxIdlePerRouter = 20   // idle connections to one router
+	maxRetries       = 3
+	maxDialAttempts  = 4 // routers that a client tries to reach
+	maxLeaveDelay    = 1500 * time.Millisecond
+	maxBackoff       = 300 * time.Millisecond
 )
 
 // traffic is the clients of a run.
 type traffic struct {
-	world  *Testbed
-	front  *front
-	log    *askLog
-	rate   float64 // requests a second, over all routers
-	habits habits
-	seed   uint64
-	serial atomic.Uint64
-	work   sync.WaitGroup
-	slots  chan struct{}
+	testbed    *Testbed
+	front      *routerPicker
+	log        *requestLog
+	rate       float64 // requests per second over all routers
+	odds       behaviourOdds
+	seed       uint64
+	lastNumber atomic.Uint64
+	work       sync.WaitGroup
+	slots      chan struct{}
 
 	mu   sync.Mutex
 	idle map[int][]*conn // by router
 }
 
-func newTraffic(w *Testbed, f *front, log *askLog, rate float64, seed uint64) *traffic {
-	return &traffic{world: w, front: f, log: log, rate: rate, habits: usualHabits(), seed: seed, slots: make(chan struct{}, maxVisits),
+// newTraffic returns traffic that has not started.
+func newTraffic(w *Testbed, f *routerPicker, log *requestLog, rate float64, seed uint64) *traffic {
+	return &traffic{testbed: w, front: f, log: log, rate: rate, odds: defaultBehaviourOdds(), seed: seed, slots: make(chan struct{}, maxClients),
 		idle: map[int][]*conn{}}
 }
 
-// run sends requests until ctx ends, and returns when all of them are over.
+// run sends requests until ctx ends, and returns when all of them have ended.
 func (t *traffic) run(ctx context.Context) {
 	random := rand.New(rand.NewPCG(t.seed, 1))
 	for ctx.Err() == nil {
@@ -63,21 +65,21 @@
 		case <-ctx.Done():
 			pause.Stop()
 		case <-pause.C:
-			t.spawn(func(random *rand.Rand) { t.visit(random) })
+			t.spawn(func(random *rand.Rand) { t.runClient(random) })
 		}
 	}
 	t.work.Wait()
 	t.closeIdle()
 }
 
-// spawn runs a client, unless there are too many.
+// spawn runs a client in the background, unless too many are running.
 func (t *traffic) spawn(client func(random *rand.Rand)) {
 	select {
 	case t.slots <- struct{}{}:
 	default:
 		return
 	}
-	n := t.serial.Add(1)
+	n := t.lastNumber.Add(1)
 	t.work.Add(1)
 	go func() {
 		defer t.work.Done()
@@ -86,22 +88,22 @@
 	}()
 }
 
-// question draws a request.
-func (t *traffic) question(random *rand.Rand) *question {
-	index := random.IntN(len(t.world.opts.classes))
-	c := &t.world.opts.classes[index]
-	q := &question{id: fmt.Sprintf("%08x%08x", t.serial.Add(1), random.Uint32()), class: c, index: index,
-		left: time.Duration((0.5 + random.Float64()/2) * float64(c.Deadline)), key: fmt.Sprintf("%016x", random.IntN(200))}
-	if random.Float64() < t.habits.short {
-		q.left = time.Duration(1+random.IntN(150)) * time.Millisecond
+// drawRequest draws a request.
+func (t *traffic) drawRequest(random *rand.Rand) *clientRequest {
+	index := random.IntN(len(t.testbed.opts.classes))
+	c := &t.testbed.opts.classes[index]
+	q := &clientRequest{id: fmt.Sprintf("%08x%08x", t.lastNumber.Add(1), random.Uint32()), class: c, index: index,
+		timeLeft: time.Duration((0.5 + random.Float64()/2) * float64(c.Deadline)), key: fmt.Sprintf("%016x", random.IntN(200))}
+	if random.Float64() < t.odds.shortDeadline {
+		q.timeLeft = time.Duration(1+random.IntN(150)) * time.Millisecond
 	}
 	return q
 }
 
-// manner draws how a client behaves.
-func (t *traffic) manner(random *rand.Rand) *manner {
-	m := &manner{pieces: 1}
-	h := &t.habits
+// drawBehaviour draws how a client behaves.
+func (t *traffic) drawBehaviour(random *rand.Rand) *clientBehaviour {
+	m := &clientBehaviour{pieces: 1}
+	h := &t.odds
 	if random.Float64() < h.pieces {
 		m.pieces = 2 + random.IntN(5)
 		if random.Float64() < h.slow/h.pieces {
@@ -109,35 +111,35 @@
 		}
 	}
 	if random.Float64() < h.leaves {
-		m.leaves = time.Duration(1 + random.Int64N(int64(leaveWithin)))
+		m.leaveAfter = time.Duration(1 + random.Int64N(int64(maxLeaveDelay)))
 		switch random.IntN(6) {
 		case 0:
-			m.byReset = true
+			m.leaveByReset = true
 		case 1:
 			m.halfClose = true
 		case 2:
-			m.behind = "GET /up HTTP/1.1\r\nHost: a\r\n\r\n"
+			m.trailing = "GET /up HTTP/1.1\r\nHost: a\r\n\r\n"
 		}
 	}
 	return m
 }
 
-// visit is one client with one wish: it asks, and comes again if it is refused.
-func (t *traffic) visit(random *rand.Rand) {
+// runClient is one client: it sends a request, and may retry if it is refused.
+func (t *traffic) runClient(random *rand.Rand) {
 	for range 1 + random.IntN(maxRetries) {
-		a := t.ask(random, t.question(random), t.manner(random))
-		if a == nil || !a.refused() || random.Float64() > t.habits.retries {
+		a := t.send(random, t.drawRequest(random), t.drawBehaviour(random))
+		if a == nil || !a.refused() || random.Float64() > t.odds.retries {
 			return
 		}
-		time.Sleep(time.Duration(random.Float64() * float64(backoff)))
+		time.Sleep(time.Duration(random.Float64() * float64(maxBackoff)))
 	}
 }
 
-// ask brings a request to a router and returns what came of it; nil if no router could be reached. One that crosses the end
-// of its connection is sent once more, under an id of its own.
-func (t *traffic) ask(random *rand.Rand, q *question, m *manner) *ask {
+// send sends a request to a router and returns its record, or nil if no router could be reached. A request that
+// crosses the close of its connection is sent once more, under a new id.
+func (t *traffic) send(random *rand.Rand, q *clientRequest, m *clientBehaviour) *requestRecord {
 	crossed := false
-	for range maxDials {
+	for range maxDialAttempts {
 		r := t.front.pick(random)
 		if r == nil {
 			return nil
@@ -150,8 +152,8 @@
 			}
 		}
 		a, reuse := c.exchange(q, m, random, t.log)
-		if reuse && random.Float64() < t.habits.keeps {
-			t.keep(c)
+		if reuse && random.Float64() < t.odds.keepsConn {
+			t.keepIdle(c)
 		} else {
 			c.Close()
 		}
@@ -160,19 +162,20 @@
 		}
 		crossed = true
 		again := *q
-		again.id = fmt.Sprintf("%08x%08x", t.serial.Add(1), random.Uint32())
+		again.id = fmt.Sprintf("%08x%08x", t.lastNumber.Add(1), random.Uint32())
 		q = &again
 	}
 	return nil
 }
 
+// takeIdle returns an idle connection to a router that is still open, or nil.
 func (t *traffic) takeIdle(router int) *conn {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for n := len(t.idle[router]); n > 0; n = len(t.idle[router]) {
 		c := t.idle[router][n-1]
 		t.idle[router] = t.idle[router][:n-1]
-		if c.stands() {
+		if c.isIdleOpen() {
 			return c
 		}
 		c.Close()
@@ -180,16 +183,18 @@
 	return nil
 }
 
-func (t *traffic) keep(c *conn) {
+// keepIdle keeps a connection for another request, unless too many are kept.
+func (t *traffic) keepIdle(c *conn) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if len(t.idle[c.router]) >= maxIdle {
+	if len(t.idle[c.router]) >= maxIdlePerRouter {
 		c.Close()
 		return
 	}
 	t.idle[c.router] = append(t.idle[c.router], c)
 }
 
+// closeIdle closes all idle connections.
 func (t *traffic) closeIdle() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -201,20 +206,20 @@
 	clear(t.idle)
 }
 
-// Clients at a shutdown.
+// Clients around a shutdown.
 const (
-	lateFresh  = 4 // connections that have brought no request when the signal comes
-	lateNew    = 3 // connections that come up to newWithin after it
-	newWithin  = 400 * time.Millisecond
-	lateWithin = 1500 * time.Millisecond // after the signal requests come on those; half of them come up to the kill
+	lateUnusedConns = 4 // connections that have carried no request when the signal is sent
+	lateNewConns    = 3 // connections that are dialled up to lateDialWindow after it
+	lateDialWindow  = 400 * time.Millisecond
+	lateSendWindow  = 1500 * time.Millisecond // after the signal; half of the requests are sent up to the kill
 )
 
-// aroundShutdown has clients at a router that is about to be told to end: some have just connected, some connect yet, and all
-// send on whatever connection stays open. signal sends the signal.
-func (t *traffic) aroundShutdown(r *Router, random *rand.Rand, signal func()) {
+// sendAroundShutdown adds clients at a router that is about to get a signal: some have just connected, some connect
+// afterwards, and all send a request on whatever connection stays open. signal sends the signal.
+func (t *traffic) sendAroundShutdown(r *Router, random *rand.Rand, signal func()) {
 	at := func(d time.Duration) time.Duration { return time.Duration(random.Int64N(int64(d))) }
 	var conns []*conn
-	for range lateFresh {
+	for range lateUnusedConns {
 		if c, err := dial(r); err == nil {
 			conns = append(conns, c)
 		}
@@ -224,12 +229,12 @@
 	delete(t.idle, r.Index)
 	t.mu.Unlock()
 	signal()
-	killed := killAfter(t.world.opts.classes)
+	killed := minKillDelay(t.testbed.opts.classes)
 	late := func() time.Duration {
 		if random.IntN(2) == 0 {
 			return at(killed)
 		}
-		return at(lateWithin)
+		return at(lateSendWindow)
 	}
 	for _, c := range conns {
 		t.sendLate(c, late())
@@ -237,35 +242,37 @@
 	for _, c := range rested {
 		t.sendLate(c, at(killed))
 	}
-	for range lateNew {
-		dialAfter, sendAfter := at(newWithin), late()
+	for range lateNewConns {
+		dialAfter, sendAfter := at(lateDialWindow), late()
 		t.spawn(func(random *rand.Rand) {
 			time.Sleep(dialAfter)
 			if c, err := dial(r); err == nil {
-				t.late(c, sendAfter, random)
+				t.sendAfter(c, sendAfter, random)
 			}
 		})
 	}
 }
 
-// sendLate sends a request on a connection after a while, if that stands.
+// sendLate sends a request on a connection after a delay, if the connection is still open.
 func (t *traffic) sendLate(c *conn, after time.Duration) {
-	t.spawn(func(random *rand.Rand) { t.late(c, after, random) })
+	t.spawn(func(random *rand.Rand) { t.sendAfter(c, after, random) })
 }
 
-func (t *traffic) late(c *conn, after time.Duration, random *rand.Rand) {
+// sendAfter waits, sends a request on a connection and closes it.
+func (t *traffic) sendAfter(c *conn, after time.Duration, random *rand.Rand) {
 	defer c.Close()
 	time.Sleep(after)
-	if !c.stands() {
+	if !c.isIdleOpen() {
 		return
 	}
-	m := &manner{pieces: 1 + random.IntN(3), pause: time.Duration(random.IntN(60)) * time.Millisecond}
-	a, _ := c.exchange(t.question(random), m, random, t.log)
+	m := &clientBehaviour{pieces: 1 + random.IntN(3), pause: time.Duration(random.IntN(60)) * time.Millisecond}
+	a, _ := c.exchange(t.drawRequest(random), m, random, t.log)
 	a.note = "late in a shutdown"
 }
 
-// crowd opens connections that say nothing, and closes them after a while.
-func (t *traffic) crowd(r *Router, n int, stay time.Duration) (opened int) {
+// openIdleConns opens connections that send nothing, and closes them after a while. It returns how many could be
+// opened.
+func (t *traffic) openIdleConns(r *Router, n int, stay time.Duration) (opened int) {
 	var conns []*conn
 	for range n {
 		c, err := dial(r)
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -1,6 +1,7 @@
-// Package soak runs real router processes of the platform under random, overlapping faults and judges them from outside:
-// by what their clients, their engines and discovery have seen. Engines, discovery and the network are stand-ins on
-// loopback; every router reaches the engines through proxies of its own, each for a group of engines on one network.
+// Package soak runs real router processes of the platform under random, overlapping faults and evaluates them from
+// outside, by what their clients, their engines and discovery have seen. Engines, discovery and the network are
+// stand-ins on loopback. Every router reaches the engines through its own proxies, each for a group of engines on one
+// network. The package measures no performance.
 package soak
 
 import (
@@ -20,21 +21,21 @@
 	standin "mintdoor/internal/standin/chat"
 )
 
-// TestbedOptions are what a world is made of.
+// TestbedOptions are the options of a Testbed.
 type TestbedOptions struct {
 	Program   Program
-	ConfigDir string // for configuration files; must exist
-	LogDir    string // folder for the routers' logs; "": none are kept
+	ConfigDir string // folder for the routers' configuration files; must exist
+	LogDir    string // folder for the routers' logs; "": no logs are kept
 	Routers   int
 	Readers   int
 	Writers   int
 	Timing    standin.Timing // of every engine
 	Seed      uint64
 	classes   []class
-	figures   figures
+	params    ruleParams
 }
 
-// Testbed is routers with all that surrounds them.
+// Testbed is a set of routers with their engines, networks and discovery.
 type Testbed struct {
 	opts      TestbedOptions
 	Cluster   *standin.Cluster
@@ -43,44 +44,44 @@
 
 	machines *standin.EngineListener
 
-	mu      sync.Mutex
-	engines map[string]*standin.Engine
-	members map[string]watch.Member
-	claimed map[string]bool      // engines that are on their way out
-	all     []*standin.Engine    // that ever ran
-	starts  map[string]time.Time // of engines that started cold
-	groups  []*group
-	groupOf map[string]*group        // by engine
-	agents  map[int][]*standin.Agent // all that there were, by router
-	serial  int
-	closed  bool
+	mu               sync.Mutex
+	engines          map[string]*standin.Engine
+	members          map[string]watch.Member
+	leaving          map[string]bool      // engines that are being removed
+	allEngines       []*standin.Engine    // every engine that was ever started
+	coldStarts       map[string]time.Time // start times of the engines that were started cold
+	groups           []*engineGroup
+	groupOf          map[string]*engineGroup  // by engine
+	agents           map[int][]*standin.Agent // all agents so far, by router
+	lastEngineNumber int
+	closed           bool
 }
 
-// group is engines of one role on one network: faults between routers and engines strike all of them alike.
-type group struct {
+// engineGroup is a group of engines of one role on one network. Network faults affect all of them alike.
+type engineGroup struct {
 	writers bool
 	proxies []*standin.Proxy // by router
-	size    int              // engines that run
+	size    int              // number of running engines
 }
 
-// maxGroups bounds the groups of a role: each costs every router a listener.
+// maxGroups limits the groups of a role, since each group costs every router a listener.
 const maxGroups = 20
 
-// NewTestbed builds a world. Its routers are not started.
+// NewTestbed builds a testbed. Its routers are not started.
 func NewTestbed(o TestbedOptions) (*Testbed, error) {
 	if o.classes == nil {
 		o.classes = defaultClasses()
 	}
-	if o.figures == (figures{}) {
-		o.figures = defaultFigures()
+	if o.params == (ruleParams{}) {
+		o.params = defaultRuleParams()
 	}
 	machines, err := standin.NewEngineListener()
 	if err != nil {
 		return nil, err
 	}
 	w := &Testbed{opts: o, Cluster: standin.NewCluster(), Directory: standin.NewDirectory(), machines: machines,
-		engines: map[string]*standin.Engine{}, members: map[string]watch.Member{}, claimed: map[string]bool{},
-		starts: map[string]time.Time{}, agents: map[int][]*standin.Agent{}, groupOf: map[string]*group{}}
+		engines: map[string]*standin.Engine{}, members: map[string]watch.Member{}, leaving: map[string]bool{},
+		coldStarts: map[string]time.Time{}, agents: map[int][]*standin.Agent{}, groupOf: map[string]*engineGroup{}}
 	if err := w.build(); err != nil {
 		w.Close()
 		return nil, err
@@ -88,9 +89,9 @@
 	return w, nil
 }
 
-// build makes the networks, the routers' places and the engines.
+// build makes the networks, the routers' configurations and the engines.
 func (w *Testbed) build() error {
-	// The networks listen on all addresses, so their ports come before any that a router is to find free.
+	// The networks listen on all addresses, so they take their ports before a free port is searched for any router.
 	if err := w.addGroups(false, min(w.opts.Readers, maxGroups)); err != nil {
 		return err
 	}
@@ -113,7 +114,7 @@
 // addGroups makes groups of a role.
 func (w *Testbed) addGroups(writers bool, n int) error {
 	for range n {
-		g := &group{writers: writers}
+		g := &engineGroup{writers: writers}
 		w.groups = append(w.groups, g)
 		for router := range w.opts.Routers {
 			p, err := standin.NewProxy(w.Cluster, router)
@@ -126,45 +127,47 @@
 	return nil
 }
 
-// Requests that all engines of a role do at once, for each router, where engines are many: a router's part of what the engines
-// can do hangs on nothing else. With few engines each does more.
+// Engine capacity. With more than maxFullSlotEngines engines of a role, all of them together process the given number
+// of requests at once per router, so that a router's share of the capacity depends on nothing else. With fewer
+// engines, each processes the maximum.
 const (
-	readerSlots  = 8
-	writerSlots  = 24
-	readerShare  = 24
-	writerShare  = 60
-	leastSlots   = 1
-	fewOfOneRole = 40
+	maxReaderSlots       = 8
+	maxWriterSlots       = 24
+	readerSlotsPerRouter = 24
+	writerSlotsPerRouter = 60
+	minSlots             = 1
+	maxFullSlotEngines   = 40
 )
 
-// slots is how many requests an engine of a role does at once.
+// slots returns how many requests an engine of a role processes at once.
 func (o *TestbedOptions) slots(writer bool) int {
-	n, most, share := o.Readers, readerSlots, readerShare
+	n, most, share := o.Readers, maxReaderSlots, readerSlotsPerRouter
 	if writer {
-		n, most, share = o.Writers, writerSlots, writerShare
+		n, most, share = o.Writers, maxWriterSlots, writerSlotsPerRouter
 	}
-	if n <= fewOfOneRole {
+	if n <= maxFullSlotEngines {
 		return most
 	}
-	return min(max(share*o.Routers/n, leastSlots), most)
+	return min(max(share*o.Routers/n, minSlots), most)
 }
 
-// hosts of the routers and of their agents, by the router's number.
+// routerHost and agentHost return the loopback addresses of a router and of its discovery agents.
 func routerHost(i int) string { return fmt.Sprintf("127.20.%d.%d", i>>8, i&0xff) }
 func agentHost(i int) string  { return fmt.Sprintf("127.40.%d.%d", i>>8, i&0xff) }
 
+// newRouter makes the configuration of a router, and its first agent.
 func (w *Testbed) newRouter(i int) (*Router, error) {
 	addr, err := freeAddr(routerHost(i))
 	if err != nil {
 		return nil, err
 	}
-	r := &Router{Index: i, Addr: addr, world: w}
+	r := &Router{Index: i, Addr: addr, testbed: w}
 	if r.agent, err = w.NewAgent(i); err != nil {
 		return nil, err
 	}
 	const memoryMB, sockets = 192, 512
 	r.config = config{Name: fmt.Sprintf("n%d", i), Listen: addr, Discovery: r.agent.Addr(), Known: watch.List{Complete: true, Members: []watch.Member{}},
-		Limits: limits{Cores: 1, MemoryMB: memoryMB, Sockets: sockets}, Settings: settingsFor(w.opts.Routers, i, w.opts.classes, w.opts.figures)}
+		Limits: limits{Cores: 1, MemoryMB: memoryMB, Sockets: sockets}, Settings: settingsFor(w.opts.Routers, i, w.opts.classes, w.opts.params)}
 	if w.opts.LogDir != "" {
 		if r.log, err = os.Create(filepath.Join(w.opts.LogDir, r.config.Name+".log")); err != nil {
 			return nil, fmt.Errorf("soak: %w", err)
@@ -173,7 +176,7 @@
 	return r, nil
 }
 
-// The ports of routers lie under those that the networks take on all addresses.
+// Routers use ports below those that the networks use on all addresses.
 const (
 	firstPort = 10_000
 	lastPort  = 20_000
@@ -192,7 +195,7 @@
 	return "", fmt.Errorf("soak: %w", err)
 }
 
-// NewAgent starts an agent of discovery for a router.
+// NewAgent starts a discovery agent for a router.
 func (w *Testbed) NewAgent(router int) (*standin.Agent, error) {
 	a, err := standin.NewAgent(w.Directory, agentHost(router), func(member string) string {
 		w.mu.Lock()
@@ -200,7 +203,7 @@
 		if g := w.groupOf[member]; g != nil && w.engines[member] != nil {
 			return g.proxies[router].AddrOf(w.engines[member])
 		}
-		return "127.0.0.1:1" // it has left
+		return "127.0.0.1:1" // the engine has been removed
 	})
 	if err != nil {
 		return nil, err
@@ -211,33 +214,33 @@
 	return a, nil
 }
 
-// pathsOf tells how a router reached all engines that there were.
-func (w *Testbed) pathsOf(router int) map[string]*path {
+// reachabilityOf returns the times in which a router could reach each engine that was ever started.
+func (w *Testbed) reachabilityOf(router int) map[string]*reachability {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	silences := map[*group][]standin.Interval{}
+	silences := map[*engineGroup][]standin.Interval{}
 	for _, g := range w.groups {
 		silences[g] = g.proxies[router].Outages()
 	}
-	out := map[string]*path{}
-	for _, e := range w.all {
-		p := &path{since: e.StartTime(), gaps: e.Downtimes()}
-		p.gaps = append(p.gaps, silences[w.groupOf[e.ID()]]...)
-		slices.SortFunc(p.gaps, func(a, b standin.Interval) int { return a.From.Compare(b.From) })
+	out := map[string]*reachability{}
+	for _, e := range w.allEngines {
+		p := &reachability{since: e.StartTime(), outages: e.Downtimes()}
+		p.outages = append(p.outages, silences[w.groupOf[e.ID()]]...)
+		slices.SortFunc(p.outages, func(a, b standin.Interval) int { return a.From.Compare(b.From) })
 		out[e.ID()] = p
 	}
 	return out
 }
 
-// agentsOf returns all agents that a router was told of.
+// agentsOf returns all agents that a router was configured with.
 func (w *Testbed) agentsOf(router int) []*standin.Agent {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return append([]*standin.Agent(nil), w.agents[router]...)
 }
 
-// AddEngines starts engines of a role and lists them in one change; sinceMS is their start as the list tells it, 0 for long
-// ago.
+// AddEngines starts engines of a role and lists them in one change. sinceMS is their start time in the list, in Unix
+// milliseconds; 0 means long ago.
 func (w *Testbed) AddEngines(n int, writers bool, sinceMS int64) error {
 	members := make([]watch.Member, 0, n)
 	for range n {
@@ -255,14 +258,14 @@
 func (w *Testbed) startEngine(writer bool, sinceMS int64) (m watch.Member, err error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.serial++
+	w.lastEngineNumber++
 	kind, prefix := readerKind, "p"
 	if writer {
 		kind, prefix = writerKind, "d"
 	}
-	id := fmt.Sprintf("%s%d", prefix, w.serial)
+	id := fmt.Sprintf("%s%d", prefix, w.lastEngineNumber)
 	e, err := standin.NewEngine(standin.EngineOptions{ID: id, Writer: writer, Cluster: w.Cluster, Timing: w.opts.Timing,
-		Slots: w.opts.slots(writer), Seed: w.opts.Seed + uint64(w.serial), Listener: w.machines})
+		MaxInFlight: w.opts.slots(writer), Seed: w.opts.Seed + uint64(w.lastEngineNumber), Listener: w.machines})
 	if err != nil {
 		return m, err
 	}
@@ -272,17 +275,17 @@
 		p.AddEngine(e)
 	}
 	w.groupOf[id], w.engines[id] = g, e
-	w.all = append(w.all, e)
+	w.allEngines = append(w.allEngines, e)
 	if sinceMS > 0 {
-		w.starts[id] = time.UnixMilli(sinceMS)
+		w.coldStarts[id] = time.UnixMilli(sinceMS)
 	}
 	m = watch.Member{ID: id, Zone: zoneName, Kind: kind, Cell: 1, Phase: watch.Up, Size: 1, SinceMS: sinceMS}
 	w.members[id] = m
 	return m, nil
 }
 
-// smallestGroup is the group of a role with the fewest engines. mu is held.
-func (w *Testbed) smallestGroup(writers bool) (least *group) {
+// smallestGroup returns the group of a role with the fewest engines. mu is held.
+func (w *Testbed) smallestGroup(writers bool) (least *engineGroup) {
 	for _, g := range w.groups {
 		if g.writers == writers && (least == nil || g.size < least.size) {
 			least = g
@@ -291,7 +294,7 @@
 	return least
 }
 
-// Engines returns the engines that run, by their ids.
+// Engines returns the running engines, sorted by id.
 func (w *Testbed) Engines() []*standin.Engine {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -302,7 +305,7 @@
 	return out
 }
 
-// Proxy returns the proxy between a router and an engine, and those of its group; nil if the engine is not known.
+// Proxy returns the proxy of an engine's group for a router, or nil if the engine is not known.
 func (w *Testbed) Proxy(router int, engine string) *standin.Proxy {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -312,33 +315,33 @@
 	return nil
 }
 
-// groupOfEngine returns the group of an engine that ever ran.
-func (w *Testbed) groupOfEngine(id string) *group {
+// groupOfEngine returns the group of an engine that was ever started.
+func (w *Testbed) groupOfEngine(id string) *engineGroup {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.groupOf[id]
 }
 
-// ReadyEngines tells how many engines of a role are listed as up and not on their way out.
+// ReadyEngines returns how many engines of a role are listed as up and are not being removed.
 func (w *Testbed) ReadyEngines(writers bool) (n int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for id, e := range w.engines {
-		if e.Writer() == writers && w.members[id].Phase == watch.Up && !w.claimed[id] {
+		if e.Writer() == writers && w.members[id].Phase == watch.Up && !w.leaving[id] {
 			n++
 		}
 	}
 	return n
 }
 
-// ClaimForRemoval notes that an engine is on its way out; false if it was already.
+// ClaimForRemoval marks an engine as being removed. It returns false if it was marked before or does not run.
 func (w *Testbed) ClaimForRemoval(id string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.claimed[id] || w.engines[id] == nil {
+	if w.leaving[id] || w.engines[id] == nil {
 		return false
 	}
-	w.claimed[id] = true
+	w.leaving[id] = true
 	return true
 }
 
@@ -348,6 +351,7 @@
 // UnlistEngines takes engines off the list, in one change.
 func (w *Testbed) UnlistEngines(ids ...string) { w.setPhase(watch.Removed, ids) }
 
+// setPhase lists engines in a phase, in one change.
 func (w *Testbed) setPhase(phase string, ids []string) {
 	var changed []watch.Member
 	w.mu.Lock()
@@ -361,7 +365,7 @@
 	w.Directory.Put(changed...)
 }
 
-// RemoveEngine ends an engine that was taken off the list.
+// RemoveEngine stops an engine that was taken off the list.
 func (w *Testbed) RemoveEngine(id string) {
 	w.mu.Lock()
 	e := w.engines[id]
@@ -381,7 +385,7 @@
 	}
 }
 
-// Close kills the routers and ends everything.
+// Close kills the routers and stops everything else.
 func (w *Testbed) Close() {
 	for _, r := range w.Routers {
 		r.Signal(syscall.SIGCONT)
--- a/internal/standin/chat/cluster.go
+++ b/internal/standin/chat/cluster.go
@@ -1,6 +1,6 @@
 // Package chat has stand-ins for what surrounds a router on the platform: engines that speak the platform's protocol,
-// discovery's agents, and proxies between routers and engines that inject faults of the network. They record what they
-// see, for others to check.
+// discovery agents, and proxies between routers and engines that inject network faults. They record what they see.
+// They do not judge it: the checks are in the packages that use this one.
 package chat
 
 import (
@@ -8,29 +8,30 @@
 	"time"
 )
 
-// Outcome tells how an attempt ended at its engine.
+// Outcome is how an attempt ended at its engine.
 type Outcome uint8
 
 // The outcomes of attempts.
 const (
-	Running    Outcome = iota // it is out
-	Read                      // 202: the prompt is read
+	Running    Outcome = iota // in flight
+	Read                      // answered 202: the prompt is read
 	Streamed                  // the stream was written to its last chunk
-	Refused                   // 503 and never run
-	StateGone                 // 410: there is no state to fetch; never run
-	Failed                    // 500
+	Refused                   // answered 503 and never executed
+	StateGone                 // answered 410, since there is no KV state to fetch; never executed
+	Failed                    // answered 500
 	ConnReset                 // the engine has reset the connection
-	Malformed                 // the engine has written what is no answer
+	Malformed                 // the engine has written something that is not a valid answer
 	Cancelled                 // the router has closed the connection before the end
-	EngineDied                // the engine has died
+	EngineDied                // the engine was killed
 )
 
+// String returns the outcome in words, for findings.
 func (o Outcome) String() string {
 	return [...]string{"running", "read", "streamed", "turned away", "state gone", "errored", "broken", "spoilt", "given up",
 		"engine died"}[o]
 }
 
-// NeverRan tells whether an outcome proves that the request has had no effect.
+// NeverRan reports whether an outcome proves that the request has had no effect.
 func (o Outcome) NeverRan() bool { return o == Refused || o == StateGone }
 
 // Attempt is one request that has arrived at an engine, as the engine saw it.
@@ -39,18 +40,18 @@
 	Engine    string
 	Router    int // number of the router that sent it
 	Writer    bool
-	FirstByte time.Time     // its first byte left the router
-	LastByte  time.Time     // its last byte left the router
-	Arrived   time.Time     // its last byte has come to the engine
-	TimeLeft  time.Duration // as the router told it
+	FirstByte time.Time     // when its first byte left the router
+	LastByte  time.Time     // when its last byte left the router
+	Arrived   time.Time     // when its last byte reached the engine
+	TimeLeft  time.Duration // as the router advertised it
 	Events    []time.Time   // when events were written
 	Outcome   Outcome
-	Ended     time.Time // zero while it is out
-	ConnLost  bool      // the network has dropped something that was sent on its connection, or has reset it
-	link      *passage  // that carried it
+	Ended     time.Time   // zero while it is in flight
+	ConnLost  bool        // the network has dropped data of its connection, or has reset it
+	conn      *connRecord // the connection that carried it
 }
 
-// Hold is something that an engine keeps for a request until it is let go.
+// Hold is a KV state that an engine keeps for a request until it is released.
 type Hold struct {
 	Request string
 	Engine  string
@@ -58,32 +59,33 @@
 	Until   time.Time // zero while it is held
 }
 
-// Bounds of what a cluster records; a longer run has to be cut into several.
+// Limits on what a cluster records. A longer run has to be split.
 const (
 	maxAttempts = 2_000_000
 	maxHolds    = 2_000_000
 )
 
-// Cluster is all engines together: what they hold for requests, and a record of what they were asked. It is safe for
-// concurrent use.
+// Cluster is the common record of all engines: what they hold for requests, and the attempts that they received. It
+// is safe for concurrent use.
 type Cluster struct {
-	mu       sync.Mutex
-	attempts []*Attempt
-	holds    []*Hold
-	held     map[string][]*Hold // by request, those that last
-	passages map[ends]*passage  // by the ends of the connection as its engine sees them: the one that has them now
-	probes   int
-	unknown  int // calls that no client's request explains
+	mu              sync.Mutex
+	attempts        []*Attempt
+	holds           []*Hold
+	openHolds       map[string][]*Hold        // by request, those that have not ended
+	conns           map[connAddrs]*connRecord // open connections, by their addresses as the engine sees them
+	probes          int
+	unexpectedCalls int // calls that do not belong to a client's request
+	// overflow is set when a limit was reached and something was not recorded.
 	overflow bool
 }
 
 // NewCluster returns an empty cluster.
 func NewCluster() *Cluster {
-	return &Cluster{held: map[string][]*Hold{}, passages: map[ends]*passage{}}
+	return &Cluster{openHolds: map[string][]*Hold{}, conns: map[connAddrs]*connRecord{}}
 }
 
-// begin records an attempt.
-func (c *Cluster) begin(a *Attempt) {
+// addAttempt records an attempt.
+func (c *Cluster) addAttempt(a *Attempt) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.attempts) == maxAttempts {
@@ -93,8 +95,8 @@
 	c.attempts = append(c.attempts, a)
 }
 
-// end records how an attempt has ended; the first word counts.
-func (c *Cluster) end(a *Attempt, o Outcome) {
+// endAttempt records how an attempt ended. Only the first call for an attempt counts.
+func (c *Cluster) endAttempt(a *Attempt, o Outcome) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if a.Outcome == Running {
@@ -102,16 +104,16 @@
 	}
 }
 
-// event records that an attempt's next event is written, and tells how many there were before.
-func (c *Cluster) event(a *Attempt) int {
+// addEvent records that an attempt's next event is written, and returns how many there were before.
+func (c *Cluster) addEvent(a *Attempt) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	a.Events = append(a.Events, time.Now())
 	return len(a.Events) - 1
 }
 
-// hold records that an engine holds something for a request.
-func (c *Cluster) hold(request, engine string) {
+// addHold records that an engine holds the KV state of a request.
+func (c *Cluster) addHold(request, engine string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.holds) == maxHolds {
@@ -120,29 +122,29 @@
 	}
 	h := &Hold{Request: request, Engine: engine, From: time.Now()}
 	c.holds = append(c.holds, h)
-	c.held[request] = append(c.held[request], h)
+	c.openHolds[request] = append(c.openHolds[request], h)
 }
 
-// holds tells whether anything is held for a request.
+// isHeld reports whether any KV state of a request is held.
 func (c *Cluster) isHeld(request string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.held[request]) > 0
+	return len(c.openHolds[request]) > 0
 }
 
-// letGo ends all that is held for a request.
-func (c *Cluster) letGo(request string) {
+// releaseHolds ends all holds of a request.
+func (c *Cluster) releaseHolds(request string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.endHolds(c.held[request])
-	delete(c.held, request)
+	c.endHolds(c.openHolds[request])
+	delete(c.openHolds, request)
 }
 
-// die ends all that an engine holds.
-func (c *Cluster) die(engine string) {
+// endHoldsOfEngine ends all holds at an engine that was killed.
+func (c *Cluster) endHoldsOfEngine(engine string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for request, holds := range c.held {
+	for request, holds := range c.openHolds {
 		var rest []*Hold
 		for _, h := range holds {
 			if h.Engine == engine {
@@ -151,143 +153,151 @@
 				rest = append(rest, h)
 			}
 		}
-		if c.held[request] = rest; len(rest) == 0 {
-			delete(c.held, request)
+		if c.openHolds[request] = rest; len(rest) == 0 {
+			delete(c.openHolds, request)
 		}
 	}
 }
 
+// endHolds ends holds now. mu is held.
 func (c *Cluster) endHolds(holds []*Hold) {
 	for _, h := range holds {
 		h.Until = time.Now()
 	}
 }
 
-// passage is what is known of a connection through a proxy: when the router sent what, whatever the network did with it.
-type passage struct {
-	mu       sync.Mutex
-	first    time.Time // of the bytes of the request under way
-	last     time.Time // of what came from the router
-	answered bool      // the engine has sent something since
-	closed   time.Time // by the router
-	lossy    bool      // something was dropped, or the connection reset
+// connRecord is what is known of a connection through a proxy: when the router sent data on it, whether or not the
+// network delivered that.
+type connRecord struct {
+	mu         sync.Mutex
+	firstByte  time.Time // first byte of the current request
+	lastByte   time.Time // last byte that came from the router
+	answered   bool      // the engine has sent something since
+	closedTime time.Time // when the router closed it
+	lost       bool      // data was dropped, or the connection was reset
 }
 
-// sent notes that bytes came from the router.
-func (p *passage) sent() {
+// recordSent records that bytes came from the router.
+func (p *connRecord) recordSent() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.last = time.Now()
-	if p.first.IsZero() || p.answered {
-		p.first, p.answered = p.last, false
+	p.lastByte = time.Now()
+	if p.firstByte.IsZero() || p.answered {
+		p.firstByte, p.answered = p.lastByte, false
 	}
 }
 
-// received notes that bytes came from the engine.
-func (p *passage) received() {
+// recordReceived records that bytes came from the engine.
+func (p *connRecord) recordReceived() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.answered = true
 }
 
-// end notes that the router has closed the connection, or ended its sending on it.
-func (p *passage) end() {
+// recordClose records that the router has closed the connection, or the sending direction of it.
+func (p *connRecord) recordClose() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.closed.IsZero() {
-		p.closed = time.Now()
+	if p.closedTime.IsZero() {
+		p.closedTime = time.Now()
 	}
 }
 
-// drop notes that something was dropped.
-func (p *passage) drop() {
+// recordLoss records that data was dropped.
+func (p *connRecord) recordLoss() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.lossy = true
+	p.lost = true
 }
 
-func (p *passage) dropped() bool {
+// hadLoss reports whether data was dropped, or the connection was reset.
+func (p *connRecord) hadLoss() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.lossy
+	return p.lost
 }
 
-// times returns when the first and the last byte of the request under way came from the router.
-func (p *passage) times() (first, last time.Time) {
+// times returns when the first and the last byte of the current request came from the router.
+func (p *connRecord) times() (first, last time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.first, p.last
+	return p.firstByte, p.lastByte
 }
 
-func (p *passage) closedAt() time.Time {
+// closedAt returns when the router closed the connection, or the zero time.
+func (p *connRecord) closedAt() time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.closed
+	return p.closedTime
 }
 
-// ends are the addresses of a connection to an engine: a port may be in use towards several engines at once.
-type ends struct{ from, engine string }
+// connAddrs are the two addresses of a connection to an engine. Both are needed, since one local port may be in use
+// towards several engines at once.
+type connAddrs struct{ from, engine string }
 
-// newPassage notes a connection that an engine will see between two addresses.
-func (c *Cluster) newPassage(of ends) *passage {
+// addConn starts the record of a connection that an engine will see between two addresses.
+func (c *Cluster) addConn(of connAddrs) *connRecord {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	p := &passage{}
-	c.passages[of] = p
+	p := &connRecord{}
+	c.conns[of] = p
 	return p
 }
 
-// forgetPassage forgets a connection that has ended. Attempts that it carried keep what is known of it.
-func (c *Cluster) forgetPassage(of ends, p *passage) {
+// removeConn removes a connection that has ended. Attempts that it carried keep its record.
+func (c *Cluster) removeConn(of connAddrs, p *connRecord) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.passages[of] == p {
-		delete(c.passages, of)
+	if c.conns[of] == p {
+		delete(c.conns, of)
 	}
 }
 
-// passageBetween returns the connection between two addresses.
-func (c *Cluster) passageBetween(of ends) *passage {
+// connBetween returns the record of the connection between two addresses, or an empty record.
+func (c *Cluster) connBetween(of connAddrs) *connRecord {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if p := c.passages[of]; p != nil {
+	if p := c.conns[of]; p != nil {
 		return p
 	}
-	return &passage{}
+	return &connRecord{}
 }
 
+// countProbe counts a load or reachability probe.
 func (c *Cluster) countProbe() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.probes++
 }
 
-func (c *Cluster) countUnknown() {
+// countUnexpected counts a call that does not belong to a client's request.
+func (c *Cluster) countUnexpected() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.unknown++
+	c.unexpectedCalls++
 }
 
-// Record is what a cluster has seen. An attempt whose connection the router closed while the network was silent ended
-// then for the router, though its engine has not heard of it: Ended is the router's close.
+// Record is what a cluster has seen. If the router closed an attempt's connection while the network dropped traffic,
+// the attempt has ended for the router although its engine does not know: then Ended is the time of the router's
+// close.
 type Record struct {
 	Attempts        []Attempt
 	Holds           []Hold
 	Probes          int
-	UnexpectedCalls int  // calls that could not be read, or for requests that no client sent
-	Overflow        bool // something was left out
+	UnexpectedCalls int  // calls that could not be read, or were for no request of a client
+	Overflow        bool // something was left out, since a limit was reached
 }
 
-// Record returns a copy of what was seen so far.
+// Record returns a copy of what was recorded so far.
 func (c *Cluster) Record() *Record {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	r := &Record{Probes: c.probes, UnexpectedCalls: c.unknown, Overflow: c.overflow}
+	r := &Record{Probes: c.probes, UnexpectedCalls: c.unexpectedCalls, Overflow: c.overflow}
 	for _, a := range c.attempts {
 		copied := *a
 		copied.Events = append([]time.Time(nil), a.Events...)
-		copied.ConnLost = a.link.dropped()
-		if at := a.link.closedAt(); !at.IsZero() && (a.Ended.IsZero() || at.Before(a.Ended)) {
+		copied.ConnLost = a.conn.hadLoss()
+		if at := a.conn.closedAt(); !at.IsZero() && (a.Ended.IsZero() || at.Before(a.Ended)) {
 			copied.Ended = at
 			if copied.Outcome == Running {
 				copied.Outcome = Cancelled
--- a/internal/standin/chat/discovery.go
+++ b/internal/standin/chat/discovery.go
@@ -12,16 +12,16 @@
 	"mintdoor/internal/discovery/watch"
 )
 
-// Directory is discovery's list, from which all agents tell. It is safe for concurrent use.
+// Directory is discovery's server list, which all agents report. It is safe for concurrent use.
 type Directory struct {
-	mu       sync.Mutex
-	revision int64
-	members  map[string]watch.Member
-	order    []string
-	changes  []change
-	changed  chan struct{} // closed at the next change
-	down     int           // outages that are under way
-	outages  []Interval
+	mu          sync.Mutex
+	revision    int64
+	members     map[string]watch.Member
+	order       []string
+	changes     []change
+	changed     chan struct{} // closed at the next change
+	openOutages int           // outages in progress
+	outages     []Interval
 }
 
 // change is one entry of the directory's history.
@@ -36,7 +36,7 @@
 	return &Directory{members: map[string]watch.Member{}, changed: make(chan struct{})}
 }
 
-// Put adds or changes a member; with the phase Removed it leaves the list.
+// Put adds or changes members. A member with the phase Removed leaves the list.
 func (d *Directory) Put(members ...watch.Member) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -52,26 +52,27 @@
 	d.changed = make(chan struct{})
 }
 
-// BeginOutage makes all agents silent until Up was called as often.
+// BeginOutage makes all agents unresponsive until EndOutage was called as often.
 func (d *Directory) BeginOutage() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.down++; d.down == 1 {
+	if d.openOutages++; d.openOutages == 1 {
 		d.outages = append(d.outages, Interval{From: time.Now()})
 	}
 }
 
-// EndOutage ends an outage. Calls that were open in it stay silent; those that come are answered.
+// EndOutage ends an outage. Calls that were open during it are never answered; new calls are answered.
 func (d *Directory) EndOutage() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.down--; d.down == 0 {
+	if d.openOutages--; d.openOutages == 0 {
 		d.outages[len(d.outages)-1].Until = time.Now()
 	}
 }
 
-// since returns what is newer than a revision, or the whole list for a negative one, and what tells of the next change.
-func (d *Directory) since(revision int64) (list watch.List, at []change, next <-chan struct{}, outages int) {
+// changesSince returns the changes after a revision, or the whole list for a negative revision, and a channel that is
+// closed at the next change. The number of outages is doubled, and odd during an outage.
+func (d *Directory) changesSince(revision int64) (list watch.List, at []change, next <-chan struct{}, outages int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	list = watch.List{Revision: d.revision, Complete: revision < 0, Members: []watch.Member{}}
@@ -90,21 +91,21 @@
 			}
 		}
 	}
-	outages = 2 * len(d.outages) // odd while one is under way
-	if d.down > 0 {
+	outages = 2 * len(d.outages) // odd during an outage
+	if d.openOutages > 0 {
 		outages--
 	}
 	return list, at, d.changed, outages
 }
 
-// Notification is the word of discovery about one member, as it was written to a router.
+// Notification is what discovery has reported to a router about one member.
 type Notification struct {
 	Member   watch.Member
-	At       time.Time // written to the router
-	ListedAt time.Time // since when discovery has it
+	At       time.Time // when it was written to the router
+	ListedAt time.Time // when it was put into the directory
 }
 
-// Agent tells one router of the directory.
+// Agent reports the directory to one router.
 type Agent struct {
 	directory *Directory
 	addresses func(member string) string // where this router reaches a member
@@ -112,24 +113,25 @@
 	listener  net.Listener
 	done      chan struct{}
 
-	mu       sync.Mutex
-	told     []Notification
-	revision int64 // up to which told has all
-	silenced chan struct{}
-	conns    map[net.Conn]struct{}
-	struck   map[string]int
-	open     int
+	mu            sync.Mutex
+	notifications []Notification
+	revision      int64 // notifications are complete up to this revision
+	// hung is closed, and replaced, to make the open calls hang.
+	hung        chan struct{}
+	conns       map[net.Conn]struct{}
+	faultCounts map[string]int
+	openCalls   int
 }
 
-// NewAgent starts an agent for a router. host is where it listens.
+// NewAgent starts an agent for a router. It listens on host.
 func NewAgent(d *Directory, host string, addresses func(member string) string) (*Agent, error) {
 	l, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
 	if err != nil {
 		return nil, fmt.Errorf("agent: %w", err)
 	}
-	a := &Agent{directory: d, addresses: addresses, listener: l, done: make(chan struct{}), silenced: make(chan struct{}),
-		conns: map[net.Conn]struct{}{}, struck: map[string]int{}}
-	a.server = &http.Server{Handler: http.HandlerFunc(a.serve), ConnState: a.track}
+	a := &Agent{directory: d, addresses: addresses, listener: l, done: make(chan struct{}), hung: make(chan struct{}),
+		conns: map[net.Conn]struct{}{}, faultCounts: map[string]int{}}
+	a.server = &http.Server{Handler: http.HandlerFunc(a.serve), ConnState: a.trackConn}
 	go func() {
 		defer close(a.done)
 		a.server.Serve(l)
@@ -137,19 +139,20 @@
 	return a, nil
 }
 
-// Addr is where the router asks.
+// Addr returns the address at which the router calls the agent.
 func (a *Agent) Addr() string { return a.listener.Addr().String() }
 
-// StopAccepting takes no new connections; open ones go on until Close.
+// StopAccepting closes the listener. Open connections continue until Close.
 func (a *Agent) StopAccepting() { a.listener.Close() }
 
-// Close ends the agent.
+// Close stops the agent.
 func (a *Agent) Close() {
 	a.server.Close()
 	<-a.done
 }
 
-func (a *Agent) track(c net.Conn, s http.ConnState) {
+// trackConn keeps the set of open connections.
+func (a *Agent) trackConn(c net.Conn, s http.ConnState) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	switch s {
@@ -165,38 +168,39 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for c := range a.conns {
-		a.struck["watches reset"]++
-		reset(c)
+		a.faultCounts["watches reset"]++
+		resetConn(c)
 	}
 }
 
-// HangWatches makes the calls that are open now silent for good; new ones are answered.
+// HangWatches makes the open calls hang for good. New calls are answered.
 func (a *Agent) HangWatches() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.struck["watches silent"] += a.open
-	close(a.silenced)
-	a.silenced = make(chan struct{})
+	a.faultCounts["watches silent"] += a.openCalls
+	close(a.hung)
+	a.hung = make(chan struct{})
 }
 
-// FaultCounts tells how often each fault has met a call.
+// FaultCounts returns how often each fault has met a call.
 func (a *Agent) FaultCounts() map[string]int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	out := map[string]int{}
-	for k, n := range a.struck {
+	for k, n := range a.faultCounts {
 		out[k] = n
 	}
 	return out
 }
 
-// Notifications returns what the router was told.
+// Notifications returns what was reported to the router.
 func (a *Agent) Notifications() []Notification {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return append([]Notification(nil), a.told...)
+	return append([]Notification(nil), a.notifications...)
 }
 
+// serve answers a list request, or a watch that waits for a change up to its time limit.
 func (a *Agent) serve(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != watch.ListPath {
 		http.NotFound(w, r)
@@ -210,25 +214,25 @@
 		timeout = time.Duration(ms) * time.Millisecond
 	}
 	a.mu.Lock()
-	silenced := a.silenced
-	a.open++
+	silenced := a.hung
+	a.openCalls++
 	a.mu.Unlock()
 	defer func() {
 		a.mu.Lock()
-		a.open--
+		a.openCalls--
 		a.mu.Unlock()
 	}()
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
-	_, _, _, began := a.directory.since(revision)
+	_, _, _, began := a.directory.changesSince(revision)
 	for over := timeout == 0; ; {
-		list, changes, next, outages := a.directory.since(revision)
+		list, changes, next, outages := a.directory.changesSince(revision)
 		if outages != began || outages%2 == 1 { // calls that meet an outage are never answered
 			<-r.Context().Done()
 			return
 		}
 		if over || list.Complete || len(changes) > 0 {
-			a.tell(w, &list, changes)
+			a.sendList(w, &list, changes)
 			return
 		}
 		select {
@@ -244,25 +248,26 @@
 	}
 }
 
-// tell writes a list and records what it says.
-func (a *Agent) tell(w http.ResponseWriter, list *watch.List, changes []change) {
+// sendList writes a list and records what it reports.
+func (a *Agent) sendList(w http.ResponseWriter, list *watch.List, changes []change) {
 	for i := range list.Members {
 		list.Members[i].Addr = a.addresses(list.Members[i].ID)
 	}
 	a.mu.Lock()
 	for _, c := range changes {
 		if c.revision > a.revision {
-			a.told = append(a.told, Notification{Member: c.member, At: time.Now(), ListedAt: c.at})
+			a.notifications = append(a.notifications, Notification{Member: c.member, At: time.Now(), ListedAt: c.at})
 		}
 	}
 	a.revision = max(a.revision, list.Revision)
 	a.mu.Unlock()
 	encoder := json.NewEncoder(w)
-	if list.Revision%indentedOf == 0 {
+	if list.Revision%indentedInterval == 0 {
 		encoder.SetIndent("", "  ")
 	}
 	encoder.Encode(list)
 }
 
-// indentedOf: one in so many lists comes indented.
-const indentedOf = 3
+// indentedInterval is how often a list is written with indentation: one in this many revisions. A router has to read
+// both forms.
+const indentedInterval = 3
--- a/internal/standin/chat/engine.go
+++ b/internal/standin/chat/engine.go
@@ -18,179 +18,184 @@
 	"mintdoor/internal/platform"
 )
 
-// Behaviour is how an engine treats requests. Shares are chances of a request, from 0 to 1; the zero value is sound.
+// Behaviour is how an engine treats requests. The float fields except Slowdown are probabilities per request, from 0
+// to 1. The zero value is a healthy engine.
 type Behaviour struct {
-	Hang             bool    // nothing goes on, neither what comes nor what is under way
-	Refuse           float64 // 503 without a run
+	Hang             bool    // neither new requests nor those in progress continue
+	Refuse           float64 // 503 without execution
 	Fail             float64 // 500
 	ResetAtStart     float64 // the connection is reset when the request has arrived
 	ResetInStream    float64 // the connection is reset between two events
-	MalformedAnswer  float64 // noise in place of an answer
-	MalformedStream  float64 // a chunk whose size can't be read
-	EndlessHeader    float64 // a head that does not end
-	DuplicateAnswer  float64 // another answer some milliseconds behind the first
-	InterimResponse  float64 // 1xx answers in front
-	CloseAfterAnswer float64 // the connection is closed after an answer that does not say so
-	Slowdown         float64 // times the usual work; 0: 1
+	MalformedAnswer  float64 // bytes that are not HTTP, in place of an answer
+	MalformedStream  float64 // a chunk with a malformed size
+	EndlessHeader    float64 // a response header that does not end
+	DuplicateAnswer  float64 // a second answer some milliseconds after the first
+	InterimResponse  float64 // a 1xx response before the answer
+	CloseAfterAnswer float64 // the connection is closed after an answer that does not announce it
+	Slowdown         float64 // factor on the usual durations; 0 means 1
 }
 
 // Timing is how long an engine takes.
 type Timing struct {
-	ReadTime        time.Duration // of a prompt
-	FirstTokenTime  time.Duration
+	ReadTime        time.Duration // to read a prompt
+	FirstTokenTime  time.Duration // from a request's arrival to the first event of its stream
 	EventInterval   time.Duration // between two events of a stream
-	EventsPerStream int           // of a stream
+	EventsPerStream int           // number of events of a stream
 }
 
-// EngineOptions are what an engine is made of.
+// EngineOptions are the options of an Engine.
 type EngineOptions struct {
-	ID      string
-	Writer  bool
-	Cluster *Cluster
-	Timing  Timing
-	Slots   int // requests at once; more are turned away
-	Seed    uint64
-	// Listener is where the engine listens.
+	ID          string
+	Writer      bool
+	Cluster     *Cluster
+	Timing      Timing
+	MaxInFlight int // requests in progress at once; more are refused
+	Seed        uint64
+	// Listener accepts the engine's connections.
 	Listener *EngineListener
 }
 
-// Engine is one stand-in engine. It has an address of its own; routers reach it through proxies.
+// Engine is one stand-in engine. It has its own address; routers reach it through proxies.
 type Engine struct {
-	opts    EngineOptions
-	number  int
-	addr    netip.AddrPort
-	started time.Time
-	work    sync.WaitGroup
+	opts       EngineOptions
+	number     int
+	addr       netip.AddrPort
+	startTime  time.Time
+	goroutines sync.WaitGroup
 
 	mu        sync.Mutex
 	behaviour Behaviour
-	hung      chan struct{} // closed when it does not hang
+	resumed   chan struct{} // closed while the engine does not hang
 	random    *rand.Rand
 	conns     map[net.Conn]struct{}
-	busy      int
-	dead      bool
-	absences  []Interval // in which it hung, and since its death
-	struck    map[string]int
+	inFlight  int
+	killed    bool
+	downtimes []Interval // the times in which it hung, and since it was killed
+	// faultCounts counts the faults that met a request, by name.
+	faultCounts map[string]int
 }
 
-// Bounds of what a router may send.
+// Limits on what a router may send, and delays of the engine's answers.
 const (
-	engineMaxHead = 32 << 10
-	engineMaxBody = 512 << 10
-	engineBuffer  = 4096
-	defaultSlots  = 64
-	// unknownPlace is how long an engine takes to say that it does not know of a request for which a place is asked.
-	unknownPlace = 300 * time.Millisecond
-	// secondAnswerAfter is how far a second answer is behind the first.
-	secondAnswerAfter = 3 * time.Millisecond
+	maxHeadBytes       = 32 << 10
+	maxBodyBytes       = 512 << 10
+	readBufferBytes    = 4096
+	defaultMaxInFlight = 64
+	// unknownReservationDelay is how long an engine takes to answer a request for a reservation. It always answers
+	// that it does not know of the read.
+	unknownReservationDelay = 300 * time.Millisecond
+	// duplicateAnswerDelay is the time between an answer and its duplicate.
+	duplicateAnswerDelay = 3 * time.Millisecond
 )
 
 // NewEngine starts an engine.
 func NewEngine(o EngineOptions) (*Engine, error) {
-	if o.Slots == 0 {
-		o.Slots = defaultSlots
+	if o.MaxInFlight == 0 {
+		o.MaxInFlight = defaultMaxInFlight
 	}
-	e := &Engine{opts: o, started: time.Now(), random: rand.New(rand.NewPCG(o.Seed, 17)), conns: map[net.Conn]struct{}{},
-		hung: make(chan struct{}), struck: map[string]int{}}
-	close(e.hung)
+	e := &Engine{opts: o, startTime: time.Now(), random: rand.New(rand.NewPCG(o.Seed, 17)), conns: map[net.Conn]struct{}{},
+		resumed: make(chan struct{}), faultCounts: map[string]int{}}
+	close(e.resumed)
 	if err := o.Listener.add(e); err != nil {
 		return nil, err
 	}
 	return e, nil
 }
 
-// Addr is where the engine listens.
+// Addr returns the address that the engine listens on.
 func (e *Engine) Addr() string { return e.addr.String() }
 
-// Number tells the engines of one listener apart.
+// Number returns the engine's number, which is unique on its listener.
 func (e *Engine) Number() int { return e.number }
 
-// ID is the engine's name in discovery's list.
+// ID returns the engine's name in discovery's list.
 func (e *Engine) ID() string { return e.opts.ID }
 
-// Writer tells the engine's role.
+// Writer reports whether the engine writes; otherwise it reads.
 func (e *Engine) Writer() bool { return e.opts.Writer }
 
 // SetBehaviour changes how requests are treated from now on.
 func (e *Engine) SetBehaviour(b Behaviour) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.dead {
+	if e.killed {
 		return
 	}
 	if b.Hang != e.behaviour.Hang {
 		if b.Hang {
-			e.hung = make(chan struct{})
-			e.absences = append(e.absences, Interval{From: time.Now()})
+			e.resumed = make(chan struct{})
+			e.downtimes = append(e.downtimes, Interval{From: time.Now()})
 		} else {
-			close(e.hung)
-			e.absences[len(e.absences)-1].Until = time.Now()
+			close(e.resumed)
+			e.downtimes[len(e.downtimes)-1].Until = time.Now()
 		}
 	}
 	e.behaviour = b
 }
 
-// StartTime tells when the engine began to run.
-func (e *Engine) StartTime() time.Time { return e.started }
+// StartTime returns when the engine was started.
+func (e *Engine) StartTime() time.Time { return e.startTime }
 
-// Downtimes returns the times in which the engine did nothing.
+// Downtimes returns the intervals in which the engine did nothing.
 func (e *Engine) Downtimes() []Interval {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return append([]Interval(nil), e.absences...)
+	return append([]Interval(nil), e.downtimes...)
 }
 
-// FaultCounts tells how often each kind of behaviour has met a request.
+// FaultCounts returns how often each fault has met a request.
 func (e *Engine) FaultCounts() map[string]int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	out := map[string]int{}
-	for k, n := range e.struck {
+	for k, n := range e.faultCounts {
 		out[k] = n
 	}
 	return out
 }
 
-// Kill ends the engine like a process that dies: its connections are reset, and nobody listens any more.
+// Kill ends the engine as if its process was killed: its connections are reset, and nothing listens on its address
+// any more.
 func (e *Engine) Kill() {
 	e.mu.Lock()
-	if e.dead {
+	if e.killed {
 		e.mu.Unlock()
 		return
 	}
-	e.dead = true
-	e.absences = append(e.absences, Interval{From: time.Now()})
+	e.killed = true
+	e.downtimes = append(e.downtimes, Interval{From: time.Now()})
 	for c := range e.conns {
-		reset(c)
+		resetConn(c)
 	}
 	if e.behaviour.Hang {
-		close(e.hung)
+		close(e.resumed)
 		e.behaviour.Hang = false
 	}
 	e.mu.Unlock()
 	e.opts.Listener.remove(e)
-	e.work.Wait()
-	e.opts.Cluster.die(e.opts.ID)
+	e.goroutines.Wait()
+	e.opts.Cluster.endHoldsOfEngine(e.opts.ID)
 }
 
-func reset(c net.Conn) {
+// resetConn closes a connection with a reset.
+func resetConn(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
 		tcp.SetLinger(0)
 	}
 	c.Close()
 }
 
-// take serves a connection; false if the engine has died.
-func (e *Engine) take(c net.Conn) bool {
+// serveConn serves a connection in the background. It returns false if the engine was killed.
+func (e *Engine) serveConn(c net.Conn) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.dead {
+	if e.killed {
 		return false
 	}
 	e.conns[c] = struct{}{}
-	e.work.Add(1)
+	e.goroutines.Add(1)
 	go func() {
-		defer e.work.Done()
+		defer e.goroutines.Done()
 		e.serve(c)
 		e.mu.Lock()
 		delete(e.conns, c)
@@ -208,18 +213,19 @@
 	router int
 }
 
+// serve handles requests until the connection ends.
 func (e *Engine) serve(nc net.Conn) {
-	c := &engineConn{Conn: nc, engine: e, br: bufio.NewReaderSize(nc, engineBuffer), router: routerOf(nc.RemoteAddr())}
-	for c.exchange() {
+	c := &engineConn{Conn: nc, engine: e, br: bufio.NewReaderSize(nc, readBufferBytes), router: routerNumber(nc.RemoteAddr())}
+	for c.handleRequest() {
 	}
 }
 
-// exchange takes one request and answers it; false if the connection is to end.
-func (c *engineConn) exchange() bool {
+// handleRequest reads one request and answers it. It returns false if the connection has to end.
+func (c *engineConn) handleRequest() bool {
 	if _, err := c.br.Peek(1); err != nil {
 		return false
 	}
-	head, err := http1.ReadHead(c.br, engineMaxHead)
+	head, err := http1.ReadHead(c.br, maxHeadBytes)
 	if err != nil {
 		return false
 	}
@@ -227,67 +233,68 @@
 	if err != nil {
 		return false
 	}
-	body, err := c.body(head)
+	body, err := c.readBody(head)
 	if err != nil {
 		return false
 	}
 	arrived := time.Now()
 	switch path, _, _ := strings.Cut(target, "?"); {
 	case method == "DELETE" && strings.HasPrefix(path, platform.HoldsPath):
-		// It counts once it has arrived, answered or not.
-		c.engine.opts.Cluster.letGo(strings.TrimPrefix(path, platform.HoldsPath))
-		return c.ready() && c.answer(204, "")
+		// The release counts once it has arrived, whether or not it is answered.
+		c.engine.opts.Cluster.releaseHolds(strings.TrimPrefix(path, platform.HoldsPath))
+		return c.waitWhileHung() && c.writeAnswer(204, "")
 	case method == "POST" && strings.HasPrefix(path, platform.HoldsPath):
-		time.Sleep(unknownPlace)
-		return c.answer(204, "")
+		time.Sleep(unknownReservationDelay)
+		return c.writeAnswer(204, "")
 	case path == platform.LoadPath || path == "/alive":
 		c.engine.opts.Cluster.countProbe()
-		if !c.ready() {
+		if !c.waitWhileHung() {
 			return false
 		}
-		return c.answer(200, c.engine.load())
+		return c.writeAnswer(200, c.engine.loadReport())
 	case path == platform.ChatPath && method == "POST":
 		id, n := head.Get(platform.IDHeader)
 		left, _ := head.Get(platform.TimeLeftHeader)
 		ms, err := strconv.ParseInt(left, 10, 64)
 		if n != 1 || err != nil || len(body) == 0 {
-			c.engine.opts.Cluster.countUnknown()
-			c.answer(400, "")
+			c.engine.opts.Cluster.countUnexpected()
+			c.writeAnswer(400, "")
 			return false
 		}
-		link := c.engine.opts.Cluster.passageBetween(ends{c.RemoteAddr().String(), c.LocalAddr().String()})
+		link := c.engine.opts.Cluster.connBetween(connAddrs{c.RemoteAddr().String(), c.LocalAddr().String()})
 		first, last := link.times()
 		a := &Attempt{Request: id, Engine: c.engine.opts.ID, Router: c.router, Writer: c.engine.opts.Writer, FirstByte: first,
-			LastByte: last, Arrived: arrived, TimeLeft: time.Duration(ms) * time.Millisecond, link: link}
-		c.engine.opts.Cluster.begin(a)
-		return c.run(a)
+			LastByte: last, Arrived: arrived, TimeLeft: time.Duration(ms) * time.Millisecond, conn: link}
+		c.engine.opts.Cluster.addAttempt(a)
+		return c.runAttempt(a)
 	}
-	c.engine.opts.Cluster.countUnknown()
-	return c.answer(404, "")
+	c.engine.opts.Cluster.countUnexpected()
+	return c.writeAnswer(404, "")
 }
 
-// ready waits while the engine hangs; false if it has died.
-func (c *engineConn) ready() bool {
+// waitWhileHung waits while the engine hangs. It returns false if the engine was killed.
+func (c *engineConn) waitWhileHung() bool {
 	e := c.engine
 	e.mu.Lock()
-	hung := e.hung
+	hung := e.resumed
 	e.mu.Unlock()
 	<-hung
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return !e.dead
+	return !e.killed
 }
 
-func (c *engineConn) body(h *http1.Head) ([]byte, error) {
+// readBody reads the request's body.
+func (c *engineConn) readBody(h *http1.Head) ([]byte, error) {
 	length, chunked, err := h.Framing()
 	switch {
 	case err != nil:
 		return nil, err
 	case chunked:
-		return io.ReadAll(io.LimitReader(http1.NewChunkedReader(c.br, engineMaxBody), engineMaxBody))
+		return io.ReadAll(io.LimitReader(http1.NewChunkedReader(c.br, maxBodyBytes), maxBodyBytes))
 	case length <= 0:
 		return nil, nil
-	case length > engineMaxBody:
+	case length > maxBodyBytes:
 		return nil, http1.ErrTooLarge
 	}
 	b := make([]byte, length)
@@ -295,7 +302,8 @@
 	return b, err
 }
 
-func (c *engineConn) answer(code int, body string, fields ...string) bool {
+// writeAnswer writes an answer without a body for 204, and otherwise with a JSON body.
+func (c *engineConn) writeAnswer(code int, body string, fields ...string) bool {
 	head := fmt.Sprintf("HTTP/1.1 %d Status\r\n", code)
 	for _, f := range fields {
 		head += f + "\r\n"
@@ -307,25 +315,26 @@
 	return err == nil
 }
 
-// load is the engine's load report.
-func (e *Engine) load() string {
+// loadReport returns the body of the engine's load report.
+func (e *Engine) loadReport() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	share := float64(e.busy) / float64(e.opts.Slots)
+	share := float64(e.inFlight) / float64(e.opts.MaxInFlight)
 	return fmt.Sprintf(`{"lat_ms":%d,"x0":%.3f,"x1":0}`, e.opts.Timing.FirstTokenTime.Milliseconds(), share)
 }
 
-// chance draws whether a behaviour strikes, and counts it.
-func (e *Engine) chance(name string, share float64) bool {
+// drawFault draws whether a fault of the given probability applies, and counts it. mu is held.
+func (e *Engine) drawFault(name string, share float64) bool {
 	if share == 0 || e.random.Float64() >= share {
 		return false
 	}
-	e.struck[name]++
+	e.faultCounts[name]++
 	return true
 }
 
-// watch ends ctx when the router closes its connection, or ends its sending on it.
-func (c *engineConn) watch(cancel context.CancelFunc) (stop func()) {
+// cancelOnClose calls cancel when the router closes its connection, or the sending direction of it. The returned
+// function ends the watching.
+func (c *engineConn) cancelOnClose(cancel context.CancelFunc) (stop func()) {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -340,6 +349,7 @@
 	}
 }
 
+// isTimeout reports whether an error is a time-out.
 func isTimeout(err error) bool {
 	var t net.Error
 	return errors.As(err, &t) && t.Timeout()
--- a/internal/standin/chat/machines.go
+++ b/internal/standin/chat/machines.go
@@ -9,40 +9,42 @@
 	"sync"
 )
 
-// EngineListener is one listener for many engines, so that descriptors follow the traffic and not the number of engines. Each
-// engine has an address of its own in 127.0.0.0/8; the local address of a connection tells whose it is.
+// EngineListener is one listener for many engines, so that the number of file descriptors depends on the traffic and
+// not on the number of engines. Each engine has its own address in 127.0.0.0/8; the local address of a connection
+// identifies the engine.
 type EngineListener struct {
-	listener net.Listener
-	port     uint16
-	work     sync.WaitGroup
+	listener   net.Listener
+	port       uint16
+	goroutines sync.WaitGroup
 
-	mu      sync.Mutex
-	engines map[netip.Addr]*Engine
-	last    int // number of the engine that was added last
+	mu         sync.Mutex
+	engines    map[netip.Addr]*Engine
+	lastNumber int // number of the engine that was added last
 }
 
-// The second octets of the addresses of engines, and of those at which routers reach them; the engine's number follows.
+// The second octets of the engines' own addresses, and of the addresses at which routers reach them. The engine's
+// number follows in the last two octets.
 const (
-	machinesNet = 128
-	networkNet  = 64
+	engineSubnet = 128
+	proxySubnet  = 64
 	// maxEngines is how many engines one listener can tell apart.
 	maxEngines = 1 << 16
 )
 
-// numbered is the address of an engine in a range.
-func numbered(secondOctet, number int) netip.Addr {
+// numberedAddr returns the address of an engine in the range of a second octet.
+func numberedAddr(secondOctet, number int) netip.Addr {
 	return netip.AddrFrom4([4]byte{127, byte(secondOctet), byte(number >> 8), byte(number)})
 }
 
-// The ports of listeners on all addresses lie under those that the kernel picks for connections: each of these, on any address,
-// takes its port from them.
+// Listeners on all addresses use ports below those that the kernel picks for outgoing connections, because each such
+// connection, on any address, takes its port from the kernel's range.
 const (
 	firstPort = 20_000
 	lastPort  = 32_000
 	portTries = 200
 )
 
-// listenEverywhere listens on all addresses, at a port that is free on each.
+// listenEverywhere listens on all addresses, at a port that is free on each of them.
 func listenEverywhere() (l net.Listener, err error) {
 	for range portTries {
 		l, err = net.Listen("tcp4", fmt.Sprintf("0.0.0.0:%d", firstPort+rand.IntN(lastPort-firstPort)))
@@ -57,44 +59,46 @@
 func NewEngineListener() (*EngineListener, error) {
 	l, err := listenEverywhere()
 	if err != nil {
-		return nil, fmt.Errorf("machines: %w", err)
+		return nil, fmt.Errorf("engine listener: %w", err)
 	}
 	m := &EngineListener{listener: l, port: uint16(l.Addr().(*net.TCPAddr).Port), engines: map[netip.Addr]*Engine{}}
-	m.work.Add(1)
-	go m.accept()
+	m.goroutines.Add(1)
+	go m.acceptLoop()
 	return m, nil
 }
 
-// Close ends the listener. The engines have to be killed before.
+// Close closes the listener. All engines have to be killed before.
 func (m *EngineListener) Close() {
 	m.listener.Close()
-	m.work.Wait()
+	m.goroutines.Wait()
 }
 
-var errTooManyEngines = errors.New("machines: too many engines")
+// errTooManyEngines is returned when the listener has no addresses left.
+var errTooManyEngines = errors.New("engine listener: too many engines")
 
-// add gives an engine its number.
+// add gives an engine its number and address.
 func (m *EngineListener) add(e *Engine) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.last++; m.last >= maxEngines {
+	if m.lastNumber++; m.lastNumber >= maxEngines {
 		return errTooManyEngines
 	}
-	e.number = m.last
-	e.addr = netip.AddrPortFrom(numbered(machinesNet, e.number), m.port)
+	e.number = m.lastNumber
+	e.addr = netip.AddrPortFrom(numberedAddr(engineSubnet, e.number), m.port)
 	m.engines[e.addr.Addr()] = e
 	return nil
 }
 
-// remove forgets an engine that has died; connections to it are reset from then on.
+// remove removes an engine that was killed. Connections to its address are reset from then on.
 func (m *EngineListener) remove(e *Engine) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	delete(m.engines, e.addr.Addr())
 }
 
-func (m *EngineListener) accept() {
-	defer m.work.Done()
+// acceptLoop hands each connection to the engine of its local address.
+func (m *EngineListener) acceptLoop() {
+	defer m.goroutines.Done()
 	for {
 		c, err := m.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
@@ -106,13 +110,13 @@
 		m.mu.Lock()
 		e := m.engines[localIP(c)]
 		m.mu.Unlock()
-		if e == nil || !e.take(c) {
-			reset(c)
+		if e == nil || !e.serveConn(c) {
+			resetConn(c)
 		}
 	}
 }
 
-// localIP is the address at which a connection was accepted.
+// localIP returns the address at which a connection was accepted.
 func localIP(c net.Conn) netip.Addr {
 	tcp, ok := c.LocalAddr().(*net.TCPAddr)
 	if !ok {
