--- a/internal/soak/ask.go
+++ b/internal/soak/ask.go
@@ -43,10 +43,10 @@
 }
 
 // deadline returns until when the client waits for the first token.
-func (a *requestRecord) deadline() time.Time { return a.sentAt.Add(a.timeLeft) }
+func (r *requestRecord) deadline() time.Time { return r.sentAt.Add(r.timeLeft) }
 
 // refused reports whether the answer's status promises that a retry is harmless.
-func (a *requestRecord) refused() bool { return a.status == 429 || a.status == 503 }
+func (r *requestRecord) refused() bool { return r.status == 429 || r.status == 503 }
 
 // maxRecords limits what a run records.
 const maxRecords = 1_000_000
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -66,15 +66,15 @@
 }
 
 // wireText returns the HTTP request.
-func (q *clientRequest) wireText(random *rand.Rand) string {
+func (r *clientRequest) wireText(random *rand.Rand) string {
 	body := fmt.Sprintf(`{"model":"chat","stream":true,"max_tokens":100,"messages":[{"role":"user","content":%q}]}`,
 		strings.Repeat("x", random.IntN(2000)))
-	head := "POST " + platform.ChatPath + " HTTP/1.1\r\nHost: origin.svc\r\n" + platform.IDHeader + ": " + q.id + "\r\n" +
-		platform.ClassHeader + ": " + q.class.Name + "\r\n" + platform.SessionHeader + ": " + q.key + "\r\n" +
-		fmt.Sprintf("%s: %d\r\n", platform.TimeLeftHeader, q.timeLeft.Milliseconds()) +
+	head := "POST " + platform.ChatPath + " HTTP/1.1\r\nHost: origin.svc\r\n" + platform.IDHeader + ": " + r.id + "\r\n" +
+		platform.ClassHeader + ": " + r.class.Name + "\r\n" + platform.SessionHeader + ": " + r.key + "\r\n" +
+		fmt.Sprintf("%s: %d\r\n", platform.TimeLeftHeader, r.timeLeft.Milliseconds()) +
 		fmt.Sprintf("%s: prefix=%x,prompt_len=%d,prefix_len=200,max_out=100\r\n", platform.FactsHeader, random.IntN(8), 300+random.IntN(1500))
-	if q.class.RetryPolicy == retryKeyed {
-		head += "Idempotency-Key: " + q.id + "\r\n"
+	if r.class.RetryPolicy == retryKeyed {
+		head += "Idempotency-Key: " + r.id + "\r\n"
 	}
 	if random.IntN(4) == 0 { // an equally valid encoding
 		return head + fmt.Sprintf("Transfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", len(body), body)
--- a/internal/soak/front.go
+++ b/internal/soak/front.go
@@ -18,20 +18,20 @@
 }
 
 // setUp marks a router as up or down.
-func (f *routerPicker) setUp(router int, up bool) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.up[router] = up
+func (p *routerPicker) setUp(router int, up bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.up[router] = up
 }
 
 // pick returns a random router that is considered up, or nil if there is none.
-func (f *routerPicker) pick(random *rand.Rand) *Router {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	n := len(f.routers)
+func (p *routerPicker) pick(random *rand.Rand) *Router {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	n := len(p.routers)
 	for _, i := range random.Perm(n) {
-		if f.up[i] {
-			return f.routers[i]
+		if p.up[i] {
+			return p.routers[i]
 		}
 	}
 	return nil
--- a/internal/soak/throttle.go
+++ b/internal/soak/throttle.go
@@ -11,8 +11,8 @@
 const throttlePeriod = 20 * time.Millisecond
 
 // throttle lets every router run for a fraction of the time only, until ctx ends.
-func (w *Testbed) throttle(ctx context.Context, share float64) {
-	for _, r := range w.Routers {
+func (tb *Testbed) throttle(ctx context.Context, share float64) {
+	for _, r := range tb.Routers {
 		go r.throttle(ctx, time.Duration(share*float64(throttlePeriod)))
 	}
 }
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -90,34 +90,34 @@
 }
 
 // build makes the networks, the routers' configurations and the engines.
-func (w *Testbed) build() error {
+func (tb *Testbed) build() error {
 	// The networks listen on all addresses, so they take their ports before a free port is searched for any router.
-	if err := w.addGroups(false, min(w.opts.Readers, maxGroups)); err != nil {
+	if err := tb.addGroups(false, min(tb.opts.Readers, maxGroups)); err != nil {
 		return err
 	}
-	if err := w.addGroups(true, min(w.opts.Writers, maxGroups)); err != nil {
+	if err := tb.addGroups(true, min(tb.opts.Writers, maxGroups)); err != nil {
 		return err
 	}
-	for i := range w.opts.Routers {
-		r, err := w.newRouter(i)
+	for i := range tb.opts.Routers {
+		r, err := tb.newRouter(i)
 		if err != nil {
 			return err
 		}
-		w.Routers = append(w.Routers, r)
+		tb.Routers = append(tb.Routers, r)
 	}
-	if err := w.AddEngines(w.opts.Readers, false, 0); err != nil {
+	if err := tb.AddEngines(tb.opts.Readers, false, 0); err != nil {
 		return err
 	}
-	return w.AddEngines(w.opts.Writers, true, 0)
+	return tb.AddEngines(tb.opts.Writers, true, 0)
 }
 
 // addGroups makes groups of a role.
-func (w *Testbed) addGroups(writers bool, n int) error {
+func (tb *Testbed) addGroups(writers bool, n int) error {
 	for range n {
 		g := &engineGroup{writers: writers}
-		w.groups = append(w.groups, g)
-		for router := range w.opts.Routers {
-			p, err := standin.NewProxy(w.Cluster, router)
+		tb.groups = append(tb.groups, g)
+		for router := range tb.opts.Routers {
+			p, err := standin.NewProxy(tb.Cluster, router)
 			if err != nil {
 				return err
 			}
@@ -156,20 +156,20 @@
 func agentHost(i int) string  { return fmt.Sprintf("127.40.%d.%d", i>>8, i&0xff) }
 
 // newRouter makes the configuration of a router, and its first agent.
-func (w *Testbed) newRouter(i int) (*Router, error) {
+func (tb *Testbed) newRouter(i int) (*Router, error) {
 	addr, err := freeAddr(routerHost(i))
 	if err != nil {
 		return nil, err
 	}
-	r := &Router{Index: i, Addr: addr, testbed: w}
-	if r.agent, err = w.NewAgent(i); err != nil {
+	r := &Router{Index: i, Addr: addr, testbed: tb}
+	if r.agent, err = tb.NewAgent(i); err != nil {
 		return nil, err
 	}
 	const memoryMB, sockets = 192, 512
 	r.config = config{Name: fmt.Sprintf("n%d", i), Listen: addr, Discovery: r.agent.Addr(), Known: watch.List{Complete: true, Members: []watch.Member{}},
-		Limits: limits{Cores: 1, MemoryMB: memoryMB, Sockets: sockets}, Settings: settingsFor(w.opts.Routers, i, w.opts.classes, w.opts.params)}
-	if w.opts.LogDir != "" {
-		if r.log, err = os.Create(filepath.Join(w.opts.LogDir, r.config.Name+".log")); err != nil {
+		Limits: limits{Cores: 1, MemoryMB: memoryMB, Sockets: sockets}, Settings: settingsFor(tb.opts.Routers, i, tb.opts.classes, tb.opts.params)}
+	if tb.opts.LogDir != "" {
+		if r.log, err = os.Create(filepath.Join(tb.opts.LogDir, r.config.Name+".log")); err != nil {
 			return nil, fmt.Errorf("soak: %w", err)
 		}
 	}
@@ -196,36 +196,36 @@
 }
 
 // NewAgent starts a discovery agent for a router.
-func (w *Testbed) NewAgent(router int) (*standin.Agent, error) {
-	a, err := standin.NewAgent(w.Directory, agentHost(router), func(member string) string {
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		if g := w.groupOf[member]; g != nil && w.engines[member] != nil {
-			return g.proxies[router].AddrOf(w.engines[member])
+func (tb *Testbed) NewAgent(router int) (*standin.Agent, error) {
+	a, err := standin.NewAgent(tb.Directory, agentHost(router), func(member string) string {
+		tb.mu.Lock()
+		defer tb.mu.Unlock()
+		if g := tb.groupOf[member]; g != nil && tb.engines[member] != nil {
+			return g.proxies[router].AddrOf(tb.engines[member])
 		}
 		return "127.0.0.1:1" // the engine has been removed
 	})
 	if err != nil {
 		return nil, err
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.agents[router] = append(w.agents[router], a)
+	tb.mu.Lock()
+	defer tb.mu.Unlock()
+	tb.agents[router] = append(tb.agents[router], a)
 	return a, nil
 }
 
 // reachabilityOf returns the times in which a router could reach each engine that was ever started.
-func (w *Testbed) reachabilityOf(router int) map[string]*reachability {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (tb *Testbed) reachabilityOf(router int) map[string]*reachability {
+	tb.mu.Lock()
+	defer tb.mu.Unlock()
 	silences := map[*engineGroup][]standin.Interval{}
-	for _, g := range w.groups {
+	for _, g := range tb.groups {
 		silences[g] = g.proxies[router].Outages()
 	}
 	out := map[string]*reachability{}
-	for _, e := range w.allEngines {
+	for _, e := range tb.allEngines {
 		p := &reachability{since: e.StartTime(), outages: e.Downtimes()}
-		p.outages = append(p.outages, silences[w.groupOf[e.ID()]]...)
+		p.outages = append(p.outages, silences[tb.groupOf[e.ID()]]...)
 		slices.SortFunc(p.outages, func(a, b standin.Interval) int { return a.From.Compare(b.From) })
 		out[e.ID()] = p
 	}
@@ -233,60 +233,60 @@
 }
 
 // agentsOf returns all agents that a router was configured with.
-func (w *Testbed) agentsOf(router int) []*standin.Agent {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return append([]*standin.Agent(nil), w.agents[router]...)
+func (tb *Testbed) agentsOf(router int) []*standin.Agent {
+	tb.mu.Lock()
+	defer tb.mu.Unlock()
+	return append([]*standin.Agent(nil), tb.agents[router]...)
 }
 
 // AddEngines starts engines of a role and lists them in one change. sinceMS is their start time in the list, in Unix
 // milliseconds; 0 means long ago.
-func (w *Testbed) AddEngines(n int, writers bool, sinceMS int64) error {
+func (tb *Testbed) AddEngines(n int, writers bool, sinceMS int64) error {
 	members := make([]watch.Member, 0, n)
 	for range n {
-		m, err := w.startEngine(writers, sinceMS)
+		m, err := tb.startEngine(writers, sinceMS)
 		if err != nil {
 			return err
 		}
 		members = append(members, m)
 	}
-	w.Directory.Put(members...)
+	tb.Directory.Put(members...)
 	return nil
 }
 
 // startEngine starts an engine that is not listed yet.
-func (w *Testbed) startEngine(writer bool, sinceMS int64) (m watch.Member, err error) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.lastEngineNumber++
+func (tb *Testbed) startEngine(writer bool, sinceMS int64) (m watch.Member, err error) {
+	tb.mu.Lock()
+	defer tb.mu.Unlock()
+	tb.lastEngineNumber++
 	kind, prefix := readerKind, "p"
 	if writer {
 		kind, prefix = writerKind, "d"
 	}
-	id := fmt.Sprintf("%s%d", prefix, w.lastEngineNumber)
-	e, err := standin.NewEngine(standin.EngineOptions{ID: id, Writer: writer, Cluster: w.Cluster, Timing: w.opts.Timing,
-		MaxInFlight: w.opts.slots(writer), Seed: w.opts.Seed + uint64(w.lastEngineNumber), Listener: w.machines})
+	id := fmt.Sprintf("%s%d", prefix, tb.lastEngineNumber)
+	e, err := standin.NewEngine(standin.EngineOptions{ID: id, Writer: writer, Cluster: tb.Cluster, Timing: tb.opts.Timing,
+		MaxInFlight: tb.opts.slots(writer), Seed: tb.opts.Seed + uint64(tb.lastEngineNumber), Listener: tb.machines})
 	if err != nil {
 		return m, err
 	}
-	g := w.smallestGroup(writer)
+	g := tb.smallestGroup(writer)
 	g.size++
 	for _, p := range g.proxies {
 		p.AddEngine(e)
 	}
-	w.groupOf[id], w.engines[id] = g, e
-	w.allEngines = append(w.allEngines, e)
+	tb.groupOf[id], tb.engines[id] = g, e
+	tb.allEngines = append(tb.allEngines, e)
 	if sinceMS > 0 {
-		w.coldStarts[id] = time.UnixMilli(sinceMS)
+		tb.coldStarts[id] = time.UnixMilli(sinceMS)
 	}
 	m = watch.Member{ID: id, Zone: zoneName, Kind: kind, Cell: 1, Phase: watch.Up, Size: 1, SinceMS: sinceMS}
-	w.members[id] = m
+	tb.members[id] = m
 	return m, nil
 }
 
 // smallestGroup returns the group of a role with the fewest engines. mu is held.
-func (w *Testbed) smallestGroup(writers bool) (least *engineGroup) {
-	for _, g := range w.groups {
+func (tb *Testbed) smallestGroup(writers bool) (least *engineGroup) {
+	for _, g := range tb.groups {
 		if g.writers == writers && (least == nil || g.size < least.size) {
 			least = g
 		}
@@ -295,39 +295,39 @@
 }
 
 // Engines returns the running engines, sorted by id.
-func (w *Testbed) Engines() []*standin.Engine {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (tb *Testbed) Engines() []*standin.Engine {
+	tb.mu.Lock()
+	defer tb.mu.Unlock()
 	var out []*standin.Engine
-	for _, id := range slices.Sorted(maps.Keys(w.engines)) {
-		out = append(out, w.engines[id])
+	for _, id := range slices.Sorted(maps.Keys(tb.engines)) {
+		out = append(out, tb.engines[id])
 	}
 	return out
 }
 
 // Proxy returns the proxy of an engine's group for a router, or nil if the engine is not known.
-func (w *Testbed) Proxy(router int, engine string) *standin.Proxy {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if g := w.groupOf[engine]; g != nil {
+func (tb *Testbed) Proxy(router int, engine string) *standin.Proxy {
+	tb.mu.Lock()
+	defer tb.mu.Unlock()
+	if g := tb.groupOf[engine]; g != nil {
 		return g.proxies[router]
 	}
 	return nil
 }
 
 // groupOfEngine returns the group of an engine that was ever started.
-func (w *Testbed) groupOfEngine(id string) *engineGroup {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.groupOf[id]
+func (tb *Testbed) groupOfEngine(id string) *engineGroup {
+	tb.mu.Lock()
+	defer tb.mu.Unlock()
+	return tb.groupOf[id]
 }
 
 // ReadyEngines returns how many engines of a role are listed as up and are not being removed.
-func (w *Testbed) ReadyEngines(writers bool) (n int) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for id, e := range w.engines {
-		if e.Writer() == writers && w.members[id].Phase == watch.Up && !w.leaving[id] {
+func (tb *Testbed) ReadyEngines(writers bool) (n int) {
+	tb.mu.Lock()
+	defer tb.mu.Unlock()
+	for id, e := range tb.engines {
+		if e.Writer() == writers && tb.members[id].Phase == watch.Up && !tb.leaving[id] {
 			n++
 		}
 	}
@@ -335,47 +335,47 @@
 }
 
 // ClaimForRemoval marks an engine as being removed. It returns false if it was marked before or does not run.
-func (w *Testbed) ClaimForRemoval(id string) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.leaving[id] || w.engines[id] == nil {
+func (tb *Testbed) ClaimForRemoval(id string) bool {
+	tb.mu.Lock()
+	defer tb.mu.Unlock()
+	if tb.leaving[id] || tb.engines[id] == nil {
 		return false
 	}
-	w.leaving[id] = true
+	tb.leaving[id] = true
 	return true
 }
 
 // DrainEngines lists engines as draining, in one change.
-func (w *Testbed) DrainEngines(ids ...string) { w.setPhase(watch.Draining, ids) }
+func (tb *Testbed) DrainEngines(ids ...string) { tb.setPhase(watch.Draining, ids) }
 
 // UnlistEngines takes engines off the list, in one change.
-func (w *Testbed) UnlistEngines(ids ...string) { w.setPhase(watch.Removed, ids) }
+func (tb *Testbed) UnlistEngines(ids ...string) { tb.setPhase(watch.Removed, ids) }
 
 // setPhase lists engines in a phase, in one change.
-func (w *Testbed) setPhase(phase string, ids []string) {
+func (tb *Testbed) setPhase(phase string, ids []string) {
 	var changed []watch.Member
-	w.mu.Lock()
+	tb.mu.Lock()
 	for _, id := range ids {
-		m := w.members[id]
+		m := tb.members[id]
 		m.Phase = phase
-		w.members[id] = m
+		tb.members[id] = m
 		changed = append(changed, m)
 	}
-	w.mu.Unlock()
-	w.Directory.Put(changed...)
+	tb.mu.Unlock()
+	tb.Directory.Put(changed...)
 }
 
 // RemoveEngine stops an engine that was taken off the list.
-func (w *Testbed) RemoveEngine(id string) {
-	w.mu.Lock()
-	e := w.engines[id]
-	delete(w.engines, id)
-	delete(w.members, id)
-	g := w.groupOf[id]
+func (tb *Testbed) RemoveEngine(id string) {
+	tb.mu.Lock()
+	e := tb.engines[id]
+	delete(tb.engines, id)
+	delete(tb.members, id)
+	g := tb.groupOf[id]
 	if e != nil {
 		g.size--
 	}
-	w.mu.Unlock()
+	tb.mu.Unlock()
 	if e == nil {
 		return
 	}
@@ -386,35 +386,35 @@
 }
 
 // Close kills the routers and stops everything else.
-func (w *Testbed) Close() {
-	for _, r := range w.Routers {
+func (tb *Testbed) Close() {
+	for _, r := range tb.Routers {
 		r.Signal(syscall.SIGCONT)
 		r.Signal(syscall.SIGKILL)
 	}
-	for _, r := range w.Routers {
+	for _, r := range tb.Routers {
 		r.Wait()
 		if r.log != nil {
 			r.log.Close()
 		}
 	}
-	w.mu.Lock()
-	engines, agents := w.engines, w.agents
-	w.engines, w.agents = nil, nil
-	closed := w.closed
-	w.closed = true
-	w.mu.Unlock()
+	tb.mu.Lock()
+	engines, agents := tb.engines, tb.agents
+	tb.engines, tb.agents = nil, nil
+	closed := tb.closed
+	tb.closed = true
+	tb.mu.Unlock()
 	if closed {
 		return
 	}
 	for _, e := range engines {
 		e.Kill()
 	}
-	for _, g := range w.groups {
+	for _, g := range tb.groups {
 		for _, p := range g.proxies {
 			p.Close()
 		}
 	}
-	w.machines.Close()
+	tb.machines.Close()
 	for _, of := range agents {
 		for _, a := range of {
 			a.Close()
--- a/internal/standin/chat/cluster.go
+++ b/internal/standin/chat/cluster.go
@@ -178,57 +178,57 @@
 }
 
 // recordSent records that bytes came from the router.
-func (p *connRecord) recordSent() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.lastByte = time.Now()
-	if p.firstByte.IsZero() || p.answered {
-		p.firstByte, p.answered = p.lastByte, false
+func (r *connRecord) recordSent() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.lastByte = time.Now()
+	if r.firstByte.IsZero() || r.answered {
+		r.firstByte, r.answered = r.lastByte, false
 	}
 }
 
 // recordReceived records that bytes came from the engine.
-func (p *connRecord) recordReceived() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.answered = true
+func (r *connRecord) recordReceived() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.answered = true
 }
 
 // recordClose records that the router has closed the connection, or the sending direction of it.
-func (p *connRecord) recordClose() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.closedTime.IsZero() {
-		p.closedTime = time.Now()
+func (r *connRecord) recordClose() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.closedTime.IsZero() {
+		r.closedTime = time.Now()
 	}
 }
 
 // recordLoss records that data was dropped.
-func (p *connRecord) recordLoss() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.lost = true
+func (r *connRecord) recordLoss() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.lost = true
 }
 
 // hadLoss reports whether data was dropped, or the connection was reset.
-func (p *connRecord) hadLoss() bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.lost
+func (r *connRecord) hadLoss() bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.lost
 }
 
 // times returns when the first and the last byte of the current request came from the router.
-func (p *connRecord) times() (first, last time.Time) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.firstByte, p.lastByte
+func (r *connRecord) times() (first, last time.Time) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.firstByte, r.lastByte
 }
 
 // closedAt returns when the router closed the connection, or the zero time.
-func (p *connRecord) closedAt() time.Time {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.closedTime
+func (r *connRecord) closedAt() time.Time {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.closedTime
 }
 
 // connAddrs are the two addresses of a connection to an engine. Both are needed, since one local port may be in use
--- a/internal/standin/chat/machines.go
+++ b/internal/standin/chat/machines.go
@@ -68,48 +68,48 @@
 }
 
 // Close closes the listener. All engines have to be killed before.
-func (m *EngineListener) Close() {
-	m.listener.Close()
-	m.goroutines.Wait()
+func (l *EngineListener) Close() {
+	l.listener.Close()
+	l.goroutines.Wait()
 }
 
 // errTooManyEngines is returned when the listener has no addresses left.
 var errTooManyEngines = errors.New("engine listener: too many engines")
 
 // add gives an engine its number and address.
-func (m *EngineListener) add(e *Engine) error {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if m.lastNumber++; m.lastNumber >= maxEngines {
+func (l *EngineListener) add(e *Engine) error {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.lastNumber++; l.lastNumber >= maxEngines {
 		return errTooManyEngines
 	}
-	e.number = m.lastNumber
-	e.addr = netip.AddrPortFrom(numberedAddr(engineSubnet, e.number), m.port)
-	m.engines[e.addr.Addr()] = e
+	e.number = l.lastNumber
+	e.addr = netip.AddrPortFrom(numberedAddr(engineSubnet, e.number), l.port)
+	l.engines[e.addr.Addr()] = e
 	return nil
 }
 
 // remove removes an engine that was killed. Connections to its address are reset from then on.
-func (m *EngineListener) remove(e *Engine) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	delete(m.engines, e.addr.Addr())
+func (l *EngineListener) remove(e *Engine) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	delete(l.engines, e.addr.Addr())
 }
 
 // acceptLoop hands each connection to the engine of its local address.
-func (m *EngineListener) acceptLoop() {
-	defer m.goroutines.Done()
+func (l *EngineListener) acceptLoop() {
+	defer l.goroutines.Done()
 	for {
-		c, err := m.listener.Accept()
+		c, err := l.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
 			continue
 		}
-		m.mu.Lock()
-		e := m.engines[localIP(c)]
-		m.mu.Unlock()
+		l.mu.Lock()
+		e := l.engines[localIP(c)]
+		l.mu.Unlock()
 		if e == nil || !e.serveConn(c) {
 			resetConn(c)
 		}
--- a/internal/standin/chat/proxy.go
+++ b/internal/standin/chat/proxy.go
@@ -373,49 +373,49 @@
 
 // copyOneWay copies bytes in one direction until either side ends, and delays the first chunk. Chunks that come while
 // traffic is dropped are lost.
-func (l *proxyConn) copyOneWay(to, from *net.TCPConn, fromRouter bool, delay time.Duration) {
+func (c *proxyConn) copyOneWay(to, from *net.TCPConn, fromRouter bool, delay time.Duration) {
 	pieces := make(chan chunk, copyQueueLength)
 	done := make(chan struct{})
 	defer close(done)
-	l.proxy.goroutines.Add(1)
+	c.proxy.goroutines.Add(1)
 	go func() {
-		defer l.proxy.goroutines.Done()
-		l.readChunks(from, fromRouter, pieces, done)
+		defer c.proxy.goroutines.Done()
+		c.readChunks(from, fromRouter, pieces, done)
 	}()
 	for first := true; ; first = false {
 		p := <-pieces
 		if first {
 			time.Sleep(delay)
 		}
-		if len(p.data) > 0 && l.passesTraffic() {
+		if len(p.data) > 0 && c.passesTraffic() {
 			if _, err := to.Write(p.data); err != nil {
-				l.propagateClose(from, err)
+				c.propagateClose(from, err)
 				return
 			}
 		}
 		if p.err == nil {
 			continue
 		}
-		if l.passesTraffic() {
-			l.propagateClose(to, p.err)
+		if c.passesTraffic() {
+			c.propagateClose(to, p.err)
 		}
 		return
 	}
 }
 
 // readChunks reads from one side and records when the bytes came.
-func (l *proxyConn) readChunks(from *net.TCPConn, fromRouter bool, pieces chan<- chunk, done <-chan struct{}) {
+func (c *proxyConn) readChunks(from *net.TCPConn, fromRouter bool, pieces chan<- chunk, done <-chan struct{}) {
 	for {
 		buf := make([]byte, copyBufferBytes)
 		n, err := from.Read(buf)
 		switch {
 		case n > 0 && fromRouter:
-			l.record.recordSent()
+			c.record.recordSent()
 		case n > 0:
-			l.record.recordReceived()
+			c.record.recordReceived()
 		}
 		if err != nil && fromRouter {
-			l.record.recordClose()
+			c.record.recordClose()
 		}
 		select {
 		case pieces <- chunk{buf[:n], err}:
@@ -429,7 +429,7 @@
 }
 
 // propagateClose passes the end of one side on to the other: a reset as a reset, a half-close as a half-close.
-func (l *proxyConn) propagateClose(to *net.TCPConn, err error) {
+func (c *proxyConn) propagateClose(to *net.TCPConn, err error) {
 	if errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE) {
 		to.SetLinger(0)
 		to.Close()
@@ -440,24 +440,24 @@
 
 // passesTraffic reports whether the connection can carry data now. If traffic is dropped now, the connection is lost
 // from then on.
-func (l *proxyConn) passesTraffic() bool {
-	l.proxy.mu.Lock()
-	defer l.proxy.mu.Unlock()
-	if l.proxy.dropping && !l.lost {
-		l.lost = true
-		l.record.recordLoss()
-		l.proxy.faultCounts["connections silent"]++
+func (c *proxyConn) passesTraffic() bool {
+	c.proxy.mu.Lock()
+	defer c.proxy.mu.Unlock()
+	if c.proxy.dropping && !c.lost {
+		c.lost = true
+		c.record.recordLoss()
+		c.proxy.faultCounts["connections silent"]++
 	}
-	return !l.lost
+	return !c.lost
 }
 
 // resetBoth resets the connections to both sides.
-func (l *proxyConn) resetBoth() {
-	l.record.recordLoss()
-	l.router.SetLinger(0)
-	l.engine.SetLinger(0)
-	l.router.Close()
-	l.engine.Close()
+func (c *proxyConn) resetBoth() {
+	c.record.recordLoss()
+	c.router.SetLinger(0)
+	c.engine.SetLinger(0)
+	c.router.Close()
+	c.engine.Close()
 }
 
 // RouterIP returns the address from which a proxy connects to engines for a router.
--- a/internal/standin/engine/places.go
+++ b/internal/standin/engine/places.go
@@ -22,48 +22,48 @@
 const maxReservationTime = 30 * time.Second
 
 // reserve makes a reservation if a slot and memory are free at once and no sequence is queued.
-func (l *process) reserve(w http.ResponseWriter, r *http.Request) {
+func (proc *process) reserve(w http.ResponseWriter, r *http.Request) {
 	var p engine.ReservationRequest
 	if err := kserve.Decode(http.MaxBytesReader(w, r.Body, 4096), &p); err != nil || p.Request != r.PathValue("request") {
 		writeJSON(w, http.StatusBadRequest, kserve.ErrorResponse{Error: "malformed"})
 		return
 	}
 	q := &seq{promptTokens: max(int(p.Tokens), 1), needsState: true, answerTokens: 1}
-	l.s.mu.Lock()
-	held := !l.s.draining && l.s.roleState.Phase == engine.PhaseSteady && !l.unresponsive && len(l.model.queue) == 0 && l.reservations[p.Request] == nil && l.model.admit(q) == nil
+	proc.s.mu.Lock()
+	held := !proc.s.draining && proc.s.roleState.Phase == engine.PhaseSteady && !proc.unresponsive && len(proc.model.queue) == 0 && proc.reservations[p.Request] == nil && proc.model.admit(q) == nil
 	if held && !q.running {
-		l.model.remove(q)
+		proc.model.remove(q)
 		held = false
 	}
 	if held {
 		pl := &reservation{seq: q, tokens: q.promptTokens, stateArrived: make(chan struct{})}
 		// While the read is in flight, its engine and the router cancel the reservation if need be. This timer is for
 		// the case that both are gone.
-		pl.holdTimer = time.AfterFunc(maxReservationTime, func() { l.dropReservation(p.Request, pl) })
-		l.reservations[p.Request] = pl
-		l.s.cfg.AuditLog.Add(audit.Record{Who: l.s.cfg.Name, Kind: audit.Reserved, ID: p.Request})
+		pl.holdTimer = time.AfterFunc(maxReservationTime, func() { proc.dropReservation(p.Request, pl) })
+		proc.reservations[p.Request] = pl
+		proc.s.cfg.AuditLog.Add(audit.Record{Who: proc.s.cfg.Name, Kind: audit.Reserved, ID: p.Request})
 	}
-	l.s.mu.Unlock()
+	proc.s.mu.Unlock()
 	if held {
-		l.s.goroutines.Add(1)
-		go func() { defer l.s.goroutines.Done(); l.notifyReader(p) }()
+		proc.s.goroutines.Add(1)
+		go func() { defer proc.s.goroutines.Done(); proc.notifyReader(p) }()
 	}
 	writeJSON(w, http.StatusOK, engine.ReservationResponse{Held: held})
 }
 
 // notifyReader tells the reading engine where to push the KV state. It retries, since the read may not have reached
 // that engine yet.
-func (l *process) notifyReader(p engine.ReservationRequest) {
+func (proc *process) notifyReader(p engine.ReservationRequest) {
 	const tries, between = 20, 5 * time.Millisecond
-	ctx, cancel := context.WithTimeout(l.ctx, time.Second)
+	ctx, cancel := context.WithTimeout(proc.ctx, time.Second)
 	defer cancel()
 	for range tries {
 		req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+p.Source+engine.ReadPath+p.Request+"/place",
-			bytes.NewReader([]byte(`{"place":"`+l.s.addr+`"}`)))
+			bytes.NewReader([]byte(`{"place":"`+proc.s.addr+`"}`)))
 		if err != nil {
 			return
 		}
-		resp, err := l.s.http.Do(req)
+		resp, err := proc.s.http.Do(req)
 		if err != nil {
 			return
 		}
@@ -76,15 +76,15 @@
 }
 
 // setReservationAddr records where the KV state of a read in flight is to be pushed.
-func (l *process) setReservationAddr(w http.ResponseWriter, r *http.Request) {
+func (proc *process) setReservationAddr(w http.ResponseWriter, r *http.Request) {
 	var p engine.ReservationNotice
 	err := kserve.Decode(http.MaxBytesReader(w, r.Body, 4096), &p)
-	l.s.mu.Lock()
-	under, known := l.reads[r.PathValue("request")]
+	proc.s.mu.Lock()
+	under, known := proc.reads[r.PathValue("request")]
 	if known && err == nil {
 		under.reservationAddr = p.WriterAddr
 	}
-	l.s.mu.Unlock()
+	proc.s.mu.Unlock()
 	if err != nil || !known {
 		writeJSON(w, http.StatusNotFound, kserve.ErrorResponse{Error: "no such read"})
 		return
@@ -93,11 +93,11 @@
 }
 
 // pushState pushes a KV state to its reservation. It reports whether the reservation's engine has accepted it.
-func (l *process) pushState(ctx context.Context, st *kvState, addr, request string) bool {
-	l.setClaimed(st, true)
-	defer l.setClaimed(st, false)
+func (proc *process) pushState(ctx context.Context, st *kvState, addr, request string) bool {
+	proc.setClaimed(st, true)
+	defer proc.setClaimed(st, false)
 	var body bytes.Buffer
-	if l.sendState(ctx, &body, st, l.s.cfg.Cell) != nil {
+	if proc.sendState(ctx, &body, st, proc.s.cfg.Cell) != nil {
 		return false
 	}
 	sum := strconv.FormatUint(xxhash.Sum64(body.Bytes()), 16)
@@ -109,7 +109,7 @@
 	req.Header.Set(engine.TokensHeader, strconv.Itoa(st.promptTokens))
 	req.Header.Set(engine.InfoHeader, strconv.Itoa(st.answerTokens))
 	req.Header.Set("Kv-Hold-Ms", strconv.FormatFloat(float64(st.holdTime)/1e6, 'f', -1, 64))
-	resp, err := l.s.http.Do(req)
+	resp, err := proc.s.http.Do(req)
 	if err != nil {
 		return false
 	}
@@ -117,27 +117,27 @@
 	if resp.StatusCode != http.StatusOK {
 		return false
 	}
-	l.s.mu.Lock()
-	l.dropStateLocked(st, audit.Fetched)
-	l.s.mu.Unlock()
+	proc.s.mu.Lock()
+	proc.dropStateLocked(st, audit.Fetched)
+	proc.s.mu.Unlock()
 	return true
 }
 
 // acceptState accepts a KV state that is pushed to a reservation.
-func (l *process) acceptState(w http.ResponseWriter, r *http.Request) {
+func (proc *process) acceptState(w http.ResponseWriter, r *http.Request) {
 	sum := xxhash.New()
 	_, err := io.Copy(sum, http.MaxBytesReader(w, r.Body, 64<<20))
 	answer, _ := strconv.Atoi(r.Header.Get(engine.InfoHeader))
 	hold, _ := strconv.ParseFloat(r.Header.Get("Kv-Hold-Ms"), 64)
-	l.s.mu.Lock()
-	p := l.reservations[r.PathValue("request")]
+	proc.s.mu.Lock()
+	p := proc.reservations[r.PathValue("request")]
 	ok := err == nil && p != nil && p.state == nil && strconv.FormatUint(sum.Sum64(), 16) == r.Header.Get(engine.ChecksumHeader)
 	if ok {
 		p.state = &kvState{answerTokens: max(answer, 1)}
 		p.holdTimer.Reset(time.Duration(max(hold, 1) * 1e6))
 		close(p.stateArrived)
 	}
-	l.s.mu.Unlock()
+	proc.s.mu.Unlock()
 	if !ok {
 		writeJSON(w, http.StatusNotFound, kserve.ErrorResponse{Error: "no such place"})
 		return
@@ -146,52 +146,52 @@
 }
 
 // cancelReservationAt cancels a reservation at another engine after its read was cancelled.
-func (l *process) cancelReservationAt(addr, request string) {
-	ctx, cancel := context.WithTimeout(l.ctx, time.Second)
+func (proc *process) cancelReservationAt(addr, request string) {
+	ctx, cancel := context.WithTimeout(proc.ctx, time.Second)
 	defer cancel()
-	if resp, err := l.sendRequest(ctx, http.MethodDelete, addr, engine.ReservationPath+request); err == nil {
+	if resp, err := proc.sendRequest(ctx, http.MethodDelete, addr, engine.ReservationPath+request); err == nil {
 		resp.Body.Close()
 	}
 }
 
 // cancelReservation cancels a reservation at a router's or an engine's request.
-func (l *process) cancelReservation(w http.ResponseWriter, r *http.Request) {
-	l.s.mu.Lock()
-	p := l.reservations[r.PathValue("request")]
-	l.s.mu.Unlock()
+func (proc *process) cancelReservation(w http.ResponseWriter, r *http.Request) {
+	proc.s.mu.Lock()
+	p := proc.reservations[r.PathValue("request")]
+	proc.s.mu.Unlock()
 	if p == nil {
 		writeJSON(w, http.StatusNotFound, kserve.ErrorResponse{Error: "no such place"})
 		return
 	}
-	l.dropReservation(r.PathValue("request"), p)
+	proc.dropReservation(r.PathValue("request"), p)
 	writeJSON(w, http.StatusOK, map[string]bool{"released": true})
 }
 
 // dropReservation frees the slot and memory of a reservation.
-func (l *process) dropReservation(request string, p *reservation) {
-	l.s.mu.Lock()
-	defer l.s.mu.Unlock()
-	if l.reservations[request] != p {
+func (proc *process) dropReservation(request string, p *reservation) {
+	proc.s.mu.Lock()
+	defer proc.s.mu.Unlock()
+	if proc.reservations[request] != p {
 		return
 	}
-	delete(l.reservations, request)
+	delete(proc.reservations, request)
 	p.holdTimer.Stop()
-	l.model.remove(p.seq)
-	l.s.cfg.AuditLog.Add(audit.Record{Who: l.s.cfg.Name, Kind: audit.ReservationEnded, ID: request, Note: "given up"})
+	proc.model.remove(p.seq)
+	proc.s.cfg.AuditLog.Add(audit.Record{Who: proc.s.cfg.Name, Kind: audit.ReservationEnded, ID: request, Note: "given up"})
 }
 
 // takeReservation gives an attempt the reservation of its request. It reports whether there was one that holds the KV
 // state.
-func (l *process) takeReservation(ctx context.Context, a *attempt, q **seq) bool {
-	l.s.mu.Lock()
-	p := l.reservations[a.p.Request]
+func (proc *process) takeReservation(ctx context.Context, a *attempt, q **seq) bool {
+	proc.s.mu.Lock()
+	p := proc.reservations[a.p.Request]
 	if p == nil {
-		l.s.mu.Unlock()
+		proc.s.mu.Unlock()
 		return false
 	}
-	l.s.mu.Unlock()
+	proc.s.mu.Unlock()
 	if a.p.Handle != "place-"+a.p.Request { // the KV state is elsewhere: continue without the reservation
-		l.dropReservation(a.p.Request, p)
+		proc.dropReservation(a.p.Request, p)
 		return false
 	}
 	select {
@@ -199,17 +199,17 @@
 	case <-ctx.Done():
 		return false
 	}
-	l.s.mu.Lock()
-	defer l.s.mu.Unlock()
-	if l.reservations[a.p.Request] != p {
+	proc.s.mu.Lock()
+	defer proc.s.mu.Unlock()
+	if proc.reservations[a.p.Request] != p {
 		return false
 	}
-	delete(l.reservations, a.p.Request)
+	delete(proc.reservations, a.p.Request)
 	p.holdTimer.Stop()
 	p.seq.answerTokens = min(p.state.answerTokens, max(a.p.MaxTokens, 1))
 	p.seq.events = make(chan event, p.seq.answerTokens+1)
-	l.model.stateFetched(p.seq)
+	proc.model.stateFetched(p.seq)
 	*q = p.seq
-	l.s.cfg.AuditLog.Add(audit.Record{Who: l.s.cfg.Name, Kind: audit.ReservationEnded, ID: a.p.Request, Note: "taken"})
+	proc.s.cfg.AuditLog.Add(audit.Record{Who: proc.s.cfg.Name, Kind: audit.ReservationEnded, ID: a.p.Request, Note: "taken"})
 	return true
 }
--- a/internal/standin/engine/role.go
+++ b/internal/standin/engine/role.go
@@ -25,38 +25,38 @@
 
 // Grant grants a role change if the engine is steady and at the given epoch. From then on the engine accepts nothing
 // new, and it does not change before notice has passed, so that every router can have seen the coming change.
-func (t *RoleState) Grant(now time.Time, to string, epoch uint64, notice time.Duration) bool {
-	if t.Phase != engine.PhaseSteady || t.Epoch != epoch {
+func (r *RoleState) Grant(now time.Time, to string, epoch uint64, notice time.Duration) bool {
+	if r.Phase != engine.PhaseSteady || r.Epoch != epoch {
 		return false
 	}
-	t.Phase, t.To, t.notBefore = engine.PhaseEmptying, to, now.Add(notice)
+	r.Phase, r.To, r.notBefore = engine.PhaseEmptying, to, now.Add(notice)
 	return true
 }
 
 // Cancel cancels a granted change while the engine is emptying.
-func (t *RoleState) Cancel(epoch uint64) bool {
-	if t.Phase != engine.PhaseEmptying || t.Epoch != epoch {
+func (r *RoleState) Cancel(epoch uint64) bool {
+	if r.Phase != engine.PhaseEmptying || r.Epoch != epoch {
 		return false
 	}
-	t.Phase = engine.PhaseSteady
+	r.Phase = engine.PhaseSteady
 	return true
 }
 
 // Begin starts the change itself if the engine is empty and the notice has passed.
-func (t *RoleState) Begin(now time.Time, empty bool) bool {
-	if t.Phase != engine.PhaseEmptying || !empty || now.Before(t.notBefore) {
+func (r *RoleState) Begin(now time.Time, empty bool) bool {
+	if r.Phase != engine.PhaseEmptying || !empty || now.Before(r.notBefore) {
 		return false
 	}
-	t.Phase = engine.PhaseChanging
+	r.Phase = engine.PhaseChanging
 	return true
 }
 
 // End ends the change, either in the new role or, after a failure, in the old one.
-func (t *RoleState) End(done bool) {
-	t.Phase = engine.PhaseSteady
+func (r *RoleState) End(done bool) {
+	r.Phase = engine.PhaseSteady
 	if done {
-		t.Epoch++
-		t.Swapped = !t.Swapped
+		r.Epoch++
+		r.Swapped = !r.Swapped
 	}
 }
 
@@ -92,30 +92,30 @@
 }
 
 // getRole answers with the engine's role.
-func (l *process) getRole(w http.ResponseWriter, r *http.Request) {
-	l.s.mu.Lock()
-	standing := l.s.roleStatus()
-	l.s.mu.Unlock()
+func (proc *process) getRole(w http.ResponseWriter, r *http.Request) {
+	proc.s.mu.Lock()
+	standing := proc.s.roleStatus()
+	proc.s.mu.Unlock()
 	writeJSON(w, http.StatusOK, standing)
 }
 
 // changeRole grants or refuses a role change.
-func (l *process) changeRole(w http.ResponseWriter, r *http.Request) {
+func (proc *process) changeRole(w http.ResponseWriter, r *http.Request) {
 	var q engine.RoleChange
 	if err := kserve.Decode(http.MaxBytesReader(w, r.Body, 4096), &q); err != nil {
 		writeJSON(w, http.StatusBadRequest, kserve.ErrorResponse{Error: err.Error()})
 		return
 	}
-	s := l.s
+	s := proc.s
 	s.mu.Lock()
 	to := s.otherSpec()
 	now := time.Now()
-	grant := to != nil && stageName(to) == q.To && s.process == l && s.faults.maxSize("role_refuse", -1, now) < 0 &&
+	grant := to != nil && stageName(to) == q.To && s.process == proc && s.faults.maxSize("role_refuse", -1, now) < 0 &&
 		s.roleState.Grant(now, q.To, q.Epoch, time.Duration(min(max(q.NoticeMillis, 0), engine.MaxNoticeMillis)*1e6))
 	if grant {
 		s.log.Info("role", "to", q.To, "epoch", q.Epoch, "asked by", q.Router)
 		s.goroutines.Add(1)
-		go func() { defer s.goroutines.Done(); l.runRoleChange(q.Epoch) }()
+		go func() { defer s.goroutines.Done(); proc.runRoleChange(q.Epoch) }()
 	}
 	standing := s.roleStatus()
 	s.mu.Unlock()
@@ -132,51 +132,51 @@
 }
 
 // cancelRoleChange cancels a granted role change at a router's request.
-func (l *process) cancelRoleChange(w http.ResponseWriter, r *http.Request) {
+func (proc *process) cancelRoleChange(w http.ResponseWriter, r *http.Request) {
 	var q engine.RoleChangeCancel
 	if err := kserve.Decode(http.MaxBytesReader(w, r.Body, 4096), &q); err != nil {
 		writeJSON(w, http.StatusBadRequest, kserve.ErrorResponse{Error: err.Error()})
 		return
 	}
-	s := l.s
+	s := proc.s
 	s.mu.Lock()
-	taken := s.process == l && s.roleState.Cancel(q.Epoch)
+	taken := s.process == proc && s.roleState.Cancel(q.Epoch)
 	standing := s.roleStatus()
 	s.mu.Unlock()
 	writeRole(w, taken, standing)
 }
 
 // runRoleChange performs a granted role change.
-func (l *process) runRoleChange(epoch uint64) {
+func (proc *process) runRoleChange(epoch uint64) {
 	const look = 5 * time.Millisecond
-	s := l.s
+	s := proc.s
 	for { // until it is empty
-		sleep(l.ctx, look)
+		sleep(proc.ctx, look)
 		s.mu.Lock()
-		if s.process != l || s.roleState.Phase != engine.PhaseEmptying || s.roleState.Epoch != epoch {
+		if s.process != proc || s.roleState.Phase != engine.PhaseEmptying || s.roleState.Epoch != epoch {
 			s.mu.Unlock()
 			return // it died, or the change was cancelled
 		}
-		if s.roleState.Begin(time.Now(), len(l.model.running)+len(l.model.queue)+len(l.states)+len(l.reservations)+len(l.reads) == 0) {
+		if s.roleState.Begin(time.Now(), len(proc.model.running)+len(proc.model.queue)+len(proc.states)+len(proc.reservations)+len(proc.reads) == 0) {
 			s.mu.Unlock()
 			break
 		}
 		s.mu.Unlock()
 	}
-	sleep(l.ctx, s.cfg.RoleChangeTime)
+	sleep(proc.ctx, s.cfg.RoleChangeTime)
 	for { // a hanging change continues when the fault ends
 		s.mu.Lock()
 		hangs := s.faults.maxSize("role_hang", -1, time.Now()) >= 0
 		s.mu.Unlock()
-		if !hangs || l.ctx.Err() != nil {
+		if !hangs || proc.ctx.Err() != nil {
 			break
 		}
-		sleep(l.ctx, look)
+		sleep(proc.ctx, look)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	if s.process != l {
+	if s.process != proc {
 		return
 	}
 	if back := s.faults.maxSize("role_die", -1, now); back >= 0 {
@@ -192,18 +192,18 @@
 		return
 	}
 	s.coldStart = now
-	old := l.model
-	l.model = newModel(*s.spec.Load(), now, true)
+	old := proc.model
+	proc.model = newModel(*s.spec.Load(), now, true)
 	if s.cfg.KeepsPrefixCache {
-		l.model.cache, l.model.lru, l.model.cachedBlocks = old.cache, old.lru, old.cachedBlocks
+		proc.model.cache, proc.model.lru, proc.model.cachedBlocks = old.cache, old.lru, old.cachedBlocks
 	}
-	l.reports = nil
-	l.sampleLoad(now)
+	proc.reports = nil
+	proc.sampleLoad(now)
 	s.recordStart(now, true)
 	if s.onStart != nil {
 		s.onStart(now)
 	}
-	l.wakeModel()
+	proc.wakeModel()
 }
 
 // Reinstall resets the engine as after the loss of its disk: it restarts at once, in its first role and at its first
--- a/internal/standin/engine/server.go
+++ b/internal/standin/engine/server.go
@@ -325,7 +325,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.log.Info("injecting a fault", "kind", f.Kind, "for", f.Duration, "size", f.Size, "class", f.Class)
+	s.log.Info("fault", "kind", f.Kind, "for", f.Duration, "size", f.Size, "class", f.Class)
 	switch f.Kind {
 	case "crash":
 		s.crashLocked(f.Duration)
@@ -393,38 +393,38 @@
 }
 
 // run executes the model's steps while there is work, until the process ends.
-func (l *process) run() {
-	for l.ctx.Err() == nil {
-		l.s.mu.Lock()
+func (proc *process) run() {
+	for proc.ctx.Err() == nil {
+		proc.s.mu.Lock()
 		now := time.Now()
-		l.sampleLoad(now)
-		l.model.slowdown = l.s.faults.slowdown(now)
-		still := l.s.faults.pauseLeft(now)
-		busy := l.model.busy() && !l.unresponsive
+		proc.sampleLoad(now)
+		proc.model.slowdown = proc.s.faults.slowdown(now)
+		still := proc.s.faults.pauseLeft(now)
+		busy := proc.model.busy() && !proc.unresponsive
 		var d time.Duration
 		var reads []int
 		var planned []*seq
 		if busy && still == 0 {
-			d, reads = l.model.planStep(now)
-			planned = slices.Clone(l.model.running)
+			d, reads = proc.model.planStep(now)
+			planned = slices.Clone(proc.model.running)
 		}
-		l.s.mu.Unlock()
+		proc.s.mu.Unlock()
 		switch {
 		case still > 0:
-			sleep(l.ctx, still)
+			sleep(proc.ctx, still)
 		case busy:
-			sleep(l.ctx, d)
-			l.s.mu.Lock()
-			if l.ctx.Err() == nil && !l.unresponsive {
-				l.model.finishStep(planned, reads)
+			sleep(proc.ctx, d)
+			proc.s.mu.Lock()
+			if proc.ctx.Err() == nil && !proc.unresponsive {
+				proc.model.finishStep(planned, reads)
 			}
-			l.s.mu.Unlock()
+			proc.s.mu.Unlock()
 		default:
-			t := time.NewTimer(l.s.spec.Load().ReportInterval)
+			t := time.NewTimer(proc.s.spec.Load().ReportInterval)
 			select {
-			case <-l.wake:
+			case <-proc.wake:
 			case <-t.C:
-			case <-l.ctx.Done():
+			case <-proc.ctx.Done():
 			}
 			t.Stop()
 		}
@@ -432,56 +432,56 @@
 }
 
 // wakeModel tells run that there may be work.
-func (l *process) wakeModel() {
+func (proc *process) wakeModel() {
 	select {
-	case l.wake <- struct{}{}:
+	case proc.wake <- struct{}{}:
 	default:
 	}
 }
 
 // sampleLoad takes a load sample if the last one is older than the report interval, and drops samples that are older
 // than the one to report.
-func (l *process) sampleLoad(now time.Time) {
-	if n := len(l.reports); n > 0 && now.Sub(l.reports[n-1].at) < l.s.spec.Load().ReportInterval {
+func (proc *process) sampleLoad(now time.Time) {
+	if n := len(proc.reports); n > 0 && now.Sub(proc.reports[n-1].at) < proc.s.spec.Load().ReportInterval {
 		return
 	}
-	share, waiting, latency := l.model.load()
-	l.reports = append(l.reports, loadSample{now, engine.LoadReport{MemoryUse: &share, QueuedTokens: &waiting,
+	share, waiting, latency := proc.model.load()
+	proc.reports = append(proc.reports, loadSample{now, engine.LoadReport{MemoryUse: &share, QueuedTokens: &waiting,
 		LatencyMillis: &latency}})
-	late := l.s.spec.Load().ReportDelay + time.Duration(l.s.faults.maxSize("report_late", 0, now)*1e9)
-	for len(l.reports) > 1 && now.Sub(l.reports[1].at) >= late {
-		l.reports = l.reports[1:]
+	late := proc.s.spec.Load().ReportDelay + time.Duration(proc.s.faults.maxSize("report_late", 0, now)*1e9)
+	for len(proc.reports) > 1 && now.Sub(proc.reports[1].at) >= late {
+		proc.reports = proc.reports[1:]
 	}
 }
 
 // loadReport returns the load report that is due now, which is ReportDelay old.
-func (l *process) loadReport() *engine.LoadReport {
-	l.s.mu.Lock()
-	defer l.s.mu.Unlock()
-	l.sampleLoad(time.Now())
-	return &l.reports[0].load
+func (proc *process) loadReport() *engine.LoadReport {
+	proc.s.mu.Lock()
+	defer proc.s.mu.Unlock()
+	proc.sampleLoad(time.Now())
+	return &proc.reports[0].load
 }
 
 // handler returns the HTTP handler of all the engine's paths.
-func (l *process) handler() http.Handler {
+func (proc *process) handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /v2/models/{model}/infer", l.prefill)
-	mux.HandleFunc("POST /v2/models/{model}/generate_stream", l.decode)
+	mux.HandleFunc("POST /v2/models/{model}/infer", proc.prefill)
+	mux.HandleFunc("POST /v2/models/{model}/generate_stream", proc.decode)
 	mux.HandleFunc("GET "+engine.LoadPath, func(w http.ResponseWriter, r *http.Request) {
-		writeJSON(w, http.StatusOK, l.loadReport())
+		writeJSON(w, http.StatusOK, proc.loadReport())
 	})
-	mux.HandleFunc("GET "+engine.StatePath+"{handle}", l.withState(l.serveState))
-	mux.HandleFunc("POST "+engine.StatePath+"{handle}/release", l.withState(l.releaseState))
-	mux.HandleFunc("POST "+engine.StatePath+"{handle}/claim", l.withState(l.claimState))
-	mux.HandleFunc("POST "+engine.StatePath+"{handle}/renew", l.withState(l.renewState))
-	mux.HandleFunc("PUT "+engine.ReservationPath+"{request}", l.reserve)
-	mux.HandleFunc("DELETE "+engine.ReservationPath+"{request}", l.cancelReservation)
-	mux.HandleFunc("POST "+engine.ReservationPath+"{request}/state", l.acceptState)
-	mux.HandleFunc("POST "+engine.ReadPath+"{request}/place", l.setReservationAddr)
-	mux.HandleFunc("DELETE "+engine.ReadPath+"{request}", l.cancelRead)
-	mux.HandleFunc("GET "+engine.RolePath, l.getRole)
-	mux.HandleFunc("POST "+engine.RolePath, l.changeRole)
-	mux.HandleFunc("POST "+engine.RolePath+"/stay", l.cancelRoleChange)
+	mux.HandleFunc("GET "+engine.StatePath+"{handle}", proc.withState(proc.serveState))
+	mux.HandleFunc("POST "+engine.StatePath+"{handle}/release", proc.withState(proc.releaseState))
+	mux.HandleFunc("POST "+engine.StatePath+"{handle}/claim", proc.withState(proc.claimState))
+	mux.HandleFunc("POST "+engine.StatePath+"{handle}/renew", proc.withState(proc.renewState))
+	mux.HandleFunc("PUT "+engine.ReservationPath+"{request}", proc.reserve)
+	mux.HandleFunc("DELETE "+engine.ReservationPath+"{request}", proc.cancelReservation)
+	mux.HandleFunc("POST "+engine.ReservationPath+"{request}/state", proc.acceptState)
+	mux.HandleFunc("POST "+engine.ReadPath+"{request}/place", proc.setReservationAddr)
+	mux.HandleFunc("DELETE "+engine.ReadPath+"{request}", proc.cancelRead)
+	mux.HandleFunc("GET "+engine.RolePath, proc.getRole)
+	mux.HandleFunc("POST "+engine.RolePath, proc.changeRole)
+	mux.HandleFunc("POST "+engine.RolePath+"/stay", proc.cancelRoleChange)
 	mux.HandleFunc("GET /v2/health/ready", func(w http.ResponseWriter, r *http.Request) {
 		writeJSON(w, http.StatusOK, map[string]bool{"ready": true})
 	})
@@ -489,7 +489,7 @@
 		var f Fault
 		err := kserve.Decode(http.MaxBytesReader(w, r.Body, 4096), &f)
 		if err == nil {
-			err = l.s.InjectFault(f)
+			err = proc.s.InjectFault(f)
 		}
 		if err != nil {
 			writeJSON(w, http.StatusBadRequest, kserve.ErrorResponse{Error: err.Error()})
@@ -498,11 +498,11 @@
 		writeJSON(w, http.StatusOK, map[string]bool{"playing": true})
 	})
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		l.s.mu.Lock()
-		silent := l.unresponsive
-		l.s.mu.Unlock()
+		proc.s.mu.Lock()
+		silent := proc.unresponsive
+		proc.s.mu.Unlock()
 		if silent {
-			l.waitForClose(r.Context())
+			proc.waitForClose(r.Context())
 			panic(http.ErrAbortHandler)
 		}
 		mux.ServeHTTP(w, r)
@@ -510,10 +510,10 @@
 }
 
 // waitForClose blocks without an answer until the client disconnects or the process ends.
-func (l *process) waitForClose(ctx context.Context) {
+func (proc *process) waitForClose(ctx context.Context) {
 	select {
 	case <-ctx.Done():
-	case <-l.ctx.Done():
+	case <-proc.ctx.Done():
 	}
 }
 
@@ -528,9 +528,9 @@
 }
 
 // refuse answers 503 with the reason of the refusal and the engine's load.
-func (l *process) refuse(w http.ResponseWriter, why, text string) {
+func (proc *process) refuse(w http.ResponseWriter, why, text string) {
 	w.Header().Set(engine.RefusedHeader, why)
-	w.Header().Set(engine.LoadHeader, l.loadReport().Header())
+	w.Header().Set(engine.LoadHeader, proc.loadReport().Header())
 	writeJSON(w, http.StatusServiceUnavailable, kserve.ErrorResponse{Error: text})
 }
 
@@ -605,14 +605,14 @@
 }
 
 // sendEndlessHeaders sends header lines until the client disconnects, or 65,536 of them.
-func (l *process) sendEndlessHeaders(w http.ResponseWriter) {
+func (proc *process) sendEndlessHeaders(w http.ResponseWriter) {
 	c, buf, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		return
 	}
 	defer c.Close()
 	buf.WriteString("HTTP/1.1 200 OK\r\n")
-	for i := 0; i < 1<<16 && l.ctx.Err() == nil; i++ {
+	for i := 0; i < 1<<16 && proc.ctx.Err() == nil; i++ {
 		if _, err := fmt.Fprintf(buf, "X-Filler-%d: %064d\r\n", i, i); err != nil {
 			return
 		}
@@ -626,15 +626,15 @@
 // answerLength returns the length of an answer in tokens: the value of the prompt's mark, or else a draw from a
 // long-tailed distribution whose seed depends only on the prompt and the engine's seed, so that a retry gets an
 // answer of the same length.
-func (l *process) answerLength(prompt string, most int) int {
+func (proc *process) answerLength(prompt string, most int) int {
 	n := 0
 	if m := answerLengthMark.FindStringSubmatch(prompt); m != nil {
 		n, _ = strconv.Atoi(m[1])
 	} else {
 		const sigma = 0.6
-		mean := max(l.s.spec.Load().MeanAnswerTokens, 1)
+		mean := max(proc.s.spec.Load().MeanAnswerTokens, 1)
 		d := distuv.LogNormal{Mu: math.Log(mean) - sigma*sigma/2, Sigma: sigma,
-			Src: rand.NewPCG(xxhash.Sum64String(prompt), l.s.cfg.Seed)}
+			Src: rand.NewPCG(xxhash.Sum64String(prompt), proc.s.cfg.Seed)}
 		n = int(d.Rand())
 	}
 	if most > 0 {
@@ -644,7 +644,7 @@
 }
 
 // prefill reads a prompt. Its KV state is held here, or pushed to a reservation.
-func (l *process) prefill(w http.ResponseWriter, r *http.Request) {
+func (proc *process) prefill(w http.ResponseWriter, r *http.Request) {
 	var body struct {
 		ID         string          `json:"id"`
 		Parameters engine.Params   `json:"parameters"`
@@ -654,7 +654,7 @@
 		writeJSON(w, http.StatusBadRequest, kserve.ErrorResponse{Error: err.Error()})
 		return
 	}
-	a := &attempt{l: l, id: body.ID, p: body.Parameters}
+	a := &attempt{l: proc, id: body.ID, p: body.Parameters}
 	if len(body.Inputs) == 1 {
 		if texts, err := body.Inputs[0].Strings(); err == nil && len(texts) == 1 {
 			a.prompt = texts[0]
@@ -666,60 +666,60 @@
 	q := &seq{promptTokens: max(int(a.p.PromptTokens), 1), sharedTokens: int(a.p.SharedTokens), sessionID: a.p.Session, prefixID: a.p.SharedText}
 	began := time.Now()
 	under := &activeRead{cancelled: make(chan struct{})}
-	l.s.mu.Lock()
-	err := l.model.admit(q)
+	proc.s.mu.Lock()
+	err := proc.model.admit(q)
 	if err == nil {
-		l.reads[a.p.Request] = under
+		proc.reads[a.p.Request] = under
 	}
-	l.s.mu.Unlock()
+	proc.s.mu.Unlock()
 	if err != nil {
 		a.record(audit.Rejected, engine.RefusedFull)
-		l.refuse(w, engine.RefusedFull, err.Error())
+		proc.refuse(w, engine.RefusedFull, err.Error())
 		return
 	}
-	l.wakeModel()
+	proc.wakeModel()
 	done := false
 	select {
 	case <-q.events:
 		done = true
 	case <-under.cancelled:
 	case <-r.Context().Done():
-	case <-l.ctx.Done():
+	case <-proc.ctx.Done():
 	}
-	l.s.mu.Lock()
+	proc.s.mu.Lock()
 	placeAt := under.reservationAddr
-	if l.reads[a.p.Request] == under {
-		delete(l.reads, a.p.Request)
+	if proc.reads[a.p.Request] == under {
+		delete(proc.reads, a.p.Request)
 	}
 	select {
 	case <-under.cancelled:
 		done = false
 	default:
 	}
-	if !done || r.Context().Err() != nil || l.ctx.Err() != nil || l.unresponsive {
-		silent := l.unresponsive
-		l.model.remove(q)
-		l.s.mu.Unlock()
+	if !done || r.Context().Err() != nil || proc.ctx.Err() != nil || proc.unresponsive {
+		silent := proc.unresponsive
+		proc.model.remove(q)
+		proc.s.mu.Unlock()
 		a.record(audit.Ended, "called off")
 		if placeAt != "" { // no one else may be there to cancel the reservation
-			l.cancelReservationAt(placeAt, a.p.Request)
+			proc.cancelReservationAt(placeAt, a.p.Request)
 		}
 		if silent {
-			l.waitForClose(r.Context())
+			proc.waitForClose(r.Context())
 		}
-		l.wakeModel()
+		proc.wakeModel()
 		panic(http.ErrAbortHandler)
 	}
-	l.model.recordLatency(time.Since(began))
-	st := l.holdStateLocked(a, q)
-	l.s.mu.Unlock()
+	proc.model.recordLatency(time.Since(began))
+	st := proc.holdStateLocked(a, q)
+	proc.s.mu.Unlock()
 	a.record(audit.Ended, "read")
-	answer := engine.ReadParams{Handle: st.id, Source: l.s.addr, Tokens: float64(q.promptTokens), CachedTokens: float64(q.cached)}
-	if placeAt != "" && l.pushState(r.Context(), st, placeAt, a.p.Request) {
+	answer := engine.ReadParams{Handle: st.id, Source: proc.s.addr, Tokens: float64(q.promptTokens), CachedTokens: float64(q.cached)}
+	if placeAt != "" && proc.pushState(r.Context(), st, placeAt, a.p.Request) {
 		answer.Handle, answer.Source = "place-"+a.p.Request, placeAt
 	}
 	id := a.id
-	if l.faultApplies("wrong_id", a.p.Class) {
+	if proc.faultApplies("wrong_id", a.p.Class) {
 		id += "-not"
 	}
 	out, err := json.Marshal(struct {
@@ -732,14 +732,14 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	w.Header().Set(engine.LoadHeader, l.loadReport().Header())
+	w.Header().Set(engine.LoadHeader, proc.loadReport().Header())
 	switch {
-	case l.faultApplies("half_frame", a.p.Class):
+	case proc.faultApplies("half_frame", a.p.Class):
 		w.Header().Set("Content-Length", strconv.Itoa(len(out)))
 		w.Write(out[:len(out)/2])
 		http.NewResponseController(w).Flush()
 		panic(http.ErrAbortHandler)
-	case l.faultApplies("two_answers", a.p.Class):
+	case proc.faultApplies("two_answers", a.p.Class):
 		w.Write(append(out, out...))
 	default:
 		w.Write(out)
@@ -747,54 +747,54 @@
 }
 
 // faultApplies draws whether an active fault of a kind applies to a request of a class.
-func (l *process) faultApplies(kind, class string) bool {
-	l.s.mu.Lock()
-	defer l.s.mu.Unlock()
-	return l.s.faults.draw(kind, class, time.Now()) != nil
+func (proc *process) faultApplies(kind, class string) bool {
+	proc.s.mu.Lock()
+	defer proc.s.mu.Unlock()
+	return proc.s.faults.draw(kind, class, time.Now()) != nil
 }
 
 // holdStateLocked holds the KV state of a finished read for the time that the router has requested. A claim stops the
 // hold timer, and the end of the last claim restarts it.
-func (l *process) holdStateLocked(a *attempt, q *seq) *kvState {
-	l.lastStateNumber++
-	st := &kvState{id: fmt.Sprintf("%s-%x-%d", l.s.cfg.Name, l.model.started.UnixNano(), l.lastStateNumber), attempt: a.id,
+func (proc *process) holdStateLocked(a *attempt, q *seq) *kvState {
+	proc.lastStateNumber++
+	st := &kvState{id: fmt.Sprintf("%s-%x-%d", proc.s.cfg.Name, proc.model.started.UnixNano(), proc.lastStateNumber), attempt: a.id,
 		request: a.p.Request, client: a.p.Client,
-		router: a.router, promptTokens: q.promptTokens, blocks: q.blocks, answerTokens: l.answerLength(a.prompt, a.p.MaxTokens),
+		router: a.router, promptTokens: q.promptTokens, blocks: q.blocks, answerTokens: proc.answerLength(a.prompt, a.p.MaxTokens),
 		holdTime: time.Duration(max(a.p.HoldMillis, 1) * 1e6)}
-	l.addStateLocked(st)
+	proc.addStateLocked(st)
 	return st
 }
 
 // addStateLocked adds a KV state and starts its hold timer.
-func (l *process) addStateLocked(st *kvState) {
-	l.states[st.id] = st
-	l.s.record(audit.Held, st, "")
+func (proc *process) addStateLocked(st *kvState) {
+	proc.states[st.id] = st
+	proc.s.record(audit.Held, st, "")
 	st.holdTimer = time.AfterFunc(st.holdTime, func() {
-		l.s.mu.Lock()
-		defer l.s.mu.Unlock()
-		if l.states[st.id] == st && st.claims == 0 {
-			l.dropStateLocked(st, audit.Expired)
+		proc.s.mu.Lock()
+		defer proc.s.mu.Unlock()
+		if proc.states[st.id] == st && st.claims == 0 {
+			proc.dropStateLocked(st, audit.Expired)
 		}
 	})
 }
 
 // dropStateLocked frees a KV state and records the reason.
-func (l *process) dropStateLocked(st *kvState, what audit.EventKind) {
-	if l.states[st.id] != st {
+func (proc *process) dropStateLocked(st *kvState, what audit.EventKind) {
+	if proc.states[st.id] != st {
 		return
 	}
-	delete(l.states, st.id)
+	delete(proc.states, st.id)
 	st.holdTimer.Stop()
-	l.model.freeBlocks(st.blocks)
-	l.s.record(what, st, "")
+	proc.model.freeBlocks(st.blocks)
+	proc.s.record(what, st, "")
 }
 
 // withState looks up the KV state that a call names.
-func (l *process) withState(f func(http.ResponseWriter, *http.Request, *kvState)) http.HandlerFunc {
+func (proc *process) withState(f func(http.ResponseWriter, *http.Request, *kvState)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		l.s.mu.Lock()
-		st := l.states[r.PathValue("handle")]
-		l.s.mu.Unlock()
+		proc.s.mu.Lock()
+		st := proc.states[r.PathValue("handle")]
+		proc.s.mu.Unlock()
 		if st == nil {
 			writeJSON(w, http.StatusNotFound, kserve.ErrorResponse{Error: "no such state"})
 			return
@@ -804,108 +804,108 @@
 }
 
 // releaseState frees a KV state at a router's request.
-func (l *process) releaseState(w http.ResponseWriter, r *http.Request, st *kvState) {
-	l.s.mu.Lock()
-	l.dropStateLocked(st, audit.Released)
-	l.s.mu.Unlock()
-	l.wakeModel()
+func (proc *process) releaseState(w http.ResponseWriter, r *http.Request, st *kvState) {
+	proc.s.mu.Lock()
+	proc.dropStateLocked(st, audit.Released)
+	proc.s.mu.Unlock()
+	proc.wakeModel()
 	writeJSON(w, http.StatusOK, map[string]bool{"released": true})
 }
 
 // cancelRead cancels a read, or releases the KV state that it has left. A router calls it for an attempt that it gave
 // up and whose answer it never saw. The call is idempotent.
-func (l *process) cancelRead(w http.ResponseWriter, r *http.Request) {
+func (proc *process) cancelRead(w http.ResponseWriter, r *http.Request) {
 	request := r.PathValue("request")
-	l.s.mu.Lock()
-	if under := l.reads[request]; under != nil {
+	proc.s.mu.Lock()
+	if under := proc.reads[request]; under != nil {
 		under.cancelOnce.Do(func() { close(under.cancelled) })
 	}
-	for _, st := range l.states {
+	for _, st := range proc.states {
 		if st.request == request && st.claims == 0 {
-			l.dropStateLocked(st, audit.Released)
+			proc.dropStateLocked(st, audit.Released)
 		}
 	}
-	l.s.mu.Unlock()
-	l.wakeModel()
+	proc.s.mu.Unlock()
+	proc.wakeModel()
 	writeJSON(w, http.StatusOK, map[string]bool{"released": true})
 }
 
 // setClaimed begins or ends a claim on a KV state.
-func (l *process) setClaimed(st *kvState, on bool) {
-	l.s.mu.Lock()
-	defer l.s.mu.Unlock()
-	if l.states[st.id] != st {
+func (proc *process) setClaimed(st *kvState, on bool) {
+	proc.s.mu.Lock()
+	defer proc.s.mu.Unlock()
+	if proc.states[st.id] != st {
 		return
 	}
 	if on {
 		if st.claims++; st.claims == 1 {
 			st.holdTimer.Stop()
-			l.s.record(audit.Claimed, st, "")
+			proc.s.record(audit.Claimed, st, "")
 		}
 		return
 	}
 	if st.claims--; st.claims == 0 {
 		st.holdTimer.Reset(st.holdTime)
-		l.s.record(audit.ClaimEnded, st, "")
+		proc.s.record(audit.ClaimEnded, st, "")
 	}
 }
 
 // renewState restarts a KV state's hold timer, because its router has an attempt in flight that uses it.
-func (l *process) renewState(w http.ResponseWriter, r *http.Request, st *kvState) {
-	l.s.mu.Lock()
-	if l.states[st.id] == st && st.claims == 0 {
+func (proc *process) renewState(w http.ResponseWriter, r *http.Request, st *kvState) {
+	proc.s.mu.Lock()
+	if proc.states[st.id] == st && st.claims == 0 {
 		st.holdTimer.Reset(st.holdTime)
-		l.s.record(audit.Renewed, st, "")
+		proc.s.record(audit.Renewed, st, "")
 	}
-	l.s.mu.Unlock()
+	proc.s.mu.Unlock()
 	writeJSON(w, http.StatusOK, map[string]bool{"renewed": true})
 }
 
 // claimState holds a KV state for a writer that waits for a slot, as long as the writer keeps the connection open.
-func (l *process) claimState(w http.ResponseWriter, r *http.Request, st *kvState) {
-	l.setClaimed(st, true)
-	defer l.setClaimed(st, false)
+func (proc *process) claimState(w http.ResponseWriter, r *http.Request, st *kvState) {
+	proc.setClaimed(st, true)
+	defer proc.setClaimed(st, false)
 	w.WriteHeader(http.StatusOK)
 	http.NewResponseController(w).Flush()
-	l.waitForClose(r.Context())
+	proc.waitForClose(r.Context())
 }
 
 // serveState sends the bytes of a KV state, and frees it once the last byte is sent.
-func (l *process) serveState(w http.ResponseWriter, r *http.Request, st *kvState) {
-	l.setClaimed(st, true)
-	defer l.setClaimed(st, false)
-	w.Header().Set("Content-Length", strconv.Itoa(st.promptTokens*l.s.spec.Load().StateBytesPerToken))
+func (proc *process) serveState(w http.ResponseWriter, r *http.Request, st *kvState) {
+	proc.setClaimed(st, true)
+	defer proc.setClaimed(st, false)
+	w.Header().Set("Content-Length", strconv.Itoa(st.promptTokens*proc.s.spec.Load().StateBytesPerToken))
 	w.Header().Set(engine.TokensHeader, strconv.Itoa(st.promptTokens))
 	w.Header().Set(engine.InfoHeader, strconv.Itoa(st.answerTokens))
-	w.Header().Set(engine.ChecksumHeader, strconv.FormatUint(stateChecksum(st.id, st.promptTokens*l.s.spec.Load().StateBytesPerToken), 16))
-	if l.sendState(r.Context(), w, st, r.Header.Get("Kv-Cell")) != nil {
+	w.Header().Set(engine.ChecksumHeader, strconv.FormatUint(stateChecksum(st.id, st.promptTokens*proc.s.spec.Load().StateBytesPerToken), 16))
+	if proc.sendState(r.Context(), w, st, r.Header.Get("Kv-Cell")) != nil {
 		return
 	}
-	l.s.mu.Lock()
-	l.dropStateLocked(st, audit.Fetched)
-	l.s.mu.Unlock()
-	l.wakeModel()
+	proc.s.mu.Lock()
+	proc.dropStateLocked(st, audit.Fetched)
+	proc.s.mu.Unlock()
+	proc.wakeModel()
 }
 
 // sendState writes the bytes of a KV state at the rate of the port, or of the cell's link if it goes to another cell.
-func (l *process) sendState(ctx context.Context, w io.Writer, st *kvState, toCell string) error {
+func (proc *process) sendState(ctx context.Context, w io.Writer, st *kvState, toCell string) error {
 	const chunk = 256 // tokens
 	gen := newStatePattern(st.id)
-	buf := make([]byte, chunk*l.s.spec.Load().StateBytesPerToken)
+	buf := make([]byte, chunk*proc.s.spec.Load().StateBytesPerToken)
 	for left := st.promptTokens; left > 0; left -= chunk {
 		n := min(left, chunk)
-		l.s.mu.Lock()
-		slow := l.s.faults.maxSize("origin_slow", 1, time.Now())
-		l.s.mu.Unlock()
-		if toCell == l.s.cfg.Cell || l.s.cfg.Link == nil {
-			sleep(ctx, time.Duration(float64(n)/l.s.spec.Load().PortTokensPerSecond*slow*1e9))
+		proc.s.mu.Lock()
+		slow := proc.s.faults.maxSize("origin_slow", 1, time.Now())
+		proc.s.mu.Unlock()
+		if toCell == proc.s.cfg.Cell || proc.s.cfg.Link == nil {
+			sleep(ctx, time.Duration(float64(n)/proc.s.spec.Load().PortTokensPerSecond*slow*1e9))
 		} else {
-			l.s.cfg.Link.take(ctx, float64(n))
+			proc.s.cfg.Link.take(ctx, float64(n))
 		}
-		if err := cmp.Or(ctx.Err(), l.ctx.Err()); err != nil {
+		if err := cmp.Or(ctx.Err(), proc.ctx.Err()); err != nil {
 			return err
 		}
-		part := buf[:n*l.s.spec.Load().StateBytesPerToken]
+		part := buf[:n*proc.s.spec.Load().StateBytesPerToken]
 		gen.fill(part)
 		if _, err := w.Write(part); err != nil {
 			return err
@@ -937,7 +937,7 @@
 }
 
 // decode fetches a KV state and writes the answer.
-func (l *process) decode(w http.ResponseWriter, r *http.Request) {
+func (proc *process) decode(w http.ResponseWriter, r *http.Request) {
 	var body struct {
 		ID         string        `json:"id"`
 		TextInput  string        `json:"text_input"`
@@ -947,47 +947,47 @@
 		writeJSON(w, http.StatusBadRequest, kserve.ErrorResponse{Error: err.Error()})
 		return
 	}
-	a := &attempt{l: l, id: body.ID, p: body.Parameters, prompt: body.TextInput}
+	a := &attempt{l: proc, id: body.ID, p: body.Parameters, prompt: body.TextInput}
 	if !a.accept(w, r) {
 		return
 	}
-	if a.p.Handle == "" && l.s.spec.Load().Role != decide.Both {
+	if a.p.Handle == "" && proc.s.spec.Load().Role != decide.Both {
 		a.record(audit.Rejected, engine.RefusedNoState)
-		l.refuse(w, engine.RefusedNoState, "no state is named, and the engine does not read")
+		proc.refuse(w, engine.RefusedNoState, "no state is named, and the engine does not read")
 		return
 	}
 	began := time.Now()
 	q := &seq{promptTokens: max(int(a.p.PromptTokens), 1), sharedTokens: int(a.p.SharedTokens), sessionID: a.p.Session, prefixID: a.p.SharedText,
 		needsState: a.p.Handle != "", answerTokens: max(a.p.MaxTokens, 1)}
 	if a.p.Handle == "" {
-		q.answerTokens = l.answerLength(a.prompt, a.p.MaxTokens)
+		q.answerTokens = proc.answerLength(a.prompt, a.p.MaxTokens)
 	}
-	if !l.takeReservation(r.Context(), a, &q) {
-		l.s.mu.Lock()
-		err := l.model.admit(q)
-		l.s.mu.Unlock()
+	if !proc.takeReservation(r.Context(), a, &q) {
+		proc.s.mu.Lock()
+		err := proc.model.admit(q)
+		proc.s.mu.Unlock()
 		if err != nil {
 			a.record(audit.Rejected, engine.RefusedFull)
-			l.refuse(w, engine.RefusedFull, err.Error())
+			proc.refuse(w, engine.RefusedFull, err.Error())
 			return
 		}
-		if q.needsState && !l.obtainState(w, r, a, q) {
+		if q.needsState && !proc.obtainState(w, r, a, q) {
 			return
 		}
 	}
 	a.record(audit.Executed, "")
-	l.wakeModel()
-	l.streamAnswer(w, r, a, q, began)
+	proc.wakeModel()
+	proc.streamAnswer(w, r, a, q, began)
 }
 
 // obtainState waits for a slot and fetches the KV state. It reports whether the answer can begin; if not, the request
 // has been answered already.
-func (l *process) obtainState(w http.ResponseWriter, r *http.Request, a *attempt, q *seq) bool {
+func (proc *process) obtainState(w http.ResponseWriter, r *http.Request, a *attempt, q *seq) bool {
 	quit := func(note string) {
-		l.s.mu.Lock()
-		l.model.remove(q)
-		l.s.mu.Unlock()
-		l.wakeModel()
+		proc.s.mu.Lock()
+		proc.model.remove(q)
+		proc.s.mu.Unlock()
+		proc.wakeModel()
 		a.record(audit.Rejected, note)
 	}
 	select {
@@ -995,57 +995,57 @@
 	default: // wait, and keep the KV state claimed meanwhile
 		claim, cancel := context.WithCancel(r.Context())
 		defer cancel()
-		resp, err := l.sendRequest(claim, http.MethodPost, a.p.Source, engine.StatePath+a.p.Handle+"/claim")
+		resp, err := proc.sendRequest(claim, http.MethodPost, a.p.Source, engine.StatePath+a.p.Handle+"/claim")
 		if err != nil || resp.StatusCode != http.StatusOK {
 			if err == nil {
 				resp.Body.Close()
 			}
 			quit(engine.RefusedNoState)
-			l.refuse(w, engine.RefusedNoState, "the state is gone")
+			proc.refuse(w, engine.RefusedNoState, "the state is gone")
 			return false
 		}
 		defer resp.Body.Close()
 		select {
 		case <-q.admitted:
 		case <-r.Context().Done():
-		case <-l.ctx.Done():
+		case <-proc.ctx.Done():
 		}
-		if r.Context().Err() != nil || l.ctx.Err() != nil {
+		if r.Context().Err() != nil || proc.ctx.Err() != nil {
 			quit("called off")
 			panic(http.ErrAbortHandler)
 		}
 	}
-	answer, err := l.fetchState(r.Context(), a)
+	answer, err := proc.fetchState(r.Context(), a)
 	if err != nil {
-		if r.Context().Err() != nil || l.ctx.Err() != nil {
+		if r.Context().Err() != nil || proc.ctx.Err() != nil {
 			quit("called off")
 			panic(http.ErrAbortHandler)
 		}
 		quit(engine.RefusedNoState)
-		l.refuse(w, engine.RefusedNoState, "the state could not be fetched: "+err.Error())
+		proc.refuse(w, engine.RefusedNoState, "the state could not be fetched: "+err.Error())
 		return false
 	}
-	l.s.mu.Lock()
+	proc.s.mu.Lock()
 	q.answerTokens = min(answer, q.answerTokens)
-	l.model.stateFetched(q)
-	l.s.mu.Unlock()
+	proc.model.stateFetched(q)
+	proc.s.mu.Unlock()
 	return true
 }
 
 // sendRequest sends a request without a body to another engine.
-func (l *process) sendRequest(ctx context.Context, method, addr, path string) (*http.Response, error) {
+func (proc *process) sendRequest(ctx context.Context, method, addr, path string) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path, nil)
 	if err != nil {
 		return nil, err
 	}
-	req.Header.Set("Kv-Cell", l.s.cfg.Cell)
-	return l.s.http.Do(req)
+	req.Header.Set("Kv-Cell", proc.s.cfg.Cell)
+	return proc.s.http.Do(req)
 }
 
 // fetchState fetches the bytes of a KV state from its engine, and verifies their checksum. It returns the answer's
 // length.
-func (l *process) fetchState(ctx context.Context, a *attempt) (answer int, err error) {
-	resp, err := l.sendRequest(ctx, http.MethodGet, a.p.Source, engine.StatePath+a.p.Handle)
+func (proc *process) fetchState(ctx context.Context, a *attempt) (answer int, err error) {
+	resp, err := proc.sendRequest(ctx, http.MethodGet, a.p.Source, engine.StatePath+a.p.Handle)
 	if err != nil {
 		return 0, err
 	}
@@ -1065,13 +1065,13 @@
 }
 
 // streamAnswer sends the tokens as they are written.
-func (l *process) streamAnswer(w http.ResponseWriter, r *http.Request, a *attempt, q *seq, began time.Time) {
+func (proc *process) streamAnswer(w http.ResponseWriter, r *http.Request, a *attempt, q *seq, began time.Time) {
 	control := http.NewResponseController(w)
 	var buf bytes.Buffer
 	enc := json.NewEncoder(&buf)
 	enc.SetEscapeHTML(false)
-	half, twice, id := l.faultApplies("half_frame", a.p.Class), l.faultApplies("two_answers", a.p.Class), a.id
-	if l.faultApplies("wrong_id", a.p.Class) {
+	half, twice, id := proc.faultApplies("half_frame", a.p.Class), proc.faultApplies("two_answers", a.p.Class), a.id
+	if proc.faultApplies("wrong_id", a.p.Class) {
 		id += "-not"
 	}
 	send := func(v any) error {
@@ -1088,11 +1088,11 @@
 		return err
 	}
 	leave := func(note string) {
-		l.s.mu.Lock()
-		l.model.remove(q)
-		l.s.mu.Unlock()
-		l.wakeModel()
-		l.s.cfg.AuditLog.Add(audit.Record{Who: l.s.cfg.Name, Kind: audit.Ended, ID: a.id, Client: a.p.Client,
+		proc.s.mu.Lock()
+		proc.model.remove(q)
+		proc.s.mu.Unlock()
+		proc.wakeModel()
+		proc.s.cfg.AuditLog.Add(audit.Record{Who: proc.s.cfg.Name, Kind: audit.Ended, ID: a.id, Client: a.p.Client,
 			Router: a.router, Class: a.p.Class, Stage: a.p.Stage, N: float64(q.written), Note: note})
 	}
 	for {
@@ -1100,24 +1100,24 @@
 		select {
 		case ev = <-q.events:
 		case <-r.Context().Done():
-		case <-l.ctx.Done():
+		case <-proc.ctx.Done():
 		}
-		l.s.mu.Lock()
-		silent := l.unresponsive
-		l.s.mu.Unlock()
+		proc.s.mu.Lock()
+		silent := proc.unresponsive
+		proc.s.mu.Unlock()
 		if silent {
-			l.waitForClose(r.Context())
+			proc.waitForClose(r.Context())
 		}
-		if silent || r.Context().Err() != nil || l.ctx.Err() != nil {
+		if silent || r.Context().Err() != nil || proc.ctx.Err() != nil {
 			leave("called off")
 			panic(http.ErrAbortHandler)
 		}
 		if ev.token == 1 {
-			l.s.mu.Lock()
-			l.model.recordLatency(time.Since(began))
-			l.s.mu.Unlock()
+			proc.s.mu.Lock()
+			proc.model.recordLatency(time.Since(began))
+			proc.s.mu.Unlock()
 			w.Header().Set("Content-Type", "text/event-stream")
-			w.Header().Set(engine.LoadHeader, l.loadReport().Header())
+			w.Header().Set(engine.LoadHeader, proc.loadReport().Header())
 		}
 		if half && (ev.token > 1 || ev.last) {
 			w.Write([]byte(`data: {"id":"` + id + `","text_out`))
@@ -1131,7 +1131,7 @@
 				kserve.GenerateResponse
 				Parameters *engine.LoadReport `json:"parameters"`
 			}{kserve.GenerateResponse{ModelName: r.PathValue("model"), ID: id,
-				Details: &kserve.Details{FinishReason: finishReason(q, a)}}, l.loadReport()}
+				Details: &kserve.Details{FinishReason: finishReason(q, a)}}, proc.loadReport()}
 			if err = send(&end); err == nil && twice {
 				err = send(&end)
 			}
--- a/internal/standin/fleet/fleet.go
+++ b/internal/standin/fleet/fleet.go
@@ -164,7 +164,7 @@
 		f.mu.Unlock()
 		if changed {
 			if err := f.writeList(); err != nil {
-				f.log.Error("writing the engine list failed", "err", err)
+				f.log.Error("list", "err", err)
 			}
 		}
 		timer.Reset(next)
--- a/internal/standin/spread/spread.go
+++ b/internal/standin/spread/spread.go
@@ -48,42 +48,42 @@
 }
 
 // Addr returns the address that clients connect to.
-func (l *Balancer) Addr() string { return l.listener.Addr().String() }
+func (b *Balancer) Addr() string { return b.listener.Addr().String() }
 
 // Run serves until ctx ends, and then closes all connections.
-func (l *Balancer) Run(ctx context.Context) error {
-	defer l.goroutines.Wait()
+func (b *Balancer) Run(ctx context.Context) error {
+	defer b.goroutines.Wait()
 	stop := context.AfterFunc(ctx, func() {
-		l.listener.Close()
-		l.mu.Lock()
-		defer l.mu.Unlock()
-		for c := range l.conns {
+		b.listener.Close()
+		b.mu.Lock()
+		defer b.mu.Unlock()
+		for c := range b.conns {
 			c.Close()
 		}
 	})
 	defer stop()
 	for {
-		c, err := l.listener.Accept()
+		c, err := b.listener.Accept()
 		if err != nil {
 			if errors.Is(err, net.ErrClosed) {
 				return nil
 			}
 			return fmt.Errorf("front layer: %w", err)
 		}
-		l.goroutines.Add(1)
-		go func() { defer l.goroutines.Done(); l.forward(ctx, c) }()
+		b.goroutines.Add(1)
+		go func() { defer b.goroutines.Done(); b.forward(ctx, c) }()
 	}
 }
 
 // forward joins a client's connection with one to a router until either side closes.
-func (l *Balancer) forward(ctx context.Context, client net.Conn) {
-	defer l.trackConn(client)()
+func (b *Balancer) forward(ctx context.Context, client net.Conn) {
+	defer b.trackConn(client)()
 	d := net.Dialer{Timeout: dialTimeout}
-	router, err := d.DialContext(ctx, "tcp", l.pickRouter())
+	router, err := d.DialContext(ctx, "tcp", b.pickRouter())
 	if err != nil {
 		return // the client sees its connection closed
 	}
-	defer l.trackConn(router)()
+	defer b.trackConn(router)()
 	if ctx.Err() != nil {
 		return
 	}
@@ -105,30 +105,30 @@
 }
 
 // trackConn adds a connection to those that Run closes at its end. The returned function closes it and removes it.
-func (l *Balancer) trackConn(c net.Conn) func() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.conns[c] = true
+func (b *Balancer) trackConn(c net.Conn) func() {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.conns[c] = true
 	return func() {
-		l.mu.Lock()
-		defer l.mu.Unlock()
-		delete(l.conns, c)
+		b.mu.Lock()
+		defer b.mu.Unlock()
+		delete(b.conns, c)
 		c.Close()
 	}
 }
 
 // MarkDead reports that a router has died, which takes effect after the detection delay. MarkAlive reverts it at
 // once.
-func (l *Balancer) MarkDead(addr string) { l.setAvoidFrom(addr, time.Now().Add(l.detectionDelay)) }
+func (b *Balancer) MarkDead(addr string) { b.setAvoidFrom(addr, time.Now().Add(b.detectionDelay)) }
 
 // MarkAlive reports that a router accepts connections again.
-func (l *Balancer) MarkAlive(addr string) { l.setAvoidFrom(addr, time.Time{}) }
+func (b *Balancer) MarkAlive(addr string) { b.setAvoidFrom(addr, time.Time{}) }
 
 // setAvoidFrom sets from when on a router gets no connections; zero: it gets them.
-func (l *Balancer) setAvoidFrom(addr string, dead time.Time) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for _, r := range l.routers {
+func (b *Balancer) setAvoidFrom(addr string, dead time.Time) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	for _, r := range b.routers {
 		if r.addr == addr {
 			r.avoidFrom = dead
 		}
@@ -136,17 +136,17 @@
 }
 
 // pickRouter returns the next router in turn that is not known to be dead, or just the next one if all are.
-func (l *Balancer) pickRouter() string {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (b *Balancer) pickRouter() string {
+	b.mu.Lock()
+	defer b.mu.Unlock()
 	now := time.Now()
-	n := uint64(len(l.routers))
-	first := l.next
-	l.next++
+	n := uint64(len(b.routers))
+	first := b.next
+	b.next++
 	for i := range n {
-		if r := l.routers[(first+i)%n]; r.avoidFrom.IsZero() || now.Before(r.avoidFrom) {
+		if r := b.routers[(first+i)%n]; r.avoidFrom.IsZero() || now.Before(r.avoidFrom) {
 			return r.addr
 		}
 	}
-	return l.routers[first%n].addr
+	return b.routers[first%n].addr
 }
