--- a/internal/standin/engine/core.go
+++ b/internal/standin/engine/core.go
@@ -24,7 +24,7 @@
 	AnswerTokens               int                    // tokens to write; 0: a read, whose KV state stays until Remove
 	NeedsState                 bool                   // an answer that waits for its KV state: StateFetched lets it begin
 	OnAdmitted                 func()                 // called when the task has a slot and memory
-	OnRead                     func(kept int)         // called when a read has finished
+	OnRead                     func(cached int)       // called when a read has finished
 	OnToken                    func(first, last bool) // called at the first and at the last token of an answer
 
 	seq seq
@@ -37,20 +37,20 @@
 	return c
 }
 
-// AfterRoleChange returns the engine after a role change: cold, and without cached prefixes unless it keeps its
-// prefix cache.
-func (c *Core) AfterRoleChange(spec Spec, now time.Time, keeps bool) *Core {
+// AfterRoleChange returns the engine after a role change: cold, without tasks, and without cached prefixes unless it
+// keeps its prefix cache.
+func (c *Core) AfterRoleChange(spec Spec, now time.Time, keepsCache bool) *Core {
 	n := NewCore(spec, now, true)
-	if keeps {
+	if keepsCache {
 		n.model.cache, n.model.lru, n.model.cachedBlocks = c.model.cache, c.model.lru, c.model.cachedBlocks
 	}
 	return n
 }
 
 // SetSlowdown makes everything that the engine does slower by a factor.
-func (c *Core) SetSlowdown(times float64) { c.model.slowdown = times }
+func (c *Core) SetSlowdown(factor float64) { c.model.slowdown = factor }
 
-// CountSend counts a send against the slow-start budget of a cold engine (rule 4) and reports whether the engine has
+// CountSend counts a send against the slow-start budget of a cold engine (the slow-start rule) and reports whether the engine has
 // failed under overload.
 func (c *Core) CountSend(now time.Time) bool {
 	c.model.countSend(now)
@@ -59,7 +59,8 @@
 
 // Admit adds a task. It returns false if slots and queue are full.
 func (c *Core) Admit(t *Task) bool {
-	t.seq = seq{promptTokens: max(t.PromptTokens, 1), sharedTokens: t.SharedTokens, sessionID: t.SessionID, prefixID: t.PrefixID, answerTokens: t.AnswerTokens, needsState: t.NeedsState}
+	t.seq = seq{promptTokens: max(t.PromptTokens, 1), sharedTokens: t.SharedTokens, sessionID: t.SessionID, prefixID: t.PrefixID,
+		answerTokens: t.AnswerTokens, needsState: t.NeedsState}
 	t.seq.hooks = &hooks{admitted: t.OnAdmitted, event: func(e event) {
 		switch {
 		case t.AnswerTokens == 0:
@@ -106,8 +107,8 @@
 func (c *Core) Report(now time.Time) decide.Report {
 	spec := &c.model.spec
 	if n := len(c.reports); n == 0 || now.Sub(c.reports[n-1].at) >= spec.ReportInterval {
-		share, waiting, latency := c.model.load()
-		c.reports = append(c.reports, loadSample{now, engine.LoadReport{MemoryUse: &share, QueuedTokens: &waiting, LatencyMillis: &latency}})
+		memoryUse, queuedTokens, latency := c.model.load()
+		c.reports = append(c.reports, loadSample{now, engine.LoadReport{MemoryUse: &memoryUse, QueuedTokens: &queuedTokens, LatencyMillis: &latency}})
 	}
 	for len(c.reports) > 1 && now.Sub(c.reports[1].at) >= spec.ReportDelay {
 		c.reports = c.reports[1:]
--- a/internal/standin/engine/faults.go
+++ b/internal/standin/engine/faults.go
@@ -87,9 +87,9 @@
 	}
 }
 
-// maxSize returns the largest size of the active faults of a kind, or none if there are none.
-func (f *faultSet) maxSize(kind string, none float64, now time.Time) float64 {
-	size := none
+// maxSize returns the largest size of the active faults of a kind, or byDefault if there are none.
+func (f *faultSet) maxSize(kind string, byDefault float64, now time.Time) float64 {
+	size := byDefault
 	f.each(kind, now, func(a *activeFault) { size = max(size, a.Size) })
 	return size
 }
@@ -109,8 +109,8 @@
 func (f *faultSet) slowdown(now time.Time) float64 {
 	factor := f.maxSize("slow", 1, now)
 	f.each("ageing", now, func(a *activeFault) {
-		lived := float64(now.Sub(a.from)) / float64(a.Duration)
-		factor = max(factor, 1+(a.Size-1)*lived)
+		elapsed := float64(now.Sub(a.from)) / float64(a.Duration)
+		factor = max(factor, 1+(a.Size-1)*elapsed)
 	})
 	return factor
 }
@@ -119,8 +119,8 @@
 func (f *faultSet) pauseLeft(now time.Time) (d time.Duration) {
 	f.each("pauses", now, func(a *activeFault) {
 		into := now.Sub(a.from) % time.Second
-		if still := time.Duration(a.Size * float64(time.Second)); into < still {
-			d = max(d, still-into)
+		if pauseTime := time.Duration(a.Size * float64(time.Second)); into < pauseTime {
+			d = max(d, pauseTime-into)
 		}
 	})
 	return d
--- a/internal/standin/engine/listener.go
+++ b/internal/standin/engine/listener.go
@@ -31,11 +31,11 @@
 	if err != nil {
 		return nil, err
 	}
-	s := l.process.s
+	s := l.process.server
 	s.mu.Lock()
-	wait := s.faults.maxSize("handshake_slow", 0, time.Now())
+	delay := s.faults.maxSize("handshake_slow", 0, time.Now())
 	s.mu.Unlock()
-	c := &conn{Conn: raw, listener: l, readDelay: time.Duration(wait * float64(time.Second))}
+	c := &conn{Conn: raw, listener: l, readDelay: time.Duration(delay * float64(time.Second))}
 	l.mu.Lock()
 	l.conns[c] = true
 	l.mu.Unlock()
--- a/internal/standin/engine/model.go
+++ b/internal/standin/engine/model.go
@@ -41,16 +41,18 @@
 
 // Prefill returns the spec of an engine that reads. Prefill and Decode are the specs of the demonstration.
 func Prefill() Spec {
-	return Spec{Role: decide.Reader, MaxRunning: 8, MaxQueued: 40, MemoryTokens: 240000, BlockTokens: 16, ReadTokensPerSecond: 18000, ChunkTokens: 2048,
-		StepTime: 2 * time.Millisecond, MaxContextTokens: 32000, InitialCapacity: 0.3, SlowStartTime: 10 * time.Second, OverloadMultiple: 4,
-		OverloadWindow: 2 * time.Second, MeanPromptTokens: 2000, MeanAnswerTokens: 120, PortTokensPerSecond: 250000, StateBytesPerToken: 64,
+	return Spec{Role: decide.Reader, MaxRunning: 8, MaxQueued: 40, MemoryTokens: 240000, BlockTokens: 16,
+		ReadTokensPerSecond: 18000, ChunkTokens: 2048, StepTime: 2 * time.Millisecond, MaxContextTokens: 32000,
+		InitialCapacity: 0.3, SlowStartTime: 10 * time.Second, OverloadMultiple: 4, OverloadWindow: 2 * time.Second,
+		MeanPromptTokens: 2000, MeanAnswerTokens: 120, PortTokensPerSecond: 250000, StateBytesPerToken: 64,
 		ReportInterval: 300 * time.Millisecond, ReportDelay: 100 * time.Millisecond}
 }
 
 // Decode returns the spec of an engine that writes.
 func Decode() Spec {
 	s := Prefill()
-	s.Role, s.MaxRunning, s.MaxQueued, s.MemoryTokens, s.ReadTokensPerSecond, s.ChunkTokens = decide.Writer, 90, 30, 160000, 7500, 512
+	s.Role, s.MaxRunning, s.MaxQueued, s.MemoryTokens, s.ReadTokensPerSecond, s.ChunkTokens =
+		decide.Writer, 90, 30, 160000, 7500, 512
 	s.StepTime, s.StepTimePerWriter = 12*time.Millisecond, 150*time.Microsecond
 	return s
 }
@@ -80,9 +82,8 @@
 type seq struct {
 	promptTokens, sharedTokens int
 	sessionID, prefixID        string
-	answerTokens               int // tokens to write; 0 for a read
-	// needsState: the sequence waits for its KV state before it writes.
-	needsState bool
+	answerTokens               int  // tokens to write; 0 for a read
+	needsState                 bool // waits for its KV state before it writes
 
 	uncached int           // prompt tokens still to read
 	cached   int           // prompt tokens found in the prefix cache
@@ -140,17 +141,15 @@
 	started  time.Time
 	slowdown float64 // factor on the duration of every step
 
-	queue      []*seq
-	running    []*seq
-	usedBlocks int // blocks of sequences and of held KV states
-	// cache holds the entries of lru by their keys.
-	cache        map[string]*list.Element
-	lru          *list.List // cached prefixes, most recently used first
-	cachedBlocks int        // blocks of the cached prefixes
-
-	sends []send // sends to a cold engine within the overload window
-	// overloaded is set when a cold engine has failed under overload.
-	overloaded  bool
+	queue        []*seq
+	running      []*seq
+	usedBlocks   int                      // blocks of sequences and of held KV states
+	cache        map[string]*list.Element // entries of lru by their keys
+	lru          *list.List               // cached prefixes, most recently used first
+	cachedBlocks int                      // blocks of the cached prefixes
+
+	sends       []send  // sends to a cold engine within the overload window
+	overloaded  bool    // a cold engine has failed under overload
 	meanLatency float64 // moving average of the time to the end of a read or to the first token, in ms
 }
 
@@ -286,7 +285,7 @@
 
 // cachedTokens returns how many prompt tokens of a sequence are cached, by its session or its shared prefix.
 func (m *model) cachedTokens(s *seq) int {
-	kept := 0
+	cached := 0
 	for _, key := range []string{"s " + s.sessionID, "t " + s.prefixID} {
 		if e := m.cache[key]; e != nil && len(key) > 2 {
 			m.lru.MoveToFront(e)
@@ -294,10 +293,10 @@
 			if key[0] == 't' {
 				tokens = min(tokens, s.sharedTokens)
 			}
-			kept = max(kept, min(tokens, s.promptTokens))
+			cached = max(cached, min(tokens, s.promptTokens))
 		}
 	}
-	return kept
+	return cached
 }
 
 // stateFetched marks that a sequence's KV state has arrived: it writes from the next step on.
@@ -346,19 +345,20 @@
 func (m *model) planStep(now time.Time) (time.Duration, []int) {
 	reads := make([]int, len(m.running))
 	left, writers := m.spec.ChunkTokens, 0
-	read := 0
+	tokensRead := 0
 	for i, s := range m.running {
 		if s.fetching {
 			continue
 		}
 		if s.uncached > 0 {
 			n := min(s.uncached, left)
-			reads[i], left, read = n, left-n, read+n
+			reads[i], left, tokensRead = n, left-n, tokensRead+n
 			continue
 		}
 		writers++
 	}
-	d := float64(m.spec.StepTime) + float64(m.spec.StepTimePerWriter)*float64(writers) + float64(read)/m.spec.ReadTokensPerSecond*1e9
+	d := float64(m.spec.StepTime) + float64(m.spec.StepTimePerWriter)*float64(writers) +
+		float64(tokensRead)/m.spec.ReadTokensPerSecond*1e9
 	return time.Duration(d * m.slowdown / m.capacityFraction(now)), reads
 }
 
@@ -417,18 +417,18 @@
 
 // load returns the engine's load: the fraction of memory in use, the prompt tokens still to read, and the latency
 // average in ms.
-func (m *model) load() (share, waiting, latency float64) {
+func (m *model) load() (memoryUse, queuedTokens, latency float64) {
 	for _, s := range m.queue {
-		waiting += float64(s.promptTokens)
+		queuedTokens += float64(s.promptTokens)
 	}
 	for _, s := range m.running {
 		if s.fetching {
-			waiting += float64(s.promptTokens)
+			queuedTokens += float64(s.promptTokens)
 		} else {
-			waiting += float64(s.uncached)
+			queuedTokens += float64(s.uncached)
 		}
 	}
-	return math.Min(float64(m.usedBlocks)/float64(max(m.totalBlocks(), 1)), 1), waiting, m.meanLatency
+	return math.Min(float64(m.usedBlocks)/float64(max(m.totalBlocks(), 1)), 1), queuedTokens, m.meanLatency
 }
 
 // recordLatency adds a latency to the moving average.
@@ -438,11 +438,12 @@
 }
 
 // SpeedUp makes everything that the engine does faster by a factor.
-func (s *Spec) SpeedUp(times float64) {
-	scale := func(d *time.Duration) { *d = time.Duration(float64(*d) / times) }
-	for _, d := range []*time.Duration{&s.StepTime, &s.StepTimePerWriter, &s.SlowStartTime, &s.OverloadWindow, &s.ReportInterval, &s.ReportDelay} {
+func (s *Spec) SpeedUp(factor float64) {
+	scale := func(d *time.Duration) { *d = time.Duration(float64(*d) / factor) }
+	for _, d := range []*time.Duration{&s.StepTime, &s.StepTimePerWriter, &s.SlowStartTime, &s.OverloadWindow, &s.ReportInterval,
+		&s.ReportDelay} {
 		scale(d)
 	}
-	s.ReadTokensPerSecond *= times
-	s.PortTokensPerSecond *= times
+	s.ReadTokensPerSecond *= factor
+	s.PortTokensPerSecond *= factor
 }
--- a/internal/standin/engine/model_test.go
+++ b/internal/standin/engine/model_test.go
@@ -9,13 +9,15 @@
 	"pgregory.net/rapid"
 )
 
+// start is when the engines start.
 var start = time.Unix(1000, 0)
 
 // smallSpec returns the spec of an engine that reads 1,000 tokens per second in chunks of 100, with memory for 1,000
 // tokens.
 func smallSpec() Spec {
 	s := Prefill()
-	s.MaxRunning, s.MaxQueued, s.MemoryTokens, s.BlockTokens, s.ReadTokensPerSecond, s.ChunkTokens, s.StepTime, s.StepTimePerWriter = 2, 1, 1000, 10, 1000, 100, time.Millisecond, 2*time.Millisecond
+	s.MaxRunning, s.MaxQueued, s.MemoryTokens, s.BlockTokens, s.ReadTokensPerSecond, s.ChunkTokens, s.StepTime, s.StepTimePerWriter =
+		2, 1, 1000, 10, 1000, 100, time.Millisecond, 2*time.Millisecond
 	return s
 }
 
@@ -27,7 +29,9 @@
 	return d
 }
 
-func TestReadTakesItsTime(t *testing.T) {
+// TestReadDuration checks the duration of a read, the memory that its KV state holds, and that the next turn of the
+// session reads only what is not cached.
+func TestReadDuration(t *testing.T) {
 	m := newModel(smallSpec(), start, false)
 	s := &seq{promptTokens: 250, sessionID: "a"}
 	if err := m.admit(s); err != nil {
@@ -52,7 +56,8 @@
 	}
 }
 
-func TestWriteTakesItsTime(t *testing.T) {
+// TestWriteDuration checks that writers share the steps, and that a step takes longer for each of them.
+func TestWriteDuration(t *testing.T) {
 	m := newModel(smallSpec(), start, false)
 	a, b := &seq{promptTokens: 10, answerTokens: 3, needsState: true}, &seq{promptTokens: 10, answerTokens: 2, needsState: true}
 	m.admit(a)
@@ -75,7 +80,8 @@
 	}
 }
 
-func TestBoundsAndPreemption(t *testing.T) {
+// TestAdmissionLimitAndPreemption checks the limit of running and queued sequences, and preemption when memory runs out.
+func TestAdmissionLimitAndPreemption(t *testing.T) {
 	m := newModel(smallSpec(), start, false)
 	for i, full := range []bool{false, false, false, true} {
 		if err := m.admit(&seq{promptTokens: 10, answerTokens: 5}); (err != nil) != full {
@@ -89,20 +95,21 @@
 	m.admit(b)
 	m.stateFetched(a)
 	m.stateFetched(b)
-	putBack := false
+	preempted := false
 	for steps := 0; m.busy(); steps++ {
 		runStep(m, start)
-		putBack = putBack || len(m.queue) > 0
+		preempted = preempted || len(m.queue) > 0
 		if steps > 1000 {
 			t.Fatal("the sequences do not finish within 1,000 steps")
 		}
 	}
-	if !putBack || a.written != 150 || b.written != 150 || m.usedBlocks != 0 {
-		t.Errorf("preempted: %v; %d and %d tokens written, %d blocks in use", putBack, a.written, b.written, m.usedBlocks)
+	if !preempted || a.written != 150 || b.written != 150 || m.usedBlocks != 0 {
+		t.Errorf("preempted: %v; %d and %d tokens written, %d blocks in use", preempted, a.written, b.written, m.usedBlocks)
 	}
 }
 
-func TestColdAndFall(t *testing.T) {
+// TestSlowStartAndOverload checks that a cold engine is slower, warms up, and fails if it is sent too much.
+func TestSlowStartAndOverload(t *testing.T) {
 	m := newModel(smallSpec(), start, true)
 	if got := m.capacityFraction(start); got != m.spec.InitialCapacity {
 		t.Errorf("a cold engine starts with capacity fraction %v", got)
@@ -186,7 +193,8 @@
 	})
 }
 
-func TestFaults(t *testing.T) {
+// TestFaultSet checks that invalid faults are rejected, and how overlapping faults combine.
+func TestFaultSet(t *testing.T) {
 	for _, f := range []Fault{{Kind: "nonsense", Duration: 1}, {Kind: "slow"}, {Kind: "slow", Duration: 1, Size: -1}, {Kind: "class_fail", Duration: 1, Mode: "x"}} {
 		if f.Check() == nil {
 			t.Errorf("invalid fault %+v was accepted", f)
--- a/internal/standin/engine/places.go
+++ b/internal/standin/engine/reservations.go
@@ -29,41 +29,41 @@
 		return
 	}
 	q := &seq{promptTokens: max(int(p.Tokens), 1), needsState: true, answerTokens: 1}
-	proc.s.mu.Lock()
-	held := !proc.s.draining && proc.s.roleState.Phase == engine.PhaseSteady && !proc.unresponsive && len(proc.model.queue) == 0 && proc.reservations[p.Request] == nil && proc.model.admit(q) == nil
-	if held && !q.running {
+	proc.server.mu.Lock()
+	reserved := !proc.server.draining && proc.server.roleState.Phase == engine.PhaseSteady && !proc.unresponsive && len(proc.model.queue) == 0 && proc.reservations[p.Request] == nil && proc.model.admit(q) == nil
+	if reserved && !q.running {
 		proc.model.remove(q)
-		held = false
+		reserved = false
 	}
-	if held {
-		pl := &reservation{seq: q, tokens: q.promptTokens, stateArrived: make(chan struct{})}
+	if reserved {
+		resv := &reservation{seq: q, tokens: q.promptTokens, stateArrived: make(chan struct{})}
 		// While the read is in flight, its engine and the router cancel the reservation if need be. This timer is for
 		// the case that both are gone.
-		pl.holdTimer = time.AfterFunc(maxReservationTime, func() { proc.dropReservation(p.Request, pl) })
-		proc.reservations[p.Request] = pl
-		proc.s.cfg.AuditLog.Add(audit.Record{Who: proc.s.cfg.Name, Kind: audit.Reserved, ID: p.Request})
+		resv.holdTimer = time.AfterFunc(maxReservationTime, func() { proc.dropReservation(p.Request, resv) })
+		proc.reservations[p.Request] = resv
+		proc.server.cfg.AuditLog.Add(audit.Record{Who: proc.server.cfg.Name, Kind: audit.Reserved, ID: p.Request})
 	}
-	proc.s.mu.Unlock()
-	if held {
-		proc.s.goroutines.Add(1)
-		go func() { defer proc.s.goroutines.Done(); proc.notifyReader(p) }()
+	proc.server.mu.Unlock()
+	if reserved {
+		proc.server.goroutines.Add(1)
+		go func() { defer proc.server.goroutines.Done(); proc.notifyReader(p) }()
 	}
-	writeJSON(w, http.StatusOK, engine.ReservationResponse{Held: held})
+	writeJSON(w, http.StatusOK, engine.ReservationResponse{Held: reserved})
 }
 
 // notifyReader tells the reading engine where to push the KV state. It retries, since the read may not have reached
 // that engine yet.
 func (proc *process) notifyReader(p engine.ReservationRequest) {
-	const tries, between = 20, 5 * time.Millisecond
+	const maxTries, retryDelay = 20, 5 * time.Millisecond
 	ctx, cancel := context.WithTimeout(proc.ctx, time.Second)
 	defer cancel()
-	for range tries {
+	for range maxTries {
 		req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+p.Source+engine.ReadPath+p.Request+"/place",
-			bytes.NewReader([]byte(`{"place":"`+proc.s.addr+`"}`)))
+			bytes.NewReader([]byte(`{"place":"`+proc.server.addr+`"}`)))
 		if err != nil {
 			return
 		}
-		resp, err := proc.s.http.Do(req)
+		resp, err := proc.server.http.Do(req)
 		if err != nil {
 			return
 		}
@@ -71,7 +71,7 @@
 		if resp.StatusCode == http.StatusOK {
 			return
 		}
-		sleep(ctx, between)
+		sleep(ctx, retryDelay)
 	}
 }
 
@@ -79,12 +79,12 @@
 func (proc *process) setReservationAddr(w http.ResponseWriter, r *http.Request) {
 	var p engine.ReservationNotice
 	err := kserve.Decode(http.MaxBytesReader(w, r.Body, 4096), &p)
-	proc.s.mu.Lock()
-	under, known := proc.reads[r.PathValue("request")]
+	proc.server.mu.Lock()
+	reading, known := proc.reads[r.PathValue("request")]
 	if known && err == nil {
-		under.reservationAddr = p.WriterAddr
+		reading.reservationAddr = p.WriterAddr
 	}
-	proc.s.mu.Unlock()
+	proc.server.mu.Unlock()
 	if err != nil || !known {
 		writeJSON(w, http.StatusNotFound, kserve.ErrorResponse{Error: "no such read"})
 		return
@@ -97,7 +97,7 @@
 	proc.setClaimed(st, true)
 	defer proc.setClaimed(st, false)
 	var body bytes.Buffer
-	if proc.sendState(ctx, &body, st, proc.s.cfg.Cell) != nil {
+	if proc.sendState(ctx, &body, st, proc.server.cfg.Cell) != nil {
 		return false
 	}
 	sum := strconv.FormatUint(xxhash.Sum64(body.Bytes()), 16)
@@ -109,7 +109,7 @@
 	req.Header.Set(engine.TokensHeader, strconv.Itoa(st.promptTokens))
 	req.Header.Set(engine.InfoHeader, strconv.Itoa(st.answerTokens))
 	req.Header.Set("Kv-Hold-Ms", strconv.FormatFloat(float64(st.holdTime)/1e6, 'f', -1, 64))
-	resp, err := proc.s.http.Do(req)
+	resp, err := proc.server.http.Do(req)
 	if err != nil {
 		return false
 	}
@@ -117,9 +117,9 @@
 	if resp.StatusCode != http.StatusOK {
 		return false
 	}
-	proc.s.mu.Lock()
+	proc.server.mu.Lock()
 	proc.dropStateLocked(st, audit.Fetched)
-	proc.s.mu.Unlock()
+	proc.server.mu.Unlock()
 	return true
 }
 
@@ -129,7 +129,7 @@
 	_, err := io.Copy(sum, http.MaxBytesReader(w, r.Body, 64<<20))
 	answer, _ := strconv.Atoi(r.Header.Get(engine.InfoHeader))
 	hold, _ := strconv.ParseFloat(r.Header.Get("Kv-Hold-Ms"), 64)
-	proc.s.mu.Lock()
+	proc.server.mu.Lock()
 	p := proc.reservations[r.PathValue("request")]
 	ok := err == nil && p != nil && p.state == nil && strconv.FormatUint(sum.Sum64(), 16) == r.Header.Get(engine.ChecksumHeader)
 	if ok {
@@ -137,7 +137,7 @@
 		p.holdTimer.Reset(time.Duration(max(hold, 1) * 1e6))
 		close(p.stateArrived)
 	}
-	proc.s.mu.Unlock()
+	proc.server.mu.Unlock()
 	if !ok {
 		writeJSON(w, http.StatusNotFound, kserve.ErrorResponse{Error: "no such place"})
 		return
@@ -156,9 +156,9 @@
 
 // cancelReservation cancels a reservation at a router's or an engine's request.
 func (proc *process) cancelReservation(w http.ResponseWriter, r *http.Request) {
-	proc.s.mu.Lock()
+	proc.server.mu.Lock()
 	p := proc.reservations[r.PathValue("request")]
-	proc.s.mu.Unlock()
+	proc.server.mu.Unlock()
 	if p == nil {
 		writeJSON(w, http.StatusNotFound, kserve.ErrorResponse{Error: "no such place"})
 		return
@@ -169,29 +169,29 @@
 
 // dropReservation frees the slot and memory of a reservation.
 func (proc *process) dropReservation(request string, p *reservation) {
-	proc.s.mu.Lock()
-	defer proc.s.mu.Unlock()
+	proc.server.mu.Lock()
+	defer proc.server.mu.Unlock()
 	if proc.reservations[request] != p {
 		return
 	}
 	delete(proc.reservations, request)
 	p.holdTimer.Stop()
 	proc.model.remove(p.seq)
-	proc.s.cfg.AuditLog.Add(audit.Record{Who: proc.s.cfg.Name, Kind: audit.ReservationEnded, ID: request, Note: "given up"})
+	proc.server.cfg.AuditLog.Add(audit.Record{Who: proc.server.cfg.Name, Kind: audit.ReservationEnded, ID: request, Note: "given up"})
 }
 
 // takeReservation gives an attempt the reservation of its request. It reports whether there was one that holds the KV
 // state.
 func (proc *process) takeReservation(ctx context.Context, a *attempt, q **seq) bool {
-	proc.s.mu.Lock()
-	p := proc.reservations[a.p.Request]
+	proc.server.mu.Lock()
+	p := proc.reservations[a.params.Request]
 	if p == nil {
-		proc.s.mu.Unlock()
+		proc.server.mu.Unlock()
 		return false
 	}
-	proc.s.mu.Unlock()
-	if a.p.Handle != "place-"+a.p.Request { // the KV state is elsewhere: continue without the reservation
-		proc.dropReservation(a.p.Request, p)
+	proc.server.mu.Unlock()
+	if a.params.Handle != "place-"+a.params.Request { // the KV state is elsewhere: continue without the reservation
+		proc.dropReservation(a.params.Request, p)
 		return false
 	}
 	select {
@@ -199,17 +199,17 @@
 	case <-ctx.Done():
 		return false
 	}
-	proc.s.mu.Lock()
-	defer proc.s.mu.Unlock()
-	if proc.reservations[a.p.Request] != p {
+	proc.server.mu.Lock()
+	defer proc.server.mu.Unlock()
+	if proc.reservations[a.params.Request] != p {
 		return false
 	}
-	delete(proc.reservations, a.p.Request)
+	delete(proc.reservations, a.params.Request)
 	p.holdTimer.Stop()
-	p.seq.answerTokens = min(p.state.answerTokens, max(a.p.MaxTokens, 1))
+	p.seq.answerTokens = min(p.state.answerTokens, max(a.params.MaxTokens, 1))
 	p.seq.events = make(chan event, p.seq.answerTokens+1)
 	proc.model.stateFetched(p.seq)
 	*q = p.seq
-	proc.s.cfg.AuditLog.Add(audit.Record{Who: proc.s.cfg.Name, Kind: audit.ReservationEnded, ID: a.p.Request, Note: "taken"})
+	proc.server.cfg.AuditLog.Add(audit.Record{Who: proc.server.cfg.Name, Kind: audit.ReservationEnded, ID: a.params.Request, Note: "taken"})
 	return true
 }
--- a/internal/standin/engine/role.go
+++ b/internal/standin/engine/role.go
@@ -93,10 +93,10 @@
 
 // getRole answers with the engine's role.
 func (proc *process) getRole(w http.ResponseWriter, r *http.Request) {
-	proc.s.mu.Lock()
-	standing := proc.s.roleStatus()
-	proc.s.mu.Unlock()
-	writeJSON(w, http.StatusOK, standing)
+	proc.server.mu.Lock()
+	status := proc.server.roleStatus()
+	proc.server.mu.Unlock()
+	writeJSON(w, http.StatusOK, status)
 }
 
 // changeRole grants or refuses a role change.
@@ -106,29 +106,29 @@
 		writeJSON(w, http.StatusBadRequest, kserve.ErrorResponse{Error: err.Error()})
 		return
 	}
-	s := proc.s
+	s := proc.server
 	s.mu.Lock()
 	to := s.otherSpec()
 	now := time.Now()
-	grant := to != nil && stageName(to) == q.To && s.process == proc && s.faults.maxSize("role_refuse", -1, now) < 0 &&
+	granted := to != nil && stageName(to) == q.To && s.process == proc && s.faults.maxSize("role_refuse", -1, now) < 0 &&
 		s.roleState.Grant(now, q.To, q.Epoch, time.Duration(min(max(q.NoticeMillis, 0), engine.MaxNoticeMillis)*1e6))
-	if grant {
+	if granted {
 		s.log.Info("role", "to", q.To, "epoch", q.Epoch, "asked by", q.Router)
 		s.goroutines.Add(1)
 		go func() { defer s.goroutines.Done(); proc.runRoleChange(q.Epoch) }()
 	}
-	standing := s.roleStatus()
+	status := s.roleStatus()
 	s.mu.Unlock()
-	writeRole(w, grant, standing)
+	writeRole(w, granted, status)
 }
 
 // writeRole answers with the engine's role, and with status 409 if the request was refused.
-func writeRole(w http.ResponseWriter, granted bool, standing engine.Role) {
+func writeRole(w http.ResponseWriter, granted bool, status engine.Role) {
 	code := http.StatusOK
 	if !granted {
 		code = http.StatusConflict
 	}
-	writeJSON(w, code, standing)
+	writeJSON(w, code, status)
 }
 
 // cancelRoleChange cancels a granted role change at a router's request.
@@ -138,20 +138,20 @@
 		writeJSON(w, http.StatusBadRequest, kserve.ErrorResponse{Error: err.Error()})
 		return
 	}
-	s := proc.s
+	s := proc.server
 	s.mu.Lock()
-	taken := s.process == proc && s.roleState.Cancel(q.Epoch)
-	standing := s.roleStatus()
+	cancelled := s.process == proc && s.roleState.Cancel(q.Epoch)
+	status := s.roleStatus()
 	s.mu.Unlock()
-	writeRole(w, taken, standing)
+	writeRole(w, cancelled, status)
 }
 
 // runRoleChange performs a granted role change.
 func (proc *process) runRoleChange(epoch uint64) {
-	const look = 5 * time.Millisecond
-	s := proc.s
+	const checkInterval = 5 * time.Millisecond
+	s := proc.server
 	for { // until it is empty
-		sleep(proc.ctx, look)
+		sleep(proc.ctx, checkInterval)
 		s.mu.Lock()
 		if s.process != proc || s.roleState.Phase != engine.PhaseEmptying || s.roleState.Epoch != epoch {
 			s.mu.Unlock()
@@ -171,7 +171,7 @@
 		if !hangs || proc.ctx.Err() != nil {
 			break
 		}
-		sleep(proc.ctx, look)
+		sleep(proc.ctx, checkInterval)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -179,8 +179,8 @@
 	if s.process != proc {
 		return
 	}
-	if back := s.faults.maxSize("role_die", -1, now); back >= 0 {
-		s.crashLocked(time.Duration(back * float64(time.Second)))
+	if restartAfter := s.faults.maxSize("role_die", -1, now); restartAfter >= 0 {
+		s.crashLocked(time.Duration(restartAfter * float64(time.Second)))
 		return
 	}
 	done := s.faults.maxSize("role_old", -1, now) < 0
--- a/internal/standin/engine/role_test.go
+++ b/internal/standin/engine/role_test.go
@@ -12,6 +12,7 @@
 	"go.uber.org/goleak"
 )
 
+// TestMain checks that no test leaves a goroutine behind.
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 // newServerWithTwoRoles starts an engine that reads and can change to writing.
@@ -48,9 +49,12 @@
 	}
 }
 
+// steady reports whether no role change is in progress.
 func steady(r engine.Role) bool { return r.Phase == engine.PhaseSteady }
 
-func TestChangeOfRole(t *testing.T) {
+// TestRoleChange checks that one of several requests for a role change is granted, that the engine refuses new work
+// while it empties, and that it restarts cold in the new role.
+func TestRoleChange(t *testing.T) {
 	s, c := newServerWithTwoRoles(t)
 	r, err := c.Role(t.Context(), s.Addr())
 	if err != nil || r.Role != engine.StagePrefill || r.Epoch != 1 || !steady(r) || !r.CanChange {
@@ -95,7 +99,7 @@
 	share := s.process.model.capacityFraction(time.Now())
 	s.mu.Unlock()
 	if share > 0.9 {
-		t.Errorf("it restarted warm: %.2f of its capacity", share)
+		t.Errorf("the engine restarted warm: %.2f of its capacity", share)
 	}
 	if res := c.Prefill(t.Context(), s.Addr(), readCall("c")); res.Outcome != decide.Full {
 		t.Errorf("read at a writer: outcome %d", res.Outcome)
@@ -109,7 +113,8 @@
 	awaitRole(t, s, c, "the reading role", func(r engine.Role) bool { return r.Role == engine.StagePrefill && r.Epoch == 3 })
 }
 
-func TestStayInRole(t *testing.T) {
+// TestRoleChangeIsCancelled checks that a granted change can be cancelled while the engine empties, but only once.
+func TestRoleChangeIsCancelled(t *testing.T) {
 	s, c := newServerWithTwoRoles(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan engine.Result, 1)
@@ -130,7 +135,8 @@
 	<-done
 }
 
-func TestChangesThatFail(t *testing.T) {
+// TestFailingRoleChanges checks the role and the epoch after each fault of a role change.
+func TestFailingRoleChanges(t *testing.T) {
 	for _, c := range []struct {
 		fault string
 		grant bool
--- a/internal/standin/engine/server.go
+++ b/internal/standin/engine/server.go
@@ -49,34 +49,33 @@
 
 // Link is the single outgoing link of a cell. Transfers share it evenly, since each uses it for one chunk at a time.
 type Link struct {
-	mu sync.Mutex
-	// free is when the link has sent all that it accepted.
-	free            time.Time
-	TokensPerSecond float64 // bandwidth in tokens per second
-	slow            float64 // slow divides the bandwidth before until
-	until           time.Time
+	mu              sync.Mutex
+	freeAt          time.Time // when the link has sent everything that it has accepted
+	TokensPerSecond float64   // bandwidth in tokens per second
+	slowdown        float64   // divides the bandwidth until slowUntil
+	slowUntil       time.Time
 }
 
 // SlowDown divides the link's bandwidth by a factor for a duration.
-func (l *Link) SlowDown(times float64, d time.Duration) {
+func (l *Link) SlowDown(factor float64, d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.slow, l.until = times, time.Now().Add(d)
+	l.slowdown, l.slowUntil = factor, time.Now().Add(d)
 }
 
 // take waits until the link has carried the tokens.
 func (l *Link) take(ctx context.Context, tokens float64) {
 	l.mu.Lock()
 	now := time.Now()
-	perS := l.TokensPerSecond
-	if now.Before(l.until) {
-		perS /= max(l.slow, 1)
+	rate := l.TokensPerSecond
+	if now.Before(l.slowUntil) {
+		rate /= max(l.slowdown, 1)
 	}
-	if l.free.Before(now) {
-		l.free = now
+	if l.freeAt.Before(now) {
+		l.freeAt = now
 	}
-	l.free = l.free.Add(time.Duration(tokens / perS * 1e9))
-	wait := l.free.Sub(now)
+	l.freeAt = l.freeAt.Add(time.Duration(tokens / rate * 1e9))
+	wait := l.freeAt.Sub(now)
 	l.mu.Unlock()
 	sleep(ctx, wait)
 }
@@ -110,16 +109,15 @@
 	coldStart  time.Time // last cold start; zero: it started warm
 	draining   bool      // refuses new work
 	goroutines sync.WaitGroup
-	// closed is set for good by Close.
-	closed  bool
-	ctx     context.Context
-	cancel  context.CancelFunc
-	onStart func(since time.Time) // called at each start
+	closed     bool // set for good by Close
+	ctx        context.Context
+	cancel     context.CancelFunc
+	onStart    func(since time.Time) // called at each start
 }
 
 // process is one run of the engine process: the state that a crash loses.
 type process struct {
-	s               *Server
+	server          *Server
 	ctx             context.Context
 	cancel          context.CancelFunc
 	http            *http.Server
@@ -197,21 +195,21 @@
 	}
 	s.addr = raw.Addr().String()
 	now := time.Now()
-	l := &process{s: s, model: newModel(*s.spec.Load(), now, cold), wake: make(chan struct{}, 1),
+	proc := &process{server: s, model: newModel(*s.spec.Load(), now, cold), wake: make(chan struct{}, 1),
 		states: map[string]*kvState{}, reads: map[string]*activeRead{}, reservations: map[string]*reservation{}}
-	l.ctx, l.cancel = context.WithCancel(s.ctx)
-	l.listener = &listener{Listener: raw, process: l, conns: map[*conn]bool{}}
-	l.http = &http.Server{Handler: l.handler(), ErrorLog: slog.NewLogLogger(s.log.Handler(), slog.LevelDebug),
+	proc.ctx, proc.cancel = context.WithCancel(s.ctx)
+	proc.listener = &listener{Listener: raw, process: proc, conns: map[*conn]bool{}}
+	proc.http = &http.Server{Handler: proc.handler(), ErrorLog: slog.NewLogLogger(s.log.Handler(), slog.LevelDebug),
 		ReadHeaderTimeout: 5 * time.Second}
-	s.process, s.draining = l, false
+	s.process, s.draining = proc, false
 	if cold {
 		s.coldStart = now
 	}
 	s.roleState.Phase = engine.PhaseSteady // a role change in progress is lost with the process
 	s.recordStart(now, cold)
 	s.goroutines.Add(2)
-	go func() { defer s.goroutines.Done(); l.http.Serve(l.listener) }()
-	go func() { defer s.goroutines.Done(); l.run() }()
+	go func() { defer s.goroutines.Done(); proc.http.Serve(proc.listener) }()
+	go func() { defer s.goroutines.Done(); proc.run() }()
 	if s.onStart != nil {
 		s.onStart(s.coldStart)
 	}
@@ -252,41 +250,41 @@
 
 // Crash ends the process at once: connections are reset and KV states are lost. If back is over 0, the engine
 // restarts cold after that time.
-func (s *Server) Crash(back time.Duration) {
+func (s *Server) Crash(restartAfter time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.crashLocked(back)
+	s.crashLocked(restartAfter)
 }
 
 // crashLocked is Crash with s.mu held.
-func (s *Server) crashLocked(back time.Duration) {
-	l := s.process
-	if l == nil {
+func (s *Server) crashLocked(restartAfter time.Duration) {
+	proc := s.process
+	if proc == nil {
 		return
 	}
 	s.process = nil
-	l.listener.resetConns = true
-	l.cancel()
-	for _, st := range l.states {
+	proc.listener.resetConns = true
+	proc.cancel()
+	for _, st := range proc.states {
 		st.holdTimer.Stop()
 		s.record(audit.Lost, st, "")
 	}
-	for _, p := range l.reservations {
+	for _, p := range proc.reservations {
 		p.holdTimer.Stop()
 	}
-	l.states, l.reservations = map[string]*kvState{}, map[string]*reservation{}
+	proc.states, proc.reservations = map[string]*kvState{}, map[string]*reservation{}
 	s.goroutines.Add(1)
 	go func() {
 		defer s.goroutines.Done()
-		l.listener.Listener.Close()
-		l.listener.closeConns()
-		l.http.Close()
+		proc.listener.Listener.Close()
+		proc.listener.closeConns()
+		proc.http.Close()
 	}()
-	if back > 0 && !s.closed {
+	if restartAfter > 0 && !s.closed {
 		s.goroutines.Add(1)
 		go func() {
 			defer s.goroutines.Done()
-			sleep(s.ctx, back)
+			sleep(s.ctx, restartAfter)
 			for s.ctx.Err() == nil { // the port may still be in use for a moment
 				s.mu.Lock()
 				err := s.startLocked(true)
@@ -330,27 +328,27 @@
 	case "crash":
 		s.crashLocked(f.Duration)
 	case "vanish":
-		if l := s.process; l != nil {
-			l.unresponsive = true
+		if proc := s.process; proc != nil {
+			proc.unresponsive = true
 			s.after(f.Duration, func() {
-				if s.process == l {
+				if s.process == proc {
 					s.crashLocked(time.Millisecond)
 				}
 			})
 		}
 	case "preempt":
-		l := s.process
+		proc := s.process
 		s.draining = true
 		s.after(time.Duration(f.Size*float64(time.Second)), func() {
-			if s.process == l {
+			if s.process == proc {
 				s.crashLocked(f.Duration)
 			}
 		})
 	case "ageing":
-		l := s.process
+		proc := s.process
 		s.faults.add(f, time.Now())
 		s.after(f.Duration, func() {
-			if s.process == l {
+			if s.process == proc {
 				s.crashLocked(time.Second)
 			}
 		})
@@ -387,40 +385,40 @@
 }
 
 // record writes an event of a KV state to the audit log.
-func (s *Server) record(what audit.EventKind, st *kvState, note string) {
-	s.cfg.AuditLog.Add(audit.Record{Who: s.cfg.Name, Kind: what, ID: st.attempt, Client: st.client,
+func (s *Server) record(kind audit.EventKind, st *kvState, note string) {
+	s.cfg.AuditLog.Add(audit.Record{Who: s.cfg.Name, Kind: kind, ID: st.attempt, Client: st.client,
 		Router: st.router, Note: note})
 }
 
 // run executes the model's steps while there is work, until the process ends.
 func (proc *process) run() {
 	for proc.ctx.Err() == nil {
-		proc.s.mu.Lock()
+		proc.server.mu.Lock()
 		now := time.Now()
 		proc.sampleLoad(now)
-		proc.model.slowdown = proc.s.faults.slowdown(now)
-		still := proc.s.faults.pauseLeft(now)
+		proc.model.slowdown = proc.server.faults.slowdown(now)
+		pauseLeft := proc.server.faults.pauseLeft(now)
 		busy := proc.model.busy() && !proc.unresponsive
-		var d time.Duration
+		var stepTime time.Duration
 		var reads []int
 		var planned []*seq
-		if busy && still == 0 {
-			d, reads = proc.model.planStep(now)
+		if busy && pauseLeft == 0 {
+			stepTime, reads = proc.model.planStep(now)
 			planned = slices.Clone(proc.model.running)
 		}
-		proc.s.mu.Unlock()
+		proc.server.mu.Unlock()
 		switch {
-		case still > 0:
-			sleep(proc.ctx, still)
+		case pauseLeft > 0:
+			sleep(proc.ctx, pauseLeft)
 		case busy:
-			sleep(proc.ctx, d)
-			proc.s.mu.Lock()
+			sleep(proc.ctx, stepTime)
+			proc.server.mu.Lock()
 			if proc.ctx.Err() == nil && !proc.unresponsive {
 				proc.model.finishStep(planned, reads)
 			}
-			proc.s.mu.Unlock()
+			proc.server.mu.Unlock()
 		default:
-			t := time.NewTimer(proc.s.spec.Load().ReportInterval)
+			t := time.NewTimer(proc.server.spec.Load().ReportInterval)
 			select {
 			case <-proc.wake:
 			case <-t.C:
@@ -442,22 +440,22 @@
 // sampleLoad takes a load sample if the last one is older than the report interval, and drops samples that are older
 // than the one to report.
 func (proc *process) sampleLoad(now time.Time) {
-	if n := len(proc.reports); n > 0 && now.Sub(proc.reports[n-1].at) < proc.s.spec.Load().ReportInterval {
+	if n := len(proc.reports); n > 0 && now.Sub(proc.reports[n-1].at) < proc.server.spec.Load().ReportInterval {
 		return
 	}
-	share, waiting, latency := proc.model.load()
-	proc.reports = append(proc.reports, loadSample{now, engine.LoadReport{MemoryUse: &share, QueuedTokens: &waiting,
+	memoryUse, queuedTokens, latency := proc.model.load()
+	proc.reports = append(proc.reports, loadSample{now, engine.LoadReport{MemoryUse: &memoryUse, QueuedTokens: &queuedTokens,
 		LatencyMillis: &latency}})
-	late := proc.s.spec.Load().ReportDelay + time.Duration(proc.s.faults.maxSize("report_late", 0, now)*1e9)
-	for len(proc.reports) > 1 && now.Sub(proc.reports[1].at) >= late {
+	delay := proc.server.spec.Load().ReportDelay + time.Duration(proc.server.faults.maxSize("report_late", 0, now)*1e9)
+	for len(proc.reports) > 1 && now.Sub(proc.reports[1].at) >= delay {
 		proc.reports = proc.reports[1:]
 	}
 }
 
-// loadReport returns the load report that is due now, which is ReportDelay old.
+// loadReport returns the load report that is due now: a sample that is ReportDelay old.
 func (proc *process) loadReport() *engine.LoadReport {
-	proc.s.mu.Lock()
-	defer proc.s.mu.Unlock()
+	proc.server.mu.Lock()
+	defer proc.server.mu.Unlock()
 	proc.sampleLoad(time.Now())
 	return &proc.reports[0].load
 }
@@ -489,7 +487,7 @@
 		var f Fault
 		err := kserve.Decode(http.MaxBytesReader(w, r.Body, 4096), &f)
 		if err == nil {
-			err = proc.s.InjectFault(f)
+			err = proc.server.InjectFault(f)
 		}
 		if err != nil {
 			writeJSON(w, http.StatusBadRequest, kserve.ErrorResponse{Error: err.Error()})
@@ -498,10 +496,10 @@
 		writeJSON(w, http.StatusOK, map[string]bool{"playing": true})
 	})
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		proc.s.mu.Lock()
-		silent := proc.unresponsive
-		proc.s.mu.Unlock()
-		if silent {
+		proc.server.mu.Lock()
+		unresponsive := proc.unresponsive
+		proc.server.mu.Unlock()
+		if unresponsive {
 			proc.waitForClose(r.Context())
 			panic(http.ErrAbortHandler)
 		}
@@ -517,6 +515,7 @@
 	}
 }
 
+// writeJSON answers with a value as JSON.
 func writeJSON(w http.ResponseWriter, code int, v any) {
 	body, err := json.Marshal(v)
 	if err != nil {
@@ -528,75 +527,75 @@
 }
 
 // refuse answers 503 with the reason of the refusal and the engine's load.
-func (proc *process) refuse(w http.ResponseWriter, why, text string) {
-	w.Header().Set(engine.RefusedHeader, why)
+func (proc *process) refuse(w http.ResponseWriter, reason, text string) {
+	w.Header().Set(engine.RefusedHeader, reason)
 	w.Header().Set(engine.LoadHeader, proc.loadReport().Header())
 	writeJSON(w, http.StatusServiceUnavailable, kserve.ErrorResponse{Error: text})
 }
 
 // attempt holds what requests of both stages have in common.
 type attempt struct {
-	l      *process
-	id     string
-	p      engine.Params
-	prompt string // the prompt's text
-	router string
+	process *process
+	id      string
+	params  engine.Params
+	prompt  string // the prompt's text
+	router  string
 }
 
 // record writes an event of the attempt to the audit log.
-func (a *attempt) record(what audit.EventKind, note string) {
-	a.l.s.cfg.AuditLog.Add(audit.Record{Who: a.l.s.cfg.Name, Kind: what, ID: a.id, Client: a.p.Client,
-		Router: a.router, Class: a.p.Class, Stage: a.p.Stage, Work: a.l.s.spec.Load().meanWork(), Note: note})
+func (a *attempt) record(kind audit.EventKind, note string) {
+	a.process.server.cfg.AuditLog.Add(audit.Record{Who: a.process.server.cfg.Name, Kind: kind, ID: a.id, Client: a.params.Client,
+		Router: a.router, Class: a.params.Class, Stage: a.params.Stage, Work: a.process.server.spec.Load().meanWork(), Note: note})
 }
 
 // accept runs before any work: it records the arrival, injects the faults that apply to arriving requests, and
 // refuses what the engine cannot take. It reports whether the attempt continues.
 func (a *attempt) accept(w http.ResponseWriter, r *http.Request) bool {
-	l := a.l
-	a.router, _, _ = strings.Cut(a.p.Request, ".")
+	proc := a.process
+	a.router, _, _ = strings.Cut(a.params.Request, ".")
 	a.record(audit.Arrived, "")
-	l.s.mu.Lock()
+	proc.server.mu.Lock()
 	now := time.Now()
-	f := &l.s.faults
-	failing := f.draw("fast_errors", a.p.Class, now)
-	throttled := f.draw("throttle", a.p.Class, now)
-	ill := f.draw("class_fail", a.p.Class, now)
-	endless := f.draw("long_headers", a.p.Class, now)
-	l.model.countSend(now)
-	fallen, drained := l.model.overloaded, l.s.draining || l.s.roleState.Phase != engine.PhaseSteady
-	if fallen && !l.unresponsive {
-		l.unresponsive = true
-		l.s.cfg.AuditLog.Add(audit.Record{Who: l.s.cfg.Name, Kind: audit.OverloadFailed})
-	}
-	l.s.mu.Unlock()
-	role := a.p.Stage == engine.StagePrefill && l.s.spec.Load().Role&decide.Reader == 0 ||
-		a.p.Stage == engine.StageDecode && l.s.spec.Load().Role&decide.Writer == 0
+	f := &proc.server.faults
+	failing := f.draw("fast_errors", a.params.Class, now)
+	throttled := f.draw("throttle", a.params.Class, now)
+	classFault := f.draw("class_fail", a.params.Class, now)
+	endlessHeaders := f.draw("long_headers", a.params.Class, now)
+	proc.model.countSend(now)
+	overloaded, draining := proc.model.overloaded, proc.server.draining || proc.server.roleState.Phase != engine.PhaseSteady
+	if overloaded && !proc.unresponsive {
+		proc.unresponsive = true
+		proc.server.cfg.AuditLog.Add(audit.Record{Who: proc.server.cfg.Name, Kind: audit.OverloadFailed})
+	}
+	proc.server.mu.Unlock()
+	wrongRole := a.params.Stage == engine.StagePrefill && proc.server.spec.Load().Role&decide.Reader == 0 ||
+		a.params.Stage == engine.StageDecode && proc.server.spec.Load().Role&decide.Writer == 0
 	switch {
-	case fallen || ill != nil && ill.Mode == "silence":
+	case overloaded || classFault != nil && classFault.Mode == "silence":
 		a.record(audit.Rejected, "silence")
-		l.waitForClose(r.Context())
+		proc.waitForClose(r.Context())
 		panic(http.ErrAbortHandler)
-	case endless != nil:
+	case endlessHeaders != nil:
 		a.record(audit.Rejected, "long headers")
-		l.sendEndlessHeaders(w)
+		proc.sendEndlessHeaders(w)
 		return false
-	case failing != nil || ill != nil:
+	case failing != nil || classFault != nil:
 		a.record(audit.Rejected, "error")
 		writeJSON(w, http.StatusInternalServerError, kserve.ErrorResponse{Error: "the engine failed"})
 		return false
-	case drained:
+	case draining:
 		a.record(audit.Rejected, engine.RefusedDraining)
-		l.refuse(w, engine.RefusedDraining, "the engine is draining")
+		proc.refuse(w, engine.RefusedDraining, "the engine is draining")
 		return false
-	case role:
+	case wrongRole:
 		a.record(audit.Rejected, engine.RefusedRole)
-		l.refuse(w, engine.RefusedRole, "the engine does not do this stage")
+		proc.refuse(w, engine.RefusedRole, "the engine does not do this stage")
 		return false
 	case throttled != nil:
 		a.record(audit.Rejected, engine.RefusedFull)
-		l.refuse(w, engine.RefusedFull, "no more of this class")
+		proc.refuse(w, engine.RefusedFull, "no more of this class")
 		return false
-	case int(a.p.PromptTokens)+1 > l.s.spec.Load().MaxContextTokens:
+	case int(a.params.PromptTokens)+1 > proc.server.spec.Load().MaxContextTokens:
 		a.record(audit.Rejected, "context")
 		writeJSON(w, http.StatusBadRequest, kserve.ErrorResponse{Error: "the prompt is longer than the context"})
 		return false
@@ -626,19 +625,19 @@
 // answerLength returns the length of an answer in tokens: the value of the prompt's mark, or else a draw from a
 // long-tailed distribution whose seed depends only on the prompt and the engine's seed, so that a retry gets an
 // answer of the same length.
-func (proc *process) answerLength(prompt string, most int) int {
+func (proc *process) answerLength(prompt string, maxTokens int) int {
 	n := 0
 	if m := answerLengthMark.FindStringSubmatch(prompt); m != nil {
 		n, _ = strconv.Atoi(m[1])
 	} else {
 		const sigma = 0.6
-		mean := max(proc.s.spec.Load().MeanAnswerTokens, 1)
+		mean := max(proc.server.spec.Load().MeanAnswerTokens, 1)
 		d := distuv.LogNormal{Mu: math.Log(mean) - sigma*sigma/2, Sigma: sigma,
-			Src: rand.NewPCG(xxhash.Sum64String(prompt), proc.s.cfg.Seed)}
+			Src: rand.NewPCG(xxhash.Sum64String(prompt), proc.server.cfg.Seed)}
 		n = int(d.Rand())
 	}
-	if most > 0 {
-		n = min(n, most)
+	if maxTokens > 0 {
+		n = min(n, maxTokens)
 	}
 	return max(n, 1)
 }
@@ -654,7 +653,7 @@
 		writeJSON(w, http.StatusBadRequest, kserve.ErrorResponse{Error: err.Error()})
 		return
 	}
-	a := &attempt{l: proc, id: body.ID, p: body.Parameters}
+	a := &attempt{process: proc, id: body.ID, params: body.Parameters}
 	if len(body.Inputs) == 1 {
 		if texts, err := body.Inputs[0].Strings(); err == nil && len(texts) == 1 {
 			a.prompt = texts[0]
@@ -663,15 +662,15 @@
 	if !a.accept(w, r) {
 		return
 	}
-	q := &seq{promptTokens: max(int(a.p.PromptTokens), 1), sharedTokens: int(a.p.SharedTokens), sessionID: a.p.Session, prefixID: a.p.SharedText}
+	q := &seq{promptTokens: max(int(a.params.PromptTokens), 1), sharedTokens: int(a.params.SharedTokens), sessionID: a.params.Session, prefixID: a.params.SharedText}
 	began := time.Now()
-	under := &activeRead{cancelled: make(chan struct{})}
-	proc.s.mu.Lock()
+	reading := &activeRead{cancelled: make(chan struct{})}
+	proc.server.mu.Lock()
 	err := proc.model.admit(q)
 	if err == nil {
-		proc.reads[a.p.Request] = under
+		proc.reads[a.params.Request] = reading
 	}
-	proc.s.mu.Unlock()
+	proc.server.mu.Unlock()
 	if err != nil {
 		a.record(audit.Rejected, engine.RefusedFull)
 		proc.refuse(w, engine.RefusedFull, err.Error())
@@ -682,29 +681,29 @@
 	select {
 	case <-q.events:
 		done = true
-	case <-under.cancelled:
+	case <-reading.cancelled:
 	case <-r.Context().Done():
 	case <-proc.ctx.Done():
 	}
-	proc.s.mu.Lock()
-	placeAt := under.reservationAddr
-	if proc.reads[a.p.Request] == under {
-		delete(proc.reads, a.p.Request)
+	proc.server.mu.Lock()
+	reservationAddr := reading.reservationAddr
+	if proc.reads[a.params.Request] == reading {
+		delete(proc.reads, a.params.Request)
 	}
 	select {
-	case <-under.cancelled:
+	case <-reading.cancelled:
 		done = false
 	default:
 	}
 	if !done || r.Context().Err() != nil || proc.ctx.Err() != nil || proc.unresponsive {
-		silent := proc.unresponsive
+		unresponsive := proc.unresponsive
 		proc.model.remove(q)
-		proc.s.mu.Unlock()
+		proc.server.mu.Unlock()
 		a.record(audit.Ended, "called off")
-		if placeAt != "" { // no one else may be there to cancel the reservation
-			proc.cancelReservationAt(placeAt, a.p.Request)
+		if reservationAddr != "" { // no one else may be there to cancel the reservation
+			proc.cancelReservationAt(reservationAddr, a.params.Request)
 		}
-		if silent {
+		if unresponsive {
 			proc.waitForClose(r.Context())
 		}
 		proc.wakeModel()
@@ -712,14 +711,14 @@
 	}
 	proc.model.recordLatency(time.Since(began))
 	st := proc.holdStateLocked(a, q)
-	proc.s.mu.Unlock()
+	proc.server.mu.Unlock()
 	a.record(audit.Ended, "read")
-	answer := engine.ReadParams{Handle: st.id, Source: proc.s.addr, Tokens: float64(q.promptTokens), CachedTokens: float64(q.cached)}
-	if placeAt != "" && proc.pushState(r.Context(), st, placeAt, a.p.Request) {
-		answer.Handle, answer.Source = "place-"+a.p.Request, placeAt
+	answer := engine.ReadParams{Handle: st.id, Source: proc.server.addr, Tokens: float64(q.promptTokens), CachedTokens: float64(q.cached)}
+	if reservationAddr != "" && proc.pushState(r.Context(), st, reservationAddr, a.params.Request) {
+		answer.Handle, answer.Source = "place-"+a.params.Request, reservationAddr
 	}
 	id := a.id
-	if proc.faultApplies("wrong_id", a.p.Class) {
+	if proc.faultApplies("wrong_id", a.params.Class) {
 		id += "-not"
 	}
 	out, err := json.Marshal(struct {
@@ -734,12 +733,12 @@
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set(engine.LoadHeader, proc.loadReport().Header())
 	switch {
-	case proc.faultApplies("half_frame", a.p.Class):
+	case proc.faultApplies("half_frame", a.params.Class):
 		w.Header().Set("Content-Length", strconv.Itoa(len(out)))
 		w.Write(out[:len(out)/2])
 		http.NewResponseController(w).Flush()
 		panic(http.ErrAbortHandler)
-	case proc.faultApplies("two_answers", a.p.Class):
+	case proc.faultApplies("two_answers", a.params.Class):
 		w.Write(append(out, out...))
 	default:
 		w.Write(out)
@@ -748,19 +747,19 @@
 
 // faultApplies draws whether an active fault of a kind applies to a request of a class.
 func (proc *process) faultApplies(kind, class string) bool {
-	proc.s.mu.Lock()
-	defer proc.s.mu.Unlock()
-	return proc.s.faults.draw(kind, class, time.Now()) != nil
+	proc.server.mu.Lock()
+	defer proc.server.mu.Unlock()
+	return proc.server.faults.draw(kind, class, time.Now()) != nil
 }
 
 // holdStateLocked holds the KV state of a finished read for the time that the router has requested. A claim stops the
 // hold timer, and the end of the last claim restarts it.
 func (proc *process) holdStateLocked(a *attempt, q *seq) *kvState {
 	proc.lastStateNumber++
-	st := &kvState{id: fmt.Sprintf("%s-%x-%d", proc.s.cfg.Name, proc.model.started.UnixNano(), proc.lastStateNumber), attempt: a.id,
-		request: a.p.Request, client: a.p.Client,
-		router: a.router, promptTokens: q.promptTokens, blocks: q.blocks, answerTokens: proc.answerLength(a.prompt, a.p.MaxTokens),
-		holdTime: time.Duration(max(a.p.HoldMillis, 1) * 1e6)}
+	st := &kvState{id: fmt.Sprintf("%s-%x-%d", proc.server.cfg.Name, proc.model.started.UnixNano(), proc.lastStateNumber), attempt: a.id,
+		request: a.params.Request, client: a.params.Client,
+		router: a.router, promptTokens: q.promptTokens, blocks: q.blocks, answerTokens: proc.answerLength(a.prompt, a.params.MaxTokens),
+		holdTime: time.Duration(max(a.params.HoldMillis, 1) * 1e6)}
 	proc.addStateLocked(st)
 	return st
 }
@@ -768,10 +767,10 @@
 // addStateLocked adds a KV state and starts its hold timer.
 func (proc *process) addStateLocked(st *kvState) {
 	proc.states[st.id] = st
-	proc.s.record(audit.Held, st, "")
+	proc.server.record(audit.Held, st, "")
 	st.holdTimer = time.AfterFunc(st.holdTime, func() {
-		proc.s.mu.Lock()
-		defer proc.s.mu.Unlock()
+		proc.server.mu.Lock()
+		defer proc.server.mu.Unlock()
 		if proc.states[st.id] == st && st.claims == 0 {
 			proc.dropStateLocked(st, audit.Expired)
 		}
@@ -779,22 +778,22 @@
 }
 
 // dropStateLocked frees a KV state and records the reason.
-func (proc *process) dropStateLocked(st *kvState, what audit.EventKind) {
+func (proc *process) dropStateLocked(st *kvState, reason audit.EventKind) {
 	if proc.states[st.id] != st {
 		return
 	}
 	delete(proc.states, st.id)
 	st.holdTimer.Stop()
 	proc.model.freeBlocks(st.blocks)
-	proc.s.record(what, st, "")
+	proc.server.record(reason, st, "")
 }
 
 // withState looks up the KV state that a call names.
 func (proc *process) withState(f func(http.ResponseWriter, *http.Request, *kvState)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		proc.s.mu.Lock()
+		proc.server.mu.Lock()
 		st := proc.states[r.PathValue("handle")]
-		proc.s.mu.Unlock()
+		proc.server.mu.Unlock()
 		if st == nil {
 			writeJSON(w, http.StatusNotFound, kserve.ErrorResponse{Error: "no such state"})
 			return
@@ -805,9 +804,9 @@
 
 // releaseState frees a KV state at a router's request.
 func (proc *process) releaseState(w http.ResponseWriter, r *http.Request, st *kvState) {
-	proc.s.mu.Lock()
+	proc.server.mu.Lock()
 	proc.dropStateLocked(st, audit.Released)
-	proc.s.mu.Unlock()
+	proc.server.mu.Unlock()
 	proc.wakeModel()
 	writeJSON(w, http.StatusOK, map[string]bool{"released": true})
 }
@@ -816,48 +815,48 @@
 // up and whose answer it never saw. The call is idempotent.
 func (proc *process) cancelRead(w http.ResponseWriter, r *http.Request) {
 	request := r.PathValue("request")
-	proc.s.mu.Lock()
-	if under := proc.reads[request]; under != nil {
-		under.cancelOnce.Do(func() { close(under.cancelled) })
+	proc.server.mu.Lock()
+	if reading := proc.reads[request]; reading != nil {
+		reading.cancelOnce.Do(func() { close(reading.cancelled) })
 	}
 	for _, st := range proc.states {
 		if st.request == request && st.claims == 0 {
 			proc.dropStateLocked(st, audit.Released)
 		}
 	}
-	proc.s.mu.Unlock()
+	proc.server.mu.Unlock()
 	proc.wakeModel()
 	writeJSON(w, http.StatusOK, map[string]bool{"released": true})
 }
 
 // setClaimed begins or ends a claim on a KV state.
-func (proc *process) setClaimed(st *kvState, on bool) {
-	proc.s.mu.Lock()
-	defer proc.s.mu.Unlock()
+func (proc *process) setClaimed(st *kvState, claimed bool) {
+	proc.server.mu.Lock()
+	defer proc.server.mu.Unlock()
 	if proc.states[st.id] != st {
 		return
 	}
-	if on {
+	if claimed {
 		if st.claims++; st.claims == 1 {
 			st.holdTimer.Stop()
-			proc.s.record(audit.Claimed, st, "")
+			proc.server.record(audit.Claimed, st, "")
 		}
 		return
 	}
 	if st.claims--; st.claims == 0 {
 		st.holdTimer.Reset(st.holdTime)
-		proc.s.record(audit.ClaimEnded, st, "")
+		proc.server.record(audit.ClaimEnded, st, "")
 	}
 }
 
 // renewState restarts a KV state's hold timer, because its router has an attempt in flight that uses it.
 func (proc *process) renewState(w http.ResponseWriter, r *http.Request, st *kvState) {
-	proc.s.mu.Lock()
+	proc.server.mu.Lock()
 	if proc.states[st.id] == st && st.claims == 0 {
 		st.holdTimer.Reset(st.holdTime)
-		proc.s.record(audit.Renewed, st, "")
+		proc.server.record(audit.Renewed, st, "")
 	}
-	proc.s.mu.Unlock()
+	proc.server.mu.Unlock()
 	writeJSON(w, http.StatusOK, map[string]bool{"renewed": true})
 }
 
@@ -874,16 +873,16 @@
 func (proc *process) serveState(w http.ResponseWriter, r *http.Request, st *kvState) {
 	proc.setClaimed(st, true)
 	defer proc.setClaimed(st, false)
-	w.Header().Set("Content-Length", strconv.Itoa(st.promptTokens*proc.s.spec.Load().StateBytesPerToken))
+	w.Header().Set("Content-Length", strconv.Itoa(st.promptTokens*proc.server.spec.Load().StateBytesPerToken))
 	w.Header().Set(engine.TokensHeader, strconv.Itoa(st.promptTokens))
 	w.Header().Set(engine.InfoHeader, strconv.Itoa(st.answerTokens))
-	w.Header().Set(engine.ChecksumHeader, strconv.FormatUint(stateChecksum(st.id, st.promptTokens*proc.s.spec.Load().StateBytesPerToken), 16))
+	w.Header().Set(engine.ChecksumHeader, strconv.FormatUint(stateChecksum(st.id, st.promptTokens*proc.server.spec.Load().StateBytesPerToken), 16))
 	if proc.sendState(r.Context(), w, st, r.Header.Get("Kv-Cell")) != nil {
 		return
 	}
-	proc.s.mu.Lock()
+	proc.server.mu.Lock()
 	proc.dropStateLocked(st, audit.Fetched)
-	proc.s.mu.Unlock()
+	proc.server.mu.Unlock()
 	proc.wakeModel()
 }
 
@@ -891,21 +890,21 @@
 func (proc *process) sendState(ctx context.Context, w io.Writer, st *kvState, toCell string) error {
 	const chunk = 256 // tokens
 	gen := newStatePattern(st.id)
-	buf := make([]byte, chunk*proc.s.spec.Load().StateBytesPerToken)
+	buf := make([]byte, chunk*proc.server.spec.Load().StateBytesPerToken)
 	for left := st.promptTokens; left > 0; left -= chunk {
 		n := min(left, chunk)
-		proc.s.mu.Lock()
-		slow := proc.s.faults.maxSize("origin_slow", 1, time.Now())
-		proc.s.mu.Unlock()
-		if toCell == proc.s.cfg.Cell || proc.s.cfg.Link == nil {
-			sleep(ctx, time.Duration(float64(n)/proc.s.spec.Load().PortTokensPerSecond*slow*1e9))
+		proc.server.mu.Lock()
+		slowdown := proc.server.faults.maxSize("origin_slow", 1, time.Now())
+		proc.server.mu.Unlock()
+		if toCell == proc.server.cfg.Cell || proc.server.cfg.Link == nil {
+			sleep(ctx, time.Duration(float64(n)/proc.server.spec.Load().PortTokensPerSecond*slowdown*1e9))
 		} else {
-			proc.s.cfg.Link.take(ctx, float64(n))
+			proc.server.cfg.Link.take(ctx, float64(n))
 		}
 		if err := cmp.Or(ctx.Err(), proc.ctx.Err()); err != nil {
 			return err
 		}
-		part := buf[:n*proc.s.spec.Load().StateBytesPerToken]
+		part := buf[:n*proc.server.spec.Load().StateBytesPerToken]
 		gen.fill(part)
 		if _, err := w.Write(part); err != nil {
 			return err
@@ -947,25 +946,25 @@
 		writeJSON(w, http.StatusBadRequest, kserve.ErrorResponse{Error: err.Error()})
 		return
 	}
-	a := &attempt{l: proc, id: body.ID, p: body.Parameters, prompt: body.TextInput}
+	a := &attempt{process: proc, id: body.ID, params: body.Parameters, prompt: body.TextInput}
 	if !a.accept(w, r) {
 		return
 	}
-	if a.p.Handle == "" && proc.s.spec.Load().Role != decide.Both {
+	if a.params.Handle == "" && proc.server.spec.Load().Role != decide.Both {
 		a.record(audit.Rejected, engine.RefusedNoState)
 		proc.refuse(w, engine.RefusedNoState, "no state is named, and the engine does not read")
 		return
 	}
 	began := time.Now()
-	q := &seq{promptTokens: max(int(a.p.PromptTokens), 1), sharedTokens: int(a.p.SharedTokens), sessionID: a.p.Session, prefixID: a.p.SharedText,
-		needsState: a.p.Handle != "", answerTokens: max(a.p.MaxTokens, 1)}
-	if a.p.Handle == "" {
-		q.answerTokens = proc.answerLength(a.prompt, a.p.MaxTokens)
+	q := &seq{promptTokens: max(int(a.params.PromptTokens), 1), sharedTokens: int(a.params.SharedTokens), sessionID: a.params.Session, prefixID: a.params.SharedText,
+		needsState: a.params.Handle != "", answerTokens: max(a.params.MaxTokens, 1)}
+	if a.params.Handle == "" {
+		q.answerTokens = proc.answerLength(a.prompt, a.params.MaxTokens)
 	}
 	if !proc.takeReservation(r.Context(), a, &q) {
-		proc.s.mu.Lock()
+		proc.server.mu.Lock()
 		err := proc.model.admit(q)
-		proc.s.mu.Unlock()
+		proc.server.mu.Unlock()
 		if err != nil {
 			a.record(audit.Rejected, engine.RefusedFull)
 			proc.refuse(w, engine.RefusedFull, err.Error())
@@ -983,10 +982,10 @@
 // obtainState waits for a slot and fetches the KV state. It reports whether the answer can begin; if not, the request
 // has been answered already.
 func (proc *process) obtainState(w http.ResponseWriter, r *http.Request, a *attempt, q *seq) bool {
-	quit := func(note string) {
-		proc.s.mu.Lock()
+	abandon := func(note string) {
+		proc.server.mu.Lock()
 		proc.model.remove(q)
-		proc.s.mu.Unlock()
+		proc.server.mu.Unlock()
 		proc.wakeModel()
 		a.record(audit.Rejected, note)
 	}
@@ -995,12 +994,12 @@
 	default: // wait, and keep the KV state claimed meanwhile
 		claim, cancel := context.WithCancel(r.Context())
 		defer cancel()
-		resp, err := proc.sendRequest(claim, http.MethodPost, a.p.Source, engine.StatePath+a.p.Handle+"/claim")
+		resp, err := proc.sendRequest(claim, http.MethodPost, a.params.Source, engine.StatePath+a.params.Handle+"/claim")
 		if err != nil || resp.StatusCode != http.StatusOK {
 			if err == nil {
 				resp.Body.Close()
 			}
-			quit(engine.RefusedNoState)
+			abandon(engine.RefusedNoState)
 			proc.refuse(w, engine.RefusedNoState, "the state is gone")
 			return false
 		}
@@ -1011,24 +1010,24 @@
 		case <-proc.ctx.Done():
 		}
 		if r.Context().Err() != nil || proc.ctx.Err() != nil {
-			quit("called off")
+			abandon("called off")
 			panic(http.ErrAbortHandler)
 		}
 	}
 	answer, err := proc.fetchState(r.Context(), a)
 	if err != nil {
 		if r.Context().Err() != nil || proc.ctx.Err() != nil {
-			quit("called off")
+			abandon("called off")
 			panic(http.ErrAbortHandler)
 		}
-		quit(engine.RefusedNoState)
+		abandon(engine.RefusedNoState)
 		proc.refuse(w, engine.RefusedNoState, "the state could not be fetched: "+err.Error())
 		return false
 	}
-	proc.s.mu.Lock()
+	proc.server.mu.Lock()
 	q.answerTokens = min(answer, q.answerTokens)
 	proc.model.stateFetched(q)
-	proc.s.mu.Unlock()
+	proc.server.mu.Unlock()
 	return true
 }
 
@@ -1038,14 +1037,14 @@
 	if err != nil {
 		return nil, err
 	}
-	req.Header.Set("Kv-Cell", proc.s.cfg.Cell)
-	return proc.s.http.Do(req)
+	req.Header.Set("Kv-Cell", proc.server.cfg.Cell)
+	return proc.server.http.Do(req)
 }
 
 // fetchState fetches the bytes of a KV state from its engine, and verifies their checksum. It returns the answer's
 // length.
 func (proc *process) fetchState(ctx context.Context, a *attempt) (answer int, err error) {
-	resp, err := proc.sendRequest(ctx, http.MethodGet, a.p.Source, engine.StatePath+a.p.Handle)
+	resp, err := proc.sendRequest(ctx, http.MethodGet, a.params.Source, engine.StatePath+a.params.Handle)
 	if err != nil {
 		return 0, err
 	}
@@ -1070,8 +1069,8 @@
 	var buf bytes.Buffer
 	enc := json.NewEncoder(&buf)
 	enc.SetEscapeHTML(false)
-	half, twice, id := proc.faultApplies("half_frame", a.p.Class), proc.faultApplies("two_answers", a.p.Class), a.id
-	if proc.faultApplies("wrong_id", a.p.Class) {
+	halfFrame, duplicate, id := proc.faultApplies("half_frame", a.params.Class), proc.faultApplies("two_answers", a.params.Class), a.id
+	if proc.faultApplies("wrong_id", a.params.Class) {
 		id += "-not"
 	}
 	send := func(v any) error {
@@ -1087,13 +1086,13 @@
 		}
 		return err
 	}
-	leave := func(note string) {
-		proc.s.mu.Lock()
+	finish := func(note string) {
+		proc.server.mu.Lock()
 		proc.model.remove(q)
-		proc.s.mu.Unlock()
+		proc.server.mu.Unlock()
 		proc.wakeModel()
-		proc.s.cfg.AuditLog.Add(audit.Record{Who: proc.s.cfg.Name, Kind: audit.Ended, ID: a.id, Client: a.p.Client,
-			Router: a.router, Class: a.p.Class, Stage: a.p.Stage, N: float64(q.written), Note: note})
+		proc.server.cfg.AuditLog.Add(audit.Record{Who: proc.server.cfg.Name, Kind: audit.Ended, ID: a.id, Client: a.params.Client,
+			Router: a.router, Class: a.params.Class, Stage: a.params.Stage, N: float64(q.written), Note: note})
 	}
 	for {
 		var ev event
@@ -1102,27 +1101,27 @@
 		case <-r.Context().Done():
 		case <-proc.ctx.Done():
 		}
-		proc.s.mu.Lock()
-		silent := proc.unresponsive
-		proc.s.mu.Unlock()
-		if silent {
+		proc.server.mu.Lock()
+		unresponsive := proc.unresponsive
+		proc.server.mu.Unlock()
+		if unresponsive {
 			proc.waitForClose(r.Context())
 		}
-		if silent || r.Context().Err() != nil || proc.ctx.Err() != nil {
-			leave("called off")
+		if unresponsive || r.Context().Err() != nil || proc.ctx.Err() != nil {
+			finish("called off")
 			panic(http.ErrAbortHandler)
 		}
 		if ev.token == 1 {
-			proc.s.mu.Lock()
+			proc.server.mu.Lock()
 			proc.model.recordLatency(time.Since(began))
-			proc.s.mu.Unlock()
+			proc.server.mu.Unlock()
 			w.Header().Set("Content-Type", "text/event-stream")
 			w.Header().Set(engine.LoadHeader, proc.loadReport().Header())
 		}
-		if half && (ev.token > 1 || ev.last) {
+		if halfFrame && (ev.token > 1 || ev.last) {
 			w.Write([]byte(`data: {"id":"` + id + `","text_out`))
 			control.Flush()
-			leave("half a frame")
+			finish("half a frame")
 			panic(http.ErrAbortHandler)
 		}
 		err := send(&kserve.GenerateResponse{ModelName: r.PathValue("model"), ID: id, TextOutput: answerWord(ev.token)})
@@ -1132,16 +1131,16 @@
 				Parameters *engine.LoadReport `json:"parameters"`
 			}{kserve.GenerateResponse{ModelName: r.PathValue("model"), ID: id,
 				Details: &kserve.Details{FinishReason: finishReason(q, a)}}, proc.loadReport()}
-			if err = send(&end); err == nil && twice {
+			if err = send(&end); err == nil && duplicate {
 				err = send(&end)
 			}
 		}
 		if err != nil {
-			leave("the router left")
+			finish("the router left")
 			panic(http.ErrAbortHandler)
 		}
 		if ev.last {
-			leave("served")
+			finish("served")
 			return
 		}
 	}
@@ -1149,7 +1148,7 @@
 
 // finishReason returns "length" if the answer has reached the request's token limit, and otherwise "stop".
 func finishReason(q *seq, a *attempt) string {
-	if a.p.MaxTokens > 0 && q.written >= a.p.MaxTokens {
+	if a.params.MaxTokens > 0 && q.written >= a.params.MaxTokens {
 		return "length"
 	}
 	return "stop"
