--- a/internal/standin/chat/run.go
+++ b/internal/standin/chat/attempt.go
@@ -138,10 +138,10 @@
 		return false
 	}
 	c.engine.mu.Lock()
-	hung := c.engine.resumed
+	resumed := c.engine.resumed
 	c.engine.mu.Unlock()
 	select {
-	case <-hung:
+	case <-resumed:
 	case <-ctx.Done():
 		return false
 	}
@@ -177,8 +177,8 @@
 
 // write streams an answer.
 func (c *engineConn) write(ctx context.Context, a *Attempt, p *requestPlan) Outcome {
-	w := c.engine.opts.Timing
-	if !c.workFor(ctx, p.scale(w.FirstTokenTime)) {
+	timing := c.engine.opts.Timing
+	if !c.workFor(ctx, p.scale(timing.FirstTokenTime)) {
 		return Cancelled
 	}
 	c.engine.opts.Cluster.releaseHolds(a.Request) // the stream has taken the KV state over
@@ -186,8 +186,8 @@
 	if err != nil {
 		return Cancelled
 	}
-	for n := range w.EventsPerStream {
-		if n > 0 && !c.workFor(ctx, p.scale(w.EventInterval)) {
+	for n := range timing.EventsPerStream {
+		if n > 0 && !c.workFor(ctx, p.scale(timing.EventInterval)) {
 			return Cancelled
 		}
 		if n == p.faultEvent && p.resetInStream {
--- a/internal/standin/chat/cluster.go
+++ b/internal/standin/chat/cluster.go
@@ -74,9 +74,8 @@
 	openHolds       map[string][]*Hold        // by request, those that have not ended
 	conns           map[connAddrs]*connRecord // open connections, by their addresses as the engine sees them
 	probes          int
-	unexpectedCalls int // calls that do not belong to a client's request
-	// overflow is set when a limit was reached and something was not recorded.
-	overflow bool
+	unexpectedCalls int  // calls that do not belong to a client's request
+	overflow        bool // a limit was reached, and something was not recorded
 }
 
 // NewCluster returns an empty cluster.
@@ -236,29 +235,29 @@
 type connAddrs struct{ from, engine string }
 
 // addConn starts the record of a connection that an engine will see between two addresses.
-func (c *Cluster) addConn(of connAddrs) *connRecord {
+func (c *Cluster) addConn(addrs connAddrs) *connRecord {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	p := &connRecord{}
-	c.conns[of] = p
-	return p
+	rec := &connRecord{}
+	c.conns[addrs] = rec
+	return rec
 }
 
 // removeConn removes a connection that has ended. Attempts that it carried keep its record.
-func (c *Cluster) removeConn(of connAddrs, p *connRecord) {
+func (c *Cluster) removeConn(addrs connAddrs, rec *connRecord) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.conns[of] == p {
-		delete(c.conns, of)
+	if c.conns[addrs] == rec {
+		delete(c.conns, addrs)
 	}
 }
 
 // connBetween returns the record of the connection between two addresses, or an empty record.
-func (c *Cluster) connBetween(of connAddrs) *connRecord {
+func (c *Cluster) connBetween(addrs connAddrs) *connRecord {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if p := c.conns[of]; p != nil {
-		return p
+	if rec := c.conns[addrs]; rec != nil {
+		return rec
 	}
 	return &connRecord{}
 }
--- a/internal/standin/chat/discovery.go
+++ b/internal/standin/chat/discovery.go
@@ -72,7 +72,7 @@
 
 // changesSince returns the changes after a revision, or the whole list for a negative revision, and a channel that is
 // closed at the next change. The number of outages is doubled, and odd during an outage.
-func (d *Directory) changesSince(revision int64) (list watch.List, at []change, next <-chan struct{}, outages int) {
+func (d *Directory) changesSince(revision int64) (list watch.List, changes []change, next <-chan struct{}, outages int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	list = watch.List{Revision: d.revision, Complete: revision < 0, Members: []watch.Member{}}
@@ -85,7 +85,7 @@
 	}
 	for _, c := range d.changes {
 		if c.revision > revision {
-			at = append(at, c)
+			changes = append(changes, c)
 			if revision >= 0 {
 				list.Members = append(list.Members, c.member)
 			}
@@ -95,7 +95,7 @@
 	if d.openOutages > 0 {
 		outages--
 	}
-	return list, at, d.changed, outages
+	return list, changes, d.changed, outages
 }
 
 // Notification is what discovery has reported to a router about one member.
@@ -115,12 +115,11 @@
 
 	mu            sync.Mutex
 	notifications []Notification
-	revision      int64 // notifications are complete up to this revision
-	// hung is closed, and replaced, to make the open calls hang.
-	hung        chan struct{}
-	conns       map[net.Conn]struct{}
-	faultCounts map[string]int
-	openCalls   int
+	revision      int64         // notifications are complete up to this revision
+	hung          chan struct{} // closed, and replaced, to make the open calls hang
+	conns         map[net.Conn]struct{}
+	faultCounts   map[string]int
+	openCalls     int
 }
 
 // NewAgent starts an agent for a router. It listens on host.
@@ -214,7 +213,7 @@
 		timeout = time.Duration(ms) * time.Millisecond
 	}
 	a.mu.Lock()
-	silenced := a.hung
+	hung := a.hung
 	a.openCalls++
 	a.mu.Unlock()
 	defer func() {
@@ -224,22 +223,22 @@
 	}()
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
-	_, _, _, began := a.directory.changesSince(revision)
-	for over := timeout == 0; ; {
+	_, _, _, outagesBefore := a.directory.changesSince(revision)
+	for timedOut := timeout == 0; ; {
 		list, changes, next, outages := a.directory.changesSince(revision)
-		if outages != began || outages%2 == 1 { // calls that meet an outage are never answered
+		if outages != outagesBefore || outages%2 == 1 { // calls that meet an outage are never answered
 			<-r.Context().Done()
 			return
 		}
-		if over || list.Complete || len(changes) > 0 {
+		if timedOut || list.Complete || len(changes) > 0 {
 			a.sendList(w, &list, changes)
 			return
 		}
 		select {
 		case <-next:
 		case <-timer.C:
-			over = true
-		case <-silenced:
+			timedOut = true
+		case <-hung:
 			<-r.Context().Done()
 			return
 		case <-r.Context().Done():
--- a/internal/standin/chat/engine.go
+++ b/internal/standin/chat/engine.go
@@ -51,8 +51,7 @@
 	Timing      Timing
 	MaxInFlight int // requests in progress at once; more are refused
 	Seed        uint64
-	// Listener accepts the engine's connections.
-	Listener *EngineListener
+	Listener    *EngineListener // accepts the engine's connections
 }
 
 // Engine is one stand-in engine. It has its own address; routers reach it through proxies.
@@ -63,16 +62,15 @@
 	startTime  time.Time
 	goroutines sync.WaitGroup
 
-	mu        sync.Mutex
-	behaviour Behaviour
-	resumed   chan struct{} // closed while the engine does not hang
-	random    *rand.Rand
-	conns     map[net.Conn]struct{}
-	inFlight  int
-	killed    bool
-	downtimes []Interval // the times in which it hung, and since it was killed
-	// faultCounts counts the faults that met a request, by name.
-	faultCounts map[string]int
+	mu          sync.Mutex
+	behaviour   Behaviour
+	resumed     chan struct{} // closed while the engine does not hang
+	random      *rand.Rand
+	conns       map[net.Conn]struct{}
+	inFlight    int
+	killed      bool
+	downtimes   []Interval     // the times in which it hung, and since it was killed
+	faultCounts map[string]int // faults that met a request, by name
 }
 
 // Limits on what a router may send, and delays of the engine's answers.
@@ -261,10 +259,10 @@
 			c.writeAnswer(400, "")
 			return false
 		}
-		link := c.engine.opts.Cluster.connBetween(connAddrs{c.RemoteAddr().String(), c.LocalAddr().String()})
-		first, last := link.times()
+		conn := c.engine.opts.Cluster.connBetween(connAddrs{c.RemoteAddr().String(), c.LocalAddr().String()})
+		first, last := conn.times()
 		a := &Attempt{Request: id, Engine: c.engine.opts.ID, Router: c.router, Writer: c.engine.opts.Writer, FirstByte: first,
-			LastByte: last, Arrived: arrived, TimeLeft: time.Duration(ms) * time.Millisecond, conn: link}
+			LastByte: last, Arrived: arrived, TimeLeft: time.Duration(ms) * time.Millisecond, conn: conn}
 		c.engine.opts.Cluster.addAttempt(a)
 		return c.runAttempt(a)
 	}
@@ -276,9 +274,9 @@
 func (c *engineConn) waitWhileHung() bool {
 	e := c.engine
 	e.mu.Lock()
-	hung := e.resumed
+	resumed := e.resumed
 	e.mu.Unlock()
-	<-hung
+	<-resumed
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return !e.killed
@@ -319,13 +317,13 @@
 func (e *Engine) loadReport() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	share := float64(e.inFlight) / float64(e.opts.MaxInFlight)
-	return fmt.Sprintf(`{"lat_ms":%d,"x0":%.3f,"x1":0}`, e.opts.Timing.FirstTokenTime.Milliseconds(), share)
+	busyFraction := float64(e.inFlight) / float64(e.opts.MaxInFlight)
+	return fmt.Sprintf(`{"lat_ms":%d,"x0":%.3f,"x1":0}`, e.opts.Timing.FirstTokenTime.Milliseconds(), busyFraction)
 }
 
 // drawFault draws whether a fault of the given probability applies, and counts it. mu is held.
-func (e *Engine) drawFault(name string, share float64) bool {
-	if share == 0 || e.random.Float64() >= share {
+func (e *Engine) drawFault(name string, probability float64) bool {
+	if probability == 0 || e.random.Float64() >= probability {
 		return false
 	}
 	e.faultCounts[name]++
--- a/internal/standin/chat/machines.go
+++ b/internal/standin/chat/listener.go
@@ -57,14 +57,14 @@
 
 // NewEngineListener starts a listener without engines.
 func NewEngineListener() (*EngineListener, error) {
-	l, err := listenEverywhere()
+	raw, err := listenEverywhere()
 	if err != nil {
 		return nil, fmt.Errorf("engine listener: %w", err)
 	}
-	m := &EngineListener{listener: l, port: uint16(l.Addr().(*net.TCPAddr).Port), engines: map[netip.Addr]*Engine{}}
-	m.goroutines.Add(1)
-	go m.acceptLoop()
-	return m, nil
+	el := &EngineListener{listener: raw, port: uint16(raw.Addr().(*net.TCPAddr).Port), engines: map[netip.Addr]*Engine{}}
+	el.goroutines.Add(1)
+	go el.acceptLoop()
+	return el, nil
 }
 
 // Close closes the listener. All engines have to be killed before.
--- a/internal/standin/chat/proxy.go
+++ b/internal/standin/chat/proxy.go
@@ -129,9 +129,9 @@
 func (p *Proxy) ResetConnections() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for l := range p.conns {
+	for c := range p.conns {
 		p.faultCounts["connections reset"]++
-		l.resetBoth()
+		c.resetBoth()
 	}
 }
 
@@ -150,9 +150,9 @@
 	p.mu.Lock()
 	p.dropping = false
 	p.outages[len(p.outages)-1].Until = time.Now()
-	for l := range p.conns {
-		if l.lost && !l.blackholed {
-			l.resetBoth()
+	for c := range p.conns {
+		if c.lost && !c.blackholed {
+			c.resetBoth()
 		}
 	}
 	p.mu.Unlock()
@@ -171,10 +171,10 @@
 func (p *Proxy) BlackholeConnections() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for l := range p.conns {
-		if !l.lost {
-			l.lost, l.blackholed = true, true
-			l.record.recordLoss()
+	for c := range p.conns {
+		if !c.lost {
+			c.lost, c.blackholed = true, true
+			c.record.recordLoss()
 			p.faultCounts["connections forgotten"]++
 		}
 	}
@@ -276,11 +276,11 @@
 	if err != nil {
 		return err
 	}
-	var listen error
-	if err := raw.Control(func(fd uintptr) { listen = syscall.Listen(int(fd), n) }); err != nil {
+	var listenErr error
+	if err := raw.Control(func(fd uintptr) { listenErr = syscall.Listen(int(fd), n) }); err != nil {
 		return err
 	}
-	return listen
+	return listenErr
 }
 
 // acceptLoop accepts connections while the gate is open.
@@ -328,24 +328,24 @@
 	}
 	// The engine tells routers apart by the source address of the connection.
 	d := net.Dialer{LocalAddr: &net.TCPAddr{IP: RouterIP(p.router)}, Timeout: time.Second}
-	c, err := d.DialContext(context.Background(), "tcp", to.String())
+	raw, err := d.DialContext(context.Background(), "tcp", to.String())
 	if err != nil {
 		router.SetLinger(0)
 		return
 	}
-	engine := c.(*net.TCPConn)
+	engine := raw.(*net.TCPConn)
 	defer engine.Close()
-	of := connAddrs{from: engine.LocalAddr().String(), engine: engine.RemoteAddr().String()}
-	l := &proxyConn{proxy: p, router: router, engine: engine, record: p.cluster.addConn(of)}
-	defer p.cluster.removeConn(of, l.record)
+	addrs := connAddrs{from: engine.LocalAddr().String(), engine: engine.RemoteAddr().String()}
+	conn := &proxyConn{proxy: p, router: router, engine: engine, record: p.cluster.addConn(addrs)}
+	defer p.cluster.removeConn(addrs, conn.record)
 	p.mu.Lock()
 	if p.closed {
 		p.mu.Unlock()
 		return
 	}
-	p.conns[l] = struct{}{}
-	slow := p.newConnDelay
-	if slow > 0 {
+	p.conns[conn] = struct{}{}
+	delay := p.newConnDelay
+	if delay > 0 {
 		p.faultCounts["slow starts"]++
 	}
 	p.mu.Unlock()
@@ -353,12 +353,12 @@
 	both.Add(1)
 	go func() {
 		defer both.Done()
-		l.copyOneWay(engine, router, true, slow)
+		conn.copyOneWay(engine, router, true, delay)
 	}()
-	l.copyOneWay(router, engine, false, 0)
+	conn.copyOneWay(router, engine, false, 0)
 	both.Wait()
 	p.mu.Lock()
-	delete(p.conns, l)
+	delete(p.conns, conn)
 	p.mu.Unlock()
 }
 
@@ -374,37 +374,37 @@
 // copyOneWay copies bytes in one direction until either side ends, and delays the first chunk. Chunks that come while
 // traffic is dropped are lost.
 func (c *proxyConn) copyOneWay(to, from *net.TCPConn, fromRouter bool, delay time.Duration) {
-	pieces := make(chan chunk, copyQueueLength)
+	chunks := make(chan chunk, copyQueueLength)
 	done := make(chan struct{})
 	defer close(done)
 	c.proxy.goroutines.Add(1)
 	go func() {
 		defer c.proxy.goroutines.Done()
-		c.readChunks(from, fromRouter, pieces, done)
+		c.readChunks(from, fromRouter, chunks, done)
 	}()
 	for first := true; ; first = false {
-		p := <-pieces
+		ch := <-chunks
 		if first {
 			time.Sleep(delay)
 		}
-		if len(p.data) > 0 && c.passesTraffic() {
-			if _, err := to.Write(p.data); err != nil {
+		if len(ch.data) > 0 && c.passesTraffic() {
+			if _, err := to.Write(ch.data); err != nil {
 				c.propagateClose(from, err)
 				return
 			}
 		}
-		if p.err == nil {
+		if ch.err == nil {
 			continue
 		}
 		if c.passesTraffic() {
-			c.propagateClose(to, p.err)
+			c.propagateClose(to, ch.err)
 		}
 		return
 	}
 }
 
 // readChunks reads from one side and records when the bytes came.
-func (c *proxyConn) readChunks(from *net.TCPConn, fromRouter bool, pieces chan<- chunk, done <-chan struct{}) {
+func (c *proxyConn) readChunks(from *net.TCPConn, fromRouter bool, chunks chan<- chunk, done <-chan struct{}) {
 	for {
 		buf := make([]byte, copyBufferBytes)
 		n, err := from.Read(buf)
@@ -418,7 +418,7 @@
 			c.record.recordClose()
 		}
 		select {
-		case pieces <- chunk{buf[:n], err}:
+		case chunks <- chunk{buf[:n], err}:
 		case <-done:
 			return
 		}
--- a/internal/standin/chat/proxy_test.go
+++ b/internal/standin/chat/proxy_test.go
@@ -9,15 +9,15 @@
 
 // TestDialsWhileTrafficIsDropped checks that no dial completes while traffic is dropped, at any of many proxies that
 // drop it at the same time, and that every dial completes afterwards.
-func TestDialsInASilence(t *testing.T) {
-	const proxies, dialWithin, patience = 30, 250 * time.Millisecond, 20 * time.Second
+func TestDialsWhileTrafficIsDropped(t *testing.T) {
+	const proxies, dialTimeout, dialPatience = 30, 250 * time.Millisecond, 20 * time.Second
 	cluster := NewCluster()
-	machines, err := NewEngineListener()
+	listener, err := NewEngineListener()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer machines.Close()
-	e, err := NewEngine(EngineOptions{ID: "d", Cluster: cluster, Listener: machines})
+	defer listener.Close()
+	e, err := NewEngine(EngineOptions{ID: "d", Cluster: cluster, Listener: listener})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -39,7 +39,7 @@
 		}
 		work.Wait()
 	}
-	comesUp := func(p *Proxy, within time.Duration) bool {
+	dialCompletes := func(p *Proxy, within time.Duration) bool {
 		c, err := net.DialTimeout("tcp", p.AddrOf(e), within)
 		if err != nil {
 			return false
@@ -55,7 +55,7 @@
 		})
 		each(func(p *Proxy) {
 			for range 3 {
-				if comesUp(p, dialWithin) {
+				if dialCompletes(p, dialTimeout) {
 					t.Error("a dial completed while traffic was dropped")
 				}
 			}
@@ -66,7 +66,7 @@
 			}
 		})
 		each(func(p *Proxy) {
-			if !comesUp(p, patience) {
+			if !dialCompletes(p, dialPatience) {
 				t.Error("a dial did not complete after traffic was restored")
 			}
 		})
--- a/internal/standin/fleet/fleet.go
+++ b/internal/standin/fleet/fleet.go
@@ -48,12 +48,11 @@
 	ctx        context.Context
 	cancel     context.CancelFunc
 	goroutines sync.WaitGroup
-	wake       chan struct{}
+	wake       chan struct{} // tells maintainList of a new pending change
 
-	// pending are the changes of the list that are not due yet.
 	mu      sync.Mutex
 	members []*Member
-	pending []listChange
+	pending []listChange // changes of the list that are not due yet
 	closed  bool
 }
 
@@ -65,7 +64,7 @@
 	Engine   *standin.Server
 	entry    discovery.Engine
 	listed   bool
-	restarts int // restarts so far
+	restarts int
 }
 
 // listChange is a future change of a list entry.
@@ -96,7 +95,8 @@
 		for i := range g.Count {
 			m := &Member{Name: fmt.Sprintf("%s%d", g.Prefix, i+1), Group: g, Cell: f.cfg.Cells[i%len(f.cfg.Cells)]}
 			m.Engine = standin.New(standin.Config{Name: m.Name, Addr: "127.0.0.1:0", Cell: m.Cell, Spec: g.Spec,
-				OtherRole: g.OtherRole, RoleChangeTime: g.RoleChangeTime, Link: links[m.Cell], Seed: cfg.Seed + uint64(len(f.members)), AuditLog: cfg.AuditLog, Log: cfg.Log},
+				OtherRole: g.OtherRole, RoleChangeTime: g.RoleChangeTime, Link: links[m.Cell],
+				Seed: cfg.Seed + uint64(len(f.members)), AuditLog: cfg.AuditLog, Log: cfg.Log},
 				func(since time.Time) { f.engineRestarted(m, since) })
 			f.members = append(f.members, m)
 			if err := m.Engine.Start(); err != nil {
@@ -132,9 +132,9 @@
 }
 
 // schedule changes a member's list entry after a delay.
-func (f *Fleet) schedule(d time.Duration, m *Member, do func(*Member)) {
+func (f *Fleet) schedule(d time.Duration, m *Member, apply func(*Member)) {
 	f.mu.Lock()
-	f.pending = append(f.pending, listChange{time.Now().Add(d), m, do})
+	f.pending = append(f.pending, listChange{time.Now().Add(d), m, apply})
 	f.mu.Unlock()
 	select {
 	case f.wake <- struct{}{}:
@@ -217,29 +217,29 @@
 	if err := m.Engine.InjectFault(fault); err != nil {
 		return err
 	}
-	gone := func(m *Member) { m.listed = false }
+	unlist := func(m *Member) { m.listed = false }
 	switch fault.Kind {
 	case "crash":
-		f.unlistUnlessRestarted(m, f.cfg.CrashListDelay, gone)
+		f.unlistUnlessRestarted(m, f.cfg.CrashListDelay, unlist)
 	case "vanish":
-		f.unlistUnlessRestarted(m, f.cfg.SilenceListDelay, gone)
+		f.unlistUnlessRestarted(m, f.cfg.SilenceListDelay, unlist)
 	case "ageing":
-		f.unlistUnlessRestarted(m, fault.Duration+f.cfg.CrashListDelay, gone)
+		f.unlistUnlessRestarted(m, fault.Duration+f.cfg.CrashListDelay, unlist)
 	case "preempt":
 		f.schedule(0, m, func(m *Member) { m.entry.State = decide.Draining })
-		f.unlistUnlessRestarted(m, time.Duration(fault.Size*float64(time.Second))+f.cfg.CrashListDelay, gone)
+		f.unlistUnlessRestarted(m, time.Duration(fault.Size*float64(time.Second))+f.cfg.CrashListDelay, unlist)
 	}
 	return nil
 }
 
 // unlistUnlessRestarted takes an engine off the list after a delay, unless it has restarted by then.
-func (f *Fleet) unlistUnlessRestarted(m *Member, after time.Duration, gone func(*Member)) {
+func (f *Fleet) unlistUnlessRestarted(m *Member, after time.Duration, unlist func(*Member)) {
 	f.mu.Lock()
 	before := m.restarts
 	f.mu.Unlock()
 	f.schedule(after, m, func(m *Member) {
 		if m.restarts == before {
-			gone(m)
+			unlist(m)
 		}
 	})
 }
--- a/internal/standin/fleet/fleet_test.go
+++ b/internal/standin/fleet/fleet_test.go
@@ -12,12 +12,13 @@
 	"go.uber.org/goleak"
 )
 
+// TestMain checks that no test leaves a goroutine behind.
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 // TestListIsWrittenWhileAnEngineStarts guards against a deadlock. An engine that starts is locked while it notifies
 // the fleet. If the goroutine that maintains the list called the engine at that time, each would wait for the other,
 // and all changes of the list would wait for both.
-func TestListIsKeptWhileAnEngineStarts(t *testing.T) {
+func TestListIsWrittenWhileAnEngineStarts(t *testing.T) {
 	f, err := Start(Config{ListPath: filepath.Join(t.TempDir(), "engines.list")})
 	if err != nil {
 		t.Fatal(err)
@@ -46,17 +47,17 @@
 
 // TestRestartedEngineStaysListed checks that an engine that has restarted in the meantime is not taken off the list,
 // and that one that has not is.
-func TestWhoIsBackStaysListed(t *testing.T) {
-	for _, back := range []bool{true, false} {
+func TestRestartedEngineStaysListed(t *testing.T) {
+	for _, restarted := range []bool{true, false} {
 		f := &Fleet{wake: make(chan struct{}, 1)} // without its maintaining goroutine: the test applies the changes
 		m := &Member{Name: "e1", listed: true}
 		f.unlistUnlessRestarted(m, 0, func(m *Member) { m.listed = false })
-		if back {
+		if restarted {
 			f.engineRestarted(m, time.Now())
 		}
 		f.pending[0].apply(m)
-		if m.listed != back {
-			t.Errorf("restarted %v: listed %v", back, m.listed)
+		if m.listed != restarted {
+			t.Errorf("restarted %v: listed %v", restarted, m.listed)
 		}
 	}
 }
--- a/internal/standin/spread/spread.go
+++ b/internal/standin/spread/spread.go
@@ -1,6 +1,7 @@
-// Package spread is the stand-in for the plain load balancer in front of the routers. It hands each connection to the
-// next router in turn and, like the users' own, continues to do so for a while after a router has died. It forwards
-// bytes without parsing them, so a client that wants each request balanced has to open a connection for each.
+// Package spread is the stand-in for the front layer, the plain load balancer in front of the routers. It hands each
+// connection to the next router in turn and, like the users' own, continues to do so for a while after a router has
+// died. It forwards bytes without parsing them, so a client that wants each request balanced has to open a connection
+// for each.
 package spread
 
 import (
@@ -35,16 +36,16 @@
 const dialTimeout = time.Second
 
 // Start listens on a free loopback port. detectionDelay is how long a dead router still gets connections.
-func Start(routers []string, notice time.Duration) (*Balancer, error) {
+func Start(routers []string, detectionDelay time.Duration) (*Balancer, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("front layer: %w", err)
 	}
-	l := &Balancer{listener: listener, detectionDelay: notice, conns: map[net.Conn]bool{}}
+	b := &Balancer{listener: listener, detectionDelay: detectionDelay, conns: map[net.Conn]bool{}}
 	for _, r := range routers {
-		l.routers = append(l.routers, &target{addr: r})
+		b.routers = append(b.routers, &target{addr: r})
 	}
-	return l, nil
+	return b, nil
 }
 
 // Addr returns the address that clients connect to.
@@ -125,12 +126,12 @@
 func (b *Balancer) MarkAlive(addr string) { b.setAvoidFrom(addr, time.Time{}) }
 
 // setAvoidFrom sets from when on a router gets no connections; zero: it gets them.
-func (b *Balancer) setAvoidFrom(addr string, dead time.Time) {
+func (b *Balancer) setAvoidFrom(addr string, from time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, r := range b.routers {
 		if r.addr == addr {
-			r.avoidFrom = dead
+			r.avoidFrom = from
 		}
 	}
 }
