--- a/internal/soak/badclient.go
+++ b/internal/soak/badclient.go
@@ -30,6 +30,7 @@
 	"a body that is bad": "POST " + platform.ChatPath + " HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: bad3\r\nX-Service-Class: price-ask\r\nX-Time-Left-Ms: 500\r\nContent-Length: 3\r\n\r\n{]}",
 }
 
+// badRequestKinds are the keys of badRequests in a fixed order, so that a seed draws the same kinds.
 var badRequestKinds = []string{"noise", "half a head", "half a body", "negative length", "huge length", "two lengths", "unknown class",
 	"no time", "no id", "nothing", "a body that is bad"}
 
--- a/internal/soak/judge_answers.go
+++ b/internal/soak/check_answers.go
@@ -12,29 +12,29 @@
 
 // checkAnswers checks what every client received.
 func (e *evidence) checkAnswers() (out []Finding) {
-	for _, a := range e.requests {
+	for _, rec := range e.requests {
 		add := func(rule, format string, args ...any) {
-			out = append(out, Finding{Rule: rule, Request: a.id, Router: a.router, At: e.sinceStart(a.startedAt),
-				Text: strings.TrimSpace(a.note + " " + fmt.Sprintf(format, args...) + e.describe(a))})
+			out = append(out, Finding{Rule: rule, Request: rec.id, Router: rec.router, At: e.sinceStart(rec.startedAt),
+				Text: strings.TrimSpace(rec.note + " " + fmt.Sprintf(format, args...) + e.describe(rec))})
 		}
-		if a.contentError != "" {
-			add(ruleContent, "%s", a.contentError)
+		if rec.contentError != "" {
+			add(ruleContent, "%s", rec.contentError)
 		}
-		if a.sentAt.IsZero() || !a.leftAt.IsZero() || a.ending == endUnread || a.ending == endNone && !a.complete {
+		if rec.sentAt.IsZero() || !rec.leftAt.IsZero() || rec.ending == endUnread || rec.ending == endNone && !rec.complete {
 			continue // it was never sent completely, or the client has left, or the router has not read it
 		}
-		late := answerTolerance + socketSlack + e.allowance(a.router, a.sentAt, a.endedAt)
+		tolerance := answerTolerance + socketSlack + e.allowance(rec.router, rec.sentAt, rec.endedAt)
 		switch {
-		case e.excusedByExit(a):
-		case a.status == 0:
-			add(ruleLost, "%s", a.ending)
-		case a.answeredAt.After(a.deadline().Add(late)):
-			add(ruleLost, "answered %v after the deadline", a.answeredAt.Sub(a.deadline()))
-		case !a.complete:
-			e.checkCutStream(a, add)
-		case a.refused() && e.mayHaveExecuted(a) && !e.mayRefuse(a):
-			add(ruleRefused, "status %d", a.status)
-		case a.status == 200 && !e.servedByEngine(a):
+		case e.excusedByExit(rec):
+		case rec.status == 0:
+			add(ruleLost, "%s", rec.ending)
+		case rec.answeredAt.After(rec.deadline().Add(tolerance)):
+			add(ruleLost, "answered %v after the deadline", rec.answeredAt.Sub(rec.deadline()))
+		case !rec.complete:
+			e.checkCutStream(rec, add)
+		case rec.refused() && e.mayHaveExecuted(rec) && !e.mayRefuse(rec):
+			add(ruleRefused, "status %d", rec.status)
+		case rec.status == 200 && !e.servedByEngine(rec):
 			add(ruleContent, "no engine has written this answer to its end")
 		}
 	}
@@ -43,58 +43,58 @@
 
 // excusedByExit reports whether the end of a process excuses a missing answer: the process was killed without a
 // SIGTERM before, or it was killed after SIGTERM and the request came soon after that signal.
-func (e *evidence) excusedByExit(a *requestRecord) bool {
-	l := e.runAt(a.router, a.sentAt)
-	if l == nil {
+func (e *evidence) excusedByExit(rec *requestRecord) bool {
+	run := e.runAt(rec.router, rec.sentAt)
+	if run == nil {
 		return true // no process was there to accept it
 	}
-	end := l.Exited
-	if end.IsZero() || a.complete {
+	end := run.Exited
+	if end.IsZero() || rec.complete {
 		return false
 	}
-	if l.Killed.IsZero() || !a.endedAt.IsZero() && a.endedAt.Before(l.Killed) {
+	if run.Killed.IsZero() || !rec.endedAt.IsZero() && rec.endedAt.Before(run.Killed) {
 		return false // the process has ended by itself, or the client's connection had ended before the kill
 	}
-	return l.Terminated.IsZero() || a.sentAt.Before(l.Terminated.Add(answerDueWindow))
+	return run.Terminated.IsZero() || rec.sentAt.Before(run.Terminated.Add(answerDueWindow))
 }
 
 // checkCutStream checks an answer that was cut off: its engine has to be the one that ended it.
-func (e *evidence) checkCutStream(a *requestRecord, add func(rule, format string, args ...any)) {
-	last := e.lastWriter(a)
+func (e *evidence) checkCutStream(rec *requestRecord, add func(rule, format string, args ...any)) {
+	last := e.lastWriter(rec)
 	switch {
 	case last == nil:
 		add(ruleContent, "the answer is a stream but there was no attempt at a writer")
 	case last.ConnLost:
-		e.checkStalledStream(a, last, add)
-	case last.Outcome == standin.Streamed && !eventsStopped(a):
+		e.checkStalledStream(rec, last, add)
+	case last.Outcome == standin.Streamed && !eventsStopped(rec):
 		add(ruleLost, "cut off although its engine has written it to its end")
-	case last.Outcome == standin.Cancelled && !eventsStopped(a):
+	case last.Outcome == standin.Cancelled && !eventsStopped(rec):
 		add(ruleLost, "cut off while its engine was writing")
 	default:
-		e.checkStalledStream(a, last, add)
+		e.checkStalledStream(rec, last, add)
 	}
 }
 
 // checkStalledStream checks that a client whose stream has stopped does not wait too long.
-func (e *evidence) checkStalledStream(a *requestRecord, last *standin.Attempt, add func(rule, format string, args ...any)) {
-	if len(last.Events) == 0 || len(a.events) == 0 {
+func (e *evidence) checkStalledStream(rec *requestRecord, last *standin.Attempt, add func(rule, format string, args ...any)) {
+	if len(last.Events) == 0 || len(rec.events) == 0 {
 		return
 	}
-	since := a.events[len(a.events)-1]
-	if most := brokenStreamTimeout + socketSlack + e.allowance(a.router, since, a.endedAt); a.endedAt.Sub(since) > most {
-		add(ruleLost, "the client had to wait for %v after the last event", a.endedAt.Sub(since))
+	since := rec.events[len(rec.events)-1]
+	if limit := brokenStreamTimeout + socketSlack + e.allowance(rec.router, since, rec.endedAt); rec.endedAt.Sub(since) > limit {
+		add(ruleLost, "the client had to wait for %v after the last event", rec.endedAt.Sub(since))
 	}
 }
 
 // eventsStopped reports whether the events of an answer had stopped well before its end.
-func eventsStopped(a *requestRecord) bool {
+func eventsStopped(rec *requestRecord) bool {
 	const stopped = brokenStreamTimeout - 500*time.Millisecond
-	return len(a.events) == 0 || a.endedAt.Sub(a.events[len(a.events)-1]) > stopped
+	return len(rec.events) == 0 || rec.endedAt.Sub(rec.events[len(rec.events)-1]) > stopped
 }
 
 // servedByEngine reports whether an engine has written an answer to the request to its end.
-func (e *evidence) servedByEngine(a *requestRecord) bool {
-	for _, t := range e.attempts[a.id] {
+func (e *evidence) servedByEngine(rec *requestRecord) bool {
+	for _, t := range e.attempts[rec.id] {
 		if t.Writer && t.Outcome == standin.Streamed {
 			return true
 		}
@@ -103,8 +103,8 @@
 }
 
 // mayHaveExecuted reports whether the request may have had an effect, as far as anybody but its engines can know.
-func (e *evidence) mayHaveExecuted(a *requestRecord) bool {
-	for _, t := range e.attempts[a.id] {
+func (e *evidence) mayHaveExecuted(rec *requestRecord) bool {
+	for _, t := range e.attempts[rec.id] {
 		if t.Writer && !t.Outcome.NeverRan() {
 			return true
 		}
@@ -113,21 +113,21 @@
 }
 
 // mayRefuse reports whether requests of the class may be refused although they may have been executed.
-func (e *evidence) mayRefuse(a *requestRecord) bool {
-	return e.classes[a.class].RetryPolicy != retryUnsafe
+func (e *evidence) mayRefuse(rec *requestRecord) bool {
+	return e.classes[rec.class].RetryPolicy != retryUnsafe
 }
 
 // checkDelays checks that the routers forward events as they come.
 func (e *evidence) checkDelays() []Finding {
 	streams, delayed := 0, 0
-	for _, a := range e.requests {
-		t := e.lastWriter(a)
-		if a.status != 200 || !a.leftAt.IsZero() || t == nil {
+	for _, rec := range e.requests {
+		t := e.lastWriter(rec)
+		if rec.status != 200 || !rec.leftAt.IsZero() || t == nil {
 			continue
 		}
 		streams++
-		for i, at := range a.events {
-			if i < len(t.Events) && at.Sub(t.Events[i]) > maxEventDelay+e.allowance(a.router, t.Events[i], at) {
+		for i, at := range rec.events {
+			if i < len(t.Events) && at.Sub(t.Events[i]) > maxEventDelay+e.allowance(rec.router, t.Events[i], at) {
 				delayed++
 				break
 			}
@@ -145,11 +145,11 @@
 		add := func(text string) {
 			out = append(out, Finding{Rule: ruleBadClient, Router: b.router, At: e.sinceStart(b.began), Text: b.kind + ": " + text})
 		}
-		late := badClientTimeout + socketSlack + e.allowance(b.router, b.began, b.began.Add(b.waited))
+		limit := badClientTimeout + socketSlack + e.allowance(b.router, b.began, b.began.Add(b.waited))
 		switch {
 		case b.served:
 			add("served")
-		case b.noResponse || b.waited > late:
+		case b.noResponse || b.waited > limit:
 			add(fmt.Sprintf("no response for %v", b.waited))
 		}
 	}
--- a/internal/soak/judge_attempts.go
+++ b/internal/soak/check_attempts.go
@@ -18,29 +18,29 @@
 		out = append(out, Finding{Rule: ruleUnknown, Text: fmt.Sprintf("%d calls", e.record.UnexpectedCalls)})
 	}
 	for id, list := range e.attempts {
-		a := e.requestByID[id]
+		rec := e.requestByID[id]
 		add := func(t *standin.Attempt, rule, format string, args ...any) {
 			f := Finding{Rule: rule, Request: id, Router: t.Router, At: e.sinceStart(t.LastByte), Text: fmt.Sprintf(format, args...)}
-			if a != nil {
-				f.Text += e.describe(a)
+			if rec != nil {
+				f.Text += e.describe(rec)
 			}
 			out = append(out, f)
 		}
-		if a == nil {
+		if rec == nil {
 			add(list[0], ruleUnknown, "an attempt for a request that no client sent")
 			continue
 		}
 		for i, t := range list {
 			if i > 0 {
-				e.checkAgainstEarlier(list[:i], t, a, add)
+				e.checkAgainstEarlier(list[:i], t, rec, add)
 			}
-			if limit := a.leftAt.Add(clientLeftGrace + socketSlack + e.soakAllowance(a.leftAt, t.LastByte)); !a.leftAt.IsZero() && t.LastByte.After(limit) {
-				add(t, ruleLeft, "an attempt began %v after the client had left", t.LastByte.Sub(a.leftAt))
+			if limit := rec.leftAt.Add(clientLeftGrace + socketSlack + e.soakAllowance(rec.leftAt, t.LastByte)); !rec.leftAt.IsZero() && t.LastByte.After(limit) {
+				add(t, ruleLeft, "an attempt began %v after the client had left", t.LastByte.Sub(rec.leftAt))
 			}
-			if a.sentAt.IsZero() {
+			if rec.sentAt.IsZero() {
 				continue
 			}
-			if over := t.LastByte.Add(t.TimeLeft).Sub(a.deadline()); over > deadlineTolerance+e.allowance(a.router, a.sentAt, t.LastByte) {
+			if over := t.LastByte.Add(t.TimeLeft).Sub(rec.deadline()); over > deadlineTolerance+e.allowance(rec.router, rec.sentAt, t.LastByte) {
 				add(t, ruleDeadline, "an engine was told %v more than the client had left", over)
 			}
 		}
@@ -52,8 +52,8 @@
 const closeDetectionDelay = 20 * time.Millisecond
 
 // checkAgainstEarlier checks an attempt against the earlier ones of its request.
-func (e *evidence) checkAgainstEarlier(earlier []*standin.Attempt, t *standin.Attempt, a *requestRecord, add func(t *standin.Attempt, rule, format string, args ...any)) {
-	c := &e.classes[a.class]
+func (e *evidence) checkAgainstEarlier(earlier []*standin.Attempt, t *standin.Attempt, rec *requestRecord, add func(t *standin.Attempt, rule, format string, args ...any)) {
+	c := &e.classes[rec.class]
 	for _, before := range earlier {
 		if before.Ended.IsZero() || before.Ended.After(t.LastByte.Add(closeDetectionDelay+e.soakPausedFor(t.LastByte, before.Ended))) {
 			add(t, ruleSecondCopy, "sent to %s while an attempt at %s was in flight", t.Engine, before.Engine)
@@ -131,9 +131,9 @@
 				n++
 			}
 			allowed := e.params.overloadMultiple * e.params.initialCapacity * e.capacity(sent[i].Writer) * e.params.overloadWindow.Seconds()
-			if most := maxColdSends(allowed); float64(n) > most {
+			if limit := maxColdSends(allowed); float64(n) > limit {
 				out = append(out, Finding{Rule: ruleSlowStart, Router: sent[i].Router, At: e.sinceStart(until),
-					Text: fmt.Sprintf("%d sends to %s within %v of its first %v; at most %.1f", n, id, e.params.overloadWindow, until.Sub(start), most)})
+					Text: fmt.Sprintf("%d sends to %s within %v of its first %v; at most %.1f", n, id, e.params.overloadWindow, until.Sub(start), limit)})
 				break
 			}
 		}
@@ -141,8 +141,8 @@
 	return out
 }
 
-// maxColdSends returns how many requests a cold engine tolerates that is allowed n: n plus a margin for chance, which
-// is two to three standard deviations of a Poisson count.
+// maxColdSends returns how many sends to a cold engine are tolerated if n are allowed: n plus a margin for chance of
+// two or three standard deviations of a Poisson count, and a few sends.
 func maxColdSends(n float64) float64 {
 	const manyAllowed = 30
 	if n < manyAllowed {
--- a/internal/soak/judge_holds.go
+++ b/internal/soak/check_holds.go
@@ -19,14 +19,14 @@
 			until = time.Now()
 		}
 		idle := e.longestIdle(h.Request, h.From, until)
-		a := e.requestByID[h.Request]
-		if a == nil {
+		rec := e.requestByID[h.Request]
+		if rec == nil {
 			continue
 		}
-		limit := e.params.holdTimeout + holdSlack + socketSlack + e.allowance(a.router, h.From, until)
-		if idle > limit && !e.ownerExited(a, until) && e.reachable(a.router, until.Add(-limit), until) {
-			out = append(out, Finding{Rule: rulePinned, Request: h.Request, Router: a.router, At: e.sinceStart(h.From),
-				Text: fmt.Sprintf("held at %s for %v with no attempt in flight", h.Engine, idle) + e.describe(a)})
+		limit := e.params.holdTimeout + holdSlack + socketSlack + e.allowance(rec.router, h.From, until)
+		if idle > limit && !e.ownerExited(rec, until) && e.reachable(rec.router, until.Add(-limit), until) {
+			out = append(out, Finding{Rule: rulePinned, Request: h.Request, Router: rec.router, At: e.sinceStart(h.From),
+				Text: fmt.Sprintf("held at %s for %v with no attempt in flight", h.Engine, idle) + e.describe(rec)})
 		}
 	}
 	return out
@@ -42,17 +42,17 @@
 // hold.
 func (e *evidence) reachable(router int, from, until time.Time) bool {
 	const enough = 600 * time.Millisecond
-	for _, p := range e.reachability[router] {
+	for _, r := range e.reachability[router] {
 		at := from
-		if p.since.After(from) {
+		if r.since.After(from) {
 			continue
 		}
-		for _, g := range p.outages {
-			if g.Until.IsZero() || g.Until.After(at) {
-				if g.From.Sub(at) >= enough {
+		for _, outage := range r.outages {
+			if outage.Until.IsZero() || outage.Until.After(at) {
+				if outage.From.Sub(at) >= enough {
 					return true
 				}
-				if at = g.Until; g.Until.IsZero() || at.After(until) {
+				if at = outage.Until; outage.Until.IsZero() || at.After(until) {
 					at = until
 				}
 			}
@@ -85,7 +85,7 @@
 }
 
 // ownerExited reports whether the process that has to release the hold had ended before, or ended within a second.
-func (e *evidence) ownerExited(a *requestRecord, until time.Time) bool {
-	l := e.runAt(a.router, a.sentAt)
-	return l == nil || !l.Exited.IsZero() && l.Exited.Before(until.Add(time.Second))
+func (e *evidence) ownerExited(rec *requestRecord, until time.Time) bool {
+	run := e.runAt(rec.router, rec.sentAt)
+	return run == nil || !run.Exited.IsZero() && run.Exited.Before(until.Add(time.Second))
 }
--- a/internal/soak/judge_processes.go
+++ b/internal/soak/check_processes.go
@@ -8,27 +8,27 @@
 
 // checkProcesses checks how the routers' processes ended, and what violations and panics they have logged.
 func (e *evidence) checkProcesses() (out []Finding) {
-	for _, text := range e.failedStarts {
+	for _, text := range e.routerFailures {
 		out = append(out, Finding{Rule: ruleProcess, Text: text})
 	}
-	for router, lives := range e.runs {
-		for i := range lives {
-			l := &lives[i]
+	for router, runs := range e.runs {
+		for i := range runs {
+			run := &runs[i]
 			add := func(rule, text string) {
-				out = append(out, Finding{Rule: rule, Router: router, At: e.sinceStart(l.Started), Text: text})
+				out = append(out, Finding{Rule: rule, Router: router, At: e.sinceStart(run.Started), Text: text})
 			}
-			for _, text := range l.Violations {
+			for _, text := range run.Violations {
 				add(ruleGuard, text)
 			}
-			for _, text := range l.Panics {
+			for _, text := range run.Panics {
 				add(ruleProcess, text)
 			}
 			switch {
-			case l.Exited.IsZero(), !l.Killed.IsZero():
-			case l.Terminated.IsZero():
-				add(ruleProcess, fmt.Sprintf("ended without a signal, status %d", l.ExitCode))
-			case l.ExitCode != 0 || l.Signaled:
-				add(ruleProcess, fmt.Sprintf("ended with status %d after SIGTERM", l.ExitCode))
+			case run.Exited.IsZero(), !run.Killed.IsZero():
+			case run.Terminated.IsZero():
+				add(ruleProcess, fmt.Sprintf("ended without a signal, status %d", run.ExitCode))
+			case run.ExitCode != 0 || run.Signaled:
+				add(ruleProcess, fmt.Sprintf("ended with status %d after SIGTERM", run.ExitCode))
 			}
 		}
 	}
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -82,40 +82,41 @@
 	return head + fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// exchange sends a request on a connection and reads its answer. It reports whether the connection can be used again.
-func (c *conn) exchange(q *clientRequest, m *clientBehaviour, random *rand.Rand, log *requestLog) (*requestRecord, bool) {
-	a := &requestRecord{id: q.id, class: q.index, router: c.router, timeLeft: q.timeLeft, firstOnConn: c.uses == 0, startedAt: time.Now()}
+// exchange sends a request on the connection and reads its answer. It reports whether the connection can be used
+// again.
+func (c *conn) exchange(req *clientRequest, behaviour *clientBehaviour, random *rand.Rand, log *requestLog) (*requestRecord, bool) {
+	rec := &requestRecord{id: req.id, class: req.index, router: c.router, timeLeft: req.timeLeft, firstOnConn: c.uses == 0, startedAt: time.Now()}
 	c.uses++
-	defer log.add(a)
-	if !c.write(q.wireText(random), m) {
-		a.ending, a.endedAt = endUnread, time.Now()
-		return a, false
+	defer log.add(rec)
+	if !c.write(req.wireText(random), behaviour) {
+		rec.ending, rec.endedAt = endUnread, time.Now()
+		return rec, false
 	}
-	a.sentAt = time.Now()
-	if m.leaveAfter > 0 {
-		stop := time.AfterFunc(m.leaveAfter, func() { c.leave(m) })
+	rec.sentAt = time.Now()
+	if behaviour.leaveAfter > 0 {
+		stop := time.AfterFunc(behaviour.leaveAfter, func() { c.leave(behaviour) })
 		defer stop.Stop()
 	}
-	reuse := c.read(a)
-	if m.leaveAfter > 0 && time.Since(a.sentAt) >= m.leaveAfter {
-		if quit := a.sentAt.Add(m.leaveAfter); a.endedAt.IsZero() || !a.complete || quit.Before(a.endedAt) {
-			a.leftAt = quit
+	reuse := c.read(rec)
+	if behaviour.leaveAfter > 0 && time.Since(rec.sentAt) >= behaviour.leaveAfter {
+		if left := rec.sentAt.Add(behaviour.leaveAfter); rec.endedAt.IsZero() || !rec.complete || left.Before(rec.endedAt) {
+			rec.leftAt = left
 		}
-		return a, false
+		return rec, false
 	}
-	return a, reuse
+	return rec, reuse
 }
 
 // leave ends the connection in the way that the behaviour says.
-func (c *conn) leave(m *clientBehaviour) {
-	if m.trailing != "" {
+func (c *conn) leave(behaviour *clientBehaviour) {
+	if behaviour.trailing != "" {
 		c.SetWriteDeadline(time.Now().Add(time.Millisecond))
-		io.WriteString(c, m.trailing)
+		io.WriteString(c, behaviour.trailing)
 	}
 	switch {
-	case m.halfClose:
+	case behaviour.halfClose:
 		c.CloseWrite()
-	case m.leaveByReset:
+	case behaviour.leaveByReset:
 		c.SetLinger(0)
 		c.Close()
 	default:
@@ -124,53 +125,53 @@
 }
 
 // write writes the request in pieces. It returns false if the connection fails.
-func (c *conn) write(text string, m *clientBehaviour) bool {
-	n := max(m.pieces, 1)
+func (c *conn) write(text string, behaviour *clientBehaviour) bool {
+	n := max(behaviour.pieces, 1)
 	for i := range n {
 		piece := text[len(text)*i/n : len(text)*(i+1)/n]
 		if _, err := io.WriteString(c, piece); err != nil {
 			return false
 		}
 		if i < n-1 {
-			time.Sleep(m.pause)
+			time.Sleep(behaviour.pause)
 		}
 	}
 	return true
 }
 
 // read reads the answer to a request that was written completely.
-func (c *conn) read(a *requestRecord) bool {
-	defer func() { a.endedAt = time.Now() }()
-	c.SetReadDeadline(a.deadline().Add(answerSlack))
+func (c *conn) read(rec *requestRecord) bool {
+	defer func() { rec.endedAt = time.Now() }()
+	c.SetReadDeadline(rec.deadline().Add(answerSlack))
 	if _, err := c.br.Peek(1); err != nil {
-		a.ending = c.endingOf(err)
+		rec.ending = c.endingOf(err)
 		return false
 	}
 	resp, err := http.ReadResponse(c.br, nil)
 	if err != nil {
-		a.ending, a.contentError = endBroken, "the response header is malformed: "+err.Error()
+		rec.ending, rec.contentError = endBroken, "the response header is malformed: "+err.Error()
 		return false
 	}
-	a.status, a.answeredAt = resp.StatusCode, time.Now()
+	rec.status, rec.answeredAt = resp.StatusCode, time.Now()
 	if resp.StatusCode != http.StatusOK {
 		if _, err := io.Copy(io.Discard, resp.Body); err != nil {
-			a.ending = endBroken
+			rec.ending = endBroken
 			return false
 		}
-		a.complete = true
+		rec.complete = true
 		return !resp.Close
 	}
-	if err := c.stream(a, resp.Body); err != nil {
-		a.ending = endBroken
+	if err := c.stream(rec, resp.Body); err != nil {
+		rec.ending = endBroken
 		return false
 	}
-	a.complete = true
+	rec.complete = true
 	return !resp.Close
 }
 
-// stream reads the events of an answer to its end, and checks that all of them come from one engine and belong to
-// this request.
-func (c *conn) stream(a *requestRecord, body io.Reader) error {
+// stream reads the events of an answer to its end. It checks that they are complete and in order, belong to this
+// request, and come from one engine.
+func (c *conn) stream(rec *requestRecord, body io.Reader) error {
 	lines := bufio.NewReader(body)
 	engine, done := "", false
 	for n := 0; ; {
@@ -178,7 +179,7 @@
 		line, err := lines.ReadString('\n')
 		if errors.Is(err, io.EOF) && line == "" {
 			if !done {
-				a.contentError = "the answer is complete but its last event is missing"
+				rec.contentError = "the answer is complete but its last event is missing"
 			}
 			return nil
 		}
@@ -189,17 +190,17 @@
 		if !found {
 			continue
 		}
-		a.events = append(a.events, time.Now())
+		rec.events = append(rec.events, time.Now())
 		if data == standin.LastEvent {
 			done = true
 			continue
 		}
 		request, from, number, ok := standin.ParseEvent(data)
 		switch {
-		case !ok || request != a.id || number != n || done:
-			a.contentError = fmt.Sprintf("event %d is %.80q", n, data)
+		case !ok || request != rec.id || number != n || done:
+			rec.contentError = fmt.Sprintf("event %d is %.80q", n, data)
 		case engine != "" && from != engine:
-			a.contentError = fmt.Sprintf("events of %s and %s", engine, from)
+			rec.contentError = fmt.Sprintf("events of %s and %s", engine, from)
 		}
 		engine = from
 		n++
@@ -233,12 +234,12 @@
 		return true
 	}
 	const tcpClose = 7 // TCP_CLOSE of the kernel's connection states
-	over := false
+	closed := false
 	raw.Control(func(fd uintptr) {
 		info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
-		over = err == nil && info.State == tcpClose
+		closed = err == nil && info.State == tcpClose
 	})
-	return over
+	return closed
 }
 
 // isIdleOpen reports whether an idle connection is still open and has received nothing.
@@ -250,11 +251,11 @@
 	if err != nil {
 		return false
 	}
-	stands := false
+	open := false
 	raw.Control(func(fd uintptr) {
 		var b [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		stands = errors.Is(err, syscall.EAGAIN)
+		open = errors.Is(err, syscall.EAGAIN)
 	})
-	return stands
+	return open
 }
--- a/internal/soak/judge_test.go
+++ b/internal/soak/evaluate_test.go
@@ -8,22 +8,23 @@
 	standin "mintdoor/internal/standin/chat"
 )
 
-var began = time.Unix(1_000_000, 0)
+// runStart is the start of the run.
+var runStart = time.Unix(1_000_000, 0)
 
 // after returns the instant some milliseconds after the start of the run.
-func after(ms int) time.Time { return began.Add(time.Duration(ms) * time.Millisecond) }
+func after(ms int) time.Time { return runStart.Add(time.Duration(ms) * time.Millisecond) }
 
 // validEvidence returns a run of one router and one request of a class that violates no rule: read, written and
 // served.
 func validEvidence(class int) *evidence {
-	a := &requestRecord{id: "q", class: class, timeLeft: 2 * time.Second, startedAt: after(0), sentAt: after(0), status: 200, answeredAt: after(200),
+	rec := &requestRecord{id: "q", class: class, timeLeft: 2 * time.Second, startedAt: after(0), sentAt: after(0), status: 200, answeredAt: after(200),
 		events: []time.Time{after(200), after(300)}, complete: true, endedAt: after(400)}
 	read := standin.Attempt{Request: "q", Engine: "p", FirstByte: after(1), LastByte: after(3), Arrived: after(3), TimeLeft: time.Second,
 		Outcome: standin.Read, Ended: after(100)}
 	write := standin.Attempt{Request: "q", Engine: "d", Writer: true, FirstByte: after(101), LastByte: after(103), Arrived: after(103),
 		TimeLeft: time.Second, Events: []time.Time{after(199), after(299)}, Outcome: standin.Streamed, Ended: after(399)}
-	return &evidence{began: began, routers: 1, classes: defaultClasses(), params: defaultRuleParams(), timing: engineTiming,
-		readerSlots: maxReaderSlots, writerSlots: maxWriterSlots, requests: []*requestRecord{a},
+	return &evidence{startedAt: runStart, routers: 1, classes: defaultClasses(), params: defaultRuleParams(), timing: engineTiming,
+		readerSlots: maxReaderSlots, writerSlots: maxWriterSlots, requests: []*requestRecord{rec},
 		record: &standin.Record{Attempts: []standin.Attempt{read, write},
 			Holds: []standin.Hold{{Request: "q", Engine: "p", From: after(100), Until: after(198)}}},
 		runs:           [][]ProcessRun{{{Started: after(-1000), Ready: after(-500), Terminated: after(5000), Exited: after(6000)}}},
@@ -31,6 +32,7 @@
 		reachability: []map[string]*reachability{{"p": {since: after(-1000)}, "d": {since: after(-1000)}}}}
 }
 
+// The indices of the classes in defaultClasses, by retry policy.
 const (
 	classSafe = iota
 	classUnsafe
@@ -45,7 +47,7 @@
 
 // TestEvaluate checks that each rule is found violated by evidence that violates it alone, and that evidence just
 // within the rule's limit is not.
-func TestJudge(t *testing.T) {
+func TestEvaluate(t *testing.T) {
 	for name, tt := range map[string]struct {
 		class  int
 		change func(e *evidence, a *requestRecord, read, write *standin.Attempt)
@@ -55,17 +57,17 @@
 		"no answer": {change: func(_ *evidence, a *requestRecord, _, _ *standin.Attempt) {
 			a.status, a.complete, a.ending, a.endedAt = 0, false, endTimeout, after(5400)
 		}, want: ruleLost},
-		"closed unanswered": {change: func(_ *evidence, a *requestRecord, _, _ *standin.Attempt) {
+		"closed without an answer": {change: func(_ *evidence, a *requestRecord, _, _ *standin.Attempt) {
 			a.status, a.complete, a.ending = 0, false, endClosed
 		}, want: ruleLost},
-		"reset unread": {change: func(e *evidence, a *requestRecord, _, _ *standin.Attempt) {
+		"reset before the request was read": {change: func(e *evidence, a *requestRecord, _, _ *standin.Attempt) {
 			a.status, a.complete, a.ending = 0, false, endUnread
 		}},
 		"a late answer": {change: func(_ *evidence, a *requestRecord, _, _ *standin.Attempt) { a.answeredAt = after(2600) }, want: ruleLost},
 		"an answer just after its deadline": {change: func(_ *evidence, a *requestRecord, _, _ *standin.Attempt) {
 			a.answeredAt = after(2500)
 		}},
-		"a late answer of a process that was stopped": {change: func(e *evidence, a *requestRecord, _, _ *standin.Attempt) {
+		"a late answer of a process that was paused": {change: func(e *evidence, a *requestRecord, _, _ *standin.Attempt) {
 			a.answeredAt, a.endedAt = after(2600), after(2700)
 			e.runs[0][0].Pauses = []Pause{{after(500), after(1000)}}
 		}},
@@ -73,43 +75,43 @@
 			a.status, a.complete, a.ending, a.endedAt = 0, false, endClosed, after(151)
 			e.runs[0][0] = ProcessRun{Started: after(-1000), Killed: after(150), Exited: after(150), Signaled: true}
 		}},
-		"killed with one that came late after SIGTERM": {change: func(e *evidence, a *requestRecord, _, _ *standin.Attempt) {
+		"killed with a request that came late after SIGTERM": {change: func(e *evidence, a *requestRecord, _, _ *standin.Attempt) {
 			a.status, a.complete, a.ending, a.endedAt = 0, false, endClosed, after(2951)
 			e.runs[0][0] = ProcessRun{Started: after(-1000), Terminated: after(-750), Killed: after(2950), Exited: after(2950), Signaled: true}
 		}, want: ruleLost},
-		"killed with one that came soon after SIGTERM": {change: func(e *evidence, a *requestRecord, _, _ *standin.Attempt) {
+		"killed with a request that came soon after SIGTERM": {change: func(e *evidence, a *requestRecord, _, _ *standin.Attempt) {
 			a.status, a.complete, a.ending, a.endedAt = 0, false, endClosed, after(3051)
 			e.runs[0][0] = ProcessRun{Started: after(-1000), Terminated: after(-650), Killed: after(3050), Exited: after(3050), Signaled: true}
 		}},
-		"cut while its engine wrote": {change: func(_ *evidence, a *requestRecord, _, write *standin.Attempt) {
+		"cut off while the engine wrote": {change: func(_ *evidence, a *requestRecord, _, write *standin.Attempt) {
 			a.complete, a.ending, write.Outcome = false, endBroken, standin.Cancelled
 		}, want: ruleLost},
-		"cut after its engine had ended": {change: func(_ *evidence, a *requestRecord, _, _ *standin.Attempt) {
+		"cut off after the engine had finished": {change: func(_ *evidence, a *requestRecord, _, _ *standin.Attempt) {
 			a.complete, a.ending = false, endBroken
 		}, want: ruleLost},
-		"cut by its engine": {change: func(_ *evidence, a *requestRecord, _, write *standin.Attempt) {
+		"cut off by the engine": {change: func(_ *evidence, a *requestRecord, _, write *standin.Attempt) {
 			a.complete, a.ending, write.Outcome = false, endBroken, standin.ConnReset
 		}},
-		"left to wait after a stream broke": {change: func(_ *evidence, a *requestRecord, _, write *standin.Attempt) {
+		"client kept waiting after its stream broke": {change: func(_ *evidence, a *requestRecord, _, write *standin.Attempt) {
 			a.complete, a.ending, a.endedAt, write.Outcome = false, endBroken, after(5500), standin.ConnReset
 		}, want: ruleLost},
-		"served by no engine": {change: func(_ *evidence, _ *requestRecord, _, write *standin.Attempt) { write.Outcome = standin.Failed }, want: ruleContent},
-		"wrong events":        {change: func(_ *evidence, a *requestRecord, _, _ *standin.Attempt) { a.contentError = "events of two engines" }, want: ruleContent},
-		"refused after a run": {class: classUnsafe, change: func(_ *evidence, a *requestRecord, _, write *standin.Attempt) {
+		"served without an engine's answer": {change: func(_ *evidence, _ *requestRecord, _, write *standin.Attempt) { write.Outcome = standin.Failed }, want: ruleContent},
+		"wrong events":                      {change: func(_ *evidence, a *requestRecord, _, _ *standin.Attempt) { a.contentError = "events of two engines" }, want: ruleContent},
+		"refused after an execution": {class: classUnsafe, change: func(_ *evidence, a *requestRecord, _, write *standin.Attempt) {
 			a.status, write.Outcome = 429, standin.ConnReset
 		}, want: ruleRefused},
-		"refused, never run": {class: classUnsafe, change: func(_ *evidence, a *requestRecord, _, write *standin.Attempt) {
+		"refused and never executed": {class: classUnsafe, change: func(_ *evidence, a *requestRecord, _, write *standin.Attempt) {
 			a.status, write.Outcome = 429, standin.Refused
 		}},
-		"two runs": {class: classUnsafe, change: func(e *evidence, _ *requestRecord, _, write *standin.Attempt) {
+		"two executions": {class: classUnsafe, change: func(e *evidence, _ *requestRecord, _, write *standin.Attempt) {
 			write.Outcome, write.Ended = standin.ConnReset, after(110)
 			e.record.Attempts = append(e.record.Attempts, writerAttempt(120, standin.Streamed))
 		}, want: ruleDuplicate},
-		"a repeat in its window": {class: classKeyed, change: func(e *evidence, _ *requestRecord, _, write *standin.Attempt) {
+		"a retry within the deduplication window": {class: classKeyed, change: func(e *evidence, _ *requestRecord, _, write *standin.Attempt) {
 			write.Outcome, write.Ended = standin.ConnReset, after(110)
 			e.record.Attempts = append(e.record.Attempts, writerAttempt(120, standin.Streamed))
 		}},
-		"a repeat after its window": {class: classKeyed, change: func(e *evidence, a *requestRecord, _, write *standin.Attempt) {
+		"a retry after the deduplication window": {class: classKeyed, change: func(e *evidence, a *requestRecord, _, write *standin.Attempt) {
 			write.Outcome, write.Ended = standin.ConnReset, after(110)
 			e.record.Attempts = append(e.record.Attempts, writerAttempt(1700, standin.Streamed))
 		}, want: ruleDuplicate},
@@ -127,8 +129,8 @@
 		"sent to a draining engine": {change: func(e *evidence, _ *requestRecord, _, _ *standin.Attempt) {
 			e.drainsReported[0]["d"] = after(-1000)
 		}, want: ruleDrain},
-		"sent within the grace": {change: func(e *evidence, _ *requestRecord, _, _ *standin.Attempt) { e.drainsReported[0]["d"] = after(-900) }},
-		"a cold engine pushed over": {change: func(e *evidence, _ *requestRecord, _, _ *standin.Attempt) {
+		"sent within the drain grace": {change: func(e *evidence, _ *requestRecord, _, _ *standin.Attempt) { e.drainsReported[0]["d"] = after(-900) }},
+		"a cold engine overloaded": {change: func(e *evidence, _ *requestRecord, _, _ *standin.Attempt) {
 			e.coldStarts["d2"] = after(1000)
 			for i := range 60 {
 				e.record.Attempts = append(e.record.Attempts, standin.Attempt{Request: "q", Engine: "d2", Writer: true, FirstByte: after(2000 + i),
@@ -136,22 +138,22 @@
 			}
 		}, want: ruleSlowStart},
 		"held too long": {change: func(e *evidence, _ *requestRecord, _, _ *standin.Attempt) { e.record.Holds[0].Until = after(2500) }, want: rulePinned},
-		"held with nobody to be reached": {change: func(e *evidence, _ *requestRecord, _, _ *standin.Attempt) {
+		"held while no engine was reachable": {change: func(e *evidence, _ *requestRecord, _, _ *standin.Attempt) {
 			e.record.Holds[0].Until = after(2500)
 			for _, p := range e.reachability[0] {
 				p.outages = []standin.Interval{{From: after(300), Until: after(2400)}}
 			}
 		}},
-		"a bad client without a word": {change: func(e *evidence, _ *requestRecord, _, _ *standin.Attempt) {
+		"a bad client without a response": {change: func(e *evidence, _ *requestRecord, _, _ *standin.Attempt) {
 			e.badClients = []badClient{{kind: "noise", began: after(0), waited: 3200 * time.Millisecond}}
 		}, want: ruleBadClient},
-		"ended by itself": {change: func(e *evidence, _ *requestRecord, _, _ *standin.Attempt) {
+		"ended without a signal": {change: func(e *evidence, _ *requestRecord, _, _ *standin.Attempt) {
 			e.runs[0][0].Terminated = time.Time{}
 		}, want: ruleProcess},
-		"a violation of its own account": {change: func(e *evidence, _ *requestRecord, _, _ *standin.Attempt) {
+		"a violation in the process's own log": {change: func(e *evidence, _ *requestRecord, _, _ *standin.Attempt) {
 			e.runs[0][0].Violations = []string{"rule violated"}
 		}, want: ruleGuard},
-		"events held back": {change: func(_ *evidence, a *requestRecord, _, _ *standin.Attempt) { a.events[1] = after(700) }, want: ruleDelay},
+		"events forwarded late": {change: func(_ *evidence, a *requestRecord, _, _ *standin.Attempt) { a.events[1] = after(700) }, want: ruleDelay},
 	} {
 		t.Run(name, func(t *testing.T) {
 			e := validEvidence(tt.class)
--- a/internal/soak/evidence.go
+++ b/internal/soak/evidence.go
@@ -11,23 +11,23 @@
 
 // evidence is everything that was recorded of a run.
 type evidence struct {
-	began   time.Time
-	routers int
-	classes []class
-	params  ruleParams
-	timing  standin.Timing
+	startedAt time.Time
+	routers   int
+	classes   []class
+	params    ruleParams
+	timing    standin.Timing
 	// readerSlots and writerSlots are how many requests an engine of a role processes at once.
 	readerSlots, writerSlots int
 	requests                 []*requestRecord
 	badClients               []badClient
 	record                   *standin.Record
 	runs                     [][]ProcessRun                // by router
-	drainsReported           []map[string]time.Time        // by router and engine: when the router was told of a drain
+	drainsReported           []map[string]time.Time        // by router and engine: when a drain was reported
 	coldStarts               map[string]time.Time          // start times of the engines that were started cold
 	reachability             []map[string]*reachability    // by router and engine
 	soakPauses               []Pause                       // intervals in which the soak itself did not run
-	failedStarts             []string                      // failed starts of routers
-	slack                    time.Duration                 // added to every allowed time, for a machine that is too slow
+	routerFailures           []string                      // failed starts and stops of routers
+	slack                    time.Duration                 // added to every allowed time, for a slow machine
 	attempts                 map[string][]*standin.Attempt // by request, in the order of their last bytes
 	requestByID              map[string]*requestRecord
 }
@@ -49,15 +49,15 @@
 
 // sinceStart returns the time since the start of the run, in whole milliseconds.
 func (e *evidence) sinceStart(t time.Time) time.Duration {
-	return t.Sub(e.began).Round(time.Millisecond)
+	return t.Sub(e.startedAt).Round(time.Millisecond)
 }
 
 // runAt returns the run of a router's process that was in progress at a time, or nil if there was none.
 func (e *evidence) runAt(router int, t time.Time) *ProcessRun {
 	for i := range e.runs[router] {
-		l := &e.runs[router][i]
-		if !t.Before(l.Started) && (l.Exited.IsZero() || t.Before(l.Exited)) {
-			return l
+		run := &e.runs[router][i]
+		if !t.Before(run.Started) && (run.Exited.IsZero() || t.Before(run.Exited)) {
+			return run
 		}
 	}
 	return nil
@@ -65,8 +65,8 @@
 
 // allowance returns how much later than usual something may happen between two times: the time for which the router's
 // process was paused longer than the rules allow, and the time in which the soak itself did not run.
-func (e *evidence) allowance(router int, from, until time.Time) (late time.Duration) {
-	late = e.slack
+func (e *evidence) allowance(router int, from, until time.Time) (allowed time.Duration) {
+	allowed = e.slack
 	overlap := func(s Pause) time.Duration {
 		end := s.Until
 		if end.IsZero() || end.After(until) {
@@ -81,14 +81,14 @@
 	for i := range e.runs[router] {
 		for _, s := range e.runs[router][i].Pauses {
 			if s.Until.IsZero() || s.Until.Sub(s.From) > maxProcessPause+pauseThreshold {
-				late += overlap(s)
+				allowed += overlap(s)
 			}
 		}
 	}
 	for _, s := range e.soakPauses {
-		late += overlap(s)
+		allowed += overlap(s)
 	}
-	return late
+	return allowed
 }
 
 // soakAllowance returns how much later than at one time something may be seen at another, because the soak itself did
@@ -108,8 +108,8 @@
 }
 
 // lastWriter returns the last attempt of a request at a writer, or nil.
-func (e *evidence) lastWriter(a *requestRecord) *standin.Attempt {
-	list := e.attempts[a.id]
+func (e *evidence) lastWriter(rec *requestRecord) *standin.Attempt {
+	list := e.attempts[rec.id]
 	for i := len(list) - 1; i >= 0; i-- {
 		if list[i].Writer {
 			return list[i]
@@ -119,18 +119,18 @@
 }
 
 // describe returns what is known of a request, for a finding.
-func (e *evidence) describe(a *requestRecord) string {
+func (e *evidence) describe(rec *requestRecord) string {
 	var b strings.Builder
-	c := &e.classes[a.class]
-	fmt.Fprintf(&b, "; retry policy %s, sent at %v, deadline after %v", c.RetryPolicy, e.sinceStart(a.sentAt), a.timeLeft)
-	if !a.leftAt.IsZero() {
-		fmt.Fprintf(&b, ", client left at %v", e.sinceStart(a.leftAt))
+	c := &e.classes[rec.class]
+	fmt.Fprintf(&b, "; retry policy %s, sent at %v, deadline after %v", c.RetryPolicy, e.sinceStart(rec.sentAt), rec.timeLeft)
+	if !rec.leftAt.IsZero() {
+		fmt.Fprintf(&b, ", client left at %v", e.sinceStart(rec.leftAt))
 	}
-	if a.status != 0 {
-		fmt.Fprintf(&b, ", status %d at %v", a.status, e.sinceStart(a.answeredAt))
+	if rec.status != 0 {
+		fmt.Fprintf(&b, ", status %d at %v", rec.status, e.sinceStart(rec.answeredAt))
 	}
-	fmt.Fprintf(&b, ", ended at %v, complete: %v", e.sinceStart(a.endedAt), a.complete)
-	for _, t := range e.attempts[a.id] {
+	fmt.Fprintf(&b, ", ended at %v, complete: %v", e.sinceStart(rec.endedAt), rec.complete)
+	for _, t := range e.attempts[rec.id] {
 		fmt.Fprintf(&b, " | %s %v", t.Engine, e.sinceStart(t.LastByte))
 		if t.Ended.IsZero() {
 			b.WriteString(" in flight")
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -54,21 +54,21 @@
 	killDelay    time.Duration // minimum time from SIGTERM to SIGKILL
 	readyTimeout time.Duration // time within which a router has to be ready
 
-	mu           sync.Mutex
-	largeFault   bool // a fault of many engines is in progress
-	faultCounts  map[string]int
-	busyRouters  map[int]bool // routers whose process is stopping or starting
-	behaviours   map[string][]*standin.Behaviour
-	silent       map[*standin.Proxy]int
-	stalled      map[*standin.Proxy]int
-	slow         map[*standin.Proxy]int
-	failedStarts []string // failed starts of routers
-	injectErr    error    // an error of the soak itself
+	mu             sync.Mutex
+	largeFault     bool // a fault of many engines is in progress
+	faultCounts    map[string]int
+	busyRouters    map[int]bool                    // routers whose process is stopping or starting
+	behaviours     map[string][]*standin.Behaviour // by engine: the behaviours that faults give it
+	silent         map[*standin.Proxy]int          // number of faults that drop the traffic
+	stalled        map[*standin.Proxy]int          // number of faults that stall dials
+	slow           map[*standin.Proxy]int          // number of faults that delay new connections
+	routerFailures []string                        // failed starts and stops of routers
+	injectErr      error                           // an error of the soak itself
 }
 
 // newInjector returns an injector without faults.
-func newInjector(w *Testbed, t *traffic, f *routerPicker) *injector {
-	return &injector{testbed: w, traffic: t, picker: f, killDelay: minKillDelay(w.opts.classes), readyTimeout: 30 * time.Second, faultCounts: map[string]int{},
+func newInjector(tb *Testbed, t *traffic, picker *routerPicker) *injector {
+	return &injector{testbed: tb, traffic: t, picker: picker, killDelay: minKillDelay(tb.opts.classes), readyTimeout: 30 * time.Second, faultCounts: map[string]int{},
 		busyRouters: map[int]bool{}, behaviours: map[string][]*standin.Behaviour{}, silent: map[*standin.Proxy]int{}, stalled: map[*standin.Proxy]int{},
 		slow: map[*standin.Proxy]int{}}
 }
@@ -83,13 +83,13 @@
 	return min(longest, 3*time.Second) + 700*time.Millisecond
 }
 
-// run injects random faults until ctx ends, and returns when all of them are over.
-func (in *injector) run(ctx context.Context, every time.Duration, seed uint64) {
+// run injects random faults at random intervals until ctx ends, and returns when all of them are over.
+func (in *injector) run(ctx context.Context, interval time.Duration, seed uint64) {
 	random := rand.New(rand.NewPCG(seed, 2))
 	var work sync.WaitGroup
 	defer work.Wait()
 	for n := uint64(0); ; n++ {
-		pause := time.NewTimer(time.Duration(random.ExpFloat64() * float64(every)))
+		pause := time.NewTimer(time.Duration(random.ExpFloat64() * float64(interval)))
 		select {
 		case <-ctx.Done():
 			pause.Stop()
@@ -97,10 +97,10 @@
 		case <-pause.C:
 		}
 		f := drawFault(random)
-		own := rand.New(rand.NewPCG(seed, 10_000+n))
+		faultRandom := rand.New(rand.NewPCG(seed, 10_000+n))
 		work.Go(func() {
 			in.count(f.name, 1)
-			f.inject(in, own)
+			f.inject(in, faultRandom)
 		})
 	}
 }
@@ -121,15 +121,15 @@
 }
 
 // count adds to the count of a fault.
-func (in *injector) count(what string, n int) {
+func (in *injector) count(name string, n int) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	in.faultCounts[what] += n
+	in.faultCounts[name] += n
 }
 
-// randomDuration draws a duration between two limits.
-func randomDuration(random *rand.Rand, least, most time.Duration) time.Duration {
-	return least + time.Duration(random.Int64N(int64(most-least)+1))
+// randomDuration draws a duration between two limits, both included.
+func randomDuration(random *rand.Rand, shortest, longest time.Duration) time.Duration {
+	return shortest + time.Duration(random.Int64N(int64(longest-shortest)+1))
 }
 
 // millis returns a number of milliseconds as a duration.
@@ -137,27 +137,27 @@
 
 // applyFor applies a fault to proxies, except those to which another call applies it already, and reverts it after a
 // duration on those to which no other call still applies it.
-func (in *injector) applyFor(held map[*standin.Proxy]int, paths []*standin.Proxy, d time.Duration, begin, end func(*standin.Proxy) error) {
+func (in *injector) applyFor(counts map[*standin.Proxy]int, proxies []*standin.Proxy, d time.Duration, apply, revert func(*standin.Proxy) error) {
 	in.mu.Lock()
 	var fresh []*standin.Proxy
-	for _, p := range paths {
-		if held[p]++; held[p] == 1 {
+	for _, p := range proxies {
+		if counts[p]++; counts[p] == 1 {
 			fresh = append(fresh, p)
 		}
 	}
 	in.mu.Unlock()
-	in.inParallel(fresh, begin)
+	in.inParallel(fresh, apply)
 	time.Sleep(d)
 	in.mu.Lock()
 	var last []*standin.Proxy
-	for _, p := range paths {
-		if held[p]--; held[p] == 0 {
-			delete(held, p)
+	for _, p := range proxies {
+		if counts[p]--; counts[p] == 0 {
+			delete(counts, p)
 			last = append(last, p)
 		}
 	}
 	in.mu.Unlock()
-	in.inParallel(last, end)
+	in.inParallel(last, revert)
 }
 
 // inParallel calls do for each proxy concurrently. A failure is an error of the soak itself.
--- a/internal/soak/faults_discovery.go
+++ b/internal/soak/faults_discovery.go
@@ -12,19 +12,19 @@
 // it.
 func (in *injector) discoveryDown(random *rand.Rand) {
 	in.testbed.Directory.BeginOutage()
-	var beside sync.WaitGroup
-	defer beside.Wait()
+	var drains sync.WaitGroup
+	defer drains.Wait()
 	drain := func() {
 		if e := in.claimEngine(random); e != nil {
 			in.count("drains around an outage of discovery", 1)
-			own := rand.New(rand.NewPCG(random.Uint64(), 4))
-			beside.Go(func() { in.drainEngine(e, own) })
+			drainRandom := rand.New(rand.NewPCG(random.Uint64(), 4))
+			drains.Go(func() { in.drainEngine(e, drainRandom) })
 		}
 	}
-	down := randomDuration(random, millis(500), millis(5000))
-	time.Sleep(down / 2)
+	outage := randomDuration(random, millis(500), millis(5000))
+	time.Sleep(outage / 2)
 	drain()
-	time.Sleep(down / 2)
+	time.Sleep(outage / 2)
 	in.testbed.Directory.EndOutage()
 	time.Sleep(randomDuration(random, 0, millis(600)))
 	drain()
--- a/internal/soak/faults_engines.go
+++ b/internal/soak/faults_engines.go
@@ -10,17 +10,17 @@
 	standin "mintdoor/internal/standin/chat"
 )
 
-// pickEngines picks a random subset of the engines, at least one.
-func (in *injector) pickEngines(random *rand.Rand, most float64) []*standin.Engine {
+// pickEngines picks a random subset of the engines: at least one, and at most a fraction.
+func (in *injector) pickEngines(random *rand.Rand, maxFraction float64) []*standin.Engine {
 	all := in.testbed.Engines()
 	random.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
-	n := 1 + random.IntN(max(int(most*float64(len(all))), 1))
+	n := 1 + random.IntN(max(int(maxFraction*float64(len(all))), 1))
 	return all[:min(n, len(all))]
 }
 
 // applyBehaviour gives engines a behaviour until the returned function is called. The behaviours that several faults
 // give one engine are combined.
-func (in *injector) applyBehaviour(engines []*standin.Engine, b standin.Behaviour) (release func()) {
+func (in *injector) applyBehaviour(engines []*standin.Engine, b standin.Behaviour) (revert func()) {
 	for _, e := range engines {
 		in.mu.Lock()
 		in.behaviours[e.ID()] = append(in.behaviours[e.ID()], &b)
@@ -58,24 +58,24 @@
 
 // hangEngines makes up to half of the engines hang.
 func (in *injector) hangEngines(random *rand.Rand) {
-	release := in.applyBehaviour(in.pickEngines(random, 0.5), standin.Behaviour{Hang: true})
+	revert := in.applyBehaviour(in.pickEngines(random, 0.5), standin.Behaviour{Hang: true})
 	time.Sleep(randomDuration(random, millis(300), millis(4000)))
-	release()
+	revert()
 }
 
-// failEngines makes a few engines fail in random ways.
+// failEngines makes up to 30% of the engines fail in random ways.
 func (in *injector) failEngines(random *rand.Rand) {
-	share := func() float64 {
+	odds := func() float64 {
 		if random.IntN(3) > 0 {
 			return 0
 		}
 		return 0.5 * random.Float64()
 	}
-	release := in.applyBehaviour(in.pickEngines(random, 0.3), standin.Behaviour{Refuse: share(), Fail: share(), ResetAtStart: share(),
-		ResetInStream: share(), MalformedAnswer: share(), MalformedStream: share(), EndlessHeader: share() / 2, DuplicateAnswer: share(),
-		InterimResponse: share(), CloseAfterAnswer: 2 * share(), Slowdown: 1 + 4*share()})
+	revert := in.applyBehaviour(in.pickEngines(random, 0.3), standin.Behaviour{Refuse: odds(), Fail: odds(), ResetAtStart: odds(),
+		ResetInStream: odds(), MalformedAnswer: odds(), MalformedStream: odds(), EndlessHeader: odds() / 2, DuplicateAnswer: odds(),
+		InterimResponse: odds(), CloseAfterAnswer: 2 * odds(), Slowdown: 1 + 4*odds()})
 	time.Sleep(randomDuration(random, millis(500), millis(5000)))
-	release()
+	revert()
 }
 
 // minEnginesPerRole is how many engines of a role are always kept.
--- a/internal/soak/faults_fleet.go
+++ b/internal/soak/faults_large.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	// minEnginesForLargeFault is the number of engines from which on these faults are injected.
+	// minEnginesForLargeFault is the minimum number of engines for these faults.
 	minEnginesForLargeFault = 100
-	// releaseSteps is the number of steps in which engines are replaced.
-	releaseSteps = 8
+	// rolloutSteps is the number of steps in which engines are replaced.
+	rolloutSteps = 8
 )
 
 // beginLarge reports whether a fault of many engines may begin, and marks it as begun.
@@ -44,7 +44,7 @@
 	defer in.endLarge()
 	leaving := in.claimEngines(in.pickEngines(random, 0.5))
 	in.count("engines replaced in releases", len(leaving))
-	size := (len(leaving) + releaseSteps - 1) / releaseSteps
+	size := (len(leaving) + rolloutSteps - 1) / rolloutSteps
 	for len(leaving) > 0 {
 		step := leaving[:min(size, len(leaving))]
 		leaving = leaving[len(step):]
@@ -65,10 +65,10 @@
 	}
 	defer in.endLarge()
 	lost := map[*engineGroup]bool{}
-	var paths []*standin.Proxy
+	var proxies []*standin.Proxy
 	for _, g := range in.pickGroups(random, 0.4) {
 		lost[g] = true
-		paths = append(paths, g.proxies...)
+		proxies = append(proxies, g.proxies...)
 	}
 	var engines []*standin.Engine
 	for _, e := range in.testbed.Engines() {
@@ -76,16 +76,16 @@
 			engines = append(engines, e)
 		}
 	}
-	told := make(chan struct{})
-	listedAfter := randomDuration(random, millis(1000), millis(4000))
+	unlisted := make(chan struct{})
+	unlistDelay := randomDuration(random, millis(1000), millis(4000))
 	go func() {
-		defer close(told)
-		time.Sleep(listedAfter)
+		defer close(unlisted)
+		time.Sleep(unlistDelay)
 		engines = in.claimEngines(engines)
 		in.removeEngines(engines)
 	}()
-	in.dropTrafficFor(paths, listedAfter+randomDuration(random, millis(500), millis(2500)))
-	<-told
+	in.dropTrafficFor(proxies, unlistDelay+randomDuration(random, millis(500), millis(2500)))
+	<-unlisted
 	in.count("engines vanished", len(engines))
 	in.startReplacements(engines)
 }
--- a/internal/soak/faults_network.go
+++ b/internal/soak/faults_network.go
@@ -9,20 +9,20 @@
 	standin "mintdoor/internal/standin/chat"
 )
 
-// pickGroups picks a random subset of the networks, at least one.
-func (in *injector) pickGroups(random *rand.Rand, most float64) []*engineGroup {
+// pickGroups picks a random subset of the networks: at least one, and at most a fraction.
+func (in *injector) pickGroups(random *rand.Rand, maxFraction float64) []*engineGroup {
 	all := append([]*engineGroup(nil), in.testbed.groups...)
 	random.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
-	n := 1 + random.IntN(max(int(most*float64(len(all))), 1))
+	n := 1 + random.IntN(max(int(maxFraction*float64(len(all))), 1))
 	return all[:min(n, len(all))]
 }
 
-// pickProxies picks the proxies between a random part of the routers and some engine groups.
-func (in *injector) pickProxies(random *rand.Rand, routers, engines float64) []*standin.Proxy {
+// pickProxies picks the proxies between random routers, each with a probability, and a random subset of the networks.
+func (in *injector) pickProxies(random *rand.Rand, routerOdds, maxGroupFraction float64) []*standin.Proxy {
 	var out []*standin.Proxy
-	chosen := in.pickGroups(random, engines)
+	chosen := in.pickGroups(random, maxGroupFraction)
 	for i := range in.testbed.Routers {
-		if random.Float64() >= routers {
+		if random.Float64() >= routerOdds {
 			continue
 		}
 		for _, g := range chosen {
@@ -55,25 +55,25 @@
 // dropTrafficOfRole drops the traffic of most engines of a role at the same time.
 func (in *injector) dropTrafficOfRole(random *rand.Rand) {
 	writers := random.IntN(2) == 0
-	var paths []*standin.Proxy
+	var proxies []*standin.Proxy
 	for _, g := range in.testbed.groups {
 		if g.writers == writers && random.IntN(5) > 0 {
-			paths = append(paths, g.proxies...)
+			proxies = append(proxies, g.proxies...)
 		}
 	}
-	in.dropTrafficFor(paths, randomDuration(random, millis(500), millis(1500)))
+	in.dropTrafficFor(proxies, randomDuration(random, millis(500), millis(1500)))
 }
 
 // dropTrafficFor drops the traffic of proxies for a duration.
-func (in *injector) dropTrafficFor(paths []*standin.Proxy, d time.Duration) {
-	in.applyFor(in.silent, paths, d, (*standin.Proxy).DropTraffic, (*standin.Proxy).RestoreTraffic)
+func (in *injector) dropTrafficFor(proxies []*standin.Proxy, d time.Duration) {
+	in.applyFor(in.silent, proxies, d, (*standin.Proxy).DropTraffic, (*standin.Proxy).RestoreTraffic)
 }
 
 // delayNewConnections delays the data of new connections for a while.
 func (in *injector) delayNewConnections(random *rand.Rand) {
-	late := randomDuration(random, millis(20), millis(200))
+	delay := randomDuration(random, millis(20), millis(200))
 	in.applyFor(in.slow, in.pickProxies(random, 1, 0.5), randomDuration(random, millis(1000), millis(4000)),
-		func(p *standin.Proxy) error { p.DelayNewConnections(late); return nil },
+		func(p *standin.Proxy) error { p.DelayNewConnections(delay); return nil },
 		func(p *standin.Proxy) error { p.DelayNewConnections(0); return nil })
 }
 
--- a/internal/soak/faults_processes.go
+++ b/internal/soak/faults_processes.go
@@ -49,7 +49,7 @@
 	}
 	if err != nil {
 		in.mu.Lock()
-		in.failedStarts = append(in.failedStarts, err.Error())
+		in.routerFailures = append(in.routerFailures, err.Error())
 		in.mu.Unlock()
 		return
 	}
@@ -64,33 +64,33 @@
 		return
 	}
 	defer in.releaseRouter(r)
-	var beside sync.WaitGroup
-	defer beside.Wait()
+	var background sync.WaitGroup
+	defer background.Wait()
 	killed := make(chan struct{})
 	if random.IntN(2) == 0 {
 		in.count("engines hang through a shutdown", 1)
-		release := in.applyBehaviour(in.pickEngines(random, 0.5), standin.Behaviour{Hang: true})
-		beside.Go(func() {
+		revert := in.applyBehaviour(in.pickEngines(random, 0.5), standin.Behaviour{Hang: true})
+		background.Go(func() {
 			<-killed
-			release()
+			revert()
 		})
 	}
-	heldUp := time.Duration(0)
+	pauseTime := time.Duration(0)
 	if random.IntN(3) == 0 {
 		in.count("SIGTERM taken late", 1)
-		heldUp = randomDuration(random, millis(20), millis(150))
+		pauseTime = randomDuration(random, millis(20), millis(150))
 	}
 	in.traffic.sendAroundShutdown(r, random, func() {
-		if heldUp > 0 {
+		if pauseTime > 0 {
 			r.Signal(syscall.SIGSTOP)
 		}
 		r.Signal(syscall.SIGTERM)
 	})
 	terminated := time.Now()
-	time.Sleep(heldUp)
+	time.Sleep(pauseTime)
 	r.Signal(syscall.SIGCONT)
-	inShutdown := rand.New(rand.NewPCG(random.Uint64(), 3))
-	beside.Go(func() { in.injectDuringShutdown(r, inShutdown) })
+	shutdownRandom := rand.New(rand.NewPCG(random.Uint64(), 3))
+	background.Go(func() { in.injectDuringShutdown(r, shutdownRandom) })
 	time.Sleep(randomDuration(random, millis(200), millis(400)))
 	in.picker.setUp(r.Index, false)
 	select {
--- a/internal/soak/ask.go
+++ b/internal/soak/record.go
@@ -8,6 +8,7 @@
 // ending is how a connection ended without a complete answer.
 type ending uint8
 
+// The endings of connections.
 const (
 	endNone    ending = iota // it has not ended, or the answer is complete
 	endUnread                // reset: the router has not read the request
@@ -59,11 +60,11 @@
 }
 
 // add adds the record of a request.
-func (l *requestLog) add(a *requestRecord) {
+func (l *requestLog) add(rec *requestRecord) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(l.list) < maxRecords {
-		l.list = append(l.list, a)
+		l.list = append(l.list, rec)
 	}
 }
 
--- a/internal/soak/report.go
+++ b/internal/soak/report.go
@@ -26,39 +26,39 @@
 }
 
 // newReport counts the requests of a run by their results.
-func newReport(o *Options, e *evidence, struck map[string]int) *Report {
-	r := &Report{Seed: o.Seed, Routers: o.Routers, Length: o.Length, FaultCounts: struck}
+func newReport(o *Options, e *evidence, faultCounts map[string]int) *Report {
+	r := &Report{Seed: o.Seed, Routers: o.Routers, Length: o.Length, FaultCounts: faultCounts}
 	c := &r.Requests
 	c.Attempts, c.Probes, c.BadClients = len(e.record.Attempts), e.record.Probes, len(e.badClients)
-	for _, lives := range e.runs {
-		c.Processes += len(lives)
+	for _, runs := range e.runs {
+		c.Processes += len(runs)
 	}
-	for _, s := range e.soakPauses {
-		r.SoakPaused += s.Until.Sub(s.From)
+	for _, pause := range e.soakPauses {
+		r.SoakPaused += pause.Until.Sub(pause.From)
 	}
-	for _, a := range e.requests {
+	for _, rec := range e.requests {
 		c.Sent++
-		if !a.leftAt.IsZero() {
+		if !rec.leftAt.IsZero() {
 			c.ClientLeft++
-			r.countLeft(e, a)
+			r.countLeft(e, rec)
 		}
 		switch {
-		case !a.leftAt.IsZero():
-		case a.ending == endUnread:
+		case !rec.leftAt.IsZero():
+		case rec.ending == endUnread:
 			c.CrossedClose++
-		case a.status == 0:
+		case rec.status == 0:
 			c.Unanswered++
-		case a.refused():
+		case rec.refused():
 			c.Refused++
-		case a.status != 200:
+		case rec.status != 200:
 			c.Failed++
-		case !a.complete:
+		case !rec.complete:
 			c.CutOff++
 		default:
 			c.Served++
 		}
-		if a.note != "" {
-			struck[a.note]++
+		if rec.note != "" {
+			faultCounts[rec.note]++
 		}
 	}
 	return r
@@ -66,11 +66,11 @@
 
 // countLeft counts a client that left. Its leaving has an effect only if an attempt was in flight at that time, which
 // is counted as well.
-func (r *Report) countLeft(e *evidence, a *requestRecord) {
+func (r *Report) countLeft(e *evidence, rec *requestRecord) {
 	r.FaultCounts["clients left"]++
-	for _, t := range e.attempts[a.id] {
-		if t.LastByte.Before(a.leftAt) && (t.Ended.IsZero() || t.Ended.After(a.leftAt)) {
-			r.FaultCounts["clients left an attempt that was out"]++
+	for _, t := range e.attempts[rec.id] {
+		if t.LastByte.Before(rec.leftAt) && (t.Ended.IsZero() || t.Ended.After(rec.leftAt)) {
+			r.FaultCounts["clients left an attempt in flight"]++
 			return
 		}
 	}
--- a/internal/soak/router.go
+++ b/internal/soak/router.go
@@ -89,29 +89,29 @@
 }
 
 // watchProcess reads a process's log until the process ends.
-func (r *Router) watchProcess(cmd *exec.Cmd, log io.Reader, life *ProcessRun, done chan struct{}) {
+func (r *Router) watchProcess(cmd *exec.Cmd, log io.Reader, run *ProcessRun, done chan struct{}) {
 	lines := bufio.NewScanner(log)
 	lines.Buffer(nil, 1<<20)
 	for lines.Scan() {
-		r.handleLogLine(life, lines.Text())
+		r.handleLogLine(run, lines.Text())
 	}
 	io.Copy(io.Discard, log) // after a line that is too long
 	err := cmd.Wait()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	life.Exited = time.Now()
+	run.Exited = time.Now()
 	var exit *exec.ExitError
 	if errors.As(err, &exit) {
-		life.ExitCode = exit.ExitCode()
+		run.ExitCode = exit.ExitCode()
 		if status, ok := exit.Sys().(syscall.WaitStatus); ok {
-			life.Signaled = status.Signaled()
+			run.Signaled = status.Signaled()
 		}
 	}
 	close(done)
 }
 
-// handleLogLine keeps a log line, and collects violations and panics.
-func (r *Router) handleLogLine(life *ProcessRun, text string) {
+// handleLogLine writes a log line to the router's log file, and collects violations and panics.
+func (r *Router) handleLogLine(run *ProcessRun, text string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.log != nil {
@@ -119,9 +119,9 @@
 	}
 	switch {
 	case strings.Contains(text, `msg="rule violated"`):
-		life.Violations = append(life.Violations, text)
+		run.Violations = append(run.Violations, text)
 	case strings.Contains(text, "panic"):
-		life.Panics = append(life.Panics, text)
+		run.Panics = append(run.Panics, text)
 	}
 }
 
@@ -229,9 +229,9 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []ProcessRun
-	for _, l := range r.runs {
-		copied := *l
-		copied.Pauses = append([]Pause(nil), l.Pauses...)
+	for _, run := range r.runs {
+		copied := *run
+		copied.Pauses = append([]Pause(nil), run.Pauses...)
 		out = append(out, copied)
 	}
 	return out
--- a/internal/soak/settings.go
+++ b/internal/soak/settings.go
@@ -40,11 +40,13 @@
 	Classes     []class     `json:"requestClasses"`
 }
 
+// feedback says how routers get the engines' load reports, and the names of their values.
 type feedback struct {
 	How   string   `json:"how"`
 	Names []string `json:"names"`
 }
 
+// family are the settings of a two-stage engine family, by engine kind or by class.
 type family struct {
 	HoldTimeout                time.Duration   `json:"letGoByNs"`
 	Roles                      []string        `json:"kindRole"`
@@ -53,10 +55,12 @@
 	FirstTokenTargetPerKMicros []int           `json:"aimUsPer1000PromptTokens"`
 }
 
+// costs are the costs that a router weighs against its value of a request.
 type costs struct {
 	Probe float64 `json:"probe"`
 }
 
+// obligations are the times and limits that a router has to keep.
 type obligations struct {
 	AnswerGrace      time.Duration `json:"graceToAnswerNs"`
 	DrainGrace       time.Duration `json:"drainGraceNs"`
@@ -66,6 +70,7 @@
 	SlowStartTime    time.Duration `json:"coldNs"`
 }
 
+// permissions are what a router is allowed to do.
 type permissions struct {
 	Probing       bool          `json:"probing"`
 	MayCancel     bool          `json:"mayCancel"`
@@ -76,7 +81,7 @@
 	ConnIdle      time.Duration `json:"connIdleNs"`
 }
 
-// class is a request class in the form of the settings.
+// class is a request class, with the keys of the settings.
 type class struct {
 	Name             string        `json:"name"`
 	FirstTokenTarget time.Duration `json:"aimNs"`
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -55,50 +55,50 @@
 	if o.Progress == nil {
 		o.Progress = io.Discard
 	}
-	w, err := NewTestbed(TestbedOptions{Program: o.Program, ConfigDir: o.ConfigDir, LogDir: o.LogDir, Routers: o.Routers, Readers: o.Readers, Writers: o.Writers,
+	tb, err := NewTestbed(TestbedOptions{Program: o.Program, ConfigDir: o.ConfigDir, LogDir: o.LogDir, Routers: o.Routers, Readers: o.Readers, Writers: o.Writers,
 		Timing: engineTiming, Seed: o.Seed})
 	if err != nil {
 		return nil, err
 	}
-	defer w.Close()
-	lags := watchOwnPauses()
-	f := newRouterPicker(w.Routers)
-	if err := startRouters(w, f); err != nil {
+	defer tb.Close()
+	ownPauses := watchOwnPauses()
+	picker := newRouterPicker(tb.Routers)
+	if err := startRouters(tb, picker); err != nil {
 		return nil, err
 	}
 	log := &requestLog{}
-	t := newTraffic(w, f, log, o.RequestsPerSecond*float64(o.Routers), o.Seed)
-	in := newInjector(w, t, f)
+	t := newTraffic(tb, picker, log, o.RequestsPerSecond*float64(o.Routers), o.Seed)
+	in := newInjector(tb, t, picker)
 	if o.CPUShare > 0 {
-		throttled, endThrottle := context.WithCancel(ctx)
+		throttleCtx, endThrottle := context.WithCancel(ctx)
 		defer endThrottle()
-		w.throttle(throttled, o.CPUShare)
+		tb.throttle(throttleCtx, o.CPUShare)
 	}
-	began := time.Now()
+	start := time.Now()
 	trafficCtx, endTraffic := context.WithCancel(ctx)
 	defer endTraffic()
 	var work sync.WaitGroup
 	work.Go(func() { t.run(trafficCtx) })
-	struckCtx, endFaults := context.WithTimeout(ctx, o.Length)
+	faultCtx, endFaults := context.WithTimeout(ctx, o.Length)
 	defer endFaults()
-	work.Go(func() { printProgress(struckCtx, o.Progress, began, log) })
-	in.run(struckCtx, o.FaultInterval, o.Seed)
+	work.Go(func() { printProgress(faultCtx, o.Progress, start, log) })
+	in.run(faultCtx, o.FaultInterval, o.Seed)
 	endTraffic()
 	work.Wait()
 	if err := ctx.Err(); err != nil {
 		return nil, err
 	}
-	stopRouters(w, in)
+	stopRouters(tb, in)
 	if in.injectErr != nil {
 		return nil, fmt.Errorf("a fault could not be injected: %w", in.injectErr)
 	}
-	e := &evidence{began: began, routers: o.Routers, classes: w.opts.classes, params: w.opts.params, timing: w.opts.Timing,
-		readerSlots: w.opts.slots(false), writerSlots: w.opts.slots(true), requests: log.list, badClients: log.bad,
-		record: w.Cluster.Record(), coldStarts: w.coldStarts, failedStarts: in.failedStarts, soakPauses: lags(), slack: o.Slack}
-	for _, r := range w.Routers {
+	e := &evidence{startedAt: start, routers: o.Routers, classes: tb.opts.classes, params: tb.opts.params, timing: tb.opts.Timing,
+		readerSlots: tb.opts.slots(false), writerSlots: tb.opts.slots(true), requests: log.list, badClients: log.bad,
+		record: tb.Cluster.Record(), coldStarts: tb.coldStarts, routerFailures: in.routerFailures, soakPauses: ownPauses(), slack: o.Slack}
+	for _, r := range tb.Routers {
 		e.runs = append(e.runs, r.Runs())
-		e.drainsReported = append(e.drainsReported, drainReports(w.agentsOf(r.Index)))
-		e.reachability = append(e.reachability, w.reachabilityOf(r.Index))
+		e.drainsReported = append(e.drainsReported, drainReports(tb.agentsOf(r.Index)))
+		e.reachability = append(e.reachability, tb.reachabilityOf(r.Index))
 	}
 	if e.record.Overflow {
 		return nil, errors.New("the run was too long: its record is incomplete")
@@ -110,32 +110,32 @@
 }
 
 // startRouters starts all routers and waits until they are ready.
-func startRouters(w *Testbed, f *routerPicker) error {
-	for _, r := range w.Routers {
+func startRouters(tb *Testbed, picker *routerPicker) error {
+	for _, r := range tb.Routers {
 		if err := r.Start(); err != nil {
 			return err
 		}
 	}
-	for _, r := range w.Routers {
+	for _, r := range tb.Routers {
 		if err := r.AwaitReady(startTimeout); err != nil {
 			return err
 		}
-		f.setUp(r.Index, true)
+		picker.setUp(r.Index, true)
 	}
 	return nil
 }
 
 // stopRouters sends SIGTERM to all routers. Each has to end by itself, since no client is left.
-func stopRouters(w *Testbed, in *injector) {
-	for _, r := range w.Routers {
+func stopRouters(tb *Testbed, in *injector) {
+	for _, r := range tb.Routers {
 		r.Signal(syscall.SIGTERM)
 	}
-	for _, r := range w.Routers {
+	for _, r := range tb.Routers {
 		select {
 		case <-r.Ended():
 		case <-time.After(2 * in.killDelay):
 			in.mu.Lock()
-			in.failedStarts = append(in.failedStarts, fmt.Sprintf("router %d did not end although no client was left", r.Index))
+			in.routerFailures = append(in.routerFailures, fmt.Sprintf("router %d did not end although no client was left", r.Index))
 			in.mu.Unlock()
 		}
 	}
@@ -145,7 +145,7 @@
 // the intervals.
 func watchOwnPauses() func() []Pause {
 	done, ended := make(chan struct{}), make(chan struct{})
-	var lags []Pause
+	var pauses []Pause
 	go func() {
 		defer close(ended)
 		tick := time.NewTicker(pauseCheckInterval)
@@ -158,7 +158,7 @@
 			}
 			now := time.Now()
 			if now.Sub(last) > pauseCheckInterval+pauseThreshold {
-				lags = append(lags, Pause{From: last, Until: now})
+				pauses = append(pauses, Pause{From: last, Until: now})
 			}
 			last = now
 		}
@@ -166,12 +166,12 @@
 	return func() []Pause {
 		close(done)
 		<-ended
-		return lags
+		return pauses
 	}
 }
 
 // printProgress prints the number of requests at each progress interval.
-func printProgress(ctx context.Context, out io.Writer, began time.Time, log *requestLog) {
+func printProgress(ctx context.Context, out io.Writer, start time.Time, log *requestLog) {
 	tick := time.NewTicker(progressInterval)
 	defer tick.Stop()
 	for {
@@ -182,7 +182,7 @@
 			log.mu.Lock()
 			n := len(log.list)
 			log.mu.Unlock()
-			fmt.Fprintf(out, "%v: %d requests\n", time.Since(began).Round(time.Second), n)
+			fmt.Fprintf(out, "%v: %d requests\n", time.Since(start).Round(time.Second), n)
 		}
 	}
 }
@@ -208,8 +208,8 @@
 			add(p.FaultCounts())
 		}
 	}
-	for _, of := range in.testbed.agents {
-		for _, a := range of {
+	for _, agents := range in.testbed.agents {
+		for _, a := range agents {
 			add(a.FaultCounts())
 		}
 	}
--- a/internal/soak/world.go
+++ b/internal/soak/testbed.go
@@ -42,7 +42,7 @@
 	Directory *standin.Directory
 	Routers   []*Router
 
-	machines *standin.EngineListener
+	listener *standin.EngineListener
 
 	mu               sync.Mutex
 	engines          map[string]*standin.Engine
@@ -75,18 +75,18 @@
 	if o.params == (ruleParams{}) {
 		o.params = defaultRuleParams()
 	}
-	machines, err := standin.NewEngineListener()
+	listener, err := standin.NewEngineListener()
 	if err != nil {
 		return nil, err
 	}
-	w := &Testbed{opts: o, Cluster: standin.NewCluster(), Directory: standin.NewDirectory(), machines: machines,
+	tb := &Testbed{opts: o, Cluster: standin.NewCluster(), Directory: standin.NewDirectory(), listener: listener,
 		engines: map[string]*standin.Engine{}, members: map[string]watch.Member{}, leaving: map[string]bool{},
 		coldStarts: map[string]time.Time{}, agents: map[int][]*standin.Agent{}, groupOf: map[string]*engineGroup{}}
-	if err := w.build(); err != nil {
-		w.Close()
+	if err := tb.build(); err != nil {
+		tb.Close()
 		return nil, err
 	}
-	return w, nil
+	return tb, nil
 }
 
 // build makes the networks, the routers' configurations and the engines.
@@ -141,17 +141,17 @@
 
 // slots returns how many requests an engine of a role processes at once.
 func (o *TestbedOptions) slots(writer bool) int {
-	n, most, share := o.Readers, maxReaderSlots, readerSlotsPerRouter
+	n, maxSlots, slotsPerRouter := o.Readers, maxReaderSlots, readerSlotsPerRouter
 	if writer {
-		n, most, share = o.Writers, maxWriterSlots, writerSlotsPerRouter
+		n, maxSlots, slotsPerRouter = o.Writers, maxWriterSlots, writerSlotsPerRouter
 	}
 	if n <= maxFullSlotEngines {
-		return most
+		return maxSlots
 	}
-	return min(max(share*o.Routers/n, minSlots), most)
+	return min(max(slotsPerRouter*o.Routers/n, minSlots), maxSlots)
 }
 
-// routerHost and agentHost return the loopback addresses of a router and of its discovery agents.
+// routerHost and agentHost return the loopback addresses of a router and of its discovery agents, by its number.
 func routerHost(i int) string { return fmt.Sprintf("127.20.%d.%d", i>>8, i&0xff) }
 func agentHost(i int) string  { return fmt.Sprintf("127.40.%d.%d", i>>8, i&0xff) }
 
@@ -218,16 +218,16 @@
 func (tb *Testbed) reachabilityOf(router int) map[string]*reachability {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
-	silences := map[*engineGroup][]standin.Interval{}
+	networkOutages := map[*engineGroup][]standin.Interval{}
 	for _, g := range tb.groups {
-		silences[g] = g.proxies[router].Outages()
+		networkOutages[g] = g.proxies[router].Outages()
 	}
 	out := map[string]*reachability{}
 	for _, e := range tb.allEngines {
-		p := &reachability{since: e.StartTime(), outages: e.Downtimes()}
-		p.outages = append(p.outages, silences[tb.groupOf[e.ID()]]...)
-		slices.SortFunc(p.outages, func(a, b standin.Interval) int { return a.From.Compare(b.From) })
-		out[e.ID()] = p
+		r := &reachability{since: e.StartTime(), outages: e.Downtimes()}
+		r.outages = append(r.outages, networkOutages[tb.groupOf[e.ID()]]...)
+		slices.SortFunc(r.outages, func(a, b standin.Interval) int { return a.From.Compare(b.From) })
+		out[e.ID()] = r
 	}
 	return out
 }
@@ -265,7 +265,7 @@
 	}
 	id := fmt.Sprintf("%s%d", prefix, tb.lastEngineNumber)
 	e, err := standin.NewEngine(standin.EngineOptions{ID: id, Writer: writer, Cluster: tb.Cluster, Timing: tb.opts.Timing,
-		MaxInFlight: tb.opts.slots(writer), Seed: tb.opts.Seed + uint64(tb.lastEngineNumber), Listener: tb.machines})
+		MaxInFlight: tb.opts.slots(writer), Seed: tb.opts.Seed + uint64(tb.lastEngineNumber), Listener: tb.listener})
 	if err != nil {
 		return m, err
 	}
@@ -285,13 +285,13 @@
 }
 
 // smallestGroup returns the group of a role with the fewest engines. mu is held.
-func (tb *Testbed) smallestGroup(writers bool) (least *engineGroup) {
+func (tb *Testbed) smallestGroup(writers bool) (smallest *engineGroup) {
 	for _, g := range tb.groups {
-		if g.writers == writers && (least == nil || g.size < least.size) {
-			least = g
+		if g.writers == writers && (smallest == nil || g.size < smallest.size) {
+			smallest = g
 		}
 	}
-	return least
+	return smallest
 }
 
 // Engines returns the running engines, sorted by id.
@@ -414,9 +414,9 @@
 			p.Close()
 		}
 	}
-	tb.machines.Close()
-	for _, of := range agents {
-		for _, a := range of {
+	tb.listener.Close()
+	for _, agentsOfRouter := range agents {
+		for _, a := range agentsOfRouter {
 			a.Close()
 		}
 	}
--- a/internal/soak/traffic.go
+++ b/internal/soak/traffic.go
@@ -37,22 +37,22 @@
 // traffic is the clients of a run.
 type traffic struct {
 	testbed    *Testbed
-	front      *routerPicker
+	picker     *routerPicker
 	log        *requestLog
 	rate       float64 // requests per second over all routers
 	odds       behaviourOdds
 	seed       uint64
-	lastNumber atomic.Uint64
+	lastNumber atomic.Uint64 // numbers clients and requests
 	work       sync.WaitGroup
-	slots      chan struct{}
+	slots      chan struct{} // one per running client
 
 	mu   sync.Mutex
 	idle map[int][]*conn // by router
 }
 
 // newTraffic returns traffic that has not started.
-func newTraffic(w *Testbed, f *routerPicker, log *requestLog, rate float64, seed uint64) *traffic {
-	return &traffic{testbed: w, front: f, log: log, rate: rate, odds: defaultBehaviourOdds(), seed: seed, slots: make(chan struct{}, maxClients),
+func newTraffic(tb *Testbed, picker *routerPicker, log *requestLog, rate float64, seed uint64) *traffic {
+	return &traffic{testbed: tb, picker: picker, log: log, rate: rate, odds: defaultBehaviourOdds(), seed: seed, slots: make(chan struct{}, maxClients),
 		idle: map[int][]*conn{}}
 }
 
@@ -92,43 +92,43 @@
 func (t *traffic) drawRequest(random *rand.Rand) *clientRequest {
 	index := random.IntN(len(t.testbed.opts.classes))
 	c := &t.testbed.opts.classes[index]
-	q := &clientRequest{id: fmt.Sprintf("%08x%08x", t.lastNumber.Add(1), random.Uint32()), class: c, index: index,
+	req := &clientRequest{id: fmt.Sprintf("%08x%08x", t.lastNumber.Add(1), random.Uint32()), class: c, index: index,
 		timeLeft: time.Duration((0.5 + random.Float64()/2) * float64(c.Deadline)), key: fmt.Sprintf("%016x", random.IntN(200))}
 	if random.Float64() < t.odds.shortDeadline {
-		q.timeLeft = time.Duration(1+random.IntN(150)) * time.Millisecond
+		req.timeLeft = time.Duration(1+random.IntN(150)) * time.Millisecond
 	}
-	return q
+	return req
 }
 
 // drawBehaviour draws how a client behaves.
 func (t *traffic) drawBehaviour(random *rand.Rand) *clientBehaviour {
-	m := &clientBehaviour{pieces: 1}
-	h := &t.odds
-	if random.Float64() < h.pieces {
-		m.pieces = 2 + random.IntN(5)
-		if random.Float64() < h.slow/h.pieces {
-			m.pause = time.Duration(random.IntN(80)) * time.Millisecond
+	b := &clientBehaviour{pieces: 1}
+	odds := &t.odds
+	if random.Float64() < odds.pieces {
+		b.pieces = 2 + random.IntN(5)
+		if random.Float64() < odds.slow/odds.pieces {
+			b.pause = time.Duration(random.IntN(80)) * time.Millisecond
 		}
 	}
-	if random.Float64() < h.leaves {
-		m.leaveAfter = time.Duration(1 + random.Int64N(int64(maxLeaveDelay)))
+	if random.Float64() < odds.leaves {
+		b.leaveAfter = time.Duration(1 + random.Int64N(int64(maxLeaveDelay)))
 		switch random.IntN(6) {
 		case 0:
-			m.leaveByReset = true
+			b.leaveByReset = true
 		case 1:
-			m.halfClose = true
+			b.halfClose = true
 		case 2:
-			m.trailing = "GET /up HTTP/1.1\r\nHost: a\r\n\r\n"
+			b.trailing = "GET /up HTTP/1.1\r\nHost: a\r\n\r\n"
 		}
 	}
-	return m
+	return b
 }
 
 // runClient is one client: it sends a request, and may retry if it is refused.
 func (t *traffic) runClient(random *rand.Rand) {
 	for range 1 + random.IntN(maxRetries) {
-		a := t.send(random, t.drawRequest(random), t.drawBehaviour(random))
-		if a == nil || !a.refused() || random.Float64() > t.odds.retries {
+		rec := t.send(random, t.drawRequest(random), t.drawBehaviour(random))
+		if rec == nil || !rec.refused() || random.Float64() > t.odds.retries {
 			return
 		}
 		time.Sleep(time.Duration(random.Float64() * float64(maxBackoff)))
@@ -137,10 +137,10 @@
 
 // send sends a request to a router and returns its record, or nil if no router could be reached. A request that
 // crosses the close of its connection is sent once more, under a new id.
-func (t *traffic) send(random *rand.Rand, q *clientRequest, m *clientBehaviour) *requestRecord {
+func (t *traffic) send(random *rand.Rand, req *clientRequest, behaviour *clientBehaviour) *requestRecord {
 	crossed := false
 	for range maxDialAttempts {
-		r := t.front.pick(random)
+		r := t.picker.pick(random)
 		if r == nil {
 			return nil
 		}
@@ -151,19 +151,19 @@
 				continue
 			}
 		}
-		a, reuse := c.exchange(q, m, random, t.log)
+		rec, reuse := c.exchange(req, behaviour, random, t.log)
 		if reuse && random.Float64() < t.odds.keepsConn {
 			t.keepIdle(c)
 		} else {
 			c.Close()
 		}
-		if a.ending != endUnread || crossed {
-			return a
+		if rec.ending != endUnread || crossed {
+			return rec
 		}
 		crossed = true
-		again := *q
-		again.id = fmt.Sprintf("%08x%08x", t.lastNumber.Add(1), random.Uint32())
-		q = &again
+		retry := *req
+		retry.id = fmt.Sprintf("%08x%08x", t.lastNumber.Add(1), random.Uint32())
+		req = &retry
 	}
 	return nil
 }
@@ -217,7 +217,7 @@
 // sendAroundShutdown adds clients at a router that is about to get a signal: some have just connected, some connect
 // afterwards, and all send a request on whatever connection stays open. signal sends the signal.
 func (t *traffic) sendAroundShutdown(r *Router, random *rand.Rand, signal func()) {
-	at := func(d time.Duration) time.Duration { return time.Duration(random.Int64N(int64(d))) }
+	upTo := func(d time.Duration) time.Duration { return time.Duration(random.Int64N(int64(d))) }
 	var conns []*conn
 	for range lateUnusedConns {
 		if c, err := dial(r); err == nil {
@@ -225,25 +225,25 @@
 		}
 	}
 	t.mu.Lock()
-	rested := t.idle[r.Index]
+	idle := t.idle[r.Index]
 	delete(t.idle, r.Index)
 	t.mu.Unlock()
 	signal()
-	killed := minKillDelay(t.testbed.opts.classes)
-	late := func() time.Duration {
+	killDelay := minKillDelay(t.testbed.opts.classes)
+	lateDelay := func() time.Duration {
 		if random.IntN(2) == 0 {
-			return at(killed)
+			return upTo(killDelay)
 		}
-		return at(lateSendWindow)
+		return upTo(lateSendWindow)
 	}
 	for _, c := range conns {
-		t.sendLate(c, late())
+		t.sendLate(c, lateDelay())
 	}
-	for _, c := range rested {
-		t.sendLate(c, at(killed))
+	for _, c := range idle {
+		t.sendLate(c, upTo(killDelay))
 	}
 	for range lateNewConns {
-		dialAfter, sendAfter := at(lateDialWindow), late()
+		dialAfter, sendAfter := upTo(lateDialWindow), lateDelay()
 		t.spawn(func(random *rand.Rand) {
 			time.Sleep(dialAfter)
 			if c, err := dial(r); err == nil {
@@ -265,9 +265,9 @@
 	if !c.isIdleOpen() {
 		return
 	}
-	m := &clientBehaviour{pieces: 1 + random.IntN(3), pause: time.Duration(random.IntN(60)) * time.Millisecond}
-	a, _ := c.exchange(t.drawRequest(random), m, random, t.log)
-	a.note = "late in a shutdown"
+	behaviour := &clientBehaviour{pieces: 1 + random.IntN(3), pause: time.Duration(random.IntN(60)) * time.Millisecond}
+	rec, _ := c.exchange(t.drawRequest(random), behaviour, random, t.log)
+	rec.note = "late in a shutdown"
 }
 
 // openIdleConns opens connections that send nothing, and closes them after a while. It returns how many could be
--- a/internal/standin/engine/core.go
+++ b/internal/standin/engine/core.go
@@ -22,7 +22,7 @@
 	PromptTokens, SharedTokens int                    // tokens
 	SessionID, PrefixID        string                 // keys in the prefix cache
 	AnswerTokens               int                    // tokens to write; 0: a read, whose KV state stays until Remove
-	NeedsState                 bool                   // an answer that waits for its KV state: StateFetched lets it begin
+	NeedsState                 bool                   // an answer that cannot begin before StateFetched
 	OnAdmitted                 func()                 // called when the task has a slot and memory
 	OnRead                     func(cached int)       // called when a read has finished
 	OnToken                    func(first, last bool) // called at the first and at the last token of an answer
@@ -50,8 +50,8 @@
 // SetSlowdown makes everything that the engine does slower by a factor.
 func (c *Core) SetSlowdown(factor float64) { c.model.slowdown = factor }
 
-// CountSend counts a send against the slow-start budget of a cold engine (the slow-start rule) and reports whether the engine has
-// failed under overload.
+// CountSend counts a send against the slow-start budget of a cold engine (the slow-start rule) and reports whether
+// the engine has failed under overload.
 func (c *Core) CountSend(now time.Time) bool {
 	c.model.countSend(now)
 	return c.model.overloaded
--- a/internal/standin/engine/model_test.go
+++ b/internal/standin/engine/model_test.go
@@ -80,7 +80,8 @@
 	}
 }
 
-// TestAdmissionLimitAndPreemption checks the limit of running and queued sequences, and preemption when memory runs out.
+// TestAdmissionLimitAndPreemption checks the limit of running and queued sequences, and preemption when memory runs
+// out.
 func TestAdmissionLimitAndPreemption(t *testing.T) {
 	m := newModel(smallSpec(), start, false)
 	for i, full := range []bool{false, false, false, true} {
@@ -157,7 +158,7 @@
 					runStep(m, start)
 				}
 				for _, s := range all {
-					if s.answerTokens == 0 && !s.removed && len(s.events) == 1 { // the read has ended: its KV state is held
+					if s.answerTokens == 0 && !s.removed && len(s.events) == 1 { // an ended read
 						<-s.events
 						held += s.blocks
 						s.removed = true
--- a/internal/standin/engine/server.go
+++ b/internal/standin/engine/server.go
@@ -40,7 +40,7 @@
 	OtherRole        *Spec         // the spec of its other role; nil: it has only one role
 	RoleChangeTime   time.Duration // duration of a role change, once the engine is empty
 	KeepsPrefixCache bool          // a role change keeps the prefix cache
-	Link             *Link         // the cell's outgoing link, shared by its engines; nil: only the port limits transfers
+	Link             *Link         // shared by the cell's engines; nil: only the port limits transfers
 	Seed             uint64
 	StartCold        bool       // the first start is cold
 	AuditLog         *audit.Log // nil: no audit records
--- a/internal/standin/fleet/fleet.go
+++ b/internal/standin/fleet/fleet.go
@@ -35,7 +35,7 @@
 	CrashListDelay      time.Duration // until a crashed engine leaves the list
 	SilenceListDelay    time.Duration // until an unresponsive engine leaves the list
 	StartListDelay      time.Duration // until a restarted engine returns to the list
-	LinkTokensPerSecond float64       // bandwidth of a cell's link in tokens per second; 0: only the port limits transfers
+	LinkTokensPerSecond float64       // bandwidth of a cell's link; 0: only the port limits transfers
 	Seed                uint64
 	AuditLog            *audit.Log
 	Log                 *slog.Logger
