--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -59,9 +59,9 @@
 	faultCounts    map[string]int
 	busyRouters    map[int]bool                    // routers whose process is stopping or starting
 	behaviours     map[string][]*standin.Behaviour // by engine: the behaviours that faults give it
-	silent         map[*standin.Proxy]int          // number of faults that drop the traffic
-	stalled        map[*standin.Proxy]int          // number of faults that stall dials
-	slow           map[*standin.Proxy]int          // number of faults that delay new connections
+	dropping       map[*standin.Proxy]int          // number of faults that drop the traffic
+	stallingDials  map[*standin.Proxy]int          // number of faults that stall dials
+	delaying       map[*standin.Proxy]int          // number of faults that delay new connections
 	routerFailures []string                        // failed starts and stops of routers
 	injectErr      error                           // an error of the soak itself
 }
@@ -69,8 +69,8 @@
 // newInjector returns an injector without faults.
 func newInjector(tb *Testbed, t *traffic, picker *routerPicker) *injector {
 	return &injector{testbed: tb, traffic: t, picker: picker, killDelay: minKillDelay(tb.opts.classes), readyTimeout: 30 * time.Second, faultCounts: map[string]int{},
-		busyRouters: map[int]bool{}, behaviours: map[string][]*standin.Behaviour{}, silent: map[*standin.Proxy]int{}, stalled: map[*standin.Proxy]int{},
-		slow: map[*standin.Proxy]int{}}
+		busyRouters: map[int]bool{}, behaviours: map[string][]*standin.Behaviour{}, dropping: map[*standin.Proxy]int{}, stallingDials: map[*standin.Proxy]int{},
+		delaying: map[*standin.Proxy]int{}}
 }
 
 // minKillDelay returns the minimum time from SIGTERM to SIGKILL: the longest deadline of a class, at most 3 s, plus
@@ -139,14 +139,14 @@
 // duration on those to which no other call still applies it.
 func (in *injector) applyFor(counts map[*standin.Proxy]int, proxies []*standin.Proxy, d time.Duration, apply, revert func(*standin.Proxy) error) {
 	in.mu.Lock()
-	var fresh []*standin.Proxy
+	var first []*standin.Proxy
 	for _, p := range proxies {
 		if counts[p]++; counts[p] == 1 {
-			fresh = append(fresh, p)
+			first = append(first, p)
 		}
 	}
 	in.mu.Unlock()
-	in.inParallel(fresh, apply)
+	in.inParallel(first, apply)
 	time.Sleep(d)
 	in.mu.Lock()
 	var last []*standin.Proxy
--- a/internal/soak/faults_network.go
+++ b/internal/soak/faults_network.go
@@ -66,19 +66,19 @@
 
 // dropTrafficFor drops the traffic of proxies for a duration.
 func (in *injector) dropTrafficFor(proxies []*standin.Proxy, d time.Duration) {
-	in.applyFor(in.silent, proxies, d, (*standin.Proxy).DropTraffic, (*standin.Proxy).RestoreTraffic)
+	in.applyFor(in.dropping, proxies, d, (*standin.Proxy).DropTraffic, (*standin.Proxy).RestoreTraffic)
 }
 
 // delayNewConnections delays the data of new connections for a while.
 func (in *injector) delayNewConnections(random *rand.Rand) {
 	delay := randomDuration(random, millis(20), millis(200))
-	in.applyFor(in.slow, in.pickProxies(random, 1, 0.5), randomDuration(random, millis(1000), millis(4000)),
+	in.applyFor(in.delaying, in.pickProxies(random, 1, 0.5), randomDuration(random, millis(1000), millis(4000)),
 		func(p *standin.Proxy) error { p.DelayNewConnections(delay); return nil },
 		func(p *standin.Proxy) error { p.DelayNewConnections(0); return nil })
 }
 
 // stallDials keeps dials from completing for a while.
 func (in *injector) stallDials(random *rand.Rand) {
-	in.applyFor(in.stalled, in.pickProxies(random, 0.5, 0.4), randomDuration(random, millis(300), millis(3000)),
+	in.applyFor(in.stallingDials, in.pickProxies(random, 0.5, 0.4), randomDuration(random, millis(300), millis(3000)),
 		(*standin.Proxy).StallDials, (*standin.Proxy).ResumeDials)
 }
--- a/internal/standin/engine/role_test.go
+++ b/internal/standin/engine/role_test.go
@@ -96,10 +96,10 @@
 		t.Errorf("%+v", r)
 	}
 	s.mu.Lock()
-	share := s.process.model.capacityFraction(time.Now())
+	capacity := s.process.model.capacityFraction(time.Now())
 	s.mu.Unlock()
-	if share > 0.9 {
-		t.Errorf("the engine restarted warm: %.2f of its capacity", share)
+	if capacity > 0.9 {
+		t.Errorf("the engine restarted warm: %.2f of its capacity", capacity)
 	}
 	if res := c.Prefill(t.Context(), s.Addr(), readCall("c")); res.Outcome != decide.Full {
 		t.Errorf("read at a writer: outcome %d", res.Outcome)
