--- a/internal/soak/check_answers.go
+++ b/internal/soak/check_answers.go
@@ -105,7 +105,7 @@
 // mayHaveExecuted reports whether the request may have had an effect, as far as anybody but its engines can know.
 func (e *evidence) mayHaveExecuted(rec *requestRecord) bool {
 	for _, t := range e.attempts[rec.id] {
-		if t.Writer && !t.Outcome.NeverRan() {
+		if t.Writer && !t.Outcome.NeverExecuted() {
 			return true
 		}
 	}
--- a/internal/soak/check_attempts.go
+++ b/internal/soak/check_attempts.go
@@ -58,7 +58,7 @@
 		if before.Ended.IsZero() || before.Ended.After(t.LastByte.Add(closeDetectionDelay+e.soakPausedFor(t.LastByte, before.Ended))) {
 			add(t, ruleSecondCopy, "sent to %s while an attempt at %s was in flight", t.Engine, before.Engine)
 		}
-		if !before.Writer || !t.Writer || before.Outcome.NeverRan() || t.Outcome.NeverRan() {
+		if !before.Writer || !t.Writer || before.Outcome.NeverExecuted() || t.Outcome.NeverExecuted() {
 			continue
 		}
 		switch {
--- a/internal/standin/chat/cluster.go
+++ b/internal/standin/chat/cluster.go
@@ -31,13 +31,8 @@
 		"engine died"}[o]
 }
 
-<<<<<<< HEAD
-// NeverRan reports whether an outcome proves that the request has had no effect.
-func (o Outcome) NeverRan() bool { return o == Refused || o == StateGone }
-=======
-// NeverExecuted tells whether an outcome proves that the request has had no effect.
+// NeverExecuted reports whether an outcome proves that the request has had no effect.
 func (o Outcome) NeverExecuted() bool { return o == Refused || o == StateGone }
->>>>>>> renames
 
 // Attempt is one request that has arrived at an engine, as the engine saw it.
 type Attempt struct {
--- a/internal/standin/fleet/fleet.go
+++ b/internal/standin/fleet/fleet.go
@@ -28,31 +28,17 @@
 
 // Config is the configuration of a Fleet.
 type Config struct {
-<<<<<<< HEAD
-	Groups              []Group
-	Cells               []string // "" alone: one cell without a name
-	Zone                string
-	ListPath            string        // path of the list file
-	CrashListDelay      time.Duration // until a crashed engine leaves the list
-	SilenceListDelay    time.Duration // until an unresponsive engine leaves the list
-	StartListDelay      time.Duration // until a restarted engine returns to the list
-	LinkTokensPerSecond float64       // bandwidth of a cell's link; 0: only the port limits transfers
-	Seed                uint64
-	AuditLog            *audit.Log
-	Log                 *slog.Logger
-=======
 	Groups                []Group
 	Cells                 []string // "" alone: one cell without a name
 	Zone                  string
 	ListPath              string        // path of the list file
-	CrashListDelay        time.Duration // until a death stands in the list
-	UnresponsiveListDelay time.Duration // until a silence does
-	StartListDelay        time.Duration // until a start does
-	LinkTokensPerSecond   float64       // tokens a second over a cell's link; 0: as the port
+	CrashListDelay        time.Duration // until a crashed engine leaves the list
+	UnresponsiveListDelay time.Duration // until an unresponsive engine leaves the list
+	StartListDelay        time.Duration // until a restarted engine returns to the list
+	LinkTokensPerSecond   float64       // bandwidth of a cell's link; 0: only the port limits transfers
 	Seed                  uint64
 	AuditLog              *audit.Log
 	Log                   *slog.Logger
->>>>>>> renames
 }
 
 // Fleet is a running fleet.
@@ -236,11 +222,7 @@
 	case "crash":
 		f.unlistUnlessRestarted(m, f.cfg.CrashListDelay, unlist)
 	case "vanish":
-<<<<<<< HEAD
-		f.unlistUnlessRestarted(m, f.cfg.SilenceListDelay, unlist)
-=======
-		f.goneUnlessBack(m, f.cfg.UnresponsiveListDelay, gone)
->>>>>>> renames
+		f.unlistUnlessRestarted(m, f.cfg.UnresponsiveListDelay, unlist)
 	case "ageing":
 		f.unlistUnlessRestarted(m, fault.Duration+f.cfg.CrashListDelay, unlist)
 	case "preempt":
