--- a/internal/soak/check_attempts.go
+++ b/internal/soak/check_attempts.go
@@ -52,7 +52,8 @@
 const closeDetectionDelay = 20 * time.Millisecond
 
 // checkAgainstEarlier checks an attempt against the earlier ones of its request.
-func (e *evidence) checkAgainstEarlier(earlier []*standin.Attempt, t *standin.Attempt, rec *requestRecord, add func(t *standin.Attempt, rule, format string, args ...any)) {
+func (e *evidence) checkAgainstEarlier(earlier []*standin.Attempt, t *standin.Attempt, rec *requestRecord,
+	add func(t *standin.Attempt, rule, format string, args ...any)) {
 	c := &e.classes[rec.class]
 	for _, before := range earlier {
 		if before.Ended.IsZero() || before.Ended.After(t.LastByte.Add(closeDetectionDelay+e.soakPausedFor(t.LastByte, before.Ended))) {
@@ -65,7 +66,8 @@
 		case c.RetryPolicy == retryUnsafe:
 			add(t, ruleDuplicate, "executed at %s (%s) and at %s (%s)", before.Engine, before.Outcome, t.Engine, t.Outcome)
 		case c.RetryPolicy == retryKeyed && t.Arrived.Sub(before.Arrived) > c.DedupWindow+socketSlack+e.soakAllowance(before.Arrived, t.Arrived):
-			add(t, ruleDuplicate, "retried %v after the first execution, over the deduplication window of %v", t.Arrived.Sub(before.Arrived), c.DedupWindow)
+			add(t, ruleDuplicate, "retried %v after the first execution, over the deduplication window of %v",
+				t.Arrived.Sub(before.Arrived), c.DedupWindow)
 		}
 	}
 }
@@ -133,7 +135,8 @@
 			allowed := e.params.overloadMultiple * e.params.initialCapacity * e.capacity(sent[i].Writer) * e.params.overloadWindow.Seconds()
 			if limit := maxColdSends(allowed); float64(n) > limit {
 				out = append(out, Finding{Rule: ruleSlowStart, Router: sent[i].Router, At: e.sinceStart(until),
-					Text: fmt.Sprintf("%d sends to %s within %v of its first %v; at most %.1f", n, id, e.params.overloadWindow, until.Sub(start), limit)})
+					Text: fmt.Sprintf("%d sends to %s within %v of its first %v; at most %.1f", n, id,
+						e.params.overloadWindow, until.Sub(start), limit)})
 				break
 			}
 		}
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -72,7 +72,8 @@
 	head := "POST " + platform.ChatPath + " HTTP/1.1\r\nHost: origin.svc\r\n" + platform.IDHeader + ": " + r.id + "\r\n" +
 		platform.ClassHeader + ": " + r.class.Name + "\r\n" + platform.SessionHeader + ": " + r.key + "\r\n" +
 		fmt.Sprintf("%s: %d\r\n", platform.TimeLeftHeader, r.timeLeft.Milliseconds()) +
-		fmt.Sprintf("%s: prefix=%x,prompt_len=%d,prefix_len=200,max_out=100\r\n", platform.FactsHeader, random.IntN(8), 300+random.IntN(1500))
+		fmt.Sprintf("%s: prefix=%x,prompt_len=%d,prefix_len=200,max_out=100\r\n", platform.FactsHeader,
+			random.IntN(8), 300+random.IntN(1500))
 	if r.class.RetryPolicy == retryKeyed {
 		head += "Idempotency-Key: " + r.id + "\r\n"
 	}
@@ -85,7 +86,8 @@
 // exchange sends a request on the connection and reads its answer. It reports whether the connection can be used
 // again.
 func (c *conn) exchange(req *clientRequest, behaviour *clientBehaviour, random *rand.Rand, log *requestLog) (*requestRecord, bool) {
-	rec := &requestRecord{id: req.id, class: req.index, router: c.router, timeLeft: req.timeLeft, firstOnConn: c.uses == 0, startedAt: time.Now()}
+	rec := &requestRecord{id: req.id, class: req.index, router: c.router, timeLeft: req.timeLeft,
+		firstOnConn: c.uses == 0, startedAt: time.Now()}
 	c.uses++
 	defer log.add(rec)
 	if !c.write(req.wireText(random), behaviour) {
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -68,7 +68,8 @@
 
 // newInjector returns an injector without faults.
 func newInjector(tb *Testbed, t *traffic, picker *routerPicker) *injector {
-	return &injector{testbed: tb, traffic: t, picker: picker, killDelay: minKillDelay(tb.opts.classes), readyTimeout: 30 * time.Second, faultCounts: map[string]int{},
+	return &injector{testbed: tb, traffic: t, picker: picker, killDelay: minKillDelay(tb.opts.classes),
+		readyTimeout: 30 * time.Second, faultCounts: map[string]int{},
 		busyRouters: map[int]bool{}, behaviours: map[string][]*standin.Behaviour{}, dropping: map[*standin.Proxy]int{}, stallingDials: map[*standin.Proxy]int{},
 		delaying: map[*standin.Proxy]int{}}
 }
@@ -137,7 +138,8 @@
 
 // applyFor applies a fault to proxies, except those to which another call applies it already, and reverts it after a
 // duration on those to which no other call still applies it.
-func (in *injector) applyFor(counts map[*standin.Proxy]int, proxies []*standin.Proxy, d time.Duration, apply, revert func(*standin.Proxy) error) {
+func (in *injector) applyFor(counts map[*standin.Proxy]int, proxies []*standin.Proxy, d time.Duration,
+	apply, revert func(*standin.Proxy) error) {
 	in.mu.Lock()
 	var first []*standin.Proxy
 	for _, p := range proxies {
--- a/internal/soak/faults_clients.go
+++ b/internal/soak/faults_clients.go
@@ -20,7 +20,8 @@
 // idleConnections opens many idle connections to one router.
 func (in *injector) idleConnections(random *rand.Rand) {
 	if r := in.picker.pick(random); r != nil {
-		in.count("idle connections opened", in.traffic.openIdleConns(r, 50+random.IntN(250), randomDuration(random, millis(500), millis(4000))))
+		in.count("idle connections opened", in.traffic.openIdleConns(r, 50+random.IntN(250),
+			randomDuration(random, millis(500), millis(4000))))
 	}
 }
 
--- a/internal/soak/report.go
+++ b/internal/soak/report.go
@@ -82,8 +82,8 @@
 // Print prints the report for a person.
 func (r *Report) Print(out io.Writer) {
 	c := &r.Requests
-	fmt.Fprintf(out, "soak: seed %d, %d routers (%d processes), %v, the soak itself did not run for %v\n", r.Seed, r.Routers, c.Processes,
-		r.Length, r.SoakPaused)
+	fmt.Fprintf(out, "soak: seed %d, %d routers (%d processes), %v, the soak itself did not run for %v\n", r.Seed,
+		r.Routers, c.Processes, r.Length, r.SoakPaused)
 	fmt.Fprintf(out, "requests: %d sent, %d served, %d refused, %d failed, %d cut off by their engines, %d left by their clients, "+
 		"%d crossed a close, %d without an answer; %d attempts, %d probes, %d bad clients\n",
 		c.Sent, c.Served, c.Refused, c.Failed, c.CutOff, c.ClientLeft, c.CrossedClose, c.Unanswered, c.Attempts, c.Probes, c.BadClients)
--- a/internal/soak/settings.go
+++ b/internal/soak/settings.go
@@ -115,16 +115,18 @@
 
 // defaultRuleParams returns the values of a usual run.
 func defaultRuleParams() ruleParams {
-	return ruleParams{holdTimeout: time.Second, drainGrace: time.Second, dialTimeout: 250 * time.Millisecond, slowStartTime: 6 * time.Second,
-		overloadWindow: time.Second, overloadMultiple: 2.5, initialCapacity: 0.3, maxAttempts: 6}
+	return ruleParams{holdTimeout: time.Second, drainGrace: time.Second, dialTimeout: 250 * time.Millisecond,
+		slowStartTime: 6 * time.Second, overloadWindow: time.Second, overloadMultiple: 2.5, initialCapacity: 0.3, maxAttempts: 6}
 }
 
 // defaultClasses returns one class of each retry policy.
 func defaultClasses() []class {
 	return []class{
-		{Name: "price-ask", FirstTokenTarget: 800 * time.Millisecond, Deadline: 2500 * time.Millisecond, Value: 1, RetryPolicy: retrySafe},
+		{Name: "price-ask", FirstTokenTarget: 800 * time.Millisecond, Deadline: 2500 * time.Millisecond, Value: 1,
+			RetryPolicy: retrySafe},
 		{Name: "pen-booking", FirstTokenTarget: 1200 * time.Millisecond, Deadline: 4 * time.Second, Value: 3, RetryPolicy: retryUnsafe},
-		{Name: "stall-order", FirstTokenTarget: time.Second, Deadline: 3 * time.Second, Value: 2, RetryPolicy: retryKeyed, DedupScope: "all", DedupWindow: 1500 * time.Millisecond},
+		{Name: "stall-order", FirstTokenTarget: time.Second, Deadline: 3 * time.Second, Value: 2,
+			RetryPolicy: retryKeyed, DedupScope: "all", DedupWindow: 1500 * time.Millisecond},
 	}
 }
 
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -44,7 +44,8 @@
 )
 
 // engineTiming is how long engines take. A stream takes about a second.
-var engineTiming = standin.Timing{ReadTime: 40 * time.Millisecond, FirstTokenTime: 30 * time.Millisecond, EventInterval: 60 * time.Millisecond, EventsPerStream: 14}
+var engineTiming = standin.Timing{ReadTime: 40 * time.Millisecond, FirstTokenTime: 30 * time.Millisecond,
+	EventInterval: 60 * time.Millisecond, EventsPerStream: 14}
 
 // Run runs a soak and evaluates it. An error means that the soak could not be run; violations by the routers are in
 // the report.
@@ -55,7 +56,8 @@
 	if o.Progress == nil {
 		o.Progress = io.Discard
 	}
-	tb, err := NewTestbed(TestbedOptions{Program: o.Program, ConfigDir: o.ConfigDir, LogDir: o.LogDir, Routers: o.Routers, Readers: o.Readers, Writers: o.Writers,
+	tb, err := NewTestbed(TestbedOptions{Program: o.Program, ConfigDir: o.ConfigDir, LogDir: o.LogDir,
+		Routers: o.Routers, Readers: o.Readers, Writers: o.Writers,
 		Timing: engineTiming, Seed: o.Seed})
 	if err != nil {
 		return nil, err
--- a/internal/soak/testbed.go
+++ b/internal/soak/testbed.go
@@ -166,8 +166,10 @@
 		return nil, err
 	}
 	const memoryMB, sockets = 192, 512
-	r.config = config{Name: fmt.Sprintf("n%d", i), Listen: addr, Discovery: r.agent.Addr(), Known: watch.List{Complete: true, Members: []watch.Member{}},
-		Limits: limits{Cores: 1, MemoryMB: memoryMB, Sockets: sockets}, Settings: settingsFor(tb.opts.Routers, i, tb.opts.classes, tb.opts.params)}
+	r.config = config{Name: fmt.Sprintf("n%d", i), Listen: addr, Discovery: r.agent.Addr(),
+		Known:    watch.List{Complete: true, Members: []watch.Member{}},
+		Limits:   limits{Cores: 1, MemoryMB: memoryMB, Sockets: sockets},
+		Settings: settingsFor(tb.opts.Routers, i, tb.opts.classes, tb.opts.params)}
 	if tb.opts.LogDir != "" {
 		if r.log, err = os.Create(filepath.Join(tb.opts.LogDir, r.config.Name+".log")); err != nil {
 			return nil, fmt.Errorf("soak: %w", err)
--- a/internal/soak/traffic.go
+++ b/internal/soak/traffic.go
@@ -52,8 +52,9 @@
 
 // newTraffic returns traffic that has not started.
 func newTraffic(tb *Testbed, picker *routerPicker, log *requestLog, rate float64, seed uint64) *traffic {
-	return &traffic{testbed: tb, picker: picker, log: log, rate: rate, odds: defaultBehaviourOdds(), seed: seed, slots: make(chan struct{}, maxClients),
-		idle: map[int][]*conn{}}
+	return &traffic{testbed: tb, picker: picker, log: log, rate: rate, odds: defaultBehaviourOdds(), seed: seed,
+		slots: make(chan struct{}, maxClients),
+		idle:  map[int][]*conn{}}
 }
 
 // run sends requests until ctx ends, and returns when all of them have ended.
--- a/internal/standin/engine/core.go
+++ b/internal/standin/engine/core.go
@@ -108,7 +108,8 @@
 	spec := &c.model.spec
 	if n := len(c.reports); n == 0 || now.Sub(c.reports[n-1].at) >= spec.ReportInterval {
 		memoryUse, queuedTokens, latency := c.model.load()
-		c.reports = append(c.reports, loadSample{now, engine.LoadReport{MemoryUse: &memoryUse, QueuedTokens: &queuedTokens, LatencyMillis: &latency}})
+		c.reports = append(c.reports, loadSample{now,
+			engine.LoadReport{MemoryUse: &memoryUse, QueuedTokens: &queuedTokens, LatencyMillis: &latency}})
 	}
 	for len(c.reports) > 1 && now.Sub(c.reports[1].at) >= spec.ReportDelay {
 		c.reports = c.reports[1:]
--- a/internal/standin/engine/model_test.go
+++ b/internal/standin/engine/model_test.go
@@ -91,7 +91,8 @@
 	}
 	// Two long answers do not fit into memory together: the newer is preempted and read again later, and both finish.
 	m = newModel(smallSpec(), start, false)
-	a, b := &seq{promptTokens: 400, answerTokens: 150, needsState: true}, &seq{promptTokens: 400, answerTokens: 150, needsState: true}
+	a, b := &seq{promptTokens: 400, answerTokens: 150, needsState: true},
+		&seq{promptTokens: 400, answerTokens: 150, needsState: true}
 	m.admit(a)
 	m.admit(b)
 	m.stateFetched(a)
@@ -115,7 +116,8 @@
 	if got := m.capacityFraction(start); got != m.spec.InitialCapacity {
 		t.Errorf("a cold engine starts with capacity fraction %v", got)
 	}
-	if m.capacityFraction(start.Add(m.spec.SlowStartTime/2)) <= m.spec.InitialCapacity || m.capacityFraction(start.Add(m.spec.SlowStartTime)) != 1 {
+	if m.capacityFraction(start.Add(m.spec.SlowStartTime/2)) <= m.spec.InitialCapacity ||
+		m.capacityFraction(start.Add(m.spec.SlowStartTime)) != 1 {
 		t.Error("the engine does not warm up")
 	}
 	cold, _ := m.planStep(start)
@@ -186,8 +188,10 @@
 						sum += s.blocks
 					}
 				}
-				if sum != m.usedBlocks || m.usedBlocks+m.cachedBlocks > m.totalBlocks() || m.usedBlocks < 0 || m.cachedBlocks < 0 || len(m.running) > m.spec.MaxRunning {
-					t.Fatalf("%d blocks in use by the model's count, %d by sum; %d cached of %d in total", m.usedBlocks, sum, m.cachedBlocks, m.totalBlocks())
+				if sum != m.usedBlocks || m.usedBlocks+m.cachedBlocks > m.totalBlocks() || m.usedBlocks < 0 ||
+					m.cachedBlocks < 0 || len(m.running) > m.spec.MaxRunning {
+					t.Fatalf("%d blocks in use by the model's count, %d by sum; %d cached of %d in total",
+						m.usedBlocks, sum, m.cachedBlocks, m.totalBlocks())
 				}
 			},
 		})
@@ -196,7 +200,8 @@
 
 // TestFaultSet checks that invalid faults are rejected, and how overlapping faults combine.
 func TestFaultSet(t *testing.T) {
-	for _, f := range []Fault{{Kind: "nonsense", Duration: 1}, {Kind: "slow"}, {Kind: "slow", Duration: 1, Size: -1}, {Kind: "class_fail", Duration: 1, Mode: "x"}} {
+	for _, f := range []Fault{{Kind: "nonsense", Duration: 1}, {Kind: "slow"}, {Kind: "slow", Duration: 1, Size: -1},
+		{Kind: "class_fail", Duration: 1, Mode: "x"}} {
 		if f.Check() == nil {
 			t.Errorf("invalid fault %+v was accepted", f)
 		}
--- a/internal/standin/engine/reservations.go
+++ b/internal/standin/engine/reservations.go
@@ -30,7 +30,8 @@
 	}
 	q := &seq{promptTokens: max(int(p.Tokens), 1), needsState: true, answerTokens: 1}
 	proc.server.mu.Lock()
-	reserved := !proc.server.draining && proc.server.roleState.Phase == engine.PhaseSteady && !proc.unresponsive && len(proc.model.queue) == 0 && proc.reservations[p.Request] == nil && proc.model.admit(q) == nil
+	reserved := !proc.server.draining && proc.server.roleState.Phase == engine.PhaseSteady && !proc.unresponsive &&
+		len(proc.model.queue) == 0 && proc.reservations[p.Request] == nil && proc.model.admit(q) == nil
 	if reserved && !q.running {
 		proc.model.remove(q)
 		reserved = false
@@ -177,7 +178,8 @@
 	delete(proc.reservations, request)
 	p.holdTimer.Stop()
 	proc.model.remove(p.seq)
-	proc.server.cfg.AuditLog.Add(audit.Record{Who: proc.server.cfg.Name, Kind: audit.ReservationEnded, ID: request, Note: "given up"})
+	proc.server.cfg.AuditLog.Add(audit.Record{Who: proc.server.cfg.Name, Kind: audit.ReservationEnded, ID: request,
+		Note: "given up"})
 }
 
 // takeReservation gives an attempt the reservation of its request. It reports whether there was one that holds the KV
@@ -210,6 +212,7 @@
 	p.seq.events = make(chan event, p.seq.answerTokens+1)
 	proc.model.stateFetched(p.seq)
 	*q = p.seq
-	proc.server.cfg.AuditLog.Add(audit.Record{Who: proc.server.cfg.Name, Kind: audit.ReservationEnded, ID: a.params.Request, Note: "taken"})
+	proc.server.cfg.AuditLog.Add(audit.Record{Who: proc.server.cfg.Name, Kind: audit.ReservationEnded,
+		ID: a.params.Request, Note: "taken"})
 	return true
 }
--- a/internal/standin/engine/role.go
+++ b/internal/standin/engine/role.go
@@ -84,7 +84,8 @@
 
 // roleStatus returns the engine's role as it is reported to routers. s.mu is held.
 func (s *Server) roleStatus() engine.Role {
-	r := engine.Role{Role: stageName(s.spec.Load()), Epoch: s.roleState.Epoch, Phase: s.roleState.Phase, Since: s.coldStart, CanChange: s.cfg.OtherRole != nil}
+	r := engine.Role{Role: stageName(s.spec.Load()), Epoch: s.roleState.Epoch, Phase: s.roleState.Phase,
+		Since: s.coldStart, CanChange: s.cfg.OtherRole != nil}
 	if r.Phase != engine.PhaseSteady {
 		r.To = s.roleState.To
 	}
--- a/internal/standin/engine/role_test.go
+++ b/internal/standin/engine/role_test.go
@@ -20,11 +20,13 @@
 	t.Helper()
 	read, write := Prefill(), Decode()
 	read.ReadTokensPerSecond, write.StepTime = 2000, time.Millisecond
-	s := New(Config{Name: "e", Addr: "127.0.0.1:0", Spec: read, OtherRole: &write, RoleChangeTime: 10 * time.Millisecond, Seed: 1}, nil)
+	s := New(Config{Name: "e", Addr: "127.0.0.1:0", Spec: read, OtherRole: &write,
+		RoleChangeTime: 10 * time.Millisecond, Seed: 1}, nil)
 	if err := s.Start(); err != nil {
 		t.Fatal(err)
 	}
-	c := engine.New(engine.Options{DialTimeout: time.Second, MaxConns: 50, StreamIdleTimeout: time.Second, ReleaseTimeout: time.Second, ProbeTimeout: 5 * time.Second})
+	c := engine.New(engine.Options{DialTimeout: time.Second, MaxConns: 50, StreamIdleTimeout: time.Second,
+		ReleaseTimeout: time.Second, ProbeTimeout: 5 * time.Second})
 	t.Cleanup(func() { c.Close(); s.Close() })
 	return s, c
 }
@@ -69,7 +71,8 @@
 	granted := make(chan bool, 8)
 	for i := range 8 {
 		go func() {
-			_, ok, err := c.ChangeRole(t.Context(), s.Addr(), &engine.RoleChange{To: engine.StageDecode, Epoch: uint64(i % 2), Router: fmt.Sprint(i)})
+			_, ok, err := c.ChangeRole(t.Context(), s.Addr(),
+				&engine.RoleChange{To: engine.StageDecode, Epoch: uint64(i % 2), Router: fmt.Sprint(i)})
 			if err != nil {
 				t.Error(err)
 			}
@@ -125,7 +128,8 @@
 		time.Sleep(time.Millisecond)
 	}
 	c.ChangeRole(t.Context(), s.Addr(), &engine.RoleChange{To: engine.StageDecode, Epoch: 1})
-	if r, ok, err := c.CancelRoleChange(t.Context(), s.Addr(), &engine.RoleChangeCancel{Epoch: 1}); !ok || err != nil || !steady(r) || r.Role != engine.StagePrefill {
+	if r, ok, err := c.CancelRoleChange(t.Context(), s.Addr(), &engine.RoleChangeCancel{Epoch: 1}); !ok ||
+		err != nil || !steady(r) || r.Role != engine.StagePrefill {
 		t.Errorf("%+v, %v, %v", r, ok, err)
 	}
 	if _, ok, _ := c.CancelRoleChange(t.Context(), s.Addr(), &engine.RoleChangeCancel{Epoch: 1}); ok {
@@ -153,7 +157,8 @@
 			if err := s.InjectFault(Fault{Kind: c.fault, Duration: time.Hour, Size: 0.001}); err != nil {
 				t.Fatal(err)
 			}
-			if _, ok, err := client.ChangeRole(t.Context(), s.Addr(), &engine.RoleChange{To: engine.StageDecode, Epoch: 1}); ok != c.grant || err != nil {
+			if _, ok, err := client.ChangeRole(t.Context(), s.Addr(),
+				&engine.RoleChange{To: engine.StageDecode, Epoch: 1}); ok != c.grant || err != nil {
 				t.Fatalf("granted %v, %v", ok, err)
 			}
 			if c.fault == "role_hang" {
--- a/internal/standin/engine/server.go
+++ b/internal/standin/engine/server.go
@@ -662,7 +662,8 @@
 	if !a.accept(w, r) {
 		return
 	}
-	q := &seq{promptTokens: max(int(a.params.PromptTokens), 1), sharedTokens: int(a.params.SharedTokens), sessionID: a.params.Session, prefixID: a.params.SharedText}
+	q := &seq{promptTokens: max(int(a.params.PromptTokens), 1), sharedTokens: int(a.params.SharedTokens),
+		sessionID: a.params.Session, prefixID: a.params.SharedText}
 	began := time.Now()
 	reading := &activeRead{cancelled: make(chan struct{})}
 	proc.server.mu.Lock()
@@ -713,7 +714,8 @@
 	st := proc.holdStateLocked(a, q)
 	proc.server.mu.Unlock()
 	a.record(audit.Ended, "read")
-	answer := engine.ReadParams{Handle: st.id, Source: proc.server.addr, Tokens: float64(q.promptTokens), CachedTokens: float64(q.cached)}
+	answer := engine.ReadParams{Handle: st.id, Source: proc.server.addr, Tokens: float64(q.promptTokens),
+		CachedTokens: float64(q.cached)}
 	if reservationAddr != "" && proc.pushState(r.Context(), st, reservationAddr, a.params.Request) {
 		answer.Handle, answer.Source = "place-"+a.params.Request, reservationAddr
 	}
@@ -756,9 +758,9 @@
 // hold timer, and the end of the last claim restarts it.
 func (proc *process) holdStateLocked(a *attempt, q *seq) *kvState {
 	proc.lastStateNumber++
-	st := &kvState{id: fmt.Sprintf("%s-%x-%d", proc.server.cfg.Name, proc.model.started.UnixNano(), proc.lastStateNumber), attempt: a.id,
-		request: a.params.Request, client: a.params.Client,
-		router: a.router, promptTokens: q.promptTokens, blocks: q.blocks, answerTokens: proc.answerLength(a.prompt, a.params.MaxTokens),
+	st := &kvState{
+		id:      fmt.Sprintf("%s-%x-%d", proc.server.cfg.Name, proc.model.started.UnixNano(), proc.lastStateNumber),
+		attempt: a.id, request: a.params.Request, client: a.params.Client, router: a.router, promptTokens: q.promptTokens, blocks: q.blocks, answerTokens: proc.answerLength(a.prompt, a.params.MaxTokens),
 		holdTime: time.Duration(max(a.params.HoldMillis, 1) * 1e6)}
 	proc.addStateLocked(st)
 	return st
@@ -876,7 +878,8 @@
 	w.Header().Set("Content-Length", strconv.Itoa(st.promptTokens*proc.server.spec.Load().StateBytesPerToken))
 	w.Header().Set(engine.TokensHeader, strconv.Itoa(st.promptTokens))
 	w.Header().Set(engine.InfoHeader, strconv.Itoa(st.answerTokens))
-	w.Header().Set(engine.ChecksumHeader, strconv.FormatUint(stateChecksum(st.id, st.promptTokens*proc.server.spec.Load().StateBytesPerToken), 16))
+	w.Header().Set(engine.ChecksumHeader,
+		strconv.FormatUint(stateChecksum(st.id, st.promptTokens*proc.server.spec.Load().StateBytesPerToken), 16))
 	if proc.sendState(r.Context(), w, st, r.Header.Get("Kv-Cell")) != nil {
 		return
 	}
@@ -956,7 +959,8 @@
 		return
 	}
 	began := time.Now()
-	q := &seq{promptTokens: max(int(a.params.PromptTokens), 1), sharedTokens: int(a.params.SharedTokens), sessionID: a.params.Session, prefixID: a.params.SharedText,
+	q := &seq{promptTokens: max(int(a.params.PromptTokens), 1), sharedTokens: int(a.params.SharedTokens),
+		sessionID: a.params.Session, prefixID: a.params.SharedText,
 		needsState: a.params.Handle != "", answerTokens: max(a.params.MaxTokens, 1)}
 	if a.params.Handle == "" {
 		q.answerTokens = proc.answerLength(a.prompt, a.params.MaxTokens)
@@ -1069,7 +1073,8 @@
 	var buf bytes.Buffer
 	enc := json.NewEncoder(&buf)
 	enc.SetEscapeHTML(false)
-	halfFrame, duplicate, id := proc.faultApplies("half_frame", a.params.Class), proc.faultApplies("two_answers", a.params.Class), a.id
+	halfFrame, duplicate, id := proc.faultApplies("half_frame", a.params.Class),
+		proc.faultApplies("two_answers", a.params.Class), a.id
 	if proc.faultApplies("wrong_id", a.params.Class) {
 		id += "-not"
 	}
