--- a/internal/standin/engine/server.go
+++ b/internal/standin/engine/server.go
@@ -760,7 +760,8 @@
 	proc.lastStateNumber++
 	st := &kvState{
 		id:      fmt.Sprintf("%s-%x-%d", proc.server.cfg.Name, proc.model.started.UnixNano(), proc.lastStateNumber),
-		attempt: a.id, request: a.params.Request, client: a.params.Client, router: a.router, promptTokens: q.promptTokens, blocks: q.blocks, answerTokens: proc.answerLength(a.prompt, a.params.MaxTokens),
+		attempt: a.id, request: a.params.Request, client: a.params.Client, router: a.router,
+		promptTokens: q.promptTokens, blocks: q.blocks, answerTokens: proc.answerLength(a.prompt, a.params.MaxTokens),
 		holdTime: time.Duration(max(a.params.HoldMillis, 1) * 1e6)}
 	proc.addStateLocked(st)
 	return st
