--- a/internal/soak/check_answers.go
+++ b/internal/soak/check_answers.go
@@ -33,7 +33,7 @@
 		case !rec.complete:
 			e.checkCutStream(rec, add)
 		case rec.refused() && e.mayHaveExecuted(rec) && !e.mayRefuse(rec):
-			add(ruleRefused, "status %d", rec.status)
+			add(ruleRefusedAfterRun, "status %d", rec.status)
 		case rec.status == 200 && !e.servedByEngine(rec):
 			add(ruleContent, "no engine has written this answer to its end")
 		}
@@ -134,7 +134,7 @@
 		}
 	}
 	if float64(delayed) > maxDelayedShare*float64(streams) {
-		return []Finding{{Rule: ruleDelay, Text: fmt.Sprintf("in %d of %d streams", delayed, streams)}}
+		return []Finding{{Rule: ruleEventsLate, Text: fmt.Sprintf("in %d of %d streams", delayed, streams)}}
 	}
 	return nil
 }
--- a/internal/soak/check_attempts.go
+++ b/internal/soak/check_attempts.go
@@ -15,7 +15,7 @@
 // checkAttempts checks the attempts of every request against each other and against their client.
 func (e *evidence) checkAttempts() (out []Finding) {
 	if e.record.UnexpectedCalls > 0 {
-		out = append(out, Finding{Rule: ruleUnknown, Text: fmt.Sprintf("%d calls", e.record.UnexpectedCalls)})
+		out = append(out, Finding{Rule: ruleUnexpectedCall, Text: fmt.Sprintf("%d calls", e.record.UnexpectedCalls)})
 	}
 	for id, list := range e.attempts {
 		rec := e.requestByID[id]
@@ -27,7 +27,7 @@
 			out = append(out, f)
 		}
 		if rec == nil {
-			add(list[0], ruleUnknown, "an attempt for a request that no client sent")
+			add(list[0], ruleUnexpectedCall, "an attempt for a request that no client sent")
 			continue
 		}
 		for i, t := range list {
@@ -35,7 +35,7 @@
 				e.checkAgainstEarlier(list[:i], t, rec, add)
 			}
 			if limit := rec.leftAt.Add(clientLeftGrace + socketSlack + e.soakAllowance(rec.leftAt, t.LastByte)); !rec.leftAt.IsZero() && t.LastByte.After(limit) {
-				add(t, ruleLeft, "an attempt began %v after the client had left", t.LastByte.Sub(rec.leftAt))
+				add(t, ruleSentAfterLeft, "an attempt began %v after the client had left", t.LastByte.Sub(rec.leftAt))
 			}
 			if rec.sentAt.IsZero() {
 				continue
@@ -85,7 +85,7 @@
 		}
 		limit := since.Add(e.params.drainGrace + socketSlack)
 		if t.FirstByte.After(limit.Add(e.allowance(t.Router, since, t.FirstByte))) {
-			out = append(out, Finding{Rule: ruleDrain, Request: t.Request, Router: t.Router, At: e.sinceStart(t.FirstByte),
+			out = append(out, Finding{Rule: ruleSentToDraining, Request: t.Request, Router: t.Router, At: e.sinceStart(t.FirstByte),
 				Text: fmt.Sprintf("sent to %s %v after the router was told", t.Engine, t.FirstByte.Sub(since))})
 		}
 	}
--- a/internal/soak/check_holds.go
+++ b/internal/soak/check_holds.go
@@ -25,7 +25,7 @@
 		}
 		limit := e.params.holdTimeout + holdSlack + socketSlack + e.allowance(rec.router, h.From, until)
 		if idle > limit && !e.ownerExited(rec, until) && e.reachable(rec.router, until.Add(-limit), until) {
-			out = append(out, Finding{Rule: rulePinned, Request: h.Request, Router: rec.router, At: e.sinceStart(h.From),
+			out = append(out, Finding{Rule: ruleHeldTooLong, Request: h.Request, Router: rec.router, At: e.sinceStart(h.From),
 				Text: fmt.Sprintf("held at %s for %v with no attempt in flight", h.Engine, idle) + e.describe(rec)})
 		}
 	}
--- a/internal/soak/evaluate.go
+++ b/internal/soak/evaluate.go
@@ -17,21 +17,21 @@
 
 // The rules. Their names are printed in the report.
 const (
-	ruleLost       = "lost"
-	ruleRefused    = "refused after a run"
-	ruleContent    = "spoilt answer"
-	ruleDuplicate  = "duplicate"
-	ruleSecondCopy = "second copy"
-	ruleLeft       = "sent after the client left"
-	ruleDeadline   = "deadline overstated"
-	ruleDrain      = "sent to a draining engine"
-	ruleSlowStart  = "slow start"
-	rulePinned     = "held too long"
-	ruleBadClient  = "bad client without a word"
-	ruleProcess    = "process"
-	ruleGuard      = "guard"
-	ruleDelay      = "events held back"
-	ruleUnknown    = "call that no client made"
+	ruleLost            = "lost"
+	ruleRefusedAfterRun = "refused after a run"
+	ruleContent         = "spoilt answer"
+	ruleDuplicate       = "duplicate"
+	ruleSecondCopy      = "second copy"
+	ruleSentAfterLeft   = "sent after the client left"
+	ruleDeadline        = "deadline overstated"
+	ruleSentToDraining  = "sent to a draining engine"
+	ruleSlowStart       = "slow start"
+	ruleHeldTooLong     = "held too long"
+	ruleBadClient       = "bad client without a word"
+	ruleProcess         = "process"
+	ruleGuard           = "guard"
+	ruleEventsLate      = "events held back"
+	ruleUnexpectedCall  = "call that no client made"
 )
 
 // Limits of the rules as the platform sets them, and the tolerances that are added because times are measured on
--- a/internal/soak/evaluate_test.go
+++ b/internal/soak/evaluate_test.go
@@ -99,7 +99,7 @@
 		"wrong events":                      {change: func(_ *evidence, a *requestRecord, _, _ *standin.Attempt) { a.contentError = "events of two engines" }, want: ruleContent},
 		"refused after an execution": {class: classUnsafe, change: func(_ *evidence, a *requestRecord, _, write *standin.Attempt) {
 			a.status, write.Outcome = 429, standin.ConnReset
-		}, want: ruleRefused},
+		}, want: ruleRefusedAfterRun},
 		"refused and never executed": {class: classUnsafe, change: func(_ *evidence, a *requestRecord, _, write *standin.Attempt) {
 			a.status, write.Outcome = 429, standin.Refused
 		}},
@@ -120,7 +120,7 @@
 		}, want: ruleSecondCopy},
 		"sent after the client left": {change: func(_ *evidence, a *requestRecord, _, write *standin.Attempt) {
 			a.leftAt, write.LastByte = after(100), after(260)
-		}, want: ruleLeft},
+		}, want: ruleSentAfterLeft},
 		"sent just after the client left": {change: func(_ *evidence, a *requestRecord, _, write *standin.Attempt) {
 			a.leftAt, write.LastByte = after(100), after(190)
 		}},
@@ -128,7 +128,7 @@
 			want: ruleDeadline},
 		"sent to a draining engine": {change: func(e *evidence, _ *requestRecord, _, _ *standin.Attempt) {
 			e.drainsReported[0]["d"] = after(-1000)
-		}, want: ruleDrain},
+		}, want: ruleSentToDraining},
 		"sent within the drain grace": {change: func(e *evidence, _ *requestRecord, _, _ *standin.Attempt) { e.drainsReported[0]["d"] = after(-900) }},
 		"a cold engine overloaded": {change: func(e *evidence, _ *requestRecord, _, _ *standin.Attempt) {
 			e.coldStarts["d2"] = after(1000)
@@ -137,7 +137,7 @@
 					LastByte: after(2000 + i), Arrived: after(2000 + i), Outcome: standin.Refused, Ended: after(2000 + i)})
 			}
 		}, want: ruleSlowStart},
-		"held too long": {change: func(e *evidence, _ *requestRecord, _, _ *standin.Attempt) { e.record.Holds[0].Until = after(2500) }, want: rulePinned},
+		"held too long": {change: func(e *evidence, _ *requestRecord, _, _ *standin.Attempt) { e.record.Holds[0].Until = after(2500) }, want: ruleHeldTooLong},
 		"held while no engine was reachable": {change: func(e *evidence, _ *requestRecord, _, _ *standin.Attempt) {
 			e.record.Holds[0].Until = after(2500)
 			for _, p := range e.reachability[0] {
@@ -153,7 +153,7 @@
 		"a violation in the process's own log": {change: func(e *evidence, _ *requestRecord, _, _ *standin.Attempt) {
 			e.runs[0][0].Violations = []string{"rule violated"}
 		}, want: ruleGuard},
-		"events forwarded late": {change: func(_ *evidence, a *requestRecord, _, _ *standin.Attempt) { a.events[1] = after(700) }, want: ruleDelay},
+		"events forwarded late": {change: func(_ *evidence, a *requestRecord, _, _ *standin.Attempt) { a.events[1] = after(700) }, want: ruleEventsLate},
 	} {
 		t.Run(name, func(t *testing.T) {
 			e := validEvidence(tt.class)
