--- /dev/null
+++ b/internal/soak/check_attempts.go
@@ -0,0 +1,163 @@
+package soak
+
+// Checks of what engines were sent.
+
+import (
+	"fmt"
+	"math"
+	"slices"
+	"time"
+
+	"mintdoor/internal/discovery/watch"
+	standin "mintdoor/internal/standin/chat"
+)
+
+// checkAttempts checks the attempts of every request against each other and against their client.
+func (e *evidence) checkAttempts() (out []Finding) {
+	if e.record.UnexpectedCalls > 0 {
+		out = append(out, Finding{Rule: ruleUnexpectedCall, Text: fmt.Sprintf("%d calls", e.record.UnexpectedCalls)})
+	}
+	for id, list := range e.attempts {
+		rec := e.requestByID[id]
+		add := func(t *standin.Attempt, rule, format string, args ...any) {
+			f := Finding{Rule: rule, Request: id, Router: t.Router, At: e.sinceStart(t.LastByte), Text: fmt.Sprintf(format, args...)}
+			if rec != nil {
+				f.Text += e.describe(rec)
+			}
+			out = append(out, f)
+		}
+		if rec == nil {
+			add(list[0], ruleUnexpectedCall, "an attempt for a request that no client sent")
+			continue
+		}
+		for i, t := range list {
+			if i > 0 {
+				e.checkAgainstEarlier(list[:i], t, rec, add)
+			}
+			if limit := rec.leftAt.Add(clientLeftGrace + socketSlack + e.soakAllowance(rec.leftAt, t.LastByte)); !rec.leftAt.IsZero() && t.LastByte.After(limit) {
+				add(t, ruleSentAfterLeft, "an attempt began %v after the client had left", t.LastByte.Sub(rec.leftAt))
+			}
+			if rec.sentAt.IsZero() {
+				continue
+			}
+			if over := t.LastByte.Add(t.TimeLeft).Sub(rec.deadline()); over > deadlineTolerance+e.allowance(rec.router, rec.sentAt, t.LastByte) {
+				add(t, ruleDeadline, "an engine was told %v more than the client had left", over)
+			}
+		}
+	}
+	return out
+}
+
+// closeDetectionDelay is how long it may take until the proxy detects the close of a connection.
+const closeDetectionDelay = 20 * time.Millisecond
+
+// checkAgainstEarlier checks an attempt against the earlier ones of its request.
+func (e *evidence) checkAgainstEarlier(earlier []*standin.Attempt, t *standin.Attempt, rec *requestRecord,
+	add func(t *standin.Attempt, rule, format string, args ...any)) {
+	c := &e.classes[rec.class]
+	for _, before := range earlier {
+		if before.Ended.IsZero() || before.Ended.After(t.LastByte.Add(closeDetectionDelay+e.soakPausedFor(t.LastByte, before.Ended))) {
+			add(t, ruleSecondCopy, "sent to %s while an attempt at %s was in flight", t.Engine, before.Engine)
+		}
+		if !before.Writer || !t.Writer || before.Outcome.NeverExecuted() || t.Outcome.NeverExecuted() {
+			continue
+		}
+		switch {
+		case c.RetryPolicy == retryUnsafe:
+			add(t, ruleDuplicate, "executed at %s (%s) and at %s (%s)", before.Engine, before.Outcome, t.Engine, t.Outcome)
+		case c.RetryPolicy == retryKeyed && t.Arrived.Sub(before.Arrived) > c.DedupWindow+socketSlack+e.soakAllowance(before.Arrived, t.Arrived):
+			add(t, ruleDuplicate, "retried %v after the first execution, over the deduplication window of %v",
+				t.Arrived.Sub(before.Arrived), c.DedupWindow)
+		}
+	}
+}
+
+// checkDrains checks that nothing is sent to engines that drain or were removed, once the router was told.
+func (e *evidence) checkDrains() (out []Finding) {
+	for i := range e.record.Attempts {
+		t := &e.record.Attempts[i]
+		if t.Router < 0 || t.Router >= len(e.drainsReported) {
+			continue
+		}
+		since, known := e.drainsReported[t.Router][t.Engine]
+		if !known {
+			continue
+		}
+		limit := since.Add(e.params.drainGrace + socketSlack)
+		if t.FirstByte.After(limit.Add(e.allowance(t.Router, since, t.FirstByte))) {
+			out = append(out, Finding{Rule: ruleSentToDraining, Request: t.Request, Router: t.Router, At: e.sinceStart(t.FirstByte),
+				Text: fmt.Sprintf("sent to %s %v after the router was told", t.Engine, t.FirstByte.Sub(since))})
+		}
+	}
+	return out
+}
+
+// drainReports returns since when a router knows of engines that accept nothing new, by what its agents have written
+// to it.
+func drainReports(agents []*standin.Agent) map[string]time.Time {
+	out := map[string]time.Time{}
+	for _, a := range agents {
+		for _, t := range a.Notifications() {
+			if t.Member.Phase == watch.Up {
+				continue
+			}
+			at := t.At
+			if latest := t.ListedAt.Add(maxReportDelay); latest.Before(at) {
+				at = latest
+			}
+			if before, known := out[t.Member.ID]; !known || at.Before(before) {
+				out[t.Member.ID] = at
+			}
+		}
+	}
+	return out
+}
+
+// checkSlowStarts checks what engines were sent by all routers during their slow start.
+func (e *evidence) checkSlowStarts() (out []Finding) {
+	byEngine := map[string][]*standin.Attempt{}
+	for i := range e.record.Attempts {
+		t := &e.record.Attempts[i]
+		byEngine[t.Engine] = append(byEngine[t.Engine], t)
+	}
+	for id, start := range e.coldStarts {
+		sent := byEngine[id]
+		slices.SortFunc(sent, func(a, b *standin.Attempt) int { return a.Arrived.Compare(b.Arrived) })
+		for i := range sent {
+			until := sent[i].Arrived
+			if until.Sub(start) > e.params.slowStartTime {
+				break
+			}
+			n := 0
+			for j := i; j >= 0 && until.Sub(sent[j].Arrived) <= e.params.overloadWindow; j-- {
+				n++
+			}
+			allowed := e.params.overloadMultiple * e.params.initialCapacity * e.capacity(sent[i].Writer) * e.params.overloadWindow.Seconds()
+			if limit := maxColdSends(allowed); float64(n) > limit {
+				out = append(out, Finding{Rule: ruleSlowStart, Router: sent[i].Router, At: e.sinceStart(until),
+					Text: fmt.Sprintf("%d sends to %s within %v of its first %v; at most %.1f", n, id,
+						e.params.overloadWindow, until.Sub(start), limit)})
+				break
+			}
+		}
+	}
+	return out
+}
+
+// maxColdSends returns how many sends to a cold engine are tolerated if n are allowed: n plus a margin for chance of
+// two or three standard deviations of a Poisson count, and a few sends.
+func maxColdSends(n float64) float64 {
+	const manyAllowed = 30
+	if n < manyAllowed {
+		return n + 3*math.Sqrt(n) + 3
+	}
+	return n + 2*math.Sqrt(n) + 2
+}
+
+// capacity returns how many requests per second a warm engine of a role can process.
+func (e *evidence) capacity(writer bool) float64 {
+	if writer {
+		return float64(e.writerSlots) / (e.timing.FirstTokenTime + time.Duration(e.timing.EventsPerStream-1)*e.timing.EventInterval).Seconds()
+	}
+	return float64(e.readerSlots) / e.timing.ReadTime.Seconds()
+}
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -18,15 +18,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// Times of clients.
+// Time-outs of clients.
 const (
-	dialWithin = 2 * time.Second
-	// answerSlack is how long beyond the deadline a client waits for a word, to tell a late answer from none.
+	dialTimeout = 2 * time.Second
+	// answerSlack is how long after the deadline a client still waits, to tell a late answer from none.
 	answerSlack = 3 * time.Second
-	// streamSilence is how long a client waits for the next event of a stream.
-	streamSilence = 8 * time.Second
-	// resetShows is how long after the end of a connection a reset may show behind it.
-	resetShows = 100 * time.Millisecond
+	// streamReadTimeout is how long a client waits for the next event of a stream.
+	streamReadTimeout = 8 * time.Second
+	// resetWait is how long after the end of a connection a reset may follow.
+	resetWait = 100 * time.Millisecond
 )
 
 // conn is a client's connection to a router.
@@ -37,83 +37,88 @@
 	uses   int
 }
 
+// dial connects to a router.
 func dial(r *Router) (*conn, error) {
-	c, err := net.DialTimeout("tcp", r.Addr, dialWithin)
+	c, err := net.DialTimeout("tcp", r.Addr, dialTimeout)
 	if err != nil {
 		return nil, err
 	}
 	return &conn{TCPConn: c.(*net.TCPConn), br: bufio.NewReader(c), router: r.Index}, nil
 }
 
-// manner is how a client behaves with one request.
-type manner struct {
-	pieces    int           // the request is written in so many pieces ...
-	pause     time.Duration // ... with so much time between them
-	leaves    time.Duration // the client leaves so long after its last byte; 0: it stays
-	byReset   bool          // with a reset
-	halfClose bool          // with the end of its sending only
-	behind    string        // is written behind the request before the client leaves
+// clientBehaviour is how a client behaves with one request.
+type clientBehaviour struct {
+	pieces       int           // the request is written in this many pieces ...
+	pause        time.Duration // ... with this pause between them
+	leaveAfter   time.Duration // the client leaves this long after its last byte; 0: it stays
+	leaveByReset bool          // leaves with a reset
+	halfClose    bool          // leaves by closing only its sending direction
+	trailing     string        // written after the request before the client leaves
 }
 
-// question is what a client asks.
-type question struct {
-	id    string
-	class *class
-	index int // of the class
-	left  time.Duration
-	key   string // session
+// clientRequest is a request of a client.
+type clientRequest struct {
+	id       string
+	class    *class
+	index    int // of the class
+	timeLeft time.Duration
+	key      string // session key
 }
 
-func (q *question) text(random *rand.Rand) string {
+// wireText returns the HTTP request.
+func (r *clientRequest) wireText(random *rand.Rand) string {
 	body := fmt.Sprintf(`{"model":"chat","stream":true,"max_tokens":100,"messages":[{"role":"user","content":%q}]}`,
 		strings.Repeat("x", random.IntN(2000)))
-	head := "POST " + platform.ChatPath + " HTTP/1.1\r\nHost: origin.svc\r\n" + platform.IDHeader + ": " + q.id + "\r\n" +
-		platform.ClassHeader + ": " + q.class.Name + "\r\n" + platform.SessionHeader + ": " + q.key + "\r\n" +
-		fmt.Sprintf("%s: %d\r\n", platform.TimeLeftHeader, q.left.Milliseconds()) +
-		fmt.Sprintf("%s: prefix=%x,prompt_len=%d,prefix_len=200,max_out=100\r\n", platform.FactsHeader, random.IntN(8), 300+random.IntN(1500))
-	if q.class.Repeat == keyed {
-		head += "Idempotency-Key: " + q.id + "\r\n"
+	head := "POST " + platform.ChatPath + " HTTP/1.1\r\nHost: origin.svc\r\n" + platform.IDHeader + ": " + r.id + "\r\n" +
+		platform.ClassHeader + ": " + r.class.Name + "\r\n" + platform.SessionHeader + ": " + r.key + "\r\n" +
+		fmt.Sprintf("%s: %d\r\n", platform.TimeLeftHeader, r.timeLeft.Milliseconds()) +
+		fmt.Sprintf("%s: prefix=%x,prompt_len=%d,prefix_len=200,max_out=100\r\n", platform.FactsHeader,
+			random.IntN(8), 300+random.IntN(1500))
+	if r.class.RetryPolicy == retryKeyed {
+		head += "Idempotency-Key: " + r.id + "\r\n"
 	}
-	if random.IntN(4) == 0 { // a legal form as good as the other
+	if random.IntN(4) == 0 { // an equally valid encoding
 		return head + fmt.Sprintf("Transfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", len(body), body)
 	}
 	return head + fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// exchange sends a request on a connection and reads its answer. It reports whether the connection can be used again.
-func (c *conn) exchange(q *question, m *manner, random *rand.Rand, log *askLog) (*ask, bool) {
-	a := &ask{id: q.id, class: q.index, router: c.router, left: q.left, first: c.uses == 0, began: time.Now()}
+// exchange sends a request on the connection and reads its answer. It reports whether the connection can be used
+// again.
+func (c *conn) exchange(req *clientRequest, behaviour *clientBehaviour, random *rand.Rand, log *requestLog) (*requestRecord, bool) {
+	rec := &requestRecord{id: req.id, class: req.index, router: c.router, timeLeft: req.timeLeft,
+		firstOnConn: c.uses == 0, startedAt: time.Now()}
 	c.uses++
-	defer log.add(a)
-	if !c.write(q.text(random), m) {
-		a.ending, a.ended = endUnread, time.Now()
-		return a, false
+	defer log.add(rec)
+	if !c.write(req.wireText(random), behaviour) {
+		rec.ending, rec.endedAt = endUnread, time.Now()
+		return rec, false
 	}
-	a.sent = time.Now()
-	if m.leaves > 0 {
-		stop := time.AfterFunc(m.leaves, func() { c.leave(m) })
+	rec.sentAt = time.Now()
+	if behaviour.leaveAfter > 0 {
+		stop := time.AfterFunc(behaviour.leaveAfter, func() { c.leave(behaviour) })
 		defer stop.Stop()
 	}
-	reuse := c.read(a)
-	if m.leaves > 0 && time.Since(a.sent) >= m.leaves {
-		if quit := a.sent.Add(m.leaves); a.ended.IsZero() || !a.whole || quit.Before(a.ended) {
-			a.quit = quit
+	reuse := c.read(rec)
+	if behaviour.leaveAfter > 0 && time.Since(rec.sentAt) >= behaviour.leaveAfter {
+		if left := rec.sentAt.Add(behaviour.leaveAfter); rec.endedAt.IsZero() || !rec.complete || left.Before(rec.endedAt) {
+			rec.leftAt = left
 		}
-		return a, false
+		return rec, false
 	}
-	return a, reuse
+	return rec, reuse
 }
 
-// leave ends the connection in the client's way.
-func (c *conn) leave(m *manner) {
-	if m.behind != "" {
+// leave ends the connection in the way that the behaviour says.
+func (c *conn) leave(behaviour *clientBehaviour) {
+	if behaviour.trailing != "" {
 		c.SetWriteDeadline(time.Now().Add(time.Millisecond))
-		io.WriteString(c, m.behind)
+		io.WriteString(c, behaviour.trailing)
 	}
 	switch {
-	case m.halfClose:
+	case behaviour.halfClose:
 		c.CloseWrite()
-	case m.byReset:
+	case behaviour.leaveByReset:
 		c.SetLinger(0)
 		c.Close()
 	default:
@@ -121,60 +126,62 @@
 	}
 }
 
-func (c *conn) write(text string, m *manner) bool {
-	n := max(m.pieces, 1)
+// write writes the request in pieces. It returns false if the connection fails.
+func (c *conn) write(text string, behaviour *clientBehaviour) bool {
+	n := max(behaviour.pieces, 1)
 	for i := range n {
 		piece := text[len(text)*i/n : len(text)*(i+1)/n]
 		if _, err := io.WriteString(c, piece); err != nil {
 			return false
 		}
 		if i < n-1 {
-			time.Sleep(m.pause)
+			time.Sleep(behaviour.pause)
 		}
 	}
 	return true
 }
 
-// read reads the answer to a request that was written whole.
-func (c *conn) read(a *ask) bool {
-	defer func() { a.ended = time.Now() }()
-	c.SetReadDeadline(a.deadline().Add(answerSlack))
+// read reads the answer to a request that was written completely.
+func (c *conn) read(rec *requestRecord) bool {
+	defer func() { rec.endedAt = time.Now() }()
+	c.SetReadDeadline(rec.deadline().Add(answerSlack))
 	if _, err := c.br.Peek(1); err != nil {
-		a.ending = c.endedBy(err)
+		rec.ending = c.endingOf(err)
 		return false
 	}
 	resp, err := http.ReadResponse(c.br, nil)
 	if err != nil {
-		a.ending, a.wrong = endBroken, "the head is malformed: "+err.Error()
+		rec.ending, rec.contentError = endBroken, "the response header is malformed: "+err.Error()
 		return false
 	}
-	a.status, a.answered = resp.StatusCode, time.Now()
+	rec.status, rec.answeredAt = resp.StatusCode, time.Now()
 	if resp.StatusCode != http.StatusOK {
 		if _, err := io.Copy(io.Discard, resp.Body); err != nil {
-			a.ending = endBroken
+			rec.ending = endBroken
 			return false
 		}
-		a.whole = true
+		rec.complete = true
 		return !resp.Close
 	}
-	if err := c.stream(a, resp.Body); err != nil {
-		a.ending = endBroken
+	if err := c.stream(rec, resp.Body); err != nil {
+		rec.ending = endBroken
 		return false
 	}
-	a.whole = true
+	rec.complete = true
 	return !resp.Close
 }
 
-// stream reads the events of an answer to its end, and checks that they are one engine's for this request.
-func (c *conn) stream(a *ask, body io.Reader) error {
+// stream reads the events of an answer to its end. It checks that they are complete and in order, belong to this
+// request, and come from one engine.
+func (c *conn) stream(rec *requestRecord, body io.Reader) error {
 	lines := bufio.NewReader(body)
 	engine, done := "", false
 	for n := 0; ; {
-		c.SetReadDeadline(time.Now().Add(streamSilence))
+		c.SetReadDeadline(time.Now().Add(streamReadTimeout))
 		line, err := lines.ReadString('\n')
 		if errors.Is(err, io.EOF) && line == "" {
 			if !done {
-				a.wrong = "the answer is whole without its last event"
+				rec.contentError = "the answer is complete but its last event is missing"
 			}
 			return nil
 		}
@@ -185,25 +192,25 @@
 		if !found {
 			continue
 		}
-		a.events = append(a.events, time.Now())
+		rec.events = append(rec.events, time.Now())
 		if data == standin.LastEvent {
 			done = true
 			continue
 		}
 		request, from, number, ok := standin.ParseEvent(data)
 		switch {
-		case !ok || request != a.id || number != n || done:
-			a.wrong = fmt.Sprintf("event %d is %.80q", n, data)
+		case !ok || request != rec.id || number != n || done:
+			rec.contentError = fmt.Sprintf("event %d is %.80q", n, data)
 		case engine != "" && from != engine:
-			a.wrong = fmt.Sprintf("events of %s and %s", engine, from)
+			rec.contentError = fmt.Sprintf("events of %s and %s", engine, from)
 		}
 		engine = from
 		n++
 	}
 }
 
-// endedBy tells how a connection ended on which no byte of an answer has come.
-func (c *conn) endedBy(err error) ending {
+// endingOf returns how a connection ended on which no byte of an answer was received.
+func (c *conn) endingOf(err error) ending {
 	var t net.Error
 	switch {
 	case errors.As(err, &t) && t.Timeout():
@@ -211,10 +218,10 @@
 	case errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE):
 		return endUnread
 	case !errors.Is(err, io.EOF):
-		return endNone // closed on this side
+		return endNone // closed by the client itself
 	}
-	// The router has ended its sending. If it left the request unread, a reset comes behind.
-	for until := time.Now().Add(resetShows); time.Now().Before(until); time.Sleep(time.Millisecond) {
+	// The router has closed its sending direction. If it left the request unread, a reset follows.
+	for until := time.Now().Add(resetWait); time.Now().Before(until); time.Sleep(time.Millisecond) {
 		if c.wasReset() {
 			return endUnread
 		}
@@ -222,23 +229,23 @@
 	return endClosed
 }
 
-// wasReset tells whether the connection is over in both directions.
+// wasReset reports whether the connection is closed in both directions.
 func (c *conn) wasReset() bool {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return true
 	}
-	const tcpClose = 7 // TCP_CLOSE of the kernel's states
-	over := false
+	const tcpClose = 7 // TCP_CLOSE of the kernel's connection states
+	closed := false
 	raw.Control(func(fd uintptr) {
 		info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
-		over = err == nil && info.State == tcpClose
+		closed = err == nil && info.State == tcpClose
 	})
-	return over
+	return closed
 }
 
-// stands tells whether nothing has come on a connection that rests.
-func (c *conn) stands() bool {
+// isIdleOpen reports whether an idle connection is still open and has received nothing.
+func (c *conn) isIdleOpen() bool {
 	if c.br.Buffered() > 0 {
 		return false
 	}
@@ -246,11 +253,11 @@
 	if err != nil {
 		return false
 	}
-	stands := false
+	open := false
 	raw.Control(func(fd uintptr) {
 		var b [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		stands = errors.Is(err, syscall.EAGAIN)
+		open = errors.Is(err, syscall.EAGAIN)
 	})
-	return stands
+	return open
 }
--- a/internal/soak/report.go
+++ b/internal/soak/report.go
@@ -8,80 +8,82 @@
 	"time"
 )
 
-// Report is what a soak has found.
+// Report is the result of a soak.
 type Report struct {
 	Seed        uint64
 	Routers     int
 	Length      time.Duration
 	Requests    Counts
-	FaultCounts map[string]int // how often each fault was injected, and what it met
-	SoakPaused  time.Duration  // in which the soak itself did not run
+	FaultCounts map[string]int // how often each fault was injected or applied, by name
+	SoakPaused  time.Duration  // total time in which the soak itself did not run
 	Findings    []Finding
 }
 
-// Counts are requests by what their clients got.
+// Counts are the numbers of requests by result, and of attempts, probes, bad clients and processes.
 type Counts struct {
 	Sent, Served, Refused, Failed, ClientLeft, CrossedClose, CutOff, Unanswered int
 	Attempts, Probes, BadClients, Processes                                     int
 }
 
-func newReport(o *Options, e *evidence, struck map[string]int) *Report {
-	r := &Report{Seed: o.Seed, Routers: o.Routers, Length: o.Length, FaultCounts: struck}
+// newReport counts the requests of a run by their results.
+func newReport(o *Options, e *evidence, faultCounts map[string]int) *Report {
+	r := &Report{Seed: o.Seed, Routers: o.Routers, Length: o.Length, FaultCounts: faultCounts}
 	c := &r.Requests
-	c.Attempts, c.Probes, c.BadClients = len(e.record.Attempts), e.record.Probes, len(e.bad)
-	for _, lives := range e.lives {
-		c.Processes += len(lives)
+	c.Attempts, c.Probes, c.BadClients = len(e.record.Attempts), e.record.Probes, len(e.badClients)
+	for _, runs := range e.runs {
+		c.Processes += len(runs)
 	}
-	for _, s := range e.lags {
-		r.SoakPaused += s.Until.Sub(s.From)
+	for _, pause := range e.soakPauses {
+		r.SoakPaused += pause.Until.Sub(pause.From)
 	}
-	for _, a := range e.asks {
+	for _, rec := range e.requests {
 		c.Sent++
-		if !a.quit.IsZero() {
+		if !rec.leftAt.IsZero() {
 			c.ClientLeft++
-			r.met(e, a)
+			r.countLeft(e, rec)
 		}
 		switch {
-		case !a.quit.IsZero():
-		case a.ending == endUnread:
+		case !rec.leftAt.IsZero():
+		case rec.ending == endUnread:
 			c.CrossedClose++
-		case a.status == 0:
+		case rec.status == 0:
 			c.Unanswered++
-		case a.refused():
+		case rec.refused():
 			c.Refused++
-		case a.status != 200:
+		case rec.status != 200:
 			c.Failed++
-		case !a.whole:
+		case !rec.complete:
 			c.CutOff++
 		default:
 			c.Served++
 		}
-		if a.note != "" {
-			struck[a.note]++
+		if rec.note != "" {
+			faultCounts[rec.note]++
 		}
 	}
 	return r
 }
 
-// met counts what a leaving client left behind: its leaving strikes only where an attempt was out or would have come.
-func (r *Report) met(e *evidence, a *ask) {
+// countLeft counts a client that left. Its leaving has an effect only if an attempt was in flight at that time, which
+// is counted as well.
+func (r *Report) countLeft(e *evidence, rec *requestRecord) {
 	r.FaultCounts["clients left"]++
-	for _, t := range e.attempts[a.id] {
-		if t.LastByte.Before(a.quit) && (t.Ended.IsZero() || t.Ended.After(a.quit)) {
-			r.FaultCounts["clients left an attempt that was out"]++
+	for _, t := range e.attempts[rec.id] {
+		if t.LastByte.Before(rec.leftAt) && (t.Ended.IsZero() || t.Ended.After(rec.leftAt)) {
+			r.FaultCounts["clients left an attempt in flight"]++
 			return
 		}
 	}
 }
 
-// maxFindings is how many findings are written out.
+// maxFindings is how many findings are printed.
 const maxFindings = 40
 
-// Print writes a report for people.
+// Print prints the report for a person.
 func (r *Report) Print(out io.Writer) {
 	c := &r.Requests
-	fmt.Fprintf(out, "soak: seed %d, %d routers (%d processes), %v, the soak itself did not run for %v\n", r.Seed, r.Routers, c.Processes,
-		r.Length, r.SoakPaused)
+	fmt.Fprintf(out, "soak: seed %d, %d routers (%d processes), %v, the soak itself did not run for %v\n", r.Seed,
+		r.Routers, c.Processes, r.Length, r.SoakPaused)
 	fmt.Fprintf(out, "requests: %d sent, %d served, %d refused, %d failed, %d cut off by their engines, %d left by their clients, "+
 		"%d crossed a close, %d without an answer; %d attempts, %d probes, %d bad clients\n",
 		c.Sent, c.Served, c.Refused, c.Failed, c.CutOff, c.ClientLeft, c.CrossedClose, c.Unanswered, c.Attempts, c.Probes, c.BadClients)
--- a/internal/standin/chat/proxy_test.go
+++ b/internal/standin/chat/proxy_test.go
@@ -7,16 +7,17 @@
 	"time"
 )
 
-// In a silence no dial comes up, at any of many proxies that fall silent together, and after it every one does.
-func TestDialsInASilence(t *testing.T) {
-	const proxies, dialWithin, patience = 30, 250 * time.Millisecond, 20 * time.Second
+// TestDialsWhileTrafficIsDropped checks that no dial completes while traffic is dropped, at any of many proxies that
+// drop it at the same time, and that every dial completes afterwards.
+func TestDialsWhileTrafficIsDropped(t *testing.T) {
+	const proxies, dialTimeout, dialPatience = 30, 250 * time.Millisecond, 20 * time.Second
 	cluster := NewCluster()
-	machines, err := NewEngineListener()
+	listener, err := NewEngineListener()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer machines.Close()
-	e, err := NewEngine(EngineOptions{ID: "d", Cluster: cluster, Listener: machines})
+	defer listener.Close()
+	e, err := NewEngine(EngineOptions{ID: "d", Cluster: cluster, Listener: listener})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -38,7 +39,7 @@
 		}
 		work.Wait()
 	}
-	comesUp := func(p *Proxy, within time.Duration) bool {
+	dialCompletes := func(p *Proxy, within time.Duration) bool {
 		c, err := net.DialTimeout("tcp", p.AddrOf(e), within)
 		if err != nil {
 			return false
@@ -54,8 +55,8 @@
 		})
 		each(func(p *Proxy) {
 			for range 3 {
-				if comesUp(p, dialWithin) {
-					t.Error("a dial came up in the silence")
+				if dialCompletes(p, dialTimeout) {
+					t.Error("a dial completed while traffic was dropped")
 				}
 			}
 		})
@@ -65,8 +66,8 @@
 			}
 		})
 		each(func(p *Proxy) {
-			if !comesUp(p, patience) {
-				t.Error("no dial comes up after the silence")
+			if !dialCompletes(p, dialPatience) {
+				t.Error("a dial did not complete after traffic was restored")
 			}
 		})
 	}
--- a/internal/standin/engine/server.go
+++ b/internal/standin/engine/server.go
@@ -31,56 +31,57 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Config is what a Server is made of.
+// Config is the configuration of a Server.
 type Config struct {
 	Name             string
-	Addr             string // where it listens; port 0 takes a free one and keeps it over restarts
+	Addr             string // listen address; port 0 picks a free port, which is kept across restarts
 	Cell             string
 	Spec             Spec
-	OtherRole        *Spec         // what it can do in its other role; nil: it has but one
-	RoleChangeTime   time.Duration // that a change of role takes, once it is empty
-	KeepsPrefixCache bool          // it keeps prefixes over a change
-	Link             *Link         // of the cell, shared by its engines; nil: as fast as the port
+	OtherRole        *Spec         // the spec of its other role; nil: it has only one role
+	RoleChangeTime   time.Duration // duration of a role change, once the engine is empty
+	KeepsPrefixCache bool          // a role change keeps the prefix cache
+	Link             *Link         // shared by the cell's engines; nil: only the port limits transfers
 	Seed             uint64
-	StartCold        bool       // starts cold
-	AuditLog         *audit.Log // nil: none
+	StartCold        bool       // the first start is cold
+	AuditLog         *audit.Log // nil: no audit records
 	Log              *slog.Logger
 }
 
-// Link is the one link out of a cell. Moves share it evenly, since each takes it for one chunk at a time.
+// Link is the single outgoing link of a cell. Transfers share it evenly, since each uses it for one chunk at a time.
 type Link struct {
 	mu              sync.Mutex
-	free            time.Time
-	TokensPerSecond float64 // tokens a second
-	slow            float64
-	until           time.Time
+	freeAt          time.Time // when the link has sent everything that it has accepted
+	TokensPerSecond float64   // bandwidth in tokens per second
+	slowdown        float64   // divides the bandwidth until slowUntil
+	slowUntil       time.Time
 }
 
-// SlowDown makes the link so many times slower for a while.
-func (l *Link) SlowDown(times float64, d time.Duration) {
+// SlowDown divides the link's bandwidth by a factor for a duration.
+func (l *Link) SlowDown(factor float64, d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.slow, l.until = times, time.Now().Add(d)
+	l.slowdown, l.slowUntil = factor, time.Now().Add(d)
 }
 
-// take waits for the link to carry tokens.
+// take waits until the link has carried the tokens.
 func (l *Link) take(ctx context.Context, tokens float64) {
 	l.mu.Lock()
 	now := time.Now()
-	perS := l.TokensPerSecond
-	if now.Before(l.until) {
-		perS /= max(l.slow, 1)
+	rate := l.TokensPerSecond
+	if now.Before(l.slowUntil) {
+		rate /= max(l.slowdown, 1)
 	}
-	if l.free.Before(now) {
-		l.free = now
+	if l.freeAt.Before(now) {
+		l.freeAt = now
 	}
-	l.free = l.free.Add(time.Duration(tokens / perS * 1e9))
-	wait := l.free.Sub(now)
+	l.freeAt = l.freeAt.Add(time.Duration(tokens / rate * 1e9))
+	wait := l.freeAt.Sub(now)
 	l.mu.Unlock()
-	pause(ctx, wait)
+	sleep(ctx, wait)
 }
 
-func pause(ctx context.Context, d time.Duration) {
+// sleep waits for a duration or until ctx ends.
+func sleep(ctx context.Context, d time.Duration) {
 	if d <= 0 {
 		return
 	}
@@ -92,98 +93,100 @@
 	}
 }
 
-// Server is a stand-in on a socket. Start begins it, Close ends it; Crash and the faults play in between.
+// Server is a stand-in engine on a socket. Start starts it and Close ends it; Crash and InjectFault work in between.
 type Server struct {
 	cfg  Config
 	log  *slog.Logger
 	addr string
-	http *http.Client // to other engines
-
-	spec atomic.Pointer[Spec] // of its present role
-
-	mu      sync.Mutex
-	life    *life // nil while down
-	role    RoleState
-	faults  faults
-	since   time.Time
-	drained bool
-	work    sync.WaitGroup
-	closed  bool
-	ctx     context.Context
-	end     context.CancelFunc
-	onStart func(since time.Time) // told of each start
+	http *http.Client // for requests to other engines
+
+	spec atomic.Pointer[Spec] // the spec of the present role
+
+	mu         sync.Mutex
+	process    *process // nil while the engine is down
+	roleState  RoleState
+	faults     faultSet
+	coldStart  time.Time // last cold start; zero: it started warm
+	draining   bool      // refuses new work
+	goroutines sync.WaitGroup
+	closed     bool // set for good by Close
+	ctx        context.Context
+	cancel     context.CancelFunc
+	onStart    func(since time.Time) // called at each start
 }
 
-// life is one run of the process: what a crash takes away.
-type life struct {
-	s        *Server
-	ctx      context.Context
-	end      context.CancelFunc
-	http     *http.Server
-	listener *listener
-	model    *model
-	wake     chan struct{}
-	states   map[string]*state
-	reads    map[string]*read // by request: those under way
-	places   map[string]*place
-	next     int
-	reports  []report
-	silent   bool
+// process is one run of the engine process: the state that a crash loses.
+type process struct {
+	server          *Server
+	ctx             context.Context
+	cancel          context.CancelFunc
+	http            *http.Server
+	listener        *listener
+	model           *model
+	wake            chan struct{}
+	states          map[string]*kvState
+	reads           map[string]*activeRead // reads in flight, by request
+	reservations    map[string]*reservation
+	lastStateNumber int // number of the KV state that was held last
+	reports         []loadSample
+	unresponsive    bool // neither answers nor resets connections
 }
 
-// state is a read state that waits.
-type state struct {
+// kvState is the KV state of a read, held until it is fetched, released or expired.
+type kvState struct {
 	id, attempt, request, client, router string
-	prompt, answer, blocks               int
-	claims                               int
-	lease                                *time.Timer
-	hold                                 time.Duration
+	promptTokens, answerTokens, blocks   int
+	claims                               int // users of the KV state; the hold timer is stopped while there are any
+	holdTimer                            *time.Timer
+	holdTime                             time.Duration
 }
 
-// read is a read under way.
-type read struct {
-	place string // where its state is to go; "" here
-	off   chan struct{}
-	once  sync.Once
+// activeRead is a read in flight.
+type activeRead struct {
+	reservationAddr string        // engine that the KV state is to be pushed to; "": it stays here
+	cancelled       chan struct{} // closed when the read is cancelled
+	cancelOnce      sync.Once
 }
 
-// place is a slot and memory held ahead.
-type place struct {
-	seq    *seq
-	tokens int
-	lease  *time.Timer
-	state  *state // once it has come
-	come   chan struct{}
+// reservation is a slot and memory reserved for a request whose read has not ended.
+type reservation struct {
+	seq          *seq
+	tokens       int
+	holdTimer    *time.Timer
+	state        *kvState      // set when the KV state has arrived
+	stateArrived chan struct{} // closed when the KV state has arrived
 }
 
-type report struct {
+// loadSample is a load report with the time at which it was taken.
+type loadSample struct {
 	at   time.Time
 	load engine.LoadReport
 }
 
-// New returns a stand-in that is down. onStart, if not nil, is told of each start.
+// New returns a stopped engine. onStart, if not nil, is called at each start.
 func New(cfg Config, onStart func(since time.Time)) *Server {
 	if cfg.Log == nil {
 		cfg.Log = slog.New(slog.DiscardHandler)
 	}
 	s := &Server{cfg: cfg, log: cfg.Log.With("engine", cfg.Name), addr: cfg.Addr, onStart: onStart}
 	s.spec.Store(&cfg.Spec)
-	s.role.Epoch = 1
+	s.roleState.Epoch = 1
 	s.faults.rng = rand.New(rand.NewPCG(cfg.Seed, 1))
-	s.ctx, s.end = context.WithCancel(context.Background())
+	s.ctx, s.cancel = context.WithCancel(context.Background())
 	s.http = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64, IdleConnTimeout: 5 * time.Second}}
 	return s
 }
 
-// Start begins listening.
+// Start starts the engine, which listens from then on.
 func (s *Server) Start() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.startLocked(s.cfg.StartCold)
 }
 
+// startLocked starts a process, cold or warm. s.mu is held.
 func (s *Server) startLocked(cold bool) error {
-	if s.closed || s.life != nil {
+	if s.closed || s.process != nil {
 		return errors.New("engine is closed or runs already")
 	}
 	raw, err := net.Listen("tcp", s.addr)
@@ -192,116 +195,117 @@
 	}
 	s.addr = raw.Addr().String()
 	now := time.Now()
-	l := &life{s: s, model: newModel(*s.spec.Load(), now, cold), wake: make(chan struct{}, 1),
-		states: map[string]*state{}, reads: map[string]*read{}, places: map[string]*place{}}
-	l.ctx, l.end = context.WithCancel(s.ctx)
-	l.listener = &listener{Listener: raw, life: l, conns: map[*conn]bool{}}
-	l.http = &http.Server{Handler: l.handler(), ErrorLog: slog.NewLogLogger(s.log.Handler(), slog.LevelDebug),
+	proc := &process{server: s, model: newModel(*s.spec.Load(), now, cold), wake: make(chan struct{}, 1),
+		states: map[string]*kvState{}, reads: map[string]*activeRead{}, reservations: map[string]*reservation{}}
+	proc.ctx, proc.cancel = context.WithCancel(s.ctx)
+	proc.listener = &listener{Listener: raw, process: proc, conns: map[*conn]bool{}}
+	proc.http = &http.Server{Handler: proc.handler(), ErrorLog: slog.NewLogLogger(s.log.Handler(), slog.LevelDebug),
 		ReadHeaderTimeout: 5 * time.Second}
-	s.life, s.drained = l, false
+	s.process, s.draining = proc, false
 	if cold {
-		s.since = now
+		s.coldStart = now
 	}
-	s.role.Phase = engine.PhaseSteady // a change that was under way is lost with the process
+	s.roleState.Phase = engine.PhaseSteady // a role change in progress is lost with the process
 	s.recordStart(now, cold)
-	s.work.Add(2)
-	go func() { defer s.work.Done(); l.http.Serve(l.listener) }()
-	go func() { defer s.work.Done(); l.run() }()
+	s.goroutines.Add(2)
+	go func() { defer s.goroutines.Done(); proc.http.Serve(proc.listener) }()
+	go func() { defer s.goroutines.Done(); proc.run() }()
 	if s.onStart != nil {
-		s.onStart(s.since)
+		s.onStart(s.coldStart)
 	}
 	return nil
 }
 
-// recordStart tells the audit of a start, in whichever role.
+// recordStart writes a start in the present role to the audit log.
 func (s *Server) recordStart(now time.Time, cold bool) {
 	spec := s.spec.Load()
 	rec := audit.Record{At: now.UnixNano(), Who: s.cfg.Name, Kind: audit.Started, N: spec.capacity(), Work: spec.InitialCapacity,
-		Deadline: int64(spec.SlowStartTime), Note: stageOf(spec)}
+		Deadline: int64(spec.SlowStartTime), Note: stageName(spec)}
 	if !cold {
 		rec.At -= int64(spec.SlowStartTime)
 	}
 	s.cfg.AuditLog.Add(rec)
 }
 
-// Addr is where the engine listens.
+// Addr returns the address that the engine listens on.
 func (s *Server) Addr() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.addr
 }
 
-// ColdStart is its last start; the zero time when it started warm.
+// ColdStart returns the time of the last cold start, or the zero time if the engine started warm.
 func (s *Server) ColdStart() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.since
+	return s.coldStart
 }
 
-// Running tells whether it runs.
+// Running reports whether the process runs.
 func (s *Server) Running() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.life != nil
+	return s.process != nil
 }
 
-// Crash takes the process down at once: connections are reset, states are lost. With back over 0 it comes
-// back cold after that time.
-func (s *Server) Crash(back time.Duration) {
+// Crash ends the process at once: connections are reset and KV states are lost. If back is over 0, the engine
+// restarts cold after that time.
+func (s *Server) Crash(restartAfter time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.crashLocked(back)
+	s.crashLocked(restartAfter)
 }
 
-func (s *Server) crashLocked(back time.Duration) {
-	l := s.life
-	if l == nil {
+// crashLocked is Crash with s.mu held.
+func (s *Server) crashLocked(restartAfter time.Duration) {
+	proc := s.process
+	if proc == nil {
 		return
 	}
-	s.life = nil
-	l.listener.reset = true
-	l.end()
-	for _, st := range l.states {
-		st.lease.Stop()
+	s.process = nil
+	proc.listener.resetConns = true
+	proc.cancel()
+	for _, st := range proc.states {
+		st.holdTimer.Stop()
 		s.record(audit.Lost, st, "")
 	}
-	for _, p := range l.places {
-		p.lease.Stop()
+	for _, p := range proc.reservations {
+		p.holdTimer.Stop()
 	}
-	l.states, l.places = map[string]*state{}, map[string]*place{}
-	s.work.Add(1)
+	proc.states, proc.reservations = map[string]*kvState{}, map[string]*reservation{}
+	s.goroutines.Add(1)
 	go func() {
-		defer s.work.Done()
-		l.listener.Listener.Close()
-		l.listener.closeAll()
-		l.http.Close()
+		defer s.goroutines.Done()
+		proc.listener.Listener.Close()
+		proc.listener.closeConns()
+		proc.http.Close()
 	}()
-	if back > 0 && !s.closed {
-		s.work.Add(1)
+	if restartAfter > 0 && !s.closed {
+		s.goroutines.Add(1)
 		go func() {
-			defer s.work.Done()
-			pause(s.ctx, back)
-			for s.ctx.Err() == nil { // the port may be in use for a moment
+			defer s.goroutines.Done()
+			sleep(s.ctx, restartAfter)
+			for s.ctx.Err() == nil { // the port may still be in use for a moment
 				s.mu.Lock()
 				err := s.startLocked(true)
 				s.mu.Unlock()
 				if err == nil || s.closed {
 					return
 				}
-				pause(s.ctx, 10*time.Millisecond)
+				sleep(s.ctx, 10*time.Millisecond)
 			}
 		}()
 	}
 }
 
-// Close ends the engine for good and waits for all that it began.
+// Close stops the engine for good and waits for its goroutines.
 func (s *Server) Close() {
 	s.mu.Lock()
 	s.closed = true
 	s.crashLocked(0)
 	s.mu.Unlock()
-	s.end()
-	s.work.Wait()
+	s.cancel()
+	s.goroutines.Wait()
 	s.http.CloseIdleConnections()
 }
 
@@ -309,10 +313,10 @@
 func (s *Server) Drain() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.drained = true
+	s.draining = true
 }
 
-// InjectFault begins a fault.
+// InjectFault starts a fault.
 func (s *Server) InjectFault(f Fault) error {
 	if err := f.Check(); err != nil {
 		return err
@@ -324,27 +328,27 @@
 	case "crash":
 		s.crashLocked(f.Duration)
 	case "vanish":
-		if l := s.life; l != nil {
-			l.silent = true
+		if proc := s.process; proc != nil {
+			proc.unresponsive = true
 			s.after(f.Duration, func() {
-				if s.life == l {
+				if s.process == proc {
 					s.crashLocked(time.Millisecond)
 				}
 			})
 		}
 	case "preempt":
-		l := s.life
-		s.drained = true
+		proc := s.process
+		s.draining = true
 		s.after(time.Duration(f.Size*float64(time.Second)), func() {
-			if s.life == l {
+			if s.process == proc {
 				s.crashLocked(f.Duration)
 			}
 		})
 	case "ageing":
-		l := s.life
+		proc := s.process
 		s.faults.add(f, time.Now())
 		s.after(f.Duration, func() {
-			if s.life == l {
+			if s.process == proc {
 				s.crashLocked(time.Second)
 			}
 		})
@@ -359,19 +363,19 @@
 	return nil
 }
 
-// ClearFaults ends the faults of a kind, or all with "".
+// ClearFaults ends the faults of a kind, or all faults if kind is empty.
 func (s *Server) ClearFaults(kind string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults.clear(kind)
 }
 
-// after runs f under the lock after a time, unless the engine is closed before.
+// after runs f with s.mu held after a duration, unless the engine is closed before.
 func (s *Server) after(d time.Duration, f func()) {
-	s.work.Add(1)
+	s.goroutines.Add(1)
 	go func() {
-		defer s.work.Done()
-		pause(s.ctx, d)
+		defer s.goroutines.Done()
+		sleep(s.ctx, d)
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		if !s.closed {
@@ -380,97 +384,102 @@
 	}()
 }
 
-func (s *Server) record(what audit.EventKind, st *state, note string) {
-	s.cfg.AuditLog.Add(audit.Record{Who: s.cfg.Name, Kind: what, ID: st.attempt, Client: st.client,
+// record writes an event of a KV state to the audit log.
+func (s *Server) record(kind audit.EventKind, st *kvState, note string) {
+	s.cfg.AuditLog.Add(audit.Record{Who: s.cfg.Name, Kind: kind, ID: st.attempt, Client: st.client,
 		Router: st.router, Note: note})
 }
 
-// run steps the model while there is work.
-func (l *life) run() {
-	for l.ctx.Err() == nil {
-		l.s.mu.Lock()
+// run executes the model's steps while there is work, until the process ends.
+func (proc *process) run() {
+	for proc.ctx.Err() == nil {
+		proc.server.mu.Lock()
 		now := time.Now()
-		l.sample(now)
-		l.model.slow = l.s.faults.factor(now)
-		still := l.s.faults.pause(now)
-		busy := l.model.busy() && !l.silent
-		var d time.Duration
+		proc.sampleLoad(now)
+		proc.model.slowdown = proc.server.faults.slowdown(now)
+		pauseLeft := proc.server.faults.pauseLeft(now)
+		busy := proc.model.busy() && !proc.unresponsive
+		var stepTime time.Duration
 		var reads []int
 		var planned []*seq
-		if busy && still == 0 {
-			d, reads = l.model.step(now)
-			planned = slices.Clone(l.model.running)
+		if busy && pauseLeft == 0 {
+			stepTime, reads = proc.model.planStep(now)
+			planned = slices.Clone(proc.model.running)
 		}
-		l.s.mu.Unlock()
+		proc.server.mu.Unlock()
 		switch {
-		case still > 0:
-			pause(l.ctx, still)
+		case pauseLeft > 0:
+			sleep(proc.ctx, pauseLeft)
 		case busy:
-			pause(l.ctx, d)
-			l.s.mu.Lock()
-			if l.ctx.Err() == nil && !l.silent {
-				l.model.finish(planned, reads)
+			sleep(proc.ctx, stepTime)
+			proc.server.mu.Lock()
+			if proc.ctx.Err() == nil && !proc.unresponsive {
+				proc.model.finishStep(planned, reads)
 			}
-			l.s.mu.Unlock()
+			proc.server.mu.Unlock()
 		default:
-			t := time.NewTimer(l.s.spec.Load().ReportInterval)
+			t := time.NewTimer(proc.server.spec.Load().ReportInterval)
 			select {
-			case <-l.wake:
+			case <-proc.wake:
 			case <-t.C:
-			case <-l.ctx.Done():
+			case <-proc.ctx.Done():
 			}
 			t.Stop()
 		}
 	}
 }
 
-func (l *life) signal() {
+// wakeModel tells run that there may be work.
+func (proc *process) wakeModel() {
 	select {
-	case l.wake <- struct{}{}:
+	case proc.wake <- struct{}{}:
 	default:
 	}
 }
 
-// sample takes a load report now and then; what is told is one of some time ago.
-func (l *life) sample(now time.Time) {
-	if n := len(l.reports); n > 0 && now.Sub(l.reports[n-1].at) < l.s.spec.Load().ReportInterval {
+// sampleLoad takes a load sample if the last one is older than the report interval, and drops samples that are older
+// than the one to report.
+func (proc *process) sampleLoad(now time.Time) {
+	if n := len(proc.reports); n > 0 && now.Sub(proc.reports[n-1].at) < proc.server.spec.Load().ReportInterval {
 		return
 	}
-	share, waiting, latency := l.model.load()
-	l.reports = append(l.reports, report{now, engine.LoadReport{MemoryUse: &share, QueuedTokens: &waiting,
+	memoryUse, queuedTokens, latency := proc.model.load()
+	proc.reports = append(proc.reports, loadSample{now, engine.LoadReport{MemoryUse: &memoryUse, QueuedTokens: &queuedTokens,
 		LatencyMillis: &latency}})
-	late := l.s.spec.Load().ReportDelay + time.Duration(l.s.faults.largest("report_late", 0, now)*1e9)
-	for len(l.reports) > 1 && now.Sub(l.reports[1].at) >= late {
-		l.reports = l.reports[1:]
+	delay := proc.server.spec.Load().ReportDelay + time.Duration(proc.server.faults.maxSize("report_late", 0, now)*1e9)
+	for len(proc.reports) > 1 && now.Sub(proc.reports[1].at) >= delay {
+		proc.reports = proc.reports[1:]
 	}
 }
 
-func (l *life) report() *engine.LoadReport {
-	l.s.mu.Lock()
-	defer l.s.mu.Unlock()
-	l.sample(time.Now())
-	return &l.reports[0].load
+// loadReport returns the load report that is due now: a sample that is ReportDelay old.
+func (proc *process) loadReport() *engine.LoadReport {
+	proc.server.mu.Lock()
+	defer proc.server.mu.Unlock()
+	proc.sampleLoad(time.Now())
+	return &proc.reports[0].load
 }
 
-func (l *life) handler() http.Handler {
+// handler returns the HTTP handler of all the engine's paths.
+func (proc *process) handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /v2/models/{model}/infer", l.prefill)
-	mux.HandleFunc("POST /v2/models/{model}/generate_stream", l.decode)
+	mux.HandleFunc("POST /v2/models/{model}/infer", proc.prefill)
+	mux.HandleFunc("POST /v2/models/{model}/generate_stream", proc.decode)
 	mux.HandleFunc("GET "+engine.LoadPath, func(w http.ResponseWriter, r *http.Request) {
-		writeJSON(w, http.StatusOK, l.report())
+		writeJSON(w, http.StatusOK, proc.loadReport())
 	})
-	mux.HandleFunc("GET "+engine.StatePath+"{handle}", l.withState(l.fetch))
-	mux.HandleFunc("POST "+engine.StatePath+"{handle}/release", l.withState(l.release))
-	mux.HandleFunc("POST "+engine.StatePath+"{handle}/claim", l.withState(l.claim))
-	mux.HandleFunc("POST "+engine.StatePath+"{handle}/renew", l.withState(l.renew))
-	mux.HandleFunc("PUT "+engine.ReservationPath+"{request}", l.reserve)
-	mux.HandleFunc("DELETE "+engine.ReservationPath+"{request}", l.giveUp)
-	mux.HandleFunc("POST "+engine.ReservationPath+"{request}/state", l.stateComes)
-	mux.HandleFunc("POST "+engine.ReadPath+"{request}/place", l.tellPlace)
-	mux.HandleFunc("DELETE "+engine.ReadPath+"{request}", l.callOff)
-	mux.HandleFunc("GET "+engine.RolePath, l.tellRole)
-	mux.HandleFunc("POST "+engine.RolePath, l.changeRole)
-	mux.HandleFunc("POST "+engine.RolePath+"/stay", l.stay)
+	mux.HandleFunc("GET "+engine.StatePath+"{handle}", proc.withState(proc.serveState))
+	mux.HandleFunc("POST "+engine.StatePath+"{handle}/release", proc.withState(proc.releaseState))
+	mux.HandleFunc("POST "+engine.StatePath+"{handle}/claim", proc.withState(proc.claimState))
+	mux.HandleFunc("POST "+engine.StatePath+"{handle}/renew", proc.withState(proc.renewState))
+	mux.HandleFunc("PUT "+engine.ReservationPath+"{request}", proc.reserve)
+	mux.HandleFunc("DELETE "+engine.ReservationPath+"{request}", proc.cancelReservation)
+	mux.HandleFunc("POST "+engine.ReservationPath+"{request}/state", proc.acceptState)
+	mux.HandleFunc("POST "+engine.ReadPath+"{request}/place", proc.setReservationAddr)
+	mux.HandleFunc("DELETE "+engine.ReadPath+"{request}", proc.cancelRead)
+	mux.HandleFunc("GET "+engine.RolePath, proc.getRole)
+	mux.HandleFunc("POST "+engine.RolePath, proc.changeRole)
+	mux.HandleFunc("POST "+engine.RolePath+"/stay", proc.cancelRoleChange)
 	mux.HandleFunc("GET /v2/health/ready", func(w http.ResponseWriter, r *http.Request) {
 		writeJSON(w, http.StatusOK, map[string]bool{"ready": true})
 	})
@@ -478,7 +487,7 @@
 		var f Fault
 		err := kserve.Decode(http.MaxBytesReader(w, r.Body, 4096), &f)
 		if err == nil {
-			err = l.s.InjectFault(f)
+			err = proc.server.InjectFault(f)
 		}
 		if err != nil {
 			writeJSON(w, http.StatusBadRequest, kserve.ErrorResponse{Error: err.Error()})
@@ -487,25 +496,26 @@
 		writeJSON(w, http.StatusOK, map[string]bool{"playing": true})
 	})
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		l.s.mu.Lock()
-		silent := l.silent
-		l.s.mu.Unlock()
-		if silent {
-			l.hush(r.Context())
+		proc.server.mu.Lock()
+		unresponsive := proc.unresponsive
+		proc.server.mu.Unlock()
+		if unresponsive {
+			proc.waitForClose(r.Context())
 			panic(http.ErrAbortHandler)
 		}
 		mux.ServeHTTP(w, r)
 	})
 }
 
-// hush waits without a word until the client leaves or the process ends.
-func (l *life) hush(ctx context.Context) {
+// waitForClose blocks without an answer until the client disconnects or the process ends.
+func (proc *process) waitForClose(ctx context.Context) {
 	select {
 	case <-ctx.Done():
-	case <-l.ctx.Done():
+	case <-proc.ctx.Done():
 	}
 }
 
+// writeJSON answers with a value as JSON.
 func writeJSON(w http.ResponseWriter, code int, v any) {
 	body, err := json.Marshal(v)
 	if err != nil {
@@ -516,74 +526,76 @@
 	w.Write(body)
 }
 
-func (l *life) turn(w http.ResponseWriter, why, text string) {
-	w.Header().Set(engine.RefusedHeader, why)
-	w.Header().Set(engine.LoadHeader, l.report().Header())
+// refuse answers 503 with the reason of the refusal and the engine's load.
+func (proc *process) refuse(w http.ResponseWriter, reason, text string) {
+	w.Header().Set(engine.RefusedHeader, reason)
+	w.Header().Set(engine.LoadHeader, proc.loadReport().Header())
 	writeJSON(w, http.StatusServiceUnavailable, kserve.ErrorResponse{Error: text})
 }
 
-// attempt is what both stages have in common.
+// attempt holds what requests of both stages have in common.
 type attempt struct {
-	l      *life
-	id     string
-	p      engine.Params
-	text   string
-	router string
+	process *process
+	id      string
+	params  engine.Params
+	prompt  string // the prompt's text
+	router  string
 }
 
-func (a *attempt) record(what audit.EventKind, note string) {
-	a.l.s.cfg.AuditLog.Add(audit.Record{Who: a.l.s.cfg.Name, Kind: what, ID: a.id, Client: a.p.Client,
-		Router: a.router, Class: a.p.Class, Stage: a.p.Stage, Work: a.l.s.spec.Load().meanWork(), Note: note})
+// record writes an event of the attempt to the audit log.
+func (a *attempt) record(kind audit.EventKind, note string) {
+	a.process.server.cfg.AuditLog.Add(audit.Record{Who: a.process.server.cfg.Name, Kind: kind, ID: a.id, Client: a.params.Client,
+		Router: a.router, Class: a.params.Class, Stage: a.params.Stage, Work: a.process.server.spec.Load().meanWork(), Note: note})
 }
 
-// enter does what comes before any work: it records the arrival and plays the faults that strike at the
-// door. It reports whether the attempt goes on.
-func (a *attempt) enter(w http.ResponseWriter, r *http.Request) bool {
-	l := a.l
-	a.router, _, _ = strings.Cut(a.p.Request, ".")
+// accept runs before any work: it records the arrival, injects the faults that apply to arriving requests, and
+// refuses what the engine cannot take. It reports whether the attempt continues.
+func (a *attempt) accept(w http.ResponseWriter, r *http.Request) bool {
+	proc := a.process
+	a.router, _, _ = strings.Cut(a.params.Request, ".")
 	a.record(audit.Arrived, "")
-	l.s.mu.Lock()
+	proc.server.mu.Lock()
 	now := time.Now()
-	f := &l.s.faults
-	failing := f.strikes("fast_errors", a.p.Class, now)
-	throttled := f.strikes("throttle", a.p.Class, now)
-	ill := f.strikes("class_fail", a.p.Class, now)
-	endless := f.strikes("long_headers", a.p.Class, now)
-	l.model.weigh(now)
-	fallen, drained := l.model.fallen, l.s.drained || l.s.role.Phase != engine.PhaseSteady
-	if fallen && !l.silent {
-		l.silent = true
-		l.s.cfg.AuditLog.Add(audit.Record{Who: l.s.cfg.Name, Kind: audit.OverloadFailed})
-	}
-	l.s.mu.Unlock()
-	role := a.p.Stage == engine.StagePrefill && l.s.spec.Load().Role&decide.Reader == 0 ||
-		a.p.Stage == engine.StageDecode && l.s.spec.Load().Role&decide.Writer == 0
+	f := &proc.server.faults
+	failing := f.draw("fast_errors", a.params.Class, now)
+	throttled := f.draw("throttle", a.params.Class, now)
+	classFault := f.draw("class_fail", a.params.Class, now)
+	endlessHeaders := f.draw("long_headers", a.params.Class, now)
+	proc.model.countSend(now)
+	overloaded, draining := proc.model.overloaded, proc.server.draining || proc.server.roleState.Phase != engine.PhaseSteady
+	if overloaded && !proc.unresponsive {
+		proc.unresponsive = true
+		proc.server.cfg.AuditLog.Add(audit.Record{Who: proc.server.cfg.Name, Kind: audit.OverloadFailed})
+	}
+	proc.server.mu.Unlock()
+	wrongRole := a.params.Stage == engine.StagePrefill && proc.server.spec.Load().Role&decide.Reader == 0 ||
+		a.params.Stage == engine.StageDecode && proc.server.spec.Load().Role&decide.Writer == 0
 	switch {
-	case fallen || ill != nil && ill.Mode == "silence":
+	case overloaded || classFault != nil && classFault.Mode == "silence":
 		a.record(audit.Rejected, "silence")
-		l.hush(r.Context())
+		proc.waitForClose(r.Context())
 		panic(http.ErrAbortHandler)
-	case endless != nil:
+	case endlessHeaders != nil:
 		a.record(audit.Rejected, "long headers")
-		l.longHeaders(w)
+		proc.sendEndlessHeaders(w)
 		return false
-	case failing != nil || ill != nil:
+	case failing != nil || classFault != nil:
 		a.record(audit.Rejected, "error")
 		writeJSON(w, http.StatusInternalServerError, kserve.ErrorResponse{Error: "the engine failed"})
 		return false
-	case drained:
+	case draining:
 		a.record(audit.Rejected, engine.RefusedDraining)
-		l.turn(w, engine.RefusedDraining, "the engine is draining")
+		proc.refuse(w, engine.RefusedDraining, "the engine is draining")
 		return false
-	case role:
+	case wrongRole:
 		a.record(audit.Rejected, engine.RefusedRole)
-		l.turn(w, engine.RefusedRole, "the engine does not do this stage")
+		proc.refuse(w, engine.RefusedRole, "the engine does not do this stage")
 		return false
 	case throttled != nil:
 		a.record(audit.Rejected, engine.RefusedFull)
-		l.turn(w, engine.RefusedFull, "no more of this class")
+		proc.refuse(w, engine.RefusedFull, "no more of this class")
 		return false
-	case int(a.p.PromptTokens)+1 > l.s.spec.Load().MaxContextTokens:
+	case int(a.params.PromptTokens)+1 > proc.server.spec.Load().MaxContextTokens:
 		a.record(audit.Rejected, "context")
 		writeJSON(w, http.StatusBadRequest, kserve.ErrorResponse{Error: "the prompt is longer than the context"})
 		return false
@@ -591,15 +603,15 @@
 	return true
 }
 
-// longHeaders sends headers until the other side has had enough.
-func (l *life) longHeaders(w http.ResponseWriter) {
+// sendEndlessHeaders sends header lines until the client disconnects, or 65,536 of them.
+func (proc *process) sendEndlessHeaders(w http.ResponseWriter) {
 	c, buf, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		return
 	}
 	defer c.Close()
 	buf.WriteString("HTTP/1.1 200 OK\r\n")
-	for i := 0; i < 1<<16 && l.ctx.Err() == nil; i++ {
+	for i := 0; i < 1<<16 && proc.ctx.Err() == nil; i++ {
 		if _, err := fmt.Fprintf(buf, "X-Filler-%d: %064d\r\n", i, i); err != nil {
 			return
 		}
@@ -607,30 +619,31 @@
 	buf.Flush()
 }
 
-// answerMark lets a prompt tell the model how long its answer will be; a router does not look at it.
-var answerMark = regexp.MustCompile(`\[answer=(\d{1,5})\]`)
+// answerLengthMark lets a prompt tell the stand-in how long its answer will be. Routers do not interpret it.
+var answerLengthMark = regexp.MustCompile(`\[answer=(\d{1,5})\]`)
 
-// answerLength is the true length of an answer: what the prompt's mark says, else a draw from a long-tailed
-// distribution that hangs on the prompt alone, so that a repeat is answered alike.
-func (l *life) answerLength(prompt string, most int) int {
+// answerLength returns the length of an answer in tokens: the value of the prompt's mark, or else a draw from a
+// long-tailed distribution whose seed depends only on the prompt and the engine's seed, so that a retry gets an
+// answer of the same length.
+func (proc *process) answerLength(prompt string, maxTokens int) int {
 	n := 0
-	if m := answerMark.FindStringSubmatch(prompt); m != nil {
+	if m := answerLengthMark.FindStringSubmatch(prompt); m != nil {
 		n, _ = strconv.Atoi(m[1])
 	} else {
 		const sigma = 0.6
-		mean := max(l.s.spec.Load().MeanAnswerTokens, 1)
+		mean := max(proc.server.spec.Load().MeanAnswerTokens, 1)
 		d := distuv.LogNormal{Mu: math.Log(mean) - sigma*sigma/2, Sigma: sigma,
-			Src: rand.NewPCG(xxhash.Sum64String(prompt), l.s.cfg.Seed)}
+			Src: rand.NewPCG(xxhash.Sum64String(prompt), proc.server.cfg.Seed)}
 		n = int(d.Rand())
 	}
-	if most > 0 {
-		n = min(n, most)
+	if maxTokens > 0 {
+		n = min(n, maxTokens)
 	}
 	return max(n, 1)
 }
 
-// prefill reads a prompt; its state waits here.
-func (l *life) prefill(w http.ResponseWriter, r *http.Request) {
+// prefill reads a prompt. Its KV state is held here, or pushed to a reservation.
+func (proc *process) prefill(w http.ResponseWriter, r *http.Request) {
 	var body struct {
 		ID         string          `json:"id"`
 		Parameters engine.Params   `json:"parameters"`
@@ -640,72 +653,74 @@
 		writeJSON(w, http.StatusBadRequest, kserve.ErrorResponse{Error: err.Error()})
 		return
 	}
-	a := &attempt{l: l, id: body.ID, p: body.Parameters}
+	a := &attempt{process: proc, id: body.ID, params: body.Parameters}
 	if len(body.Inputs) == 1 {
 		if texts, err := body.Inputs[0].Strings(); err == nil && len(texts) == 1 {
-			a.text = texts[0]
+			a.prompt = texts[0]
 		}
 	}
-	if !a.enter(w, r) {
+	if !a.accept(w, r) {
 		return
 	}
-	q := &seq{prompt: max(int(a.p.PromptTokens), 1), shared: int(a.p.SharedTokens), session: a.p.Session, text: a.p.SharedText}
+	q := &seq{promptTokens: max(int(a.params.PromptTokens), 1), sharedTokens: int(a.params.SharedTokens),
+		sessionID: a.params.Session, prefixID: a.params.SharedText}
 	began := time.Now()
-	under := &read{off: make(chan struct{})}
-	l.s.mu.Lock()
-	err := l.model.admit(q)
+	reading := &activeRead{cancelled: make(chan struct{})}
+	proc.server.mu.Lock()
+	err := proc.model.admit(q)
 	if err == nil {
-		l.reads[a.p.Request] = under
+		proc.reads[a.params.Request] = reading
 	}
-	l.s.mu.Unlock()
+	proc.server.mu.Unlock()
 	if err != nil {
 		a.record(audit.Rejected, engine.RefusedFull)
-		l.turn(w, engine.RefusedFull, err.Error())
+		proc.refuse(w, engine.RefusedFull, err.Error())
 		return
 	}
-	l.signal()
+	proc.wakeModel()
 	done := false
 	select {
 	case <-q.events:
 		done = true
-	case <-under.off:
+	case <-reading.cancelled:
 	case <-r.Context().Done():
-	case <-l.ctx.Done():
+	case <-proc.ctx.Done():
 	}
-	l.s.mu.Lock()
-	placeAt := under.place
-	if l.reads[a.p.Request] == under {
-		delete(l.reads, a.p.Request)
+	proc.server.mu.Lock()
+	reservationAddr := reading.reservationAddr
+	if proc.reads[a.params.Request] == reading {
+		delete(proc.reads, a.params.Request)
 	}
 	select {
-	case <-under.off:
+	case <-reading.cancelled:
 		done = false
 	default:
 	}
-	if !done || r.Context().Err() != nil || l.ctx.Err() != nil || l.silent {
-		silent := l.silent
-		l.model.leave(q)
-		l.s.mu.Unlock()
+	if !done || r.Context().Err() != nil || proc.ctx.Err() != nil || proc.unresponsive {
+		unresponsive := proc.unresponsive
+		proc.model.remove(q)
+		proc.server.mu.Unlock()
 		a.record(audit.Ended, "called off")
-		if placeAt != "" { // nobody else may be there to let the place go
-			l.dropPlaceAt(placeAt, a.p.Request)
+		if reservationAddr != "" { // no one else may be there to cancel the reservation
+			proc.cancelReservationAt(reservationAddr, a.params.Request)
 		}
-		if silent {
-			l.hush(r.Context())
+		if unresponsive {
+			proc.waitForClose(r.Context())
 		}
-		l.signal()
+		proc.wakeModel()
 		panic(http.ErrAbortHandler)
 	}
-	l.model.waited(time.Since(began))
-	st := l.holdLocked(a, q)
-	l.s.mu.Unlock()
+	proc.model.recordLatency(time.Since(began))
+	st := proc.holdStateLocked(a, q)
+	proc.server.mu.Unlock()
 	a.record(audit.Ended, "read")
-	answer := engine.ReadParams{Handle: st.id, Source: l.s.addr, Tokens: float64(q.prompt), CachedTokens: float64(q.kept)}
-	if placeAt != "" && l.push(r.Context(), st, placeAt, a.p.Request) {
-		answer.Handle, answer.Source = "place-"+a.p.Request, placeAt
+	answer := engine.ReadParams{Handle: st.id, Source: proc.server.addr, Tokens: float64(q.promptTokens),
+		CachedTokens: float64(q.cached)}
+	if reservationAddr != "" && proc.pushState(r.Context(), st, reservationAddr, a.params.Request) {
+		answer.Handle, answer.Source = "place-"+a.params.Request, reservationAddr
 	}
 	id := a.id
-	if l.strikes("wrong_id", a.p.Class) {
+	if proc.faultApplies("wrong_id", a.params.Class) {
 		id += "-not"
 	}
 	out, err := json.Marshal(struct {
@@ -718,66 +733,70 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	w.Header().Set(engine.LoadHeader, l.report().Header())
+	w.Header().Set(engine.LoadHeader, proc.loadReport().Header())
 	switch {
-	case l.strikes("half_frame", a.p.Class):
+	case proc.faultApplies("half_frame", a.params.Class):
 		w.Header().Set("Content-Length", strconv.Itoa(len(out)))
 		w.Write(out[:len(out)/2])
 		http.NewResponseController(w).Flush()
 		panic(http.ErrAbortHandler)
-	case l.strikes("two_answers", a.p.Class):
+	case proc.faultApplies("two_answers", a.params.Class):
 		w.Write(append(out, out...))
 	default:
 		w.Write(out)
 	}
 }
 
-func (l *life) strikes(kind, class string) bool {
-	l.s.mu.Lock()
-	defer l.s.mu.Unlock()
-	return l.s.faults.strikes(kind, class, time.Now()) != nil
+// faultApplies draws whether an active fault of a kind applies to a request of a class.
+func (proc *process) faultApplies(kind, class string) bool {
+	proc.server.mu.Lock()
+	defer proc.server.mu.Unlock()
+	return proc.server.faults.draw(kind, class, time.Now()) != nil
 }
 
-// holdLocked makes a state of a finished read. It waits for as long as the router says; a claim stops
-// that clock, and the end of a claim starts it anew.
-func (l *life) holdLocked(a *attempt, q *seq) *state {
-	l.next++
-	st := &state{id: fmt.Sprintf("%s-%x-%d", l.s.cfg.Name, l.model.started.UnixNano(), l.next), attempt: a.id,
-		request: a.p.Request, client: a.p.Client,
-		router: a.router, prompt: q.prompt, blocks: q.blocks, answer: l.answerLength(a.text, a.p.MaxTokens),
-		hold: time.Duration(max(a.p.HoldMillis, 1) * 1e6)}
-	l.addStateLocked(st)
+// holdStateLocked holds the KV state of a finished read for the time that the router has requested. A claim stops the
+// hold timer, and the end of the last claim restarts it.
+func (proc *process) holdStateLocked(a *attempt, q *seq) *kvState {
+	proc.lastStateNumber++
+	st := &kvState{
+		id:      fmt.Sprintf("%s-%x-%d", proc.server.cfg.Name, proc.model.started.UnixNano(), proc.lastStateNumber),
+		attempt: a.id, request: a.params.Request, client: a.params.Client, router: a.router,
+		promptTokens: q.promptTokens, blocks: q.blocks, answerTokens: proc.answerLength(a.prompt, a.params.MaxTokens),
+		holdTime: time.Duration(max(a.params.HoldMillis, 1) * 1e6)}
+	proc.addStateLocked(st)
 	return st
 }
 
-func (l *life) addStateLocked(st *state) {
-	l.states[st.id] = st
-	l.s.record(audit.Held, st, "")
-	st.lease = time.AfterFunc(st.hold, func() {
-		l.s.mu.Lock()
-		defer l.s.mu.Unlock()
-		if l.states[st.id] == st && st.claims == 0 {
-			l.dropLocked(st, audit.Expired)
+// addStateLocked adds a KV state and starts its hold timer.
+func (proc *process) addStateLocked(st *kvState) {
+	proc.states[st.id] = st
+	proc.server.record(audit.Held, st, "")
+	st.holdTimer = time.AfterFunc(st.holdTime, func() {
+		proc.server.mu.Lock()
+		defer proc.server.mu.Unlock()
+		if proc.states[st.id] == st && st.claims == 0 {
+			proc.dropStateLocked(st, audit.Expired)
 		}
 	})
 }
 
-func (l *life) dropLocked(st *state, what audit.EventKind) {
-	if l.states[st.id] != st {
+// dropStateLocked frees a KV state and records the reason.
+func (proc *process) dropStateLocked(st *kvState, reason audit.EventKind) {
+	if proc.states[st.id] != st {
 		return
 	}
-	delete(l.states, st.id)
-	st.lease.Stop()
-	l.model.free(st.blocks)
-	l.s.record(what, st, "")
+	delete(proc.states, st.id)
+	st.holdTimer.Stop()
+	proc.model.freeBlocks(st.blocks)
+	proc.server.record(reason, st, "")
 }
 
-// withState finds the state that a call is about.
-func (l *life) withState(f func(http.ResponseWriter, *http.Request, *state)) http.HandlerFunc {
+// withState looks up the KV state that a call names.
+func (proc *process) withState(f func(http.ResponseWriter, *http.Request, *kvState)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		l.s.mu.Lock()
-		st := l.states[r.PathValue("handle")]
-		l.s.mu.Unlock()
+		proc.server.mu.Lock()
+		st := proc.states[r.PathValue("handle")]
+		proc.server.mu.Unlock()
 		if st == nil {
 			writeJSON(w, http.StatusNotFound, kserve.ErrorResponse{Error: "no such state"})
 			return
@@ -786,107 +805,110 @@
 	}
 }
 
-func (l *life) release(w http.ResponseWriter, r *http.Request, st *state) {
-	l.s.mu.Lock()
-	l.dropLocked(st, audit.Released)
-	l.s.mu.Unlock()
-	l.signal()
+// releaseState frees a KV state at a router's request.
+func (proc *process) releaseState(w http.ResponseWriter, r *http.Request, st *kvState) {
+	proc.server.mu.Lock()
+	proc.dropStateLocked(st, audit.Released)
+	proc.server.mu.Unlock()
+	proc.wakeModel()
 	writeJSON(w, http.StatusOK, map[string]bool{"released": true})
 }
 
-// callOff ends a read, or lets go of the state that it has left: for a router that gave the attempt up and
-// never saw its answer. It can be told again and again.
-func (l *life) callOff(w http.ResponseWriter, r *http.Request) {
+// cancelRead cancels a read, or releases the KV state that it has left. A router calls it for an attempt that it gave
+// up and whose answer it never saw. The call is idempotent.
+func (proc *process) cancelRead(w http.ResponseWriter, r *http.Request) {
 	request := r.PathValue("request")
-	l.s.mu.Lock()
-	if under := l.reads[request]; under != nil {
-		under.once.Do(func() { close(under.off) })
+	proc.server.mu.Lock()
+	if reading := proc.reads[request]; reading != nil {
+		reading.cancelOnce.Do(func() { close(reading.cancelled) })
 	}
-	for _, st := range l.states {
+	for _, st := range proc.states {
 		if st.request == request && st.claims == 0 {
-			l.dropLocked(st, audit.Released)
+			proc.dropStateLocked(st, audit.Released)
 		}
 	}
-	l.s.mu.Unlock()
-	l.signal()
+	proc.server.mu.Unlock()
+	proc.wakeModel()
 	writeJSON(w, http.StatusOK, map[string]bool{"released": true})
 }
 
-func (l *life) claimed(st *state, on bool) {
-	l.s.mu.Lock()
-	defer l.s.mu.Unlock()
-	if l.states[st.id] != st {
+// setClaimed begins or ends a claim on a KV state.
+func (proc *process) setClaimed(st *kvState, claimed bool) {
+	proc.server.mu.Lock()
+	defer proc.server.mu.Unlock()
+	if proc.states[st.id] != st {
 		return
 	}
-	if on {
+	if claimed {
 		if st.claims++; st.claims == 1 {
-			st.lease.Stop()
-			l.s.record(audit.Claimed, st, "")
+			st.holdTimer.Stop()
+			proc.server.record(audit.Claimed, st, "")
 		}
 		return
 	}
 	if st.claims--; st.claims == 0 {
-		st.lease.Reset(st.hold)
-		l.s.record(audit.ClaimEnded, st, "")
+		st.holdTimer.Reset(st.holdTime)
+		proc.server.record(audit.ClaimEnded, st, "")
 	}
 }
 
-// renew starts a state's time anew: its router has an attempt out that is for it.
-func (l *life) renew(w http.ResponseWriter, r *http.Request, st *state) {
-	l.s.mu.Lock()
-	if l.states[st.id] == st && st.claims == 0 {
-		st.lease.Reset(st.hold)
-		l.s.record(audit.Renewed, st, "")
+// renewState restarts a KV state's hold timer, because its router has an attempt in flight that uses it.
+func (proc *process) renewState(w http.ResponseWriter, r *http.Request, st *kvState) {
+	proc.server.mu.Lock()
+	if proc.states[st.id] == st && st.claims == 0 {
+		st.holdTimer.Reset(st.holdTime)
+		proc.server.record(audit.Renewed, st, "")
 	}
-	l.s.mu.Unlock()
+	proc.server.mu.Unlock()
 	writeJSON(w, http.StatusOK, map[string]bool{"renewed": true})
 }
 
-// claim holds a state for a writer that waits for a slot, as long as the writer keeps the connection.
-func (l *life) claim(w http.ResponseWriter, r *http.Request, st *state) {
-	l.claimed(st, true)
-	defer l.claimed(st, false)
+// claimState holds a KV state for a writer that waits for a slot, as long as the writer keeps the connection open.
+func (proc *process) claimState(w http.ResponseWriter, r *http.Request, st *kvState) {
+	proc.setClaimed(st, true)
+	defer proc.setClaimed(st, false)
 	w.WriteHeader(http.StatusOK)
 	http.NewResponseController(w).Flush()
-	l.hush(r.Context())
+	proc.waitForClose(r.Context())
 }
 
-// fetch sends a state's bytes; when the last has gone the state is let go here.
-func (l *life) fetch(w http.ResponseWriter, r *http.Request, st *state) {
-	l.claimed(st, true)
-	defer l.claimed(st, false)
-	w.Header().Set("Content-Length", strconv.Itoa(st.prompt*l.s.spec.Load().StateBytesPerToken))
-	w.Header().Set(engine.TokensHeader, strconv.Itoa(st.prompt))
-	w.Header().Set(engine.InfoHeader, strconv.Itoa(st.answer))
-	w.Header().Set(engine.ChecksumHeader, strconv.FormatUint(stateSum(st.id, st.prompt*l.s.spec.Load().StateBytesPerToken), 16))
-	if l.sendState(r.Context(), w, st, r.Header.Get("Kv-Cell")) != nil {
+// serveState sends the bytes of a KV state, and frees it once the last byte is sent.
+func (proc *process) serveState(w http.ResponseWriter, r *http.Request, st *kvState) {
+	proc.setClaimed(st, true)
+	defer proc.setClaimed(st, false)
+	w.Header().Set("Content-Length", strconv.Itoa(st.promptTokens*proc.server.spec.Load().StateBytesPerToken))
+	w.Header().Set(engine.TokensHeader, strconv.Itoa(st.promptTokens))
+	w.Header().Set(engine.InfoHeader, strconv.Itoa(st.answerTokens))
+	w.Header().Set(engine.ChecksumHeader,
+		strconv.FormatUint(stateChecksum(st.id, st.promptTokens*proc.server.spec.Load().StateBytesPerToken), 16))
+	if proc.sendState(r.Context(), w, st, r.Header.Get("Kv-Cell")) != nil {
 		return
 	}
-	l.s.mu.Lock()
-	l.dropLocked(st, audit.Fetched)
-	l.s.mu.Unlock()
-	l.signal()
+	proc.server.mu.Lock()
+	proc.dropStateLocked(st, audit.Fetched)
+	proc.server.mu.Unlock()
+	proc.wakeModel()
 }
 
-// sendState writes the bytes of a state at the pace of the port, or of the cell's link.
-func (l *life) sendState(ctx context.Context, w io.Writer, st *state, toCell string) error {
+// sendState writes the bytes of a KV state at the rate of the port, or of the cell's link if it goes to another cell.
+func (proc *process) sendState(ctx context.Context, w io.Writer, st *kvState, toCell string) error {
 	const chunk = 256 // tokens
-	gen := newPattern(st.id)
-	buf := make([]byte, chunk*l.s.spec.Load().StateBytesPerToken)
-	for left := st.prompt; left > 0; left -= chunk {
+	gen := newStatePattern(st.id)
+	buf := make([]byte, chunk*proc.server.spec.Load().StateBytesPerToken)
+	for left := st.promptTokens; left > 0; left -= chunk {
 		n := min(left, chunk)
-		l.s.mu.Lock()
-		slow := l.s.faults.largest("origin_slow", 1, time.Now())
-		l.s.mu.Unlock()
-		if toCell == l.s.cfg.Cell || l.s.cfg.Link == nil {
-			pause(ctx, time.Duration(float64(n)/l.s.spec.Load().PortTokensPerSecond*slow*1e9))
+		proc.server.mu.Lock()
+		slowdown := proc.server.faults.maxSize("origin_slow", 1, time.Now())
+		proc.server.mu.Unlock()
+		if toCell == proc.server.cfg.Cell || proc.server.cfg.Link == nil {
+			sleep(ctx, time.Duration(float64(n)/proc.server.spec.Load().PortTokensPerSecond*slowdown*1e9))
 		} else {
-			l.s.cfg.Link.take(ctx, float64(n))
+			proc.server.cfg.Link.take(ctx, float64(n))
 		}
-		if err := cmp.Or(ctx.Err(), l.ctx.Err()); err != nil {
+		if err := cmp.Or(ctx.Err(), proc.ctx.Err()); err != nil {
 			return err
 		}
-		part := buf[:n*l.s.spec.Load().StateBytesPerToken]
+		part := buf[:n*proc.server.spec.Load().StateBytesPerToken]
 		gen.fill(part)
 		if _, err := w.Write(part); err != nil {
 			return err
@@ -895,25 +917,30 @@
 	return nil
 }
 
-// pattern makes the bytes of a state, which hang on its id alone.
-type pattern struct{ rng *rand.PCG }
+// statePattern generates the bytes of a KV state, which depend only on its id.
+type statePattern struct{ rng *rand.PCG }
 
-func newPattern(id string) *pattern { return &pattern{rand.NewPCG(xxhash.Sum64String(id), 7)} }
+// newStatePattern returns the generator for a KV state's id.
+func newStatePattern(id string) *statePattern {
+	return &statePattern{rand.NewPCG(xxhash.Sum64String(id), 7)}
+}
 
-func (p *pattern) fill(b []byte) {
+// fill fills b with the next bytes, as far as whole 8-byte words fit.
+func (p *statePattern) fill(b []byte) {
 	for i := 0; i+8 <= len(b); i += 8 {
 		binary.LittleEndian.PutUint64(b[i:], p.rng.Uint64())
 	}
 }
 
-func stateSum(id string, n int) uint64 {
+// stateChecksum returns the checksum of the n bytes of a KV state.
+func stateChecksum(id string, n int) uint64 {
 	b := make([]byte, n)
-	newPattern(id).fill(b)
+	newStatePattern(id).fill(b)
 	return xxhash.Sum64(b)
 }
 
-// decode fetches a state and writes the answer.
-func (l *life) decode(w http.ResponseWriter, r *http.Request) {
+// decode fetches a KV state and writes the answer.
+func (proc *process) decode(w http.ResponseWriter, r *http.Request) {
 	var body struct {
 		ID         string        `json:"id"`
 		TextInput  string        `json:"text_input"`
@@ -923,103 +950,106 @@
 		writeJSON(w, http.StatusBadRequest, kserve.ErrorResponse{Error: err.Error()})
 		return
 	}
-	a := &attempt{l: l, id: body.ID, p: body.Parameters, text: body.TextInput}
-	if !a.enter(w, r) {
+	a := &attempt{process: proc, id: body.ID, params: body.Parameters, prompt: body.TextInput}
+	if !a.accept(w, r) {
 		return
 	}
-	if a.p.Handle == "" && l.s.spec.Load().Role != decide.Both {
+	if a.params.Handle == "" && proc.server.spec.Load().Role != decide.Both {
 		a.record(audit.Rejected, engine.RefusedNoState)
-		l.turn(w, engine.RefusedNoState, "no state is named, and the engine does not read")
+		proc.refuse(w, engine.RefusedNoState, "no state is named, and the engine does not read")
 		return
 	}
 	began := time.Now()
-	q := &seq{prompt: max(int(a.p.PromptTokens), 1), shared: int(a.p.SharedTokens), session: a.p.Session, text: a.p.SharedText,
-		wantsState: a.p.Handle != "", answer: max(a.p.MaxTokens, 1)}
-	if a.p.Handle == "" {
-		q.answer = l.answerLength(a.text, a.p.MaxTokens)
-	}
-	if !l.takePlace(r.Context(), a, &q) {
-		l.s.mu.Lock()
-		err := l.model.admit(q)
-		l.s.mu.Unlock()
+	q := &seq{promptTokens: max(int(a.params.PromptTokens), 1), sharedTokens: int(a.params.SharedTokens),
+		sessionID: a.params.Session, prefixID: a.params.SharedText,
+		needsState: a.params.Handle != "", answerTokens: max(a.params.MaxTokens, 1)}
+	if a.params.Handle == "" {
+		q.answerTokens = proc.answerLength(a.prompt, a.params.MaxTokens)
+	}
+	if !proc.takeReservation(r.Context(), a, &q) {
+		proc.server.mu.Lock()
+		err := proc.model.admit(q)
+		proc.server.mu.Unlock()
 		if err != nil {
 			a.record(audit.Rejected, engine.RefusedFull)
-			l.turn(w, engine.RefusedFull, err.Error())
+			proc.refuse(w, engine.RefusedFull, err.Error())
 			return
 		}
-		if q.wantsState && !l.bring(w, r, a, q) {
+		if q.needsState && !proc.obtainState(w, r, a, q) {
 			return
 		}
 	}
 	a.record(audit.Executed, "")
-	l.signal()
-	l.stream(w, r, a, q, began)
+	proc.wakeModel()
+	proc.streamAnswer(w, r, a, q, began)
 }
 
-// bring waits for a slot and fetches the state. It reports whether the answer can begin; if not, all is
-// said already.
-func (l *life) bring(w http.ResponseWriter, r *http.Request, a *attempt, q *seq) bool {
-	quit := func(note string) {
-		l.s.mu.Lock()
-		l.model.leave(q)
-		l.s.mu.Unlock()
-		l.signal()
+// obtainState waits for a slot and fetches the KV state. It reports whether the answer can begin; if not, the request
+// has been answered already.
+func (proc *process) obtainState(w http.ResponseWriter, r *http.Request, a *attempt, q *seq) bool {
+	abandon := func(note string) {
+		proc.server.mu.Lock()
+		proc.model.remove(q)
+		proc.server.mu.Unlock()
+		proc.wakeModel()
 		a.record(audit.Rejected, note)
 	}
 	select {
-	case <-q.granted:
-	default: // wait, and keep the state claimed meanwhile
+	case <-q.admitted:
+	default: // wait, and keep the KV state claimed meanwhile
 		claim, cancel := context.WithCancel(r.Context())
 		defer cancel()
-		resp, err := l.ask(claim, http.MethodPost, a.p.Source, engine.StatePath+a.p.Handle+"/claim")
+		resp, err := proc.sendRequest(claim, http.MethodPost, a.params.Source, engine.StatePath+a.params.Handle+"/claim")
 		if err != nil || resp.StatusCode != http.StatusOK {
 			if err == nil {
 				resp.Body.Close()
 			}
-			quit(engine.RefusedNoState)
-			l.turn(w, engine.RefusedNoState, "the state is gone")
+			abandon(engine.RefusedNoState)
+			proc.refuse(w, engine.RefusedNoState, "the state is gone")
 			return false
 		}
 		defer resp.Body.Close()
 		select {
-		case <-q.granted:
+		case <-q.admitted:
 		case <-r.Context().Done():
-		case <-l.ctx.Done():
+		case <-proc.ctx.Done():
 		}
-		if r.Context().Err() != nil || l.ctx.Err() != nil {
-			quit("called off")
+		if r.Context().Err() != nil || proc.ctx.Err() != nil {
+			abandon("called off")
 			panic(http.ErrAbortHandler)
 		}
 	}
-	answer, err := l.fetchState(r.Context(), a)
+	answer, err := proc.fetchState(r.Context(), a)
 	if err != nil {
-		if r.Context().Err() != nil || l.ctx.Err() != nil {
-			quit("called off")
+		if r.Context().Err() != nil || proc.ctx.Err() != nil {
+			abandon("called off")
 			panic(http.ErrAbortHandler)
 		}
-		quit(engine.RefusedNoState)
-		l.turn(w, engine.RefusedNoState, "the state could not be fetched: "+err.Error())
+		abandon(engine.RefusedNoState)
+		proc.refuse(w, engine.RefusedNoState, "the state could not be fetched: "+err.Error())
 		return false
 	}
-	l.s.mu.Lock()
-	q.answer = min(answer, q.answer)
-	l.model.fetched(q)
-	l.s.mu.Unlock()
+	proc.server.mu.Lock()
+	q.answerTokens = min(answer, q.answerTokens)
+	proc.model.stateFetched(q)
+	proc.server.mu.Unlock()
 	return true
 }
 
-func (l *life) ask(ctx context.Context, method, addr, path string) (*http.Response, error) {
+// sendRequest sends a request without a body to another engine.
+func (proc *process) sendRequest(ctx context.Context, method, addr, path string) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path, nil)
 	if err != nil {
 		return nil, err
 	}
-	req.Header.Set("Kv-Cell", l.s.cfg.Cell)
-	return l.s.http.Do(req)
+	req.Header.Set("Kv-Cell", proc.server.cfg.Cell)
+	return proc.server.http.Do(req)
 }
 
-// fetchState takes a state's bytes off its engine and proves them by their sum.
-func (l *life) fetchState(ctx context.Context, a *attempt) (answer int, err error) {
-	resp, err := l.ask(ctx, http.MethodGet, a.p.Source, engine.StatePath+a.p.Handle)
+// fetchState fetches the bytes of a KV state from its engine, and verifies their checksum. It returns the answer's
+// length.
+func (proc *process) fetchState(ctx context.Context, a *attempt) (answer int, err error) {
+	resp, err := proc.sendRequest(ctx, http.MethodGet, a.params.Source, engine.StatePath+a.params.Handle)
 	if err != nil {
 		return 0, err
 	}
@@ -1038,14 +1068,15 @@
 	return max(answer, 1), err
 }
 
-// stream sends the tokens as they are made.
-func (l *life) stream(w http.ResponseWriter, r *http.Request, a *attempt, q *seq, began time.Time) {
+// streamAnswer sends the tokens as they are written.
+func (proc *process) streamAnswer(w http.ResponseWriter, r *http.Request, a *attempt, q *seq, began time.Time) {
 	control := http.NewResponseController(w)
 	var buf bytes.Buffer
 	enc := json.NewEncoder(&buf)
 	enc.SetEscapeHTML(false)
-	half, twice, id := l.strikes("half_frame", a.p.Class), l.strikes("two_answers", a.p.Class), a.id
-	if l.strikes("wrong_id", a.p.Class) {
+	halfFrame, duplicate, id := proc.faultApplies("half_frame", a.params.Class),
+		proc.faultApplies("two_answers", a.params.Class), a.id
+	if proc.faultApplies("wrong_id", a.params.Class) {
 		id += "-not"
 	}
 	send := func(v any) error {
@@ -1061,84 +1092,87 @@
 		}
 		return err
 	}
-	leave := func(note string) {
-		l.s.mu.Lock()
-		l.model.leave(q)
-		l.s.mu.Unlock()
-		l.signal()
-		l.s.cfg.AuditLog.Add(audit.Record{Who: l.s.cfg.Name, Kind: audit.Ended, ID: a.id, Client: a.p.Client,
-			Router: a.router, Class: a.p.Class, Stage: a.p.Stage, N: float64(q.written), Note: note})
+	finish := func(note string) {
+		proc.server.mu.Lock()
+		proc.model.remove(q)
+		proc.server.mu.Unlock()
+		proc.wakeModel()
+		proc.server.cfg.AuditLog.Add(audit.Record{Who: proc.server.cfg.Name, Kind: audit.Ended, ID: a.id, Client: a.params.Client,
+			Router: a.router, Class: a.params.Class, Stage: a.params.Stage, N: float64(q.written), Note: note})
 	}
 	for {
 		var ev event
 		select {
 		case ev = <-q.events:
 		case <-r.Context().Done():
-		case <-l.ctx.Done():
+		case <-proc.ctx.Done():
 		}
-		l.s.mu.Lock()
-		silent := l.silent
-		l.s.mu.Unlock()
-		if silent {
-			l.hush(r.Context())
+		proc.server.mu.Lock()
+		unresponsive := proc.unresponsive
+		proc.server.mu.Unlock()
+		if unresponsive {
+			proc.waitForClose(r.Context())
 		}
-		if silent || r.Context().Err() != nil || l.ctx.Err() != nil {
-			leave("called off")
+		if unresponsive || r.Context().Err() != nil || proc.ctx.Err() != nil {
+			finish("called off")
 			panic(http.ErrAbortHandler)
 		}
 		if ev.token == 1 {
-			l.s.mu.Lock()
-			l.model.waited(time.Since(began))
-			l.s.mu.Unlock()
+			proc.server.mu.Lock()
+			proc.model.recordLatency(time.Since(began))
+			proc.server.mu.Unlock()
 			w.Header().Set("Content-Type", "text/event-stream")
-			w.Header().Set(engine.LoadHeader, l.report().Header())
+			w.Header().Set(engine.LoadHeader, proc.loadReport().Header())
 		}
-		if half && (ev.token > 1 || ev.last) {
+		if halfFrame && (ev.token > 1 || ev.last) {
 			w.Write([]byte(`data: {"id":"` + id + `","text_out`))
 			control.Flush()
-			leave("half a frame")
+			finish("half a frame")
 			panic(http.ErrAbortHandler)
 		}
-		err := send(&kserve.GenerateResponse{ModelName: r.PathValue("model"), ID: id, TextOutput: word(ev.token)})
+		err := send(&kserve.GenerateResponse{ModelName: r.PathValue("model"), ID: id, TextOutput: answerWord(ev.token)})
 		if err == nil && ev.last {
 			end := struct {
 				kserve.GenerateResponse
 				Parameters *engine.LoadReport `json:"parameters"`
 			}{kserve.GenerateResponse{ModelName: r.PathValue("model"), ID: id,
-				Details: &kserve.Details{FinishReason: finishReason(q, a)}}, l.report()}
-			if err = send(&end); err == nil && twice {
+				Details: &kserve.Details{FinishReason: finishReason(q, a)}}, proc.loadReport()}
+			if err = send(&end); err == nil && duplicate {
 				err = send(&end)
 			}
 		}
 		if err != nil {
-			leave("the router left")
+			finish("the router left")
 			panic(http.ErrAbortHandler)
 		}
 		if ev.last {
-			leave("served")
+			finish("served")
 			return
 		}
 	}
 }
 
+// finishReason returns "length" if the answer has reached the request's token limit, and otherwise "stop".
 func finishReason(q *seq, a *attempt) string {
-	if a.p.MaxTokens > 0 && q.written >= a.p.MaxTokens {
+	if a.params.MaxTokens > 0 && q.written >= a.params.MaxTokens {
 		return "length"
 	}
 	return "stop"
 }
 
-var words = strings.Fields("onion rate at the mandi stands higher than last week because two lorries came late from the " +
+// answerWords are the words that all answers repeat.
+var answerWords = strings.Fields("onion rate at the mandi stands higher than last week because two lorries came late from the " +
 	"fields and the committee has set the stall fee for the day as before so ask the weigher for the slip")
 
-func word(n int) string { return words[(n-1)%len(words)] + " " }
+// answerWord returns the text of the n-th token, counted from 1.
+func answerWord(n int) string { return answerWords[(n-1)%len(answerWords)] + " " }
 
-// Occupancy tells how many sequences and how many states and places the engine holds now.
+// Occupancy returns how many sequences the engine runs or queues, and how many KV states and reservations it holds.
 func (s *Server) Occupancy() (sequences, held int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.life == nil {
+	if s.process == nil {
 		return 0, 0
 	}
-	return len(s.life.model.running) + len(s.life.model.queue), len(s.life.states) + len(s.life.places)
+	return len(s.process.model.running) + len(s.process.model.queue), len(s.process.states) + len(s.process.reservations)
 }
