--- a/internal/engine/wire.go
+++ b/internal/engine/wire.go
@@ -55,9 +55,9 @@
 	Class        string  `json:"class,omitempty"`
 	Tenant       string  `json:"tenant,omitempty"`
 	Session      string  `json:"session,omitempty"`
-	SharedText   string  `json:"shared_text,omitempty"`
+	SharedPrefix string  `json:"shared_text,omitempty"`
 	PromptTokens float64 `json:"prompt_tokens,omitempty"`
-	SharedTokens float64 `json:"shared_tokens,omitempty"`
+	PrefixTokens float64 `json:"shared_tokens,omitempty"`
 	MaxTokens    int     `json:"max_tokens,omitempty"`
 	Handle       string  `json:"kv_handle,omitempty"`
 	Source       string  `json:"kv_source,omitempty"`
--- a/internal/front/chat/chat_test.go
+++ b/internal/front/chat/chat_test.go
@@ -186,8 +186,8 @@
 	}
 	q := w.engines.calls[0]
 	if q.Params.Request != "id0" || string(q.Message.Body) != body || q.Message.Target != "/v1/chat/completions" ||
-		q.Params.PromptTokens != 5120 || q.Params.SharedTokens != 2048 || q.Params.MaxTokens != 800 ||
-		q.Params.SharedText != "5c0f" || q.Params.Session != "7f3a" {
+		q.Params.PromptTokens != 5120 || q.Params.PrefixTokens != 2048 || q.Params.MaxTokens != 800 ||
+		q.Params.SharedPrefix != "5c0f" || q.Params.Session != "7f3a" {
 		t.Errorf("%+v", q)
 	}
 }
--- a/internal/router/actions.go
+++ b/internal/router/actions.go
@@ -160,8 +160,8 @@
 		Gate:             a.guarded,
 		ResponseDeadline: r.wall(a.limit.at), Params: engine.Params{
 			Stage: engine.StageDecode, Request: f.name, Client: j.ClientID, Class: j.ClassName, Tenant: j.TenantName,
-			Session: j.Session, SharedText: j.SharedPrefix, PromptTokens: j.PromptTokens,
-			SharedTokens: j.PrefixTokens, MaxTokens: j.MaxTokens,
+			Session: j.Session, SharedPrefix: j.SharedPrefix, PromptTokens: j.PromptTokens,
+			PrefixTokens: j.PrefixTokens, MaxTokens: j.MaxTokens,
 			HoldMillis: float64(r.cfg.Settings.HoldTimeout) / 1e6,
 		}}
 	switch {
--- a/internal/standin/engine/server.go
+++ b/internal/standin/engine/server.go
@@ -649,7 +649,7 @@
 	if !a.enter(w, r) {
 		return
 	}
-	q := &seq{prompt: max(int(a.p.PromptTokens), 1), shared: int(a.p.SharedTokens), session: a.p.Session, text: a.p.SharedText}
+	q := &seq{prompt: max(int(a.p.PromptTokens), 1), shared: int(a.p.PrefixTokens), session: a.p.Session, text: a.p.SharedPrefix}
 	began := time.Now()
 	under := &read{off: make(chan struct{})}
 	l.s.mu.Lock()
@@ -933,7 +933,7 @@
 		return
 	}
 	began := time.Now()
-	q := &seq{prompt: max(int(a.p.PromptTokens), 1), shared: int(a.p.SharedTokens), session: a.p.Session, text: a.p.SharedText,
+	q := &seq{prompt: max(int(a.p.PromptTokens), 1), shared: int(a.p.PrefixTokens), session: a.p.Session, text: a.p.SharedPrefix,
 		wantsState: a.p.Handle != "", answer: max(a.p.MaxTokens, 1)}
 	if a.p.Handle == "" {
 		q.answer = l.answerLength(a.text, a.p.MaxTokens)
