--- a/cmd/mintdoor/ask.go
+++ b/cmd/mintdoor/ask.go
@@ -19,8 +19,8 @@
 func askCommand() *cobra.Command {
 	var (
 		addr, model, class, tenant, session string
-		most                                int
-		within                              time.Duration
+		maxTokens                           int
+		timeout                             time.Duration
 	)
 	cmd := &cobra.Command{
 		Use:   "ask QUESTION",
@@ -33,11 +33,11 @@
 					p[name] = v
 				}
 			}
-			if most > 0 {
-				p[front.ParamMaxTokens] = most
+			if maxTokens > 0 {
+				p[front.ParamMaxTokens] = maxTokens
 			}
-			if within > 0 {
-				p[front.ParamDeadline] = within.Milliseconds()
+			if timeout > 0 {
+				p[front.ParamDeadline] = timeout.Milliseconds()
 			}
 			return ask(cmd.Context(), cmd.OutOrStdout(), addr, model, &kserve.GenerateRequest{ID: "ask",
 				TextInput: strings.Join(args, " "), Parameters: p})
@@ -49,8 +49,8 @@
 	f.StringVar(&class, "class", "", "class of the request")
 	f.StringVar(&tenant, "tenant", "", "tenant of the request")
 	f.StringVar(&session, "session", "", "session of the request")
-	f.IntVar(&most, "max-tokens", 0, "output limit; 0: the class's")
-	f.DurationVar(&within, "within", 0, "time for the first token; 0: the class's")
+	f.IntVar(&maxTokens, "max-tokens", 0, "output limit; 0: the class's")
+	f.DurationVar(&timeout, "within", 0, "time for the first token; 0: the class's")
 	return cmd
 }
 
--- a/cmd/mintdoor/day.go
+++ b/cmd/mintdoor/day.go
@@ -83,14 +83,14 @@
 	return day.Parse("built-in day", day.BuiltInScript)
 }
 
-func runDays(ctx context.Context, out io.Writer, script *day.Script, seeds []uint, slack time.Duration, keep string) error {
+func runDays(ctx context.Context, out io.Writer, script *day.Script, seeds []uint, slack time.Duration, recordsFile string) error {
 	self, err := os.Executable()
 	if err != nil {
 		return err
 	}
 	log := logging.New(os.Stderr, "text", slog.LevelWarn, 20)
 	var service []float64
-	broken := false
+	failed := false
 	for _, seed := range seeds {
 		dir, err := os.MkdirTemp("", "mintdoor-day-")
 		if err != nil {
@@ -112,14 +112,14 @@
 		}
 		if why := res.InvalidReason(); why != "" {
 			fmt.Fprintln(out, "void:", why)
-			broken = true
+			failed = true
 		}
 		service = append(service, res.Report.Service)
-		broken = broken || !res.Report.Passed()
-		if keep != "" {
-			name := keep
+		failed = failed || !res.Report.Passed()
+		if recordsFile != "" {
+			name := recordsFile
 			if len(seeds) > 1 {
-				name = strings.Replace(keep, ".", fmt.Sprintf("-%d.", seed), 1)
+				name = strings.Replace(recordsFile, ".", fmt.Sprintf("-%d.", seed), 1)
 			}
 			if err := audit.Write(name, res.Records); err != nil {
 				return err
@@ -131,7 +131,7 @@
 		mean, half := day.ConfidenceInterval(service)
 		fmt.Fprintf(out, "service over %d seeds: %.3f +- %.3f (95%%)\n", len(seeds), mean, half)
 	}
-	if broken {
+	if failed {
 		return errReported
 	}
 	return nil
--- a/cmd/mintdoor/demo.go
+++ b/cmd/mintdoor/demo.go
@@ -47,7 +47,7 @@
 
 func demoCommand() *cobra.Command {
 	var listen string
-	var limit time.Duration
+	var duration time.Duration
 	cmd := &cobra.Command{
 		Use:   "demo",
 		Short: "Run stand-in engines, two routers and a front layer in one process, and ask them a few questions",
@@ -55,15 +55,15 @@
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			ctx, cancel := signal.NotifyContext(cmd.Context(), syscall.SIGINT, syscall.SIGTERM)
 			defer cancel()
-			if limit > 0 {
-				ctx, cancel = context.WithTimeout(ctx, limit)
+			if duration > 0 {
+				ctx, cancel = context.WithTimeout(ctx, duration)
 				defer cancel()
 			}
 			return demo(ctx, cmd.OutOrStdout(), listen)
 		},
 	}
 	cmd.Flags().StringVar(&listen, "listen", "127.0.0.1:0", "address of the first router's front")
-	cmd.Flags().DurationVar(&limit, "for", 0, "end after this time; 0: when interrupted")
+	cmd.Flags().DurationVar(&duration, "for", 0, "end after this time; 0: when interrupted")
 	return cmd
 }
 
--- a/cmd/mintdoor/engine.go
+++ b/cmd/mintdoor/engine.go
@@ -23,7 +23,7 @@
 		cold                     bool
 		slots, queue, memory     int
 		read, speed              float64
-		limit                    time.Duration
+		duration                 time.Duration
 	)
 	cmd := &cobra.Command{
 		Use:   "engine",
@@ -66,8 +66,8 @@
 			fmt.Fprintf(cmd.OutOrStdout(), "engine %s (%s) listening on %s\n", name, role, e.Addr())
 			ctx, cancel := signal.NotifyContext(cmd.Context(), syscall.SIGINT, syscall.SIGTERM)
 			defer cancel()
-			if limit > 0 {
-				ctx, cancel = context.WithTimeout(ctx, limit)
+			if duration > 0 {
+				ctx, cancel = context.WithTimeout(ctx, duration)
 				defer cancel()
 			}
 			<-ctx.Done()
@@ -86,6 +86,6 @@
 	f.IntVar(&memory, "memory", 0, "tokens of memory")
 	f.Float64Var(&read, "read", 0, "prompt tokens read a second")
 	f.Float64Var(&speed, "speed", 1, "this many times faster than the model")
-	f.DurationVar(&limit, "for", 0, "end after this time; 0: at a signal")
+	f.DurationVar(&duration, "for", 0, "end after this time; 0: at a signal")
 	return cmd
 }
--- a/cmd/mintdoor/swing.go
+++ b/cmd/mintdoor/swing.go
@@ -150,12 +150,12 @@
 				if err != nil {
 					return err
 				}
-				var best, mean, oracle, shift, way, changes, away, cold []float64
+				var best, mean, oracle, shift, gapClosed, changes, away, cold []float64
 				rules := "kept"
 				for _, r := range rows {
 					best, mean, oracle, shift = append(best, r.BestFixedService), append(mean, r.MeanSplitService), append(oracle, r.OracleService), append(shift, r.ShiftService)
 					if w := r.GapClosed(); !math.IsNaN(w) {
-						way = append(way, w)
+						gapClosed = append(gapClosed, w)
 					}
 					changes = append(changes, float64(r.Changes))
 					away, cold = append(away, r.AwayTime.Seconds()), append(cold, r.SlowStartLoss.Seconds())
@@ -173,7 +173,7 @@
 					m, h := day.ConfidenceInterval(v)
 					return fmt.Sprintf("%.*f +- %.*f", digits, m, digits, h)
 				}
-				fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", shape, cell(best, 4), cell(mean, 4), cell(oracle, 4), cell(shift, 4), cell(way, 2),
+				fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", shape, cell(best, 4), cell(mean, 4), cell(oracle, 4), cell(shift, 4), cell(gapClosed, 2),
 					cell(changes, 1), cell(away, 0), cell(cold, 0), rules)
 				w.Flush()
 			}
