--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -567,7 +567,7 @@
 		sink("a ")
 		return wait(ctx)
 	}
-	held := make(chan bool, 1)
+	granted := make(chan bool, 1)
 	g := start(t, fake, withModule(func(_ decide.Time, ev *decide.Event, out []decide.Action) []decide.Action {
 		switch ev.Kind {
 		case decide.Arrived:
@@ -575,7 +575,7 @@
 				decide.Action{Kind: decide.Reserve, Request: ev.Request, Server: d1.ID()},
 				decide.Action{Kind: decide.Note, Reason: "a note"}, decide.Action{Kind: decide.WatchList})
 		case decide.ReservationAnswer:
-			held <- ev.Granted
+			granted <- ev.Granted
 		case decide.AttemptEnded:
 			if ev.Outcome == decide.ReadDone { // to another writer: this cancels the reservation
 				out = append(out, decide.Action{Kind: decide.Send, Request: ev.Request, Server: d2.ID()})
@@ -586,7 +586,7 @@
 		return out
 	}))
 	q := g.submit(job(0))
-	if !<-held {
+	if !<-granted {
 		t.Error("the reservation was not granted")
 	}
 	close(gate)
