--- a/internal/router/actions.go
+++ b/internal/router/actions.go
@@ -162,8 +162,8 @@
 		Gate:             a.guard,
 		ResponseDeadline: r.wallTime(a.timeoutTimer.at), Params: engine.Params{
 			Stage: engine.StageDecode, Request: row.name, Client: j.ClientID, Class: j.ClassName, Tenant: j.TenantName,
-			Session: j.Session, SharedText: j.SharedPrefix, PromptTokens: j.PromptTokens,
-			SharedTokens: j.PrefixTokens, MaxTokens: j.MaxTokens,
+			Session: j.Session, SharedPrefix: j.SharedPrefix, PromptTokens: j.PromptTokens,
+			PrefixTokens: j.PrefixTokens, MaxTokens: j.MaxTokens,
 			HoldMillis: float64(r.cfg.Settings.HoldTimeout) / 1e6,
 		}}
 	switch {
--- a/internal/standin/engine/server.go
+++ b/internal/standin/engine/server.go
@@ -662,8 +662,8 @@
 	if !a.accept(w, r) {
 		return
 	}
-	q := &seq{promptTokens: max(int(a.params.PromptTokens), 1), sharedTokens: int(a.params.SharedTokens),
-		sessionID: a.params.Session, prefixID: a.params.SharedText}
+	q := &seq{promptTokens: max(int(a.params.PromptTokens), 1), sharedTokens: int(a.params.PrefixTokens),
+		sessionID: a.params.Session, prefixID: a.params.SharedPrefix}
 	began := time.Now()
 	reading := &activeRead{cancelled: make(chan struct{})}
 	proc.server.mu.Lock()
@@ -960,8 +960,8 @@
 		return
 	}
 	began := time.Now()
-	q := &seq{promptTokens: max(int(a.params.PromptTokens), 1), sharedTokens: int(a.params.SharedTokens),
-		sessionID: a.params.Session, prefixID: a.params.SharedText,
+	q := &seq{promptTokens: max(int(a.params.PromptTokens), 1), sharedTokens: int(a.params.PrefixTokens),
+		sessionID: a.params.Session, prefixID: a.params.SharedPrefix,
 		needsState: a.params.Handle != "", answerTokens: max(a.params.MaxTokens, 1)}
 	if a.params.Handle == "" {
 		q.answerTokens = proc.answerLength(a.prompt, a.params.MaxTokens)
