--- a/decide/api.go
+++ b/decide/api.go
@@ -213,7 +213,7 @@
 	Elapsed       Duration // since the attempt or probe was sent
 	Report        Report
 	TimerID       uint64
-	Granted       bool // ReservationAnswer: the place is reserved
+	Granted       bool // ReservationAnswer: the reservation was granted
 	NewConnection bool // Probed: as in the Probe action
 	Servers       []Listing
 	Job           Job      // Arrived
@@ -235,9 +235,9 @@
 // ActionKind is the kind of an Action. It determines which fields of the Action are set.
 type ActionKind uint8
 
-// The kinds of actions.
+// The kinds of actions, with the fields that each of them uses.
 const (
-	Send      ActionKind = iota // Request, Server, After (the timeout; 0 if only the client's patience limits it)
+	Send      ActionKind = iota // Request, Server, After (the timeout; 0 if it lasts until the client leaves)
 	Cancel                      // Request, Attempt
 	Refuse                      // Request, After (the Retry-After), Reason
 	Fail                        // Request, Reason
--- a/decide/health.go
+++ b/decide/health.go
@@ -5,8 +5,8 @@
 import "slices"
 
 // isSuspect reports whether a server is unresponsive while attempts wait for it, or ejected. When its
-// ejection is over it stays suspect while a trial request is unanswered, and, with noTrial, for an attempt
-// that can't be retried and is thus not used as a trial.
+// ejection is over it may get one trial request, and is suspect again while that is unanswered. With noTrial
+// it stays suspect until it recovers: an attempt that can't be retried is not used as a trial.
 func (r *Router) isSuspect(s *server, noTrial bool) bool {
 	if s.unanswered > 0 && float64(r.now-s.silentSince) > r.silenceLimit(s) {
 		return true
--- a/decide/shutdown.go
+++ b/decide/shutdown.go
@@ -47,7 +47,8 @@
 	}
 }
 
-// shutDown starts the shutdown. Deadlines of open requests are moved up to the time that the router has left.
+// shutDown starts the shutdown. Deadlines of open requests are shortened to the time at which requests are
+// given up.
 func (r *Router) shutDown(plan *Shutdown) {
 	if r.shutdown != nil {
 		return
