--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -52,7 +52,7 @@
 	Run(ctx context.Context, notify func(Update)) error
 }
 
-// SortAndCheck sorts a list by name and returns its first error: a duplicate name, number or address. With two
+// SortAndCheck sorts a list by name and returns its first error: a duplicate name, identifier or address. With two
 // entries of one address a router would send to one engine as if it were two.
 func SortAndCheck(list []Engine) error {
 	slices.SortFunc(list, func(a, b Engine) int {
@@ -69,13 +69,13 @@
 	for i := range list {
 		e := &list[i]
 		if i > 0 && list[i-1].Name == e.Name {
-			return fmt.Errorf("engine %s stands twice", e.Name)
+			return fmt.Errorf("engine %s is listed twice", e.Name)
 		}
 		if other, ok := addrs[e.Addr]; ok {
 			return fmt.Errorf("engines %s and %s have the same address %s", other, e.Name, e.Addr)
 		}
 		if other, ok := ids[e.ID()]; ok {
-			return fmt.Errorf("engines %s and %s have the same number; rename one", other, e.Name)
+			return fmt.Errorf("engines %s and %s have the same identifier; rename one", other, e.Name)
 		}
 		addrs[e.Addr], ids[e.ID()] = e.Name, e.Name
 	}
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -39,7 +39,7 @@
 		{"engine a 127.0.0.1:1\n", "engine a has no kind"},
 		{"engine a 127.0.0.1:1 kind q\n", `kind: found "q", expected one of k`},
 		{"engine a 127.0.0.1:1 kind k state new\n", `state: found "new", expected one of ready, draining`},
-		{"engine a 127.0.0.1:1 kind k\nengine a 127.0.0.1:2 kind k\n", "engine a stands twice"},
+		{"engine a 127.0.0.1:1 kind k\nengine a 127.0.0.1:2 kind k\n", "engine a is listed twice"},
 		{"engine a 127.0.0.1:1 kind k\nengine b 127.0.0.1:1 kind k\n", "same address"},
 		{"motor a 127.0.0.1:1 kind k\n", `found "motor"`},
 	} {
--- a/internal/discovery/watch/members.go
+++ b/internal/discovery/watch/members.go
@@ -105,7 +105,7 @@
 		}
 		old, known := before[member.ID]
 		if seen[member.ID] {
-			problems = append(problems, fmt.Sprintf("member %q stands twice", member.ID))
+			problems = append(problems, fmt.Sprintf("member %q is listed twice", member.ID))
 			old, known = next[member.ID] // of two contradicting entries the one that allows fewer requests applies
 			if member.Phase == Up {
 				continue
@@ -166,6 +166,7 @@
 	return m, fmt.Errorf("member %.40q: %w", m.ID, err)
 }
 
+// errUnknownKind is the error of a member whose engine kind is not in the settings.
 var errUnknownKind = errors.New("the settings do not have its kind")
 
 // toEngine converts a member to an engine.
--- a/internal/discovery/watch/watch.go
+++ b/internal/discovery/watch/watch.go
@@ -92,6 +92,7 @@
 	}
 }
 
+// errAddrChanged is returned by a call that was cancelled because SetAddr changed the address.
 var errAddrChanged = errors.New("the address of discovery has changed")
 
 // Run implements discovery.Source. It uses the cached list only if the first call fails: the agent's list counts as
@@ -255,9 +256,9 @@
 	case err != nil:
 		return nil, err
 	case len(b) > maxResponseSize:
-		return nil, fmt.Errorf("discovery answers with more than %d bytes", maxResponseSize)
+		return nil, fmt.Errorf("the response of discovery has more than %d bytes", maxResponseSize)
 	case resp.StatusCode != http.StatusOK:
-		return nil, fmt.Errorf("discovery answers with status %d: %.100q", resp.StatusCode, b)
+		return nil, fmt.Errorf("discovery responds with status %d: %.100q", resp.StatusCode, b)
 	}
 	return decodeList(b)
 }
--- a/internal/engine/chat/chat.go
+++ b/internal/engine/chat/chat.go
@@ -24,6 +24,7 @@
 	"mintdoor/internal/platform"
 )
 
+// The comment that carries a load report in a stream, and the data of the last event.
 const (
 	loadCommentPrefix = ": " + platform.LoadHeader + ":"
 	doneSentinel      = "[DONE]"
--- a/internal/engine/chat/exchange.go
+++ b/internal/engine/chat/exchange.go
@@ -39,7 +39,7 @@
 	fields                    []http1.Field
 	body                      []byte
 	responseDeadline          time.Time // zero: the engine is not told how much time is left
-	urgent                    bool
+	isRelease                 bool
 	newConn                   bool          // only a connection that has carried no request yet may be used
 	lastResponseWithin        time.Duration // maximum age of the last response on a kept connection; 0: any age
 	gate                      engine.Gate   // nil: the request is sent without asking
@@ -47,7 +47,7 @@
 
 // connRequirements returns which connections may carry a call.
 func (q *call) connRequirements() connRequirements {
-	return connRequirements{urgent: q.urgent, newConn: q.newConn, lastResponseWithin: q.lastResponseWithin}
+	return connRequirements{isRelease: q.isRelease, newConn: q.newConn, lastResponseWithin: q.lastResponseWithin}
 }
 
 // start writes a request and reads the head of its response.
@@ -60,7 +60,7 @@
 		}
 		var netErr net.Error
 		if errors.As(err, &netErr) && netErr.Timeout() && x.conn == nil {
-			c.pool.closeConns(addr) // if the machine has vanished, the kept connections are as dead
+			c.pool.closeConns(addr) // if the machine has vanished, the kept connections are dead as well
 		}
 		// A connection that broke before the request's last byte has delivered no request. This does not count as an
 		// attempt, and another connection may carry the request. If the connection is refused or the dial times out,
@@ -91,7 +91,7 @@
 			break
 		}
 		if x.sawInterim = true; n == maxInterimResponses {
-			return x, fmt.Errorf("%w: more than %d interim answers", http1.ErrMalformed, maxInterimResponses)
+			return x, fmt.Errorf("%w: more than %d interim responses", http1.ErrMalformed, maxInterimResponses)
 		}
 	}
 	c.mu.Lock()
--- a/internal/engine/chat/pool.go
+++ b/internal/engine/chat/pool.go
@@ -56,11 +56,12 @@
 	distrustedUntil map[string]time.Time // by address: until when no connection to the engine is used twice
 }
 
+// errLimit is returned when no further connection may be opened.
 var errLimit = errors.New("the limit of connections to engines is reached")
 
 // connRequirements states which connections may carry a call.
 type connRequirements struct {
-	urgent             bool          // the call may use the additional connections as well
+	isRelease          bool          // the call may use the additional connections as well
 	newConn            bool          // only a connection that has carried no request yet
 	lastResponseWithin time.Duration // maximum age of the last response on a kept connection; 0: any age
 }
@@ -79,7 +80,7 @@
 		c.Close()
 	}
 	limit := p.maxConns
-	if w.urgent {
+	if w.isRelease {
 		limit += p.releaseConns
 	}
 	if !p.reserveConn(limit) {
--- a/internal/engine/chat/release.go
+++ b/internal/engine/chat/release.go
@@ -148,7 +148,7 @@
 func (c *Client) sendRelease(ctx context.Context, addr, request string, newConn bool) error {
 	ctx, cancel := context.WithTimeout(ctx, c.releaseCallTimeout)
 	defer cancel()
-	x, err := c.start(ctx, addr, &call{method: "DELETE", target: platform.HoldsPath + request, urgent: true,
+	x, err := c.start(ctx, addr, &call{method: "DELETE", target: platform.HoldsPath + request, isRelease: true,
 		newConn: newConn})
 	defer x.done()
 	if err != nil {
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -341,7 +341,7 @@
 		case ev.ID != q.ID:
 			return fail(fmt.Errorf("%w: its id is %.40q, want %q", errMalformedResponse, ev.ID, q.ID))
 		case ev.TextOutput == nil && ev.Details == nil:
-			return fail(fmt.Errorf("%w: an event without text", errMalformedResponse))
+			return fail(fmt.Errorf("%w: an event has no text", errMalformedResponse))
 		}
 		if ev.Parameters != nil {
 			rep = ev.Parameters.Report()
--- a/internal/engine/wire.go
+++ b/internal/engine/wire.go
@@ -157,6 +157,7 @@
 	return r
 }
 
+// metricPrefix precedes the name of a value in the text form of a load report.
 const metricPrefix = "named_metrics."
 
 // Header returns the report as the value of LoadHeader: ORCA's text form with the names under named_metrics.
--- a/internal/front/chat/answer.go
+++ b/internal/front/chat/answer.go
@@ -12,6 +12,7 @@
 	"mintdoor/internal/router"
 )
 
+// statusTexts has the reason phrase of each status that the front sends.
 var statusTexts = map[int]string{200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
 	408: "Request Timeout", 413: "Content Too Large", 429: "Too Many Requests", 500: "Internal Server Error",
 	503: "Service Unavailable", 504: "Gateway Timeout"}
--- a/internal/front/chat/conn.go
+++ b/internal/front/chat/conn.go
@@ -91,7 +91,7 @@
 	if p == nil {
 		return
 	}
-	c.front.log.Error("a connection's goroutine panicked", "panic", fmt.Sprint(p), "stack", string(debug.Stack()))
+	c.front.log.Error("the goroutine of a connection panicked", "panic", fmt.Sprint(p), "stack", string(debug.Stack()))
 	if c.request == nil {
 		return
 	}
@@ -287,6 +287,7 @@
 	return c.respond(code, text, 0, true)
 }
 
+// errNoBodyMemory is returned when a limit on the memory for request bodies is reached.
 var errNoBodyMemory = errors.New("no room for a body")
 
 // readBody reads a request body. Its memory counts towards the common limit, and the caller subtracts it afterwards.
