--- a/internal/engine/chat/races_test.go
+++ b/internal/engine/chat/races_test.go
@@ -266,7 +266,7 @@
 // calls go on after the read's engine has responded to others, because it may respond to them while the read still
 // hangs.
 func TestCancelReadIsRepeated(t *testing.T) {
-	for name, callOff := range map[string]func(c *Client, ctx context.Context, addr string) error{
+	for name, cancelRead := range map[string]func(c *Client, ctx context.Context, addr string) error{
 		"request is over": func(c *Client, ctx context.Context, addr string) error { return c.CancelRead(ctx, addr, "id1") },
 		"answer has begun": func(c *Client, ctx context.Context, addr string) error {
 			return c.CancelReadLater(ctx, addr, "id1")
@@ -282,7 +282,7 @@
 			closed.Close() // nothing listens there
 			c := newClient(t, func(o *Options) { o.CancelRetryDelay = time.Millisecond })
 			c.lastResponse[p.addr], c.lastResponse[addr] = time.Now(), time.Now().Add(time.Hour)
-			if err := callOff(c, t.Context(), addr); err != nil {
+			if err := cancelRead(c, t.Context(), addr); err != nil {
 				t.Error(err)
 			}
 			if n := p.requests(); n != maxCancelCalls {
