--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -91,11 +91,11 @@
 func NewJobBuilder(set *config.Settings) *JobBuilder { return &JobBuilder{set: set} }
 
 // CheckModel checks the name and version of a model. The empty version stands for any version.
-func (m *JobBuilder) CheckModel(name, version string) *Error {
-	if name != m.set.Model {
+func (b *JobBuilder) CheckModel(name, version string) *Error {
+	if name != b.set.Model {
 		return &Error{Kind: NotFound, Text: fmt.Sprintf("unknown model %q", truncate(name))}
 	}
-	if version != "" && version != m.set.ModelVersion {
+	if version != "" && version != b.set.ModelVersion {
 		return &Error{Kind: NotFound, Text: fmt.Sprintf("model %q has no version %q", name, truncate(version))}
 	}
 	return nil
@@ -143,8 +143,8 @@
 
 // Job converts a decoded request to a job, or returns what is wrong with it. now is the time at which the request
 // arrived.
-func (m *JobBuilder) Job(in *DecodedRequest, now time.Time) (*router.Job, *Error) {
-	if e := m.CheckModel(in.Model, in.Version); e != nil {
+func (b *JobBuilder) Job(in *DecodedRequest, now time.Time) (*router.Job, *Error) {
+	if e := b.CheckModel(in.Model, in.Version); e != nil {
 		return nil, e
 	}
 	if err := in.Params.Check(); err != nil {
@@ -160,27 +160,27 @@
 	j := &router.Job{ClientID: in.ID, Prompt: in.Prompt, Session: r.text(ParamSession),
 		SharedPrefix: r.text(ParamSharedText), ClientRetry: r.flag(ParamRepeat), AfterInterruption: r.flag(ParamResume)}
 	class, tenant := r.text(ParamClass), r.text(ParamTenant)
-	guess := float64(len(in.Prompt)) / m.set.BytesPerToken
+	guess := float64(len(in.Prompt)) / b.set.BytesPerToken
 	j.PromptTokens = max(r.number(ParamPromptTokens, guess), 1)
 	j.PrefixTokens = min(r.number(ParamSharedTokens, 0), j.PromptTokens)
 	hint, deadline := r.number(ParamLengthHint, 0), r.number(ParamDeadline, 0)
 	j.Class = 0
 	if class == "" {
-		class = m.set.DefaultClass
+		class = b.set.DefaultClass
 	}
 	if class != "" {
-		if j.Class = m.set.ClassIndex(class); j.Class < 0 {
+		if j.Class = b.set.ClassIndex(class); j.Class < 0 {
 			return nil, BadRequestf("parameter %q: there is no class %q", ParamClass, truncate(class))
 		}
 	}
-	c := &m.set.Classes[j.Class]
+	c := &b.set.Classes[j.Class]
 	j.ClassName = c.Name
 	if tenant == "" {
-		tenant = m.set.DefaultTenant
+		tenant = b.set.DefaultTenant
 	}
-	j.Tenant = len(m.set.Tenants)
+	j.Tenant = len(b.set.Tenants)
 	if tenant != "" {
-		if j.Tenant = m.set.TenantIndex(tenant); j.Tenant < 0 {
+		if j.Tenant = b.set.TenantIndex(tenant); j.Tenant < 0 {
 			return nil, BadRequestf("parameter %q: there is no tenant %q", ParamTenant, truncate(tenant))
 		}
 		j.TenantName = tenant
@@ -193,13 +193,13 @@
 		return nil, BadRequestf("parameter %q must be a whole number from 1", ParamMaxTokens)
 	}
 	j.MaxTokens = int(maxTokens)
-	if j.PromptTokens+maxTokens > m.set.MaxContext {
+	if j.PromptTokens+maxTokens > b.set.MaxContext {
 		return nil, BadRequestf("prompt of %.0f tokens and answer of up to %.0f are more than the engines' context of %.0f",
-			j.PromptTokens, maxTokens, m.set.MaxContext)
+			j.PromptTokens, maxTokens, b.set.MaxContext)
 	}
 	j.LengthHint = time.Duration(hint * float64(c.TokenIntervalTarget))
-	// If the client sets no deadline, the deadline of the class applies, plus twice the first-token target's share
-	// for the prompt's length.
+	// If the client sets no deadline, the deadline of the class applies, extended by twice the first-token target
+	// for the length of the prompt.
 	timeout := time.Duration(float64(c.Deadline) + 2*float64(c.FirstTokenTargetPerK)*j.PromptTokens/1000)
 	if deadline > 0 {
 		timeout = time.Duration(min(deadline*1e6, float64(MaxDeadline)))
