--- a/internal/discovery/watch/watch.go
+++ b/internal/discovery/watch/watch.go
@@ -34,7 +34,7 @@
 	maxHedgedCalls  = int(listTimeout/hedgeInterval) + 1
 	firstPause      = 50 * time.Millisecond  // before a failed call is retried; doubled after each failure ...
 	maxPause        = 250 * time.Millisecond // ... up to this
-	jitter          = 0.2                    // random fraction added to pauses, so that routers don't call in step
+	jitter          = 0.2                    // random fraction added to pauses and hedge intervals; see withJitter
 	maxResponseSize = 4 << 20                // bytes
 	// startTimeout is how long the first call may take before the cached list is used. The agent runs on the router's
 	// machine and responds at once while discovery is up.
@@ -212,7 +212,7 @@
 	}
 }
 
-// withJitter lengthens a duration by a random fraction, up to jitter.
+// withJitter lengthens a duration by a random fraction, up to jitter, so that routers do not call in step.
 func withJitter(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (1 + jitter*rand.Float64()))
 }
@@ -235,9 +235,9 @@
 	if len(l.Members) > maxMembers {
 		return true, fmt.Errorf("discovery lists %d members", len(l.Members))
 	}
-	faulty := s.members.apply(l)
+	invalid := s.members.apply(l)
 	s.listAgent, s.revision, s.regressedSince = l.agent, l.Revision, time.Time{}
-	return faulty && !l.Complete, nil
+	return invalid && !l.Complete, nil
 }
 
 // get makes one call and decodes its response.
--- a/internal/engine/chat/events.go
+++ b/internal/engine/chat/events.go
@@ -22,6 +22,7 @@
 	report decide.Report
 }
 
+// blankLine ends an event.
 var blankLine = []byte("\n\n")
 
 // next returns the next event that carries data, exactly as received. It returns io.EOF only after the last chunk.
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -69,6 +69,7 @@
 	open *atomic.Int64
 }
 
+// Close closes the connection and stops counting it. It may be called more than once.
 func (c *countedConn) Close() error {
 	c.once.Do(func() { c.open.Add(-1) })
 	return c.Conn.Close()
--- a/internal/front/chat/answer.go
+++ b/internal/front/chat/answer.go
@@ -190,6 +190,7 @@
 	return err
 }
 
+// isTimeout reports whether an error means that a deadline has passed.
 func isTimeout(err error) bool { return os.IsTimeout(err) }
 
 // stop ends the watch and reports whether the client is still connected.
--- a/internal/front/chat/conns.go
+++ b/internal/front/chat/conns.go
@@ -10,6 +10,7 @@
 // connState is what a client's connection is doing.
 type connState uint8
 
+// The states of a client's connection.
 const (
 	stateNew       connState = iota // no byte of the first request has been read
 	stateIdle                       // between requests
--- a/internal/front/rest/rest.go
+++ b/internal/front/rest/rest.go
@@ -23,6 +23,7 @@
 	"golang.org/x/net/netutil"
 )
 
+// Limits on requests and connections, and the names of the model's tensors.
 const (
 	maxElements = 1 << 16 // maximum number of elements of an input tensor
 	textInput   = "text_input"
--- a/internal/kserve/kserve.go
+++ b/internal/kserve/kserve.go
@@ -166,6 +166,7 @@
 // elementKind is the form that the elements of a datatype have in JSON.
 type elementKind uint8
 
+// The kinds of elements.
 const (
 	kindBool elementKind = iota + 1
 	kindInt
