--- a/internal/front/chat/chat_test.go
+++ b/internal/front/chat/chat_test.go
@@ -112,46 +112,46 @@
 	if change != nil {
 		change(&o)
 	}
-	w := &testFront{t: t, engines: e, router: r, front: New(o, r), served: make(chan struct{})}
+	tf := &testFront{t: t, engines: e, router: r, front: New(o, r), served: make(chan struct{})}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.addr = l.Addr().String()
+	tf.addr = l.Addr().String()
 	var frontCtx, coreCtx context.Context
-	frontCtx, w.stopFront = context.WithCancel(context.Background())
-	coreCtx, w.stopCore = context.WithCancel(context.Background())
+	frontCtx, tf.stopFront = context.WithCancel(context.Background())
+	coreCtx, tf.stopCore = context.WithCancel(context.Background())
 	stopped := make(chan struct{})
 	go func() { defer close(stopped); r.Run(coreCtx) }()
-	go func() { defer close(w.served); w.front.Serve(frontCtx, l) }()
+	go func() { defer close(tf.served); tf.front.Serve(frontCtx, l) }()
 	r.Update(discovery.Update{Engines: []discovery.Engine{{Name: "d", Addr: "d:1", Kind: "d", State: decide.Ready, Weight: 1},
 		{Name: "p", Addr: "p:1", Kind: "p", State: decide.Ready, Weight: 1}}})
 	t.Cleanup(func() {
-		w.stopFront()
-		w.stopCore()
-		<-w.served
+		tf.stopFront()
+		tf.stopCore()
+		<-tf.served
 		<-stopped
 		g.Close()
 		if n := g.ViolationCount(); n > 0 {
 			t.Errorf("violations: %v", g.Violations())
 		}
 	})
-	w.eventually("ready", r.Ready)
-	return w
+	tf.eventually("ready", r.Ready)
+	return tf
 }
 
-func (w *testFront) eventually(what string, cond func() bool) {
-	w.t.Helper()
-	eventually.Is(w.t, what, cond, func() any { return w.router.Stats() })
+func (tf *testFront) eventually(what string, cond func() bool) {
+	tf.t.Helper()
+	eventually.Is(tf.t, what, cond, func() any { return tf.router.Stats() })
 }
 
-func (w *testFront) dial() (net.Conn, *bufio.Reader) {
-	w.t.Helper()
-	c, err := net.Dial("tcp", w.addr)
+func (tf *testFront) dial() (net.Conn, *bufio.Reader) {
+	tf.t.Helper()
+	c, err := net.Dial("tcp", tf.addr)
 	if err != nil {
-		w.t.Fatal(err)
+		tf.t.Fatal(err)
 	}
-	w.t.Cleanup(func() { c.Close() })
+	tf.t.Cleanup(func() { c.Close() })
 	c.SetDeadline(time.Now().Add(20 * time.Second))
 	return c, bufio.NewReader(c)
 }
@@ -180,8 +180,8 @@
 // A request is decoded, its message reaches the engine unchanged, the events reach the client unchanged, and the next
 // request is served on the same connection.
 func TestServed(t *testing.T) {
-	w := startFront(t, writeAnswer, nil)
-	c, br := w.dial()
+	tf := startFront(t, writeAnswer, nil)
+	c, br := tf.dial()
 	for i := range 3 {
 		io.WriteString(c, message(fmt.Sprint("id", i)))
 		resp, got, err := readAnswer(t, br)
@@ -189,7 +189,7 @@
 			t.Fatalf("%+v %q %v", resp, got, err)
 		}
 	}
-	q := w.engines.calls[0]
+	q := tf.engines.calls[0]
 	if q.Params.Request != "id0" || string(q.Message.Body) != body || q.Message.Target != "/v1/chat/completions" ||
 		q.Params.PromptTokens != 5120 || q.Params.PrefixTokens != 2048 || q.Params.MaxTokens != 800 ||
 		q.Params.SharedPrefix != "5c0f" || q.Params.Session != "7f3a" {
@@ -200,7 +200,7 @@
 // Malformed requests get the right status, and none of them reaches an engine.
 func TestBadRequests(t *testing.T) {
 	length := fmt.Sprintf("Content-Length: %d", len(body))
-	w := startFront(t, writeAnswer, func(o *Options) { o.MaxBodyMemory = 1 << 20 })
+	tf := startFront(t, writeAnswer, func(o *Options) { o.MaxBodyMemory = 1 << 20 })
 	for _, c := range []struct {
 		name, in string
 		code     int
@@ -239,7 +239,7 @@
 		{"another method", message("x", "POST", "PUT"), 405},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			conn, br := w.dial()
+			conn, br := tf.dial()
 			go func() { // the response may arrive before everything is sent
 				io.WriteString(conn, c.in)
 			}()
@@ -258,16 +258,16 @@
 			}
 		})
 	}
-	if n := w.engines.sent(); n != 0 {
+	if n := tf.engines.sent(); n != 0 {
 		t.Errorf("%d requests reached an engine", n)
 	}
-	w.eventually("no body counts towards the memory limit", func() bool { return w.front.bodyMemory.Load() == 0 })
+	tf.eventually("no body counts towards the memory limit", func() bool { return tf.front.bodyMemory.Load() == 0 })
 }
 
 // Data after a malformed request is not taken for another request.
 func TestNoRequestIsReadAfterMalformedOne(t *testing.T) {
-	w := startFront(t, writeAnswer, nil)
-	c, br := w.dial()
+	tf := startFront(t, writeAnswer, nil)
+	c, br := tf.dial()
 	length := fmt.Sprintf("Content-Length: %d", len(body))
 	io.WriteString(c, message("x", length, length+"\r\nTransfer-Encoding: chunked")+message("hidden"))
 	if resp, _, _ := readAnswer(t, br); resp.StatusCode != 400 {
@@ -276,7 +276,7 @@
 	if b, _ := io.ReadAll(br); len(b) > 0 {
 		t.Errorf("data after the response: %q", b)
 	}
-	if w.engines.sent() != 0 {
+	if tf.engines.sent() != 0 {
 		t.Error("the hidden request reached an engine")
 	}
 }
@@ -284,34 +284,34 @@
 // A connection with an incomplete request, or none, is closed after RequestTimeout.
 func TestIncompleteRequestsTimeOut(t *testing.T) {
 	for _, in := range []string{"", "POST /v1", "POST / HTTP/1.1\r\nHost: x\r\n", message("x")[:250]} {
-		w := startFront(t, writeAnswer, func(o *Options) { o.RequestTimeout = 20 * time.Millisecond })
-		c, br := w.dial()
+		tf := startFront(t, writeAnswer, func(o *Options) { o.RequestTimeout = 20 * time.Millisecond })
+		c, br := tf.dial()
 		io.WriteString(c, in)
 		if resp, err := http.ReadResponse(br, nil); err == nil && resp.StatusCode != 408 {
 			t.Errorf("%q: %d", in, resp.StatusCode)
 		}
 		io.Copy(io.Discard, br) // until the connection ends
-		w.eventually("closed", func() bool { return w.front.OpenConns() == 0 })
+		tf.eventually("closed", func() bool { return tf.front.OpenConns() == 0 })
 	}
 }
 
 // A request with the id of an open request is refused, and the open request continues.
 func TestIDOfAnOpenRequest(t *testing.T) {
 	proceed := make(chan bool)
-	w := startFront(t, func(ctx context.Context, sink func(string) error) engine.Result {
+	tf := startFront(t, func(ctx context.Context, sink func(string) error) engine.Result {
 		sink(eventA)
 		<-proceed
 		sink(eventEnd)
 		return engine.Result{Outcome: decide.Served, Report: engine.NoReport(), Tokens: 2}
 	}, nil)
-	c, br := w.dial()
+	c, br := tf.dial()
 	io.WriteString(c, message("same"))
 	resp, err := http.ReadResponse(br, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	io.ReadFull(resp.Body, make([]byte, len(eventA)))
-	c2, br2 := w.dial()
+	c2, br2 := tf.dial()
 	io.WriteString(c2, message("same"))
 	if resp, _, _ := readAnswer(t, br2); resp.StatusCode != 400 {
 		t.Errorf("second request: status %d", resp.StatusCode)
@@ -320,8 +320,8 @@
 	if b, err := io.ReadAll(resp.Body); string(b) != eventEnd || err != nil {
 		t.Errorf("first request: %q %v", b, err)
 	}
-	c3, br3 := w.dial() // the first request has ended, so its id may be used again
-	w.eventually("the first request has ended", func() bool { return w.router.Stats().Open == 0 })
+	c3, br3 := tf.dial() // the first request has ended, so its id may be used again
+	tf.eventually("the first request has ended", func() bool { return tf.router.Stats().Open == 0 })
 	io.WriteString(c3, message("same"))
 	if resp, _, _ := readAnswer(t, br3); resp.StatusCode != 200 {
 		t.Errorf("third request: status %d", resp.StatusCode)
@@ -330,11 +330,11 @@
 
 // When an engine's stream breaks, the client's stream ends at once and without the last chunk.
 func TestBrokenStream(t *testing.T) {
-	w := startFront(t, func(_ context.Context, sink func(string) error) engine.Result {
+	tf := startFront(t, func(_ context.Context, sink func(string) error) engine.Result {
 		sink(eventA)
 		return engine.Result{Outcome: decide.Reset, Report: engine.NoReport(), Tokens: 1, Err: io.ErrUnexpectedEOF}
 	}, nil)
-	c, br := w.dial()
+	c, br := tf.dial()
 	io.WriteString(c, message("x"))
 	if _, got, err := readAnswer(t, br); got != eventA || err != io.ErrUnexpectedEOF {
 		t.Errorf("%q %v", got, err)
@@ -343,18 +343,18 @@
 
 // When a client leaves, its request ends.
 func TestClientLeaves(t *testing.T) {
-	w := startFront(t, hang, nil)
-	c, _ := w.dial()
+	tf := startFront(t, hang, nil)
+	c, _ := tf.dial()
 	io.WriteString(c, message("x"))
-	w.eventually("taken", func() bool { return w.router.Stats().Sends > 1 })
+	tf.eventually("taken", func() bool { return tf.router.Stats().Sends > 1 })
 	c.Close()
-	w.eventually("gone", func() bool { return w.router.Stats().Gone == 1 && w.router.Stats().Open == 0 })
+	tf.eventually("gone", func() bool { return tf.router.Stats().Gone == 1 && tf.router.Stats().Open == 0 })
 }
 
 // Pipelined requests are answered in order.
 func TestPipelined(t *testing.T) {
-	w := startFront(t, writeAnswer, nil)
-	c, br := w.dial()
+	tf := startFront(t, writeAnswer, nil)
+	c, br := tf.dial()
 	io.WriteString(c, message("a")+message("b", "Class: chat", "Class: chess")+message("c"))
 	for _, want := range []int{200, 400} {
 		if resp, _, _ := readAnswer(t, br); resp.StatusCode != want {
@@ -370,18 +370,18 @@
 // requests are not affected.
 func TestIdleConnectionsMakeRoom(t *testing.T) {
 	proceed := make(chan bool)
-	w := startFront(t, func(ctx context.Context, sink func(string) error) engine.Result {
+	tf := startFront(t, func(ctx context.Context, sink func(string) error) engine.Result {
 		<-proceed
 		return writeAnswer(ctx, sink)
 	}, func(o *Options) { o.MaxConns = 4 })
-	c, br := w.dial()
+	c, br := tf.dial()
 	io.WriteString(c, message("x"))
-	w.eventually("taken", func() bool { return w.router.Stats().Sends > 1 })
+	tf.eventually("taken", func() bool { return tf.router.Stats().Sends > 1 })
 	for range 50 {
-		w.dial()
+		tf.dial()
 	}
-	w.eventually("bounded", func() bool { return w.front.OpenConns() <= 4 })
-	late, lateBr := w.dial()
+	tf.eventually("bounded", func() bool { return tf.front.OpenConns() <= 4 })
+	late, lateBr := tf.dial()
 	io.WriteString(late, "GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
 	if resp, _, _ := readAnswer(t, lateBr); resp.StatusCode != 200 {
 		t.Errorf("late connection: status %d", resp.StatusCode)
@@ -394,23 +394,23 @@
 
 // All bodies together have a memory limit: a request beyond it gets a 503 and no memory.
 func TestBodyMemoryLimit(t *testing.T) {
-	w := startFront(t, writeAnswer, func(o *Options) { o.MaxBodyMemory = 20 << 10 })
-	c, br := w.dial()
+	tf := startFront(t, writeAnswer, func(o *Options) { o.MaxBodyMemory = 20 << 10 })
+	c, br := tf.dial()
 	big := `{"x":"` + strings.Repeat("y", 100<<10) + `"}`
 	io.WriteString(c, message("x", fmt.Sprintf("Content-Length: %d", len(body)), fmt.Sprintf("Content-Length: %d", len(big)), body, big))
 	if resp, err := http.ReadResponse(br, nil); err == nil && resp.StatusCode != 503 {
 		t.Errorf("status %d", resp.StatusCode)
 	}
-	w.eventually("memory returned", func() bool { return w.front.bodyMemory.Load() == 0 })
+	tf.eventually("memory returned", func() bool { return tf.front.bodyMemory.Load() == 0 })
 }
 
 // Refusals have a Retry-After header only if the settings allow it.
 func TestRefusalRetryAfter(t *testing.T) {
 	for _, allowed := range []bool{true, false} {
-		w := startFront(t, func(context.Context, func(string) error) engine.Result {
+		tf := startFront(t, func(context.Context, func(string) error) engine.Result {
 			return engine.Result{Outcome: decide.Full, Report: engine.NoReport()}
 		}, func(o *Options) { o.SendRetryAfter = allowed })
-		c, br := w.dial()
+		c, br := tf.dial()
 		io.WriteString(c, message("x"))
 		resp, _, _ := readAnswer(t, br)
 		want := ""
@@ -426,24 +426,24 @@
 // During a shutdown answers close their connections and idle connections are closed. Requests on new connections are
 // still answered.
 func TestBeginShutdown(t *testing.T) {
-	w := startFront(t, writeAnswer, nil)
-	idle, idleBr := w.dial()
+	tf := startFront(t, writeAnswer, nil)
+	idle, idleBr := tf.dial()
 	io.WriteString(idle, message("a"))
 	readAnswer(t, idleBr)
-	fresh, freshBr := w.dial()
-	w.eventually("both are connected", func() bool { return w.front.OpenConns() == 2 })
-	w.eventually("one is idle", func() bool {
-		w.front.conns.mu.Lock()
-		defer w.front.conns.mu.Unlock()
-		for e := w.front.conns.evictable.Front(); e != nil; e = e.Next() {
+	fresh, freshBr := tf.dial()
+	tf.eventually("both are connected", func() bool { return tf.front.OpenConns() == 2 })
+	tf.eventually("one is idle", func() bool {
+		tf.front.conns.mu.Lock()
+		defer tf.front.conns.mu.Unlock()
+		for e := tf.front.conns.evictable.Front(); e != nil; e = e.Next() {
 			if e.Value.(*conn).entry.state == stateIdle {
 				return true
 			}
 		}
 		return false
 	})
-	w.front.BeginShutdown()
-	w.front.CloseIdle(0)
+	tf.front.BeginShutdown()
+	tf.front.CloseIdle(0)
 	if _, err := idleBr.ReadByte(); err != io.EOF {
 		t.Errorf("idle connection: %v", err)
 	}
@@ -452,25 +452,25 @@
 	if resp.StatusCode != 200 || !resp.Close || got != eventA+eventEnd || err != nil {
 		t.Errorf("new connection: %+v %q %v", resp, got, err)
 	}
-	c, br := w.dial()
+	c, br := tf.dial()
 	io.WriteString(c, "GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
 	if resp, _, _ := readAnswer(t, br); resp.StatusCode != 503 || !resp.Close {
 		t.Errorf("/up: %d", resp.StatusCode)
 	}
-	w.eventually("all are closed", func() bool { return w.front.OpenConns() == 0 })
+	tf.eventually("all are closed", func() bool { return tf.front.OpenConns() == 0 })
 }
 
 // Each event is forwarded as soon as it arrives.
 func TestEventsAreForwardedImmediately(t *testing.T) {
 	proceed := make(chan bool)
-	w := startFront(t, func(_ context.Context, sink func(string) error) engine.Result {
+	tf := startFront(t, func(_ context.Context, sink func(string) error) engine.Result {
 		for range 3 {
 			sink(eventA)
 			<-proceed
 		}
 		return engine.Result{Outcome: decide.Served, Report: engine.NoReport(), Tokens: 3}
 	}, nil)
-	c, br := w.dial()
+	c, br := tf.dial()
 	io.WriteString(c, message("x"))
 	resp, err := http.ReadResponse(br, nil)
 	if err != nil {
--- a/internal/front/chat/client_leave_test.go
+++ b/internal/front/chat/client_leave_test.go
@@ -41,22 +41,22 @@
 		"many requests in pieces": {message("b"), bigMessage("c"), message("d"), "POST"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := startFront(t, hang, nil)
-			c, _ := w.dial()
+			tf := startFront(t, hang, nil)
+			c, _ := tf.dial()
 			io.WriteString(c, message("a"))
-			w.eventually("taken", func() bool { return w.router.Stats().Sends == 2 })
+			tf.eventually("taken", func() bool { return tf.router.Stats().Sends == 2 })
 			for _, p := range pieces {
-				before := w.front.conns.readsWhileOpen.Load()
+				before := tf.front.conns.readsWhileOpen.Load()
 				io.WriteString(c, p)
-				w.eventually("seen", func() bool { return w.front.conns.readsWhileOpen.Load() > before })
+				tf.eventually("seen", func() bool { return tf.front.conns.readsWhileOpen.Load() > before })
 			}
 			c.Close()
-			w.eventually("gone", func() bool { return w.router.Stats().Gone == 1 && w.router.Stats().Open == 0 })
-			w.eventually("closed", func() bool { return w.front.OpenConns() == 0 })
-			if n := w.router.Stats().Sends; n != 2 {
+			tf.eventually("gone", func() bool { return tf.router.Stats().Gone == 1 && tf.router.Stats().Open == 0 })
+			tf.eventually("closed", func() bool { return tf.front.OpenConns() == 0 })
+			if n := tf.router.Stats().Sends; n != 2 {
 				t.Errorf("%d attempts, want the read and the write of the first request", n)
 			}
-			if n := w.front.bodyMemory.Load(); n != 0 {
+			if n := tf.front.bodyMemory.Load(); n != 0 {
 				t.Errorf("%d bytes still count towards the memory limit", n)
 			}
 		})
@@ -66,28 +66,28 @@
 // Requests that were read ahead are served in order once the request before them has ended.
 func TestPipelinedPastTheBuffer(t *testing.T) {
 	gate := make(chan bool)
-	w := startFront(t, writeAfter(gate), nil)
-	c, br := w.dial()
+	tf := startFront(t, writeAfter(gate), nil)
+	c, br := tf.dial()
 	io.WriteString(c, message("a")+bigMessage("b")+bigMessage("c")+message("d", "Class: chat", "Class: chess"))
-	w.eventually("read ahead", func() bool { return w.front.bodyMemory.Load() > 0 })
+	tf.eventually("read ahead", func() bool { return tf.front.bodyMemory.Load() > 0 })
 	close(gate)
 	for _, want := range []int{200, 200, 200, 400} {
 		if resp, _, err := readAnswer(t, br); resp.StatusCode != want || err != nil {
 			t.Fatalf("status %d, %v; want %d", resp.StatusCode, err, want)
 		}
 	}
-	w.eventually("memory returned", func() bool { return w.front.bodyMemory.Load() == 0 })
+	tf.eventually("memory returned", func() bool { return tf.front.bodyMemory.Load() == 0 })
 }
 
 // Closing a connection with unread data resets it, and the answer may be lost. After the last answer the connection
 // is therefore first closed for sending, and data that still arrives is read but not served.
 func TestLastAnswerIsNotReset(t *testing.T) {
 	gate := make(chan bool)
-	w := startFront(t, writeAfter(gate), func(o *Options) { o.MaxBodyMemory = 3 * readBufferSize })
-	c, br := w.dial()
+	tf := startFront(t, writeAfter(gate), func(o *Options) { o.MaxBodyMemory = 3 * readBufferSize })
+	c, br := tf.dial()
 	io.WriteString(c, message("a"))
-	w.eventually("taken", func() bool { return w.router.Stats().Sends == 2 })
-	w.front.BeginShutdown()
+	tf.eventually("taken", func() bool { return tf.router.Stats().Sends == 2 })
+	tf.front.BeginShutdown()
 	io.WriteString(c, bigMessage("b")) // larger than the read-ahead: some of it stays unread
 	close(gate)
 	resp, got, err := readAnswer(t, br)
@@ -98,21 +98,21 @@
 		t.Errorf("after the answer %d bytes and %v, want EOF", n, err)
 	}
 	c.Close()
-	w.eventually("closed", func() bool { return w.front.OpenConns() == 0 })
-	if n := w.router.Stats().Sends; n != 2 {
+	tf.eventually("closed", func() bool { return tf.front.OpenConns() == 0 })
+	if n := tf.router.Stats().Sends; n != 2 {
 		t.Errorf("%d attempts: a request read after the last answer was served", n)
 	}
 }
 
 // A lingering connection is the first one that is closed to make room.
 func TestLingeringConnectionIsEvictedFirst(t *testing.T) {
-	w := startFront(t, writeAnswer, func(o *Options) { o.MaxConns = 1 })
-	c, br := w.dial()
+	tf := startFront(t, writeAnswer, func(o *Options) { o.MaxConns = 1 })
+	c, br := tf.dial()
 	io.WriteString(c, strings.Replace(message("a"), "Host:", "Connection: close\r\nHost:", 1))
 	if resp, _, err := readAnswer(t, br); resp.StatusCode != 200 || err != nil {
 		t.Fatalf("%d %v", resp.StatusCode, err)
 	}
-	next, nextBr := w.dial() // the first client has not closed its connection
+	next, nextBr := tf.dial() // the first client has not closed its connection
 	io.WriteString(next, message("b"))
 	resp, err := http.ReadResponse(nextBr, nil)
 	if err != nil || resp.StatusCode != 200 {
--- a/internal/front/chat/races_test.go
+++ b/internal/front/chat/races_test.go
@@ -18,11 +18,11 @@
 )
 
 // waitForState waits until some connection is in a state and returns that connection.
-func (w *testFront) waitForState(state connState) *conn {
-	w.t.Helper()
+func (tf *testFront) waitForState(state connState) *conn {
+	tf.t.Helper()
 	var found *conn
-	w.eventually("a connection in the state", func() bool {
-		s := &w.front.conns
+	tf.eventually("a connection in the state", func() bool {
+		s := &tf.front.conns
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		for c := range s.all {
@@ -54,14 +54,14 @@
 		"to make room":     func(s *conns, _ *conn) { s.evict() },
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := startFront(t, writeAnswer, nil)
-			client, br := w.dial()
+			tf := startFront(t, writeAnswer, nil)
+			client, br := tf.dial()
 			io.WriteString(client, message("a"))
 			if resp, _, err := readAnswer(t, br); resp.StatusCode != 200 || err != nil {
 				t.Fatal(resp.StatusCode, err)
 			}
-			c := w.waitForState(stateIdle)
-			s := &w.front.conns
+			c := tf.waitForState(stateIdle)
+			s := &tf.front.conns
 			s.mu.Lock() // the front sees that data has arrived but can't read it
 			io.WriteString(client, message("b"))
 			closeIt(s, c)
@@ -70,8 +70,8 @@
 			if b, err := br.ReadByte(); !errors.Is(err, syscall.ECONNRESET) {
 				t.Errorf("got %q, %v, want a reset", b, err)
 			}
-			w.eventually("closed", func() bool { return w.front.OpenConns() == 0 })
-			if n := w.engines.sent(); n != 1 {
+			tf.eventually("closed", func() bool { return tf.front.OpenConns() == 0 })
+			if n := tf.engines.sent(); n != 1 {
 				t.Errorf("%d requests reached an engine, want only the first", n)
 			}
 		})
@@ -86,17 +86,17 @@
 		"one byte": 1, "half a head": 80, "all but the last byte": len(request) - 1, "head without body": strings.Index(request, "\r\n\r\n") + 4,
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := startFront(t, writeAnswer, nil)
-			client, br := w.dial()
+			tf := startFront(t, writeAnswer, nil)
+			client, br := tf.dial()
 			io.WriteString(client, message("a"))
 			readAnswer(t, br)
-			w.waitForState(stateIdle)
+			tf.waitForState(stateIdle)
 			io.WriteString(client, request[:cut])
-			w.waitForState(stateReceiving)
-			w.front.BeginShutdown()
-			w.front.CloseIdle(0)
-			w.front.RefuseUnused()
-			w.front.CloseIdle(0)
+			tf.waitForState(stateReceiving)
+			tf.front.BeginShutdown()
+			tf.front.CloseIdle(0)
+			tf.front.RefuseUnused()
+			tf.front.CloseIdle(0)
 			io.WriteString(client, request[cut:])
 			resp, got, err := readAnswer(t, br)
 			if resp.StatusCode != 200 || !resp.Close || got != eventA+eventEnd || err != nil {
@@ -112,7 +112,7 @@
 // Connections that wait in the kernel's queue when the listener is to close are accepted. A request that was sent
 // already gets its answer, and so does one that is sent later. Later connections are refused by the kernel.
 func TestStopListeningServesQueuedConnections(t *testing.T) {
-	w := startFront(t, writeAnswer, nil)
+	tf := startFront(t, writeAnswer, nil)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -129,7 +129,7 @@
 	early, earlyBr := dial()
 	io.WriteString(early, message("a"))
 	late, lateBr := dial()
-	front := New(w.front.opts, w.router)
+	front := New(tf.front.opts, tf.router)
 	stopped := front.StopListening()
 	done := make(chan error)
 	go func() { done <- front.Serve(t.Context(), l) }()
@@ -154,15 +154,15 @@
 // A connection without any request when no new connections are accepted gets a refusal, so that its client moves to
 // another router. The client may have written a request at that moment, and the refusal still arrives.
 func TestUnusedConnectionsAreRefusedAtShutdown(t *testing.T) {
-	w := startFront(t, writeAnswer, nil)
-	_, silentBr := w.dial()
-	w.waitForState(stateNew)
-	w.front.BeginShutdown()
-	w.front.RefuseUnused()
+	tf := startFront(t, writeAnswer, nil)
+	_, silentBr := tf.dial()
+	tf.waitForState(stateNew)
+	tf.front.BeginShutdown()
+	tf.front.RefuseUnused()
 	if resp, _, err := readAnswer(t, silentBr); resp.StatusCode != 503 || !resp.Close || err != nil {
 		t.Errorf("%+v %v", resp, err)
 	}
-	if w.engines.sent() != 0 {
+	if tf.engines.sent() != 0 {
 		t.Error("a request reached an engine")
 	}
 }
@@ -172,39 +172,39 @@
 // response.
 func TestRequestAfterAnswerFromBeforeShutdown(t *testing.T) {
 	gate := make(chan bool)
-	w := startFront(t, writeAfter(gate), nil)
-	c, br := w.dial()
+	tf := startFront(t, writeAfter(gate), nil)
+	c, br := tf.dial()
 	io.WriteString(c, message("a"))
 	gate <- true // its first event
 	resp, err := http.ReadResponse(br, nil)
 	if err != nil || resp.Close {
 		t.Fatalf("%+v %v", resp, err)
 	}
-	w.front.BeginShutdown()
+	tf.front.BeginShutdown()
 	close(gate)
 	if _, err := io.Copy(io.Discard, resp.Body); err != nil {
 		t.Fatal(err)
 	}
-	w.waitForState(stateIdle)
-	w.front.CloseIdle(time.Hour) // the connection has not been idle for that long
+	tf.waitForState(stateIdle)
+	tf.front.CloseIdle(time.Hour) // the connection has not been idle for that long
 	io.WriteString(c, message("b"))
 	if resp, got, err := readAnswer(t, br); resp.StatusCode != 200 || !resp.Close || got != eventA+eventEnd || err != nil {
 		t.Errorf("%+v %q %v", resp, got, err)
 	}
-	w.eventually("the connection is closed", func() bool { return w.front.OpenConns() == 0 })
+	tf.eventually("the connection is closed", func() bool { return tf.front.OpenConns() == 0 })
 }
 
 // A request that is still incomplete when the router stops waiting for it is refused, even if its last byte arrives
 // at that moment.
 func TestIncompleteRequestsAreRefusedAtShutdown(t *testing.T) {
-	w := startFront(t, writeAnswer, nil)
-	c, br := w.dial()
+	tf := startFront(t, writeAnswer, nil)
+	c, br := tf.dial()
 	request := message("a")
 	io.WriteString(c, request[:len(request)-1])
-	w.waitForState(stateReceiving)
-	w.front.BeginShutdown()
-	w.front.RefuseUnused() // does not affect a connection that is receiving a request
-	w.front.RefuseIncomplete()
+	tf.waitForState(stateReceiving)
+	tf.front.BeginShutdown()
+	tf.front.RefuseUnused() // does not affect a connection that is receiving a request
+	tf.front.RefuseIncomplete()
 	if resp, _, err := readAnswer(t, br); resp.StatusCode != 503 || !resp.Close || err != nil {
 		t.Errorf("%+v %v", resp, err)
 	}
@@ -212,7 +212,7 @@
 	if b, err := io.ReadAll(br); len(b) > 0 || err != nil {
 		t.Errorf("data after the refusal: %q, %v", b, err)
 	}
-	if w.engines.sent() != 0 {
+	if tf.engines.sent() != 0 {
 		t.Error("a request reached an engine")
 	}
 }
@@ -221,14 +221,14 @@
 // with unread data. Only a limited number of connections is kept for this.
 func TestConnectionRefusalIsDelivered(t *testing.T) {
 	gate := make(chan bool)
-	w := startFront(t, writeAfter(gate), func(o *Options) { o.MaxConns, o.MaxRefusedConns = 1, 1 })
-	w.front.lingerTimeout = time.Minute
-	open, openBr := w.dial()
+	tf := startFront(t, writeAfter(gate), func(o *Options) { o.MaxConns, o.MaxRefusedConns = 1, 1 })
+	tf.front.lingerTimeout = time.Minute
+	open, openBr := tf.dial()
 	io.WriteString(open, message("a"))
-	w.eventually("taken", func() bool { return w.router.Stats().Sends == 2 })
-	s := &w.front.conns
+	tf.eventually("taken", func() bool { return tf.router.Stats().Sends == 2 })
+	s := &tf.front.conns
 	s.mu.Lock() // the next connection is not refused before everything is written
-	second, br := w.dial()
+	second, br := tf.dial()
 	io.WriteString(second, bigMessage("b"))
 	s.mu.Unlock()
 	if resp, _, err := readAnswer(t, br); resp.StatusCode != 503 || !resp.Close || err != nil {
@@ -237,14 +237,14 @@
 	if _, err := br.ReadByte(); err != io.EOF {
 		t.Errorf("after the refusal: %v", err)
 	}
-	w.eventually("the refused connection lingers", func() bool { return w.front.OpenConns() == 2 })
-	_, thirdBr := w.dial() // beyond MaxRefusedConns: closed at once
+	tf.eventually("the refused connection lingers", func() bool { return tf.front.OpenConns() == 2 })
+	_, thirdBr := tf.dial() // beyond MaxRefusedConns: closed at once
 	readToEnd(t, thirdBr)
-	if n := w.front.OpenConns(); n > 2 {
+	if n := tf.front.OpenConns(); n > 2 {
 		t.Errorf("%d connections", n)
 	}
 	second.Close()
-	w.eventually("one connection is left", func() bool { return w.front.OpenConns() == 1 })
+	tf.eventually("one connection is left", func() bool { return tf.front.OpenConns() == 1 })
 	close(gate)
 	if resp, _, err := readAnswer(t, openBr); resp.StatusCode != 200 || err != nil {
 		t.Errorf("open request: %+v %v", resp, err)
@@ -254,12 +254,12 @@
 // A connection that is receiving a request is not closed to make room; a new connection is refused instead. Only a
 // client that has been sending a request for long gets a time-out response.
 func TestIncomingRequestsAreNotEvicted(t *testing.T) {
-	w := startFront(t, writeAnswer, func(o *Options) { o.MaxConns, o.MaxRefusedConns = 1, 4 })
-	slow, slowBr := w.dial()
+	tf := startFront(t, writeAnswer, func(o *Options) { o.MaxConns, o.MaxRefusedConns = 1, 4 })
+	slow, slowBr := tf.dial()
 	m := message("a")
 	io.WriteString(slow, m[:100])
-	c := w.waitForState(stateReceiving)
-	other, otherBr := w.dial()
+	c := tf.waitForState(stateReceiving)
+	other, otherBr := tf.dial()
 	io.WriteString(other, message("b"))
 	if resp, _, _ := readAnswer(t, otherBr); resp.StatusCode != 503 {
 		t.Errorf("new connection: status %d", resp.StatusCode)
@@ -268,14 +268,14 @@
 	if resp, got, err := readAnswer(t, slowBr); resp.StatusCode != 200 || got != eventA+eventEnd || err != nil {
 		t.Fatalf("slow client: %+v %q %v", resp, got, err)
 	}
-	w.waitForState(stateIdle)
+	tf.waitForState(stateIdle)
 	io.WriteString(slow, m[:100])
-	w.waitForState(stateReceiving)
-	s := &w.front.conns
+	tf.waitForState(stateReceiving)
+	s := &tf.front.conns
 	s.mu.Lock()
-	c.entry.since = time.Now().Add(-w.front.opts.RequestTimeout) // the client has been sending for long
+	c.entry.since = time.Now().Add(-tf.front.opts.RequestTimeout) // the client has been sending for long
 	s.mu.Unlock()
-	third, _ := w.dial()
+	third, _ := tf.dial()
 	io.WriteString(third, message("c"))
 	if resp, _, err := readAnswer(t, slowBr); resp.StatusCode != 408 || err != nil {
 		t.Errorf("endless request: %+v %v", resp, err)
@@ -290,14 +290,14 @@
 		"by a reset":  func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := startFront(t, writeAnswer, nil)
-			c, _ := w.dial()
+			tf := startFront(t, writeAnswer, nil)
+			c, _ := tf.dial()
 			m := message("a")
 			io.WriteString(c, m[:len(m)-1])
-			w.waitForState(stateReceiving)
+			tf.waitForState(stateReceiving)
 			leave(c.(*net.TCPConn))
-			w.eventually("closed", func() bool { return w.front.OpenConns() == 0 })
-			if n := w.engines.sent(); n != 0 {
+			tf.eventually("closed", func() bool { return tf.front.OpenConns() == 0 })
+			if n := tf.engines.sent(); n != 0 {
 				t.Errorf("%d requests reached an engine", n)
 			}
 		})
@@ -314,7 +314,7 @@
 		for stage, event := range map[string]bool{"before the first event": false, "with the first event": true} {
 			t.Run(name+", "+stage, func(t *testing.T) {
 				writing := make(chan bool)
-				w := startFront(t, func(ctx context.Context, sink func(string) error) engine.Result {
+				tf := startFront(t, func(ctx context.Context, sink func(string) error) engine.Result {
 					writing <- true
 					if event {
 						<-writing
@@ -322,16 +322,16 @@
 					}
 					return hang(ctx, sink)
 				}, nil)
-				c, _ := w.dial()
+				c, _ := tf.dial()
 				io.WriteString(c, message("a"))
 				<-writing
 				leave(c.(*net.TCPConn))
 				if event {
 					writing <- true
 				}
-				w.eventually("gone", func() bool { return w.router.Stats().Gone == 1 && w.router.Stats().Open == 0 })
-				w.eventually("closed", func() bool { return w.front.OpenConns() == 0 })
-				if n := w.router.Stats().Sends; n != 2 {
+				tf.eventually("gone", func() bool { return tf.router.Stats().Gone == 1 && tf.router.Stats().Open == 0 })
+				tf.eventually("closed", func() bool { return tf.front.OpenConns() == 0 })
+				if n := tf.router.Stats().Sends; n != 2 {
 					t.Errorf("%d attempts", n)
 				}
 			})
@@ -341,7 +341,7 @@
 
 // Valid forms of a request are served like the plain form, also when they arrive in small pieces.
 func TestValidMessageFormsInPieces(t *testing.T) {
-	w := startFront(t, writeAnswer, nil)
+	tf := startFront(t, writeAnswer, nil)
 	plain := message("ID")
 	for name, m := range map[string]string{
 		"plain":                plain,
@@ -357,7 +357,7 @@
 	} {
 		for _, size := range []int{1, 7, len(m)} {
 			t.Run(name, func(t *testing.T) {
-				c, br := w.dial()
+				c, br := tf.dial()
 				c.(*net.TCPConn).SetNoDelay(true)
 				m := strings.Replace(m, ": ID", ": id", 1)
 				for len(m) > 0 {
@@ -375,8 +375,8 @@
 
 // The option "close" counts in every Connection header and at every position.
 func TestCloseInASecondHeader(t *testing.T) {
-	w := startFront(t, writeAnswer, nil)
-	c, br := w.dial()
+	tf := startFront(t, writeAnswer, nil)
+	c, br := tf.dial()
 	io.WriteString(c, strings.Replace(message("a"), "Host:", "Connection: x\r\nConnection: y, Close\r\nHost:", 1))
 	if resp, _, err := readAnswer(t, br); resp.StatusCode != 200 || !resp.Close || err != nil {
 		t.Errorf("%+v %v", resp, err)
@@ -423,15 +423,15 @@
 // Header fields for the engine, such as an idempotency key, are forwarded. Fields of the connection, of the message
 // framing and of the router are not.
 func TestForwardedHeaderFields(t *testing.T) {
-	w := startFront(t, writeAnswer, nil)
-	c, br := w.dial()
+	tf := startFront(t, writeAnswer, nil)
+	c, br := tf.dial()
 	io.WriteString(c, strings.Replace(message("a"), "Host:", "Idempotency-Key: ff4d\r\nAccept-Encoding: gzip\r\nX-Hop: 1\r\n"+
 		"Connection: keep-alive, X-Hop\r\nKeep-Alive: 5\r\nX-Own: a\r\nX-Own: b\r\nHost:", 1))
 	if resp, _, err := readAnswer(t, br); resp.StatusCode != 200 || err != nil {
 		t.Fatal(resp.StatusCode, err)
 	}
 	var got []string
-	for _, f := range w.engines.calls[0].Message.Fields {
+	for _, f := range tf.engines.calls[0].Message.Fields {
 		got = append(got, f.Name+": "+f.Value)
 	}
 	want := "Idempotency-Key: ff4d, X-Own: a, X-Own: b, X-Service-Class: chat, X-Session-Key: 7f3a, " +
@@ -446,19 +446,19 @@
 func TestAnswersWhenContextEnds(t *testing.T) {
 	for name, coreEnds := range map[string]bool{"with the core": true, "before the core": false} {
 		t.Run(name, func(t *testing.T) {
-			w := startFront(t, hang, nil)
-			w.front.finalAnswerTimeout = 50 * time.Millisecond
-			openConn, openBr := w.dial()
+			tf := startFront(t, hang, nil)
+			tf.front.finalAnswerTimeout = 50 * time.Millisecond
+			openConn, openBr := tf.dial()
 			io.WriteString(openConn, message("a"))
-			w.waitForState(stateOpen)
-			partial, partialBr := w.dial()
+			tf.waitForState(stateOpen)
+			partial, partialBr := tf.dial()
 			io.WriteString(partial, message("b")[:40])
-			w.waitForState(stateReceiving)
-			_, freshBr := w.dial()
-			w.waitForState(stateNew)
-			w.stopFront()
+			tf.waitForState(stateReceiving)
+			_, freshBr := tf.dial()
+			tf.waitForState(stateNew)
+			tf.stopFront()
 			if coreEnds {
-				w.stopCore()
+				tf.stopCore()
 			}
 			for what, want := range map[string]struct {
 				br   *bufio.Reader
@@ -471,7 +471,7 @@
 					t.Errorf("%s: %q after the response", what, got)
 				}
 			}
-			<-w.served
+			<-tf.served
 		})
 	}
 }
