--- a/internal/discovery/watch/watch.go
+++ b/internal/discovery/watch/watch.go
@@ -34,7 +34,7 @@
 	maxHedgedCalls  = int(listTimeout/hedgeInterval) + 1
 	firstPause      = 50 * time.Millisecond  // before a failed call is retried; doubled after each failure ...
 	maxPause        = 250 * time.Millisecond // ... up to this
-	jitter          = 0.2                    // random fraction added to pauses, so that routers don't call in step
+	jitter          = 0.2                    // random fraction added to pauses and hedge intervals; see withJitter
 	maxResponseSize = 4 << 20                // bytes
 	// startTimeout is how long the first call may take before the cached list is used. The agent runs on the router's
 	// machine and responds at once while discovery is up.
@@ -92,6 +92,7 @@
 	}
 }
 
+// errAddrChanged is returned by a call that was cancelled because SetAddr changed the address.
 var errAddrChanged = errors.New("the address of discovery has changed")
 
 // Run implements discovery.Source. It uses the cached list only if the first call fails: the agent's list counts as
@@ -211,7 +212,7 @@
 	}
 }
 
-// withJitter lengthens a duration by a random fraction, up to jitter.
+// withJitter lengthens a duration by a random fraction, up to jitter, so that routers do not call in step.
 func withJitter(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (1 + jitter*rand.Float64()))
 }
@@ -234,9 +235,9 @@
 	if len(l.Members) > maxMembers {
 		return true, fmt.Errorf("discovery lists %d members", len(l.Members))
 	}
-	faulty := s.members.apply(l)
+	invalid := s.members.apply(l)
 	s.listAgent, s.revision, s.regressedSince = l.agent, l.Revision, time.Time{}
-	return faulty && !l.Complete, nil
+	return invalid && !l.Complete, nil
 }
 
 // get makes one call and decodes its response.
@@ -255,9 +256,9 @@
 	case err != nil:
 		return nil, err
 	case len(b) > maxResponseSize:
-		return nil, fmt.Errorf("discovery answers with more than %d bytes", maxResponseSize)
+		return nil, fmt.Errorf("the response of discovery has more than %d bytes", maxResponseSize)
 	case resp.StatusCode != http.StatusOK:
-		return nil, fmt.Errorf("discovery answers with status %d: %.100q", resp.StatusCode, b)
+		return nil, fmt.Errorf("discovery responds with status %d: %.100q", resp.StatusCode, b)
 	}
 	return decodeList(b)
 }
