--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -245,7 +245,7 @@
 	e.Truncated = cut
 	for _, v := range []struct {
 		word string
-		max int
+		max  int
 		to   *int
 	}{{f[1], len(t.Classes) - 1, &e.Class}, {f[2], maxTokens, &e.PromptTokens}, {f[3], maxTokens, &e.PrefixTokens}, {answer, maxTokens, &e.OutputTokens}} {
 		n, err := strconv.Atoi(v.word)
