--- a/decide/api.go
+++ b/decide/api.go
@@ -6,7 +6,8 @@
 // (decodes) the answer. A send of a request to one server is an attempt. A hold is anything that a server keeps for
 // a request between the two stages: a KV state or a reservation. Five rules bind every decision:
 //
-//  1. A request gets exactly one final answer, by its deadline at the latest; no attempt begins after it.
+//  1. A request gets exactly one final answer, by its deadline or shortly after it; no attempt begins after that
+//     answer.
 //  2. A request has at most one attempt in flight, and no attempt may execute a request a second time unless its
 //     class allows that.
 //  3. A server that is draining or removed from the list gets no new attempts.
--- a/decide/bench_test.go
+++ b/decide/bench_test.go
@@ -78,15 +78,15 @@
 // BenchmarkRequest measures all events of a request, with the probes that they lead to.
 func BenchmarkRequest(b *testing.B) {
 	for _, c := range []struct {
-		name                     string
-		servers, routers, coldOf int
+		name                        string
+		servers, routers, coldEvery int
 	}{
 		{"few routers, 18 servers", 18, 2, 0}, {"few routers, 3200 servers", 3200, 2, 0},
 		{"many routers, 200 servers", 200, 300, 0}, {"many routers, 3200 servers", 3200, 300, 0},
 		{"many routers, 3200 servers, half cold", 3200, 300, 2},
 	} {
 		b.Run(c.name, func(b *testing.B) {
-			f := newBenchFleet(b, c.servers, c.routers, c.coldOf)
+			f := newBenchFleet(b, c.servers, c.routers, c.coldEvery)
 			b.ReportAllocs()
 			for b.Loop() {
 				f.request()
--- a/decide/membership.go
+++ b/decide/membership.go
@@ -29,7 +29,7 @@
 			r.servers[l.Server] = s
 			r.byID = append(r.byID, s)
 			s.coldSentAt, s.coldSentWork = r.now, r.random()
-			// Routers thus probe the servers in different orders.
+			// At random, so that routers probe the servers in different orders.
 			s.probedAt = r.now - Duration(r.random()*float64(Second))
 		}
 		s.zone, s.cell = l.Zone, l.Cell
