--- a/internal/engine/chat/chat.go
+++ b/internal/engine/chat/chat.go
@@ -62,7 +62,7 @@
 	closeDelay = 5 * time.Millisecond
 )
 
-// Options are the limits and time-outs of a Client.
+// Options are the limits and timeouts of a Client.
 type Options struct {
 	DialTimeout       time.Duration
 	IdleConnTimeout   time.Duration // idle connections are closed after this time
--- a/internal/engine/chat/chat_test.go
+++ b/internal/engine/chat/chat_test.go
@@ -325,11 +325,11 @@
 						if conn == nil {
 							break
 						}
-						sound := conn.usable()
+						usable := conn.usable()
 						used := conn.lastUsed
 						cl.pool.put(conn)
 						conn.lastUsed = used
-						if !sound {
+						if !usable {
 							break
 						}
 						time.Sleep(time.Millisecond)
@@ -497,23 +497,23 @@
 func TestConnectionLimit(t *testing.T) {
 	c := newClient(t, func(o *Options) { o.MaxConns, o.ReleaseConns = 2, 1 })
 	answer := alwaysRespond(response("202 x", "{}"))
-	var peers []*fakeEngine
+	var engines []*fakeEngine
 	for range 3 {
 		p := startFakeEngine(t, true, answer)
-		peers = append(peers, p)
+		engines = append(engines, p)
 		c.Prefill(t.Context(), p.addr, request())
 	}
 	if n := c.pool.idle.Len(); n != 2 || c.pool.total != 2 {
 		t.Errorf("%d idle of %d", n, c.pool.total)
 	}
-	if got := c.pool.takeIdle(peers[0].addr, 0); got != nil {
+	if got := c.pool.takeIdle(engines[0].addr, 0); got != nil {
 		t.Error("the oldest connection was not closed")
 	}
-	a, b := c.pool.takeIdle(peers[1].addr, 0), c.pool.takeIdle(peers[2].addr, 0)
-	if res := c.Prefill(t.Context(), peers[0].addr, request()); res.Outcome != decide.ConnectFailed {
+	a, b := c.pool.takeIdle(engines[1].addr, 0), c.pool.takeIdle(engines[2].addr, 0)
+	if res := c.Prefill(t.Context(), engines[0].addr, request()); res.Outcome != decide.ConnectFailed {
 		t.Errorf("over the limit: %d", res.Outcome)
 	}
-	if err := c.Release(t.Context(), &engine.State{Addr: peers[0].addr, Handle: "id1"}); err != nil {
+	if err := c.Release(t.Context(), &engine.State{Addr: engines[0].addr, Handle: "id1"}); err != nil {
 		t.Errorf("a release: %v", err)
 	}
 	a.Close()
--- a/internal/engine/chat/exchange.go
+++ b/internal/engine/chat/exchange.go
@@ -42,7 +42,7 @@
 	isRelease                 bool
 	newConn                   bool          // only a connection that has carried no request yet may be used
 	lastResponseWithin        time.Duration // maximum age of the last response on a kept connection; 0: any age
-	gate                      engine.Gate   // nil: the request is sent without asking
+	gate                      engine.Gate   // nil: the request may always be sent
 }
 
 // connRequirements returns which connections may carry a call.
--- a/internal/engine/chat/pool.go
+++ b/internal/engine/chat/pool.go
@@ -44,7 +44,7 @@
 // been unused for longest is closed.
 type pool struct {
 	dialTimeout   time.Duration
-	idleTimeout   time.Duration // well below the engines' own idle time-out
+	idleTimeout   time.Duration // well below the engines' own idle timeout
 	maxConns      int           // open at the same time
 	releaseConns  int           // additional connections for releases
 	lastByteDelay time.Duration // a request's last byte is held back for this long
@@ -67,9 +67,9 @@
 }
 
 // get returns an open connection to an engine: a kept one if possible, else a new one.
-func (p *pool) get(ctx context.Context, addr string, w connRequirements) (*conn, error) {
-	for !w.newConn {
-		c := p.takeIdle(addr, w.lastResponseWithin)
+func (p *pool) get(ctx context.Context, addr string, need connRequirements) (*conn, error) {
+	for !need.newConn {
+		c := p.takeIdle(addr, need.lastResponseWithin)
 		if c == nil {
 			break
 		}
@@ -80,7 +80,7 @@
 		c.Close()
 	}
 	limit := p.maxConns
-	if w.isRelease {
+	if need.isRelease {
 		limit += p.releaseConns
 	}
 	if !p.reserveConn(limit) {
--- a/internal/engine/chat/races_test.go
+++ b/internal/engine/chat/races_test.go
@@ -144,7 +144,7 @@
 	}
 }
 
-// An endless response, whichever part of it is endless, ends with the attempt's time-out, and its connection is not
+// An endless response, whichever part of it is endless, ends with the attempt's timeout, and its connection is not
 // kept.
 func TestEndlessResponsesTimeOut(t *testing.T) {
 	for name, c := range map[string]struct {
@@ -225,7 +225,7 @@
 	}
 }
 
-// A release that no engine accepts ends with its time-out and leaves no connection open.
+// A release that no engine accepts ends with its timeout and leaves no connection open.
 func TestReleaseTimesOutWithoutEngines(t *testing.T) {
 	c := newClient(t, func(o *Options) { o.ReleaseTimeout = 100 * time.Millisecond })
 	for _, addr := range []string{"", "127.0.0.1:1"} {
--- a/internal/engine/wire.go
+++ b/internal/engine/wire.go
@@ -256,7 +256,7 @@
 	// LastResponseWithin is the maximum age of the last response on a kept connection that may carry the request. 0
 	// allows any kept connection.
 	LastResponseWithin time.Duration
-	Gate               Gate // nil: the request is sent without asking
+	Gate               Gate // nil: the request may always be sent
 }
 
 // Result describes how an attempt ended.
@@ -276,12 +276,12 @@
 var (
 	ErrTimedOut          = errors.New("the attempt has timed out")
 	ErrCancelled         = errors.New("the attempt was cancelled")
-	errStreamIdle        = errors.New("no token within the idle time-out of the stream")
+	errStreamIdle        = errors.New("no token within the idle timeout of the stream")
 	errLimit             = errors.New("the engine's connection limit is reached")
 	errMalformedResponse = errors.New("malformed response")
 )
 
-// Options are the limits and time-outs of a Client.
+// Options are the limits and timeouts of a Client.
 type Options struct {
 	DialTimeout       time.Duration
 	IdleConnTimeout   time.Duration
