--- a/internal/front/chat/answer.go
+++ b/internal/front/chat/answer.go
@@ -116,7 +116,7 @@
 		switch {
 		case end.Kind == router.Gone && (started || !watcher.stop(c)):
 			return false
-		case end.Kind == router.Gone: // the core has stopped without an answer
+		case end.Kind == router.Gone: // the front or the core stops before the request has an answer
 			return c.respond(500, "the router has stopped", 0, true)
 		case e != nil && started:
 			return false // the stream ends without its last chunk, so the client sees that it is incomplete
--- a/internal/front/chat/chat_test.go
+++ b/internal/front/chat/chat_test.go
@@ -401,7 +401,7 @@
 	if resp, err := http.ReadResponse(br, nil); err == nil && resp.StatusCode != 503 {
 		t.Errorf("status %d", resp.StatusCode)
 	}
-	tf.eventually("memory returned", func() bool { return tf.front.bodyMemory.Load() == 0 })
+	tf.eventually("no body counts towards the memory limit", func() bool { return tf.front.bodyMemory.Load() == 0 })
 }
 
 // Refusals have a Retry-After header only if the settings allow it.
--- a/internal/front/chat/conn.go
+++ b/internal/front/chat/conn.go
@@ -195,8 +195,8 @@
 	io.CopyN(io.Discard, r, maxLingerBytes)
 }
 
-// describeEnd returns what the end of a request means for its connection; reusable tells whether it can take another
-// request.
+// describeEnd returns what the end of a request means for its connection. reusable reports whether the connection can
+// take another request.
 func (c *conn) describeEnd(reusable bool) string {
 	switch {
 	case reusable:
--- a/internal/front/chat/conns.go
+++ b/internal/front/chat/conns.go
@@ -100,7 +100,7 @@
 }
 
 // evict closes the connection that has waited longest and reports whether there was one. If all connections are busy
-// with requests, those that have been sending a request for more than half of RequestTimeout get a time-out response,
+// with requests, those that have been sending a request for more than half of RequestTimeout get a timeout response,
 // which makes room for later connections. The caller holds mu.
 func (s *conns) evict() bool {
 	if e := s.evictable.Front(); e != nil {
--- a/internal/front/chat/races_test.go
+++ b/internal/front/chat/races_test.go
@@ -155,11 +155,11 @@
 // another router. The client may have written a request at that moment, and the refusal still arrives.
 func TestUnusedConnectionsAreRefusedAtShutdown(t *testing.T) {
 	tf := startFront(t, writeAnswer, nil)
-	_, silentBr := tf.dial()
+	_, unusedBr := tf.dial()
 	tf.waitForState(stateNew)
 	tf.front.BeginShutdown()
 	tf.front.RefuseUnused()
-	if resp, _, err := readAnswer(t, silentBr); resp.StatusCode != 503 || !resp.Close || err != nil {
+	if resp, _, err := readAnswer(t, unusedBr); resp.StatusCode != 503 || !resp.Close || err != nil {
 		t.Errorf("%+v %v", resp, err)
 	}
 	if tf.engines.sent() != 0 {
@@ -252,7 +252,7 @@
 }
 
 // A connection that is receiving a request is not closed to make room; a new connection is refused instead. Only a
-// client that has been sending a request for long gets a time-out response.
+// client that has been sending a request for long gets a timeout response.
 func TestIncomingRequestsAreNotEvicted(t *testing.T) {
 	tf := startFront(t, writeAnswer, func(o *Options) { o.MaxConns, o.MaxRefusedConns = 1, 4 })
 	slow, slowBr := tf.dial()
@@ -454,7 +454,7 @@
 			partial, partialBr := tf.dial()
 			io.WriteString(partial, message("b")[:40])
 			tf.waitForState(stateReceiving)
-			_, freshBr := tf.dial()
+			_, newBr := tf.dial()
 			tf.waitForState(stateNew)
 			tf.stopFront()
 			if coreEnds {
@@ -463,7 +463,7 @@
 			for what, want := range map[string]struct {
 				br   *bufio.Reader
 				code int
-			}{"open": {openBr, 500}, "coming": {partialBr, 503}, "fresh": {freshBr, 503}} {
+			}{"open": {openBr, 500}, "coming": {partialBr, 503}, "fresh": {newBr, 503}} {
 				if resp, _, err := readAnswer(t, want.br); resp.StatusCode != want.code || err != nil {
 					t.Errorf("%s: %+v %v", what, resp, err)
 				}
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -58,7 +58,7 @@
 	Version string // "": any version
 	Prompt  string
 	Params  kserve.Parameters
-	// Timeout is the client's own time-out if the transport carries one; 0 means none.
+	// Timeout is the client's own timeout if the transport carries one; 0 means none.
 	Timeout time.Duration
 }
 
--- a/internal/front/rest/rest.go
+++ b/internal/front/rest/rest.go
@@ -374,12 +374,12 @@
 
 // stream writes server-sent events. Every write has a deadline, so that a client that does not read is noticed.
 type stream struct {
-	w       http.ResponseWriter
-	control *http.ResponseController
-	stall   time.Duration
-	started bool
-	head    []byte // start of a token's event, up to its text
-	buf     []byte
+	w            http.ResponseWriter
+	control      *http.ResponseController
+	writeTimeout time.Duration
+	started      bool
+	head         []byte // start of a token's event, up to its text
+	buf          []byte
 }
 
 // newStream returns a stream of events for the request with the given id.
@@ -389,7 +389,7 @@
 		Version string `json:"model_version"`
 		ID      string `json:"id,omitempty"`
 	}{f.set.Model, f.set.ModelVersion, id})
-	s := &stream{w: w, control: http.NewResponseController(w), stall: f.set.ClientStallTimeout}
+	s := &stream{w: w, control: http.NewResponseController(w), writeTimeout: f.set.ClientStallTimeout}
 	s.head = append(append([]byte("data: "), head[:len(head)-1]...), `,"text_output":`...)
 	return s
 }
@@ -423,7 +423,7 @@
 		s.w.Header().Set("Cache-Control", "no-store")
 		s.w.WriteHeader(http.StatusOK)
 	}
-	s.control.SetWriteDeadline(time.Now().Add(s.stall))
+	s.control.SetWriteDeadline(time.Now().Add(s.writeTimeout))
 	_, err := s.w.Write(s.buf)
 	if err == nil && flush {
 		err = s.control.Flush()
