--- a/internal/discovery/watch/watch.go
+++ b/internal/discovery/watch/watch.go
@@ -67,7 +67,7 @@
 // New returns a source that calls the agent at addr. kinds are the engine kinds in the settings. cached is the list
 // that this router had last, in discovery's format.
 func New(addr string, kinds []string, cached []byte, log *slog.Logger) *Source {
-	// A dial may outlive the call that started it, so it has its own time-out. Otherwise dials that never complete
+	// A dial may outlive the call that started it, so it has its own timeout. Otherwise dials that never complete
 	// would use up MaxConnsPerHost for minutes.
 	dialer := &net.Dialer{Timeout: listTimeout}
 	return &Source{addr: addr, watchTimeout: watchTimeout, watchSlack: watchSlack, listTimeout: listTimeout, startTimeout: startTimeout,
@@ -108,7 +108,7 @@
 		if err == nil {
 			s.report(notify)
 			pause = firstPause
-			continue // watch again at once, without a pause
+			continue // at once: after a pause the next call would count as a new watch
 		}
 		if ctx.Err() != nil {
 			return nil
@@ -264,6 +264,6 @@
 }
 
 // report passes the current list to notify.
-func (s *Source) report(tell func(discovery.Update)) {
-	tell(discovery.Update{Engines: s.members.list, At: time.Now()})
+func (s *Source) report(notify func(discovery.Update)) {
+	notify(discovery.Update{Engines: s.members.list, At: time.Now()})
 }
--- a/internal/discovery/watch/watch_test.go
+++ b/internal/discovery/watch/watch_test.go
@@ -149,14 +149,14 @@
 func TestMalformedResponses(t *testing.T) {
 	valid := list(41, true, member("s1", "h:1", "up", 0))
 	for name, bad := range map[string]string{
-		"no JSON":                 `{"revision":42,`,
-		"no revision":             `{"members":[]}`,
-		"members are no list":     `{"revision":42,"complete":true,"members":{"s1":{}}}`,
-		"older":                   list(40, false),
-		"older and whole":         list(40, true),
-		"status":                  "status 500",
-		"endless":                 list(42, true, member("s2", strings.Repeat("x", maxResponseSize), "up", 0)),
-		"more members than bound": list(42, true, slices.Repeat([]string{"{}"}, maxMembers+1)...),
+		"no JSON":                   `{"revision":42,`,
+		"no revision":               `{"members":[]}`,
+		"members are no list":       `{"revision":42,"complete":true,"members":{"s1":{}}}`,
+		"older":                     list(40, false),
+		"older and whole":           list(40, true),
+		"status":                    "status 500",
+		"endless":                   list(42, true, member("s2", strings.Repeat("x", maxResponseSize), "up", 0)),
+		"more members than allowed": list(42, true, slices.Repeat([]string{"{}"}, maxMembers+1)...),
 	} {
 		t.Run(name, func(t *testing.T) {
 			a := startAgent(t, valid, bad, list(43, true, member("s1", "h:1", "draining", 0)))
@@ -269,14 +269,14 @@
 		"the agent answers": {cached, []string{fresh}, []string{"s1 h:1 up 0"}},
 		"it fails later": {cached, []string{fresh, "status 503", list(42, true, member("s1", "h:1", "draining", 0))},
 			[]string{"s1 h:1 up 0", "failed", "s1 h:1 draining 0"}},
-		"the agent fails":         {cached, []string{"status 503", fresh}, []string{"s0 h:0 up 0", "failed", "s1 h:1 up 0"}},
-		"the agent is silent":     {cached, nil, []string{"s0 h:0 up 0", "failed", "failed"}},
-		"it fails twice":          {cached, []string{"status 503", "status 503", fresh}, []string{"s0 h:0 up 0", "failed", "failed", "s1 h:1 up 0"}},
-		"no cached list":          {"", []string{"status 503", fresh}, []string{"failed", "s1 h:1 up 0"}},
-		"the cached list is null": {"null", []string{"status 503", fresh}, []string{"failed", "s1 h:1 up 0"}},
-		"the cached list is torn": {cached[:40], []string{"status 503", fresh}, []string{"failed", "s1 h:1 up 0"}},
-		"it has another type":     {`"s0"`, []string{"status 503", fresh}, []string{"failed", "s1 h:1 up 0"}},
-		"a member of it is torn": {list(99, true, `{"id":"s9"}`, member("s0", "h:0", "up", 0)), []string{"status 503", fresh},
+		"the agent fails":            {cached, []string{"status 503", fresh}, []string{"s0 h:0 up 0", "failed", "s1 h:1 up 0"}},
+		"the agent is unresponsive":  {cached, nil, []string{"s0 h:0 up 0", "failed", "failed"}},
+		"it fails twice":             {cached, []string{"status 503", "status 503", fresh}, []string{"s0 h:0 up 0", "failed", "failed", "s1 h:1 up 0"}},
+		"no cached list":             {"", []string{"status 503", fresh}, []string{"failed", "s1 h:1 up 0"}},
+		"the cached list is null":    {"null", []string{"status 503", fresh}, []string{"failed", "s1 h:1 up 0"}},
+		"the cached list is cut off": {cached[:40], []string{"status 503", fresh}, []string{"failed", "s1 h:1 up 0"}},
+		"it has another type":        {`"s0"`, []string{"status 503", fresh}, []string{"failed", "s1 h:1 up 0"}},
+		"a member of it is incomplete": {list(99, true, `{"id":"s9"}`, member("s0", "h:0", "up", 0)), []string{"status 503", fresh},
 			[]string{"s0 h:0 up 0", "failed", "s1 h:1 up 0"}},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -344,12 +344,12 @@
 	}
 }
 
-// A dial that never completes ends with its own time-out, or else two of them would block all calls for minutes.
+// A dial that never completes ends with its own timeout, or else two of them would block all calls for minutes.
 func TestDialsAreBounded(t *testing.T) {
 	s := New("h:1", nil, nil, discardLogger())
 	transport := s.http.Transport.(*http.Transport)
 	if transport.DialContext == nil {
-		t.Fatal("dials have no time-out")
+		t.Fatal("dials have no timeout")
 	}
 	// A listener that accepts nothing and has the shortest queue leaves dials unanswered once the queue is full.
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
@@ -424,7 +424,7 @@
 	}
 }
 
-// The age of the list is limited. If a watch gets no response, the list is no older than the watch's time-out and the
+// The age of the list is limited. If a watch gets no response, the list is no older than the watch's timeout and the
 // time for a response. The router's list is at most 6 s old even if the next two calls, after the longest pauses, get
 // no response or are refused as well.
 func TestTimeLimits(t *testing.T) {
