--- a/internal/e2e/e2e_test.go
+++ b/internal/e2e/e2e_test.go
@@ -269,7 +269,7 @@
 // waitUntilIdle waits until the router has no open request and the engines hold nothing.
 func (h *harness) waitUntilIdle() {
 	h.t.Helper()
-	h.eventually("the table is empty", func() bool { return h.daemon.Router.Stats().Open == 0 })
+	h.eventually("no request is open", func() bool { return h.daemon.Router.Stats().Open == 0 })
 	h.eventually("engines hold nothing", func() bool {
 		for _, m := range h.fleet.Members() {
 			if sequences, states := m.Engine.Occupancy(); sequences+states > 0 {
--- a/internal/e2e/hard_test.go
+++ b/internal/e2e/hard_test.go
@@ -76,12 +76,12 @@
 		when func(h *harness) bool
 	}{
 		{"during the read", []option{changeSpecs(func(s *standin.Spec) { s.ReadTokensPerSecond = 500 })}, func(h *harness) bool { return h.countRecords(audit.Arrived, "") == 1 }},
-		{"while the writer is silent", nil, func(h *harness) bool { return h.countRecords(audit.Rejected, "silence") == 1 }},
+		{"while the writer does not respond", nil, func(h *harness) bool { return h.countRecords(audit.Rejected, "silence") == 1 }},
 		{"during the answer", []option{changeSpecs(slowWrites)}, func(h *harness) bool { return h.countRecords(audit.Executed, "") == 1 }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			h := newHarness(t, c.opts...)
-			if c.name == "while the writer is silent" {
+			if c.name == "while the writer does not respond" {
 				h.injectFaults("d", standin.Fault{Kind: "class_fail", Size: 1, Mode: "silence"})
 			}
 			ctx, cancel := context.WithCancel(t.Context())
@@ -258,7 +258,7 @@
 			t.Errorf("%+v", a)
 		}
 	}
-	h.eventually("the table is empty", func() bool { return h.daemon.Router.Stats().Open == 0 })
+	h.eventually("no request is open", func() bool { return h.daemon.Router.Stats().Open == 0 })
 }
 
 // A class that some engines leave unanswered is served by the others.
--- a/internal/e2e/shift_test.go
+++ b/internal/e2e/shift_test.go
@@ -230,7 +230,7 @@
 	h := newHarness(t, changeableEngines(500*time.Millisecond), withSettings("routers 3\nindex 0"))
 	big, end := h.joinRouter(1, 3)
 	h.joinRouter(2, 3)
-	small := h.url
+	smallURL := h.url
 	h.url = "http://" + big.Addr()
 	stop := h.traffic(12, 50, 60)
 	h.eventually("a role change is in progress", func() bool {
@@ -239,7 +239,7 @@
 	})
 	end()
 	stop()
-	h.url = small
+	h.url = smallURL
 	stop = h.traffic(4, 50, 60)
 	h.eventually("the role change has ended", func() bool {
 		r := h.engineRoles()
