--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -744,8 +744,8 @@
 	}
 }
 
-// An attempt counts as lost if its server has responded to later ones meanwhile. A loss says nothing of the server and
-// its queue and must not count against it, as when a fifth of all messages is lost.
+// An attempt counts as lost if its server has responded to later ones meanwhile. A loss says nothing of the server
+// and its queue and must not count against it, as when a fifth of all messages is lost.
 func TestLostAttemptDoesNotCountAsSlow(t *testing.T) {
 	h := newHarness(t, testSettings(), testFleet())
 	for range 10 {
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -80,7 +80,7 @@
 // Limits on what a client may send.
 const (
 	maxNameLen = 256 // bytes of an id or a name
-	// MaxDeadline is the longest that a client may wait.
+	// MaxDeadline is the longest time from the arrival of a request to its deadline.
 	MaxDeadline = 10 * time.Minute
 )
 
--- a/internal/simwire/decode.go
+++ b/internal/simwire/decode.go
@@ -66,7 +66,8 @@
 	record      uint32
 	lists       [maxLists][]decide.Listing
 	defined     [maxLists]bool
-	// reportFields are the names of the values in a load report, the same for all instances.
+	// reportFields are the names of the values in a load report. The settings at the start of an instance give them,
+	// and they are the same for all instances.
 	reportFields []string
 }
 
