--- a/decide/arithmetic.go
+++ b/decide/arithmetic.go
@@ -20,7 +20,7 @@
 
 // perSecond returns the rate per second.
 func (c *rate) perSecond(now Time) float64 {
-	// The weight of the time since the first event; of an older rate it approaches 1.
+	// seen is the weight of the time since the first event. It approaches 1 as the rate gets older.
 	seen := max(1-decay(now-c.from, rateSpan), 1/float64(rateSpan/Second))
 	return c.sum * decay(now-c.at, rateSpan) / (seen * float64(rateSpan) / float64(Second))
 }
--- a/decide/bench_test.go
+++ b/decide/bench_test.go
@@ -17,7 +17,8 @@
 
 var benchNoReport = Report{MemoryUse: -1, QueuedKTokens: -1, Latency: -1}
 
-// newBenchFleet returns one of many routers. One in coldEvery servers has just started; 0 means none.
+// newBenchFleet returns one router of a deployment with that many routers and servers. One in coldEvery servers has
+// just started; 0 means none.
 func newBenchFleet(b *testing.B, servers, routers, coldEvery int) *benchFleet {
 	set := testSettings()
 	set.Routers, set.Probing, set.ProbeCost = routers, true, 0.0026
--- a/decide/membership.go
+++ b/decide/membership.go
@@ -73,8 +73,8 @@
 	s.ready = ready
 }
 
-// forgetRemoved drops servers that were removed long ago and have nothing in flight. Otherwise the ids of a
-// year would fill the memory.
+// forgetRemoved drops servers that were removed long ago and have nothing in flight. Otherwise the servers
+// that are replaced in the course of a year would fill the memory.
 func (r *Router) forgetRemoved() {
 	r.byID = slices.DeleteFunc(r.byID, func(s *server) bool {
 		if s.ready || s.unanswered > 0 || s.streams > 0 || s.probeInFlight || r.now-s.leftAt < forgetAfter {
--- a/internal/engine/chat/chat.go
+++ b/internal/engine/chat/chat.go
@@ -52,7 +52,7 @@
 	lastByteDelay       = 2 * time.Millisecond // the last byte of a request is held back for this long
 	maxConnTries        = 3                    // connections tried for an attempt until one has delivered its request
 	lastResponseTTL     = time.Minute          // an engine counts as running for this long after a response
-	distrustDuration    = 10 * time.Second     // after a reset, connections to the engine are used once for this long
+	distrustDuration    = 10 * time.Second     // for this long after a reset, no connection to the engine is reused
 	// connReuseDelay is how long a connection stays unused after an attempt's response. A faulty engine may send a
 	// second response some milliseconds after the first, and on a reused connection it would be taken for the
 	// response to the next request.
