--- a/decide/bench_test.go
+++ b/decide/bench_test.go
@@ -27,10 +27,10 @@
 	return f
 }
 
-func benchList(servers, coldOf int, now Time) (list []Listing) {
+func benchList(servers, coldEvery int, now Time) (list []Listing) {
 	for i := range servers {
 		l := Listing{Server: ServerID(mix(uint64(i + 1))), Kind: i % 2, Cell: i / 6, Zone: i % 3, Condition: Ready, Weight: 1}
-		if coldOf > 0 && i/2%coldOf == 0 {
+		if coldEvery > 0 && i/2%coldEvery == 0 {
 			l.StartedAt = now
 		}
 		list = append(list, l)
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -939,7 +939,8 @@
 	}
 }
 
-// When a fleet collapses under load most sends fail. They must not count as capacity when a slow-start budget is estimated.
+// When a fleet collapses under load most sends fail. They must not count as capacity when a slow-start budget is
+// estimated.
 func TestFailedSendsAddNoSlowStartBudget(t *testing.T) {
 	interval := func(o Outcome) Duration {
 		h := newHarness(t, testSettings(), testFleet())
--- a/decide/tuning.go
+++ b/decide/tuning.go
@@ -22,8 +22,8 @@
 	slowerReadStep = 0.002
 	// minReadTokens is the least size of a read that is assumed: below it the fixed time of a read prevails.
 	minReadTokens = 256.0
-	// crossCellPenalty and crossZonePenalty are added to the own streams of a writer in another cell or another
-	// zone than the reader, because the transfer crosses a shared link and has a cost.
+	// crossCellPenalty and crossZonePenalty are added to the own streams of a writer in another cell or in
+	// another zone than the reader, because the transfer crosses a shared link and has a cost.
 	crossCellPenalty = 1.0
 	crossZonePenalty = 2.0
 	// fewRouters is the number of routers up to which these penalties apply in full. With more routers each
