--- a/internal/soak/badclient.go
+++ b/internal/soak/badclient.go
@@ -42,9 +42,9 @@
 		return
 	}
 	defer c.Close()
-	b := badClient{kind: kind, router: r.Index, began: time.Now()}
+	b := badClient{kind: kind, router: r.Index, startedAt: time.Now()}
 	io.WriteString(c, badRequests[kind])
-	c.SetReadDeadline(b.began.Add(badClientTimeout + answerSlack))
+	c.SetReadDeadline(b.startedAt.Add(badClientTimeout + answerSlack))
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	var late net.Error
 	switch {
@@ -54,6 +54,6 @@
 	case errors.As(err, &late) && late.Timeout():
 		b.noResponse = true
 	}
-	b.waited = time.Since(b.began)
+	b.waited = time.Since(b.startedAt)
 	t.log.addBad(b)
 }
--- a/internal/soak/check_answers.go
+++ b/internal/soak/check_answers.go
@@ -94,8 +94,8 @@
 
 // servedByEngine reports whether an engine has written an answer to the request to its end.
 func (e *evidence) servedByEngine(rec *requestRecord) bool {
-	for _, t := range e.attempts[rec.id] {
-		if t.Writer && t.Outcome == standin.Streamed {
+	for _, a := range e.attempts[rec.id] {
+		if a.Writer && a.Outcome == standin.Streamed {
 			return true
 		}
 	}
@@ -104,8 +104,8 @@
 
 // mayHaveExecuted reports whether the request may have had an effect, as far as anybody but its engines can know.
 func (e *evidence) mayHaveExecuted(rec *requestRecord) bool {
-	for _, t := range e.attempts[rec.id] {
-		if t.Writer && !t.Outcome.NeverExecuted() {
+	for _, a := range e.attempts[rec.id] {
+		if a.Writer && !a.Outcome.NeverExecuted() {
 			return true
 		}
 	}
@@ -121,13 +121,13 @@
 func (e *evidence) checkDelays() []Finding {
 	streams, delayed := 0, 0
 	for _, rec := range e.requests {
-		t := e.lastWriter(rec)
-		if rec.status != 200 || !rec.leftAt.IsZero() || t == nil {
+		a := e.lastWriter(rec)
+		if rec.status != 200 || !rec.leftAt.IsZero() || a == nil {
 			continue
 		}
 		streams++
 		for i, at := range rec.events {
-			if i < len(t.Events) && at.Sub(t.Events[i]) > maxEventDelay+e.allowance(rec.router, t.Events[i], at) {
+			if i < len(a.Events) && at.Sub(a.Events[i]) > maxEventDelay+e.allowance(rec.router, a.Events[i], at) {
 				delayed++
 				break
 			}
@@ -143,9 +143,9 @@
 func (e *evidence) checkBadClients() (out []Finding) {
 	for _, b := range e.badClients {
 		add := func(text string) {
-			out = append(out, Finding{Rule: ruleBadClient, Router: b.router, At: e.sinceStart(b.began), Text: b.kind + ": " + text})
+			out = append(out, Finding{Rule: ruleBadClient, Router: b.router, At: e.sinceStart(b.startedAt), Text: b.kind + ": " + text})
 		}
-		limit := badClientTimeout + socketSlack + e.allowance(b.router, b.began, b.began.Add(b.waited))
+		limit := badClientTimeout + socketSlack + e.allowance(b.router, b.startedAt, b.startedAt.Add(b.waited))
 		switch {
 		case b.served:
 			add("served")
--- a/internal/soak/check_attempts.go
+++ b/internal/soak/check_attempts.go
@@ -19,8 +19,8 @@
 	}
 	for id, list := range e.attempts {
 		rec := e.requestByID[id]
-		add := func(t *standin.Attempt, rule, format string, args ...any) {
-			f := Finding{Rule: rule, Request: id, Router: t.Router, At: e.sinceStart(t.LastByte), Text: fmt.Sprintf(format, args...)}
+		add := func(a *standin.Attempt, rule, format string, args ...any) {
+			f := Finding{Rule: rule, Request: id, Router: a.Router, At: e.sinceStart(a.LastByte), Text: fmt.Sprintf(format, args...)}
 			if rec != nil {
 				f.Text += e.describe(rec)
 			}
@@ -30,18 +30,18 @@
 			add(list[0], ruleUnexpectedCall, "an attempt for a request that no client sent")
 			continue
 		}
-		for i, t := range list {
+		for i, a := range list {
 			if i > 0 {
-				e.checkAgainstEarlier(list[:i], t, rec, add)
+				e.checkAgainstEarlier(list[:i], a, rec, add)
 			}
-			if limit := rec.leftAt.Add(clientLeftGrace + socketSlack + e.soakAllowance(rec.leftAt, t.LastByte)); !rec.leftAt.IsZero() && t.LastByte.After(limit) {
-				add(t, ruleSentAfterLeft, "an attempt began %v after the client had left", t.LastByte.Sub(rec.leftAt))
+			if limit := rec.leftAt.Add(clientLeftGrace + socketSlack + e.soakAllowance(rec.leftAt, a.LastByte)); !rec.leftAt.IsZero() && a.LastByte.After(limit) {
+				add(a, ruleSentAfterLeft, "an attempt began %v after the client had left", a.LastByte.Sub(rec.leftAt))
 			}
 			if rec.sentAt.IsZero() {
 				continue
 			}
-			if over := t.LastByte.Add(t.TimeLeft).Sub(rec.deadline()); over > deadlineTolerance+e.allowance(rec.router, rec.sentAt, t.LastByte) {
-				add(t, ruleDeadline, "an engine was told %v more than the client had left", over)
+			if over := a.LastByte.Add(a.TimeLeft).Sub(rec.deadline()); over > deadlineTolerance+e.allowance(rec.router, rec.sentAt, a.LastByte) {
+				add(a, ruleDeadline, "an engine was told %v more than the client had left", over)
 			}
 		}
 	}
@@ -52,22 +52,22 @@
 const closeDetectionDelay = 20 * time.Millisecond
 
 // checkAgainstEarlier checks an attempt against the earlier ones of its request.
-func (e *evidence) checkAgainstEarlier(earlier []*standin.Attempt, t *standin.Attempt, rec *requestRecord,
-	add func(t *standin.Attempt, rule, format string, args ...any)) {
+func (e *evidence) checkAgainstEarlier(earlier []*standin.Attempt, a *standin.Attempt, rec *requestRecord,
+	add func(a *standin.Attempt, rule, format string, args ...any)) {
 	c := &e.classes[rec.class]
 	for _, before := range earlier {
-		if before.Ended.IsZero() || before.Ended.After(t.LastByte.Add(closeDetectionDelay+e.soakPausedFor(t.LastByte, before.Ended))) {
-			add(t, ruleSecondCopy, "sent to %s while an attempt at %s was in flight", t.Engine, before.Engine)
+		if before.Ended.IsZero() || before.Ended.After(a.LastByte.Add(closeDetectionDelay+e.soakPausedFor(a.LastByte, before.Ended))) {
+			add(a, ruleSecondCopy, "sent to %s while an attempt at %s was in flight", a.Engine, before.Engine)
 		}
-		if !before.Writer || !t.Writer || before.Outcome.NeverExecuted() || t.Outcome.NeverExecuted() {
+		if !before.Writer || !a.Writer || before.Outcome.NeverExecuted() || a.Outcome.NeverExecuted() {
 			continue
 		}
 		switch {
 		case c.RetryPolicy == retryUnsafe:
-			add(t, ruleDuplicate, "executed at %s (%s) and at %s (%s)", before.Engine, before.Outcome, t.Engine, t.Outcome)
-		case c.RetryPolicy == retryKeyed && t.Arrived.Sub(before.Arrived) > c.DedupWindow+socketSlack+e.soakAllowance(before.Arrived, t.Arrived):
-			add(t, ruleDuplicate, "retried %v after the first execution, over the deduplication window of %v",
-				t.Arrived.Sub(before.Arrived), c.DedupWindow)
+			add(a, ruleDuplicate, "executed at %s (%s) and at %s (%s)", before.Engine, before.Outcome, a.Engine, a.Outcome)
+		case c.RetryPolicy == retryKeyed && a.Arrived.Sub(before.Arrived) > c.DedupWindow+socketSlack+e.soakAllowance(before.Arrived, a.Arrived):
+			add(a, ruleDuplicate, "retried %v after the first execution, over the deduplication window of %v",
+				a.Arrived.Sub(before.Arrived), c.DedupWindow)
 		}
 	}
 }
@@ -75,18 +75,18 @@
 // checkDrains checks that nothing is sent to engines that drain or were removed, once the router was told.
 func (e *evidence) checkDrains() (out []Finding) {
 	for i := range e.record.Attempts {
-		t := &e.record.Attempts[i]
-		if t.Router < 0 || t.Router >= len(e.drainsReported) {
+		a := &e.record.Attempts[i]
+		if a.Router < 0 || a.Router >= len(e.drainsReported) {
 			continue
 		}
-		since, known := e.drainsReported[t.Router][t.Engine]
+		since, known := e.drainsReported[a.Router][a.Engine]
 		if !known {
 			continue
 		}
 		limit := since.Add(e.params.drainGrace + socketSlack)
-		if t.FirstByte.After(limit.Add(e.allowance(t.Router, since, t.FirstByte))) {
-			out = append(out, Finding{Rule: ruleSentToDraining, Request: t.Request, Router: t.Router, At: e.sinceStart(t.FirstByte),
-				Text: fmt.Sprintf("sent to %s %v after the router was told", t.Engine, t.FirstByte.Sub(since))})
+		if a.FirstByte.After(limit.Add(e.allowance(a.Router, since, a.FirstByte))) {
+			out = append(out, Finding{Rule: ruleSentToDraining, Request: a.Request, Router: a.Router, At: e.sinceStart(a.FirstByte),
+				Text: fmt.Sprintf("sent to %s %v after the router was told", a.Engine, a.FirstByte.Sub(since))})
 		}
 	}
 	return out
@@ -97,16 +97,16 @@
 func drainReports(agents []*standin.Agent) map[string]time.Time {
 	out := map[string]time.Time{}
 	for _, a := range agents {
-		for _, t := range a.Notifications() {
-			if t.Member.Phase == watch.Up {
+		for _, n := range a.Notifications() {
+			if n.Member.Phase == watch.Up {
 				continue
 			}
-			at := t.At
-			if latest := t.ListedAt.Add(maxReportDelay); latest.Before(at) {
+			at := n.At
+			if latest := n.ListedAt.Add(maxReportDelay); latest.Before(at) {
 				at = latest
 			}
-			if before, known := out[t.Member.ID]; !known || at.Before(before) {
-				out[t.Member.ID] = at
+			if before, known := out[n.Member.ID]; !known || at.Before(before) {
+				out[n.Member.ID] = at
 			}
 		}
 	}
@@ -117,8 +117,8 @@
 func (e *evidence) checkSlowStarts() (out []Finding) {
 	byEngine := map[string][]*standin.Attempt{}
 	for i := range e.record.Attempts {
-		t := &e.record.Attempts[i]
-		byEngine[t.Engine] = append(byEngine[t.Engine], t)
+		a := &e.record.Attempts[i]
+		byEngine[a.Engine] = append(byEngine[a.Engine], a)
 	}
 	for id, start := range e.coldStarts {
 		sent := byEngine[id]
--- a/internal/soak/check_holds.go
+++ b/internal/soak/check_holds.go
@@ -67,18 +67,18 @@
 // longestIdle returns the longest time between two times in which no attempt of a request was in flight.
 func (e *evidence) longestIdle(request string, from, until time.Time) (longest time.Duration) {
 	at := from
-	for _, t := range e.attempts[request] {
-		end := t.Ended
+	for _, a := range e.attempts[request] {
+		end := a.Ended
 		if end.IsZero() {
 			end = until
 		}
 		if end.Before(at) {
 			continue
 		}
-		if t.Arrived.After(until) {
+		if a.Arrived.After(until) {
 			break
 		}
-		longest = max(longest, t.Arrived.Sub(at)) // an attempt that has not arrived is not in flight here
+		longest = max(longest, a.Arrived.Sub(at)) // an attempt that has not arrived is not in flight here
 		at = end
 	}
 	return max(longest, until.Sub(at))
--- a/internal/soak/evaluate_test.go
+++ b/internal/soak/evaluate_test.go
@@ -50,58 +50,60 @@
 func TestEvaluate(t *testing.T) {
 	for name, tt := range map[string]struct {
 		class  int
-		change func(e *evidence, a *requestRecord, read, write *standin.Attempt)
+		change func(e *evidence, rec *requestRecord, read, write *standin.Attempt)
 		want   string // the violated rule; "": none
 	}{
 		"sound": {change: func(*evidence, *requestRecord, *standin.Attempt, *standin.Attempt) {}},
-		"no answer": {change: func(_ *evidence, a *requestRecord, _, _ *standin.Attempt) {
-			a.status, a.complete, a.ending, a.endedAt = 0, false, endTimeout, after(5400)
+		"no answer": {change: func(_ *evidence, rec *requestRecord, _, _ *standin.Attempt) {
+			rec.status, rec.complete, rec.ending, rec.endedAt = 0, false, endTimeout, after(5400)
 		}, want: ruleLost},
-		"closed without an answer": {change: func(_ *evidence, a *requestRecord, _, _ *standin.Attempt) {
-			a.status, a.complete, a.ending = 0, false, endClosed
+		"closed without an answer": {change: func(_ *evidence, rec *requestRecord, _, _ *standin.Attempt) {
+			rec.status, rec.complete, rec.ending = 0, false, endClosed
 		}, want: ruleLost},
-		"reset before the request was read": {change: func(e *evidence, a *requestRecord, _, _ *standin.Attempt) {
-			a.status, a.complete, a.ending = 0, false, endUnread
+		"reset before the request was read": {change: func(e *evidence, rec *requestRecord, _, _ *standin.Attempt) {
+			rec.status, rec.complete, rec.ending = 0, false, endUnread
 		}},
-		"a late answer": {change: func(_ *evidence, a *requestRecord, _, _ *standin.Attempt) { a.answeredAt = after(2600) }, want: ruleLost},
-		"an answer just after its deadline": {change: func(_ *evidence, a *requestRecord, _, _ *standin.Attempt) {
-			a.answeredAt = after(2500)
+		"a late answer": {change: func(_ *evidence, rec *requestRecord, _, _ *standin.Attempt) { rec.answeredAt = after(2600) }, want: ruleLost},
+		"an answer just after its deadline": {change: func(_ *evidence, rec *requestRecord, _, _ *standin.Attempt) {
+			rec.answeredAt = after(2500)
 		}},
-		"a late answer of a process that was paused": {change: func(e *evidence, a *requestRecord, _, _ *standin.Attempt) {
-			a.answeredAt, a.endedAt = after(2600), after(2700)
+		"a late answer of a process that was paused": {change: func(e *evidence, rec *requestRecord, _, _ *standin.Attempt) {
+			rec.answeredAt, rec.endedAt = after(2600), after(2700)
 			e.runs[0][0].Pauses = []Pause{{after(500), after(1000)}}
 		}},
-		"killed with an open request": {change: func(e *evidence, a *requestRecord, _, _ *standin.Attempt) {
-			a.status, a.complete, a.ending, a.endedAt = 0, false, endClosed, after(151)
+		"killed with an open request": {change: func(e *evidence, rec *requestRecord, _, _ *standin.Attempt) {
+			rec.status, rec.complete, rec.ending, rec.endedAt = 0, false, endClosed, after(151)
 			e.runs[0][0] = ProcessRun{Started: after(-1000), Killed: after(150), Exited: after(150), Signaled: true}
 		}},
-		"killed with a request that came late after SIGTERM": {change: func(e *evidence, a *requestRecord, _, _ *standin.Attempt) {
-			a.status, a.complete, a.ending, a.endedAt = 0, false, endClosed, after(2951)
+		"killed with a request that came late after SIGTERM": {change: func(e *evidence, rec *requestRecord, _, _ *standin.Attempt) {
+			rec.status, rec.complete, rec.ending, rec.endedAt = 0, false, endClosed, after(2951)
 			e.runs[0][0] = ProcessRun{Started: after(-1000), Terminated: after(-750), Killed: after(2950), Exited: after(2950), Signaled: true}
 		}, want: ruleLost},
-		"killed with a request that came soon after SIGTERM": {change: func(e *evidence, a *requestRecord, _, _ *standin.Attempt) {
-			a.status, a.complete, a.ending, a.endedAt = 0, false, endClosed, after(3051)
+		"killed with a request that came soon after SIGTERM": {change: func(e *evidence, rec *requestRecord, _, _ *standin.Attempt) {
+			rec.status, rec.complete, rec.ending, rec.endedAt = 0, false, endClosed, after(3051)
 			e.runs[0][0] = ProcessRun{Started: after(-1000), Terminated: after(-650), Killed: after(3050), Exited: after(3050), Signaled: true}
 		}},
-		"cut off while the engine wrote": {change: func(_ *evidence, a *requestRecord, _, write *standin.Attempt) {
-			a.complete, a.ending, write.Outcome = false, endBroken, standin.Cancelled
+		"cut off while the engine wrote": {change: func(_ *evidence, rec *requestRecord, _, write *standin.Attempt) {
+			rec.complete, rec.ending, write.Outcome = false, endBroken, standin.Cancelled
 		}, want: ruleLost},
-		"cut off after the engine had finished": {change: func(_ *evidence, a *requestRecord, _, _ *standin.Attempt) {
-			a.complete, a.ending = false, endBroken
+		"cut off after the engine had finished": {change: func(_ *evidence, rec *requestRecord, _, _ *standin.Attempt) {
+			rec.complete, rec.ending = false, endBroken
 		}, want: ruleLost},
-		"cut off by the engine": {change: func(_ *evidence, a *requestRecord, _, write *standin.Attempt) {
-			a.complete, a.ending, write.Outcome = false, endBroken, standin.ConnReset
+		"cut off by the engine": {change: func(_ *evidence, rec *requestRecord, _, write *standin.Attempt) {
+			rec.complete, rec.ending, write.Outcome = false, endBroken, standin.ConnReset
 		}},
-		"client kept waiting after its stream broke": {change: func(_ *evidence, a *requestRecord, _, write *standin.Attempt) {
-			a.complete, a.ending, a.endedAt, write.Outcome = false, endBroken, after(5500), standin.ConnReset
+		"client kept waiting after its stream broke": {change: func(_ *evidence, rec *requestRecord, _, write *standin.Attempt) {
+			rec.complete, rec.ending, rec.endedAt, write.Outcome = false, endBroken, after(5500), standin.ConnReset
 		}, want: ruleLost},
 		"served without an engine's answer": {change: func(_ *evidence, _ *requestRecord, _, write *standin.Attempt) { write.Outcome = standin.Failed }, want: ruleContent},
-		"wrong events":                      {change: func(_ *evidence, a *requestRecord, _, _ *standin.Attempt) { a.contentError = "events of two engines" }, want: ruleContent},
-		"refused after an execution": {class: classUnsafe, change: func(_ *evidence, a *requestRecord, _, write *standin.Attempt) {
-			a.status, write.Outcome = 429, standin.ConnReset
+		"wrong events": {change: func(_ *evidence, rec *requestRecord, _, _ *standin.Attempt) {
+			rec.contentError = "events of two engines"
+		}, want: ruleContent},
+		"refused after an execution": {class: classUnsafe, change: func(_ *evidence, rec *requestRecord, _, write *standin.Attempt) {
+			rec.status, write.Outcome = 429, standin.ConnReset
 		}, want: ruleRefusedAfterRun},
-		"refused and never executed": {class: classUnsafe, change: func(_ *evidence, a *requestRecord, _, write *standin.Attempt) {
-			a.status, write.Outcome = 429, standin.Refused
+		"refused and never executed": {class: classUnsafe, change: func(_ *evidence, rec *requestRecord, _, write *standin.Attempt) {
+			rec.status, write.Outcome = 429, standin.Refused
 		}},
 		"two executions": {class: classUnsafe, change: func(e *evidence, _ *requestRecord, _, write *standin.Attempt) {
 			write.Outcome, write.Ended = standin.ConnReset, after(110)
@@ -111,18 +113,18 @@
 			write.Outcome, write.Ended = standin.ConnReset, after(110)
 			e.record.Attempts = append(e.record.Attempts, writerAttempt(120, standin.Streamed))
 		}},
-		"a retry after the deduplication window": {class: classKeyed, change: func(e *evidence, a *requestRecord, _, write *standin.Attempt) {
+		"a retry after the deduplication window": {class: classKeyed, change: func(e *evidence, rec *requestRecord, _, write *standin.Attempt) {
 			write.Outcome, write.Ended = standin.ConnReset, after(110)
 			e.record.Attempts = append(e.record.Attempts, writerAttempt(1700, standin.Streamed))
 		}, want: ruleDuplicate},
 		"a second copy": {change: func(e *evidence, _ *requestRecord, _, _ *standin.Attempt) {
 			e.record.Attempts = append(e.record.Attempts, writerAttempt(300, standin.Refused))
 		}, want: ruleSecondCopy},
-		"sent after the client left": {change: func(_ *evidence, a *requestRecord, _, write *standin.Attempt) {
-			a.leftAt, write.LastByte = after(100), after(260)
+		"sent after the client left": {change: func(_ *evidence, rec *requestRecord, _, write *standin.Attempt) {
+			rec.leftAt, write.LastByte = after(100), after(260)
 		}, want: ruleSentAfterLeft},
-		"sent just after the client left": {change: func(_ *evidence, a *requestRecord, _, write *standin.Attempt) {
-			a.leftAt, write.LastByte = after(100), after(190)
+		"sent just after the client left": {change: func(_ *evidence, rec *requestRecord, _, write *standin.Attempt) {
+			rec.leftAt, write.LastByte = after(100), after(190)
 		}},
 		"deadline overstated": {change: func(_ *evidence, _ *requestRecord, read, _ *standin.Attempt) { read.TimeLeft = 2160 * time.Millisecond },
 			want: ruleDeadline},
@@ -145,7 +147,7 @@
 			}
 		}},
 		"a bad client without a response": {change: func(e *evidence, _ *requestRecord, _, _ *standin.Attempt) {
-			e.badClients = []badClient{{kind: "noise", began: after(0), waited: 3200 * time.Millisecond}}
+			e.badClients = []badClient{{kind: "noise", startedAt: after(0), waited: 3200 * time.Millisecond}}
 		}, want: ruleBadClient},
 		"ended without a signal": {change: func(e *evidence, _ *requestRecord, _, _ *standin.Attempt) {
 			e.runs[0][0].Terminated = time.Time{}
@@ -153,7 +155,7 @@
 		"a violation in the process's own log": {change: func(e *evidence, _ *requestRecord, _, _ *standin.Attempt) {
 			e.runs[0][0].Violations = []string{"rule violated"}
 		}, want: ruleGuard},
-		"events forwarded late": {change: func(_ *evidence, a *requestRecord, _, _ *standin.Attempt) { a.events[1] = after(700) }, want: ruleEventsLate},
+		"events forwarded late": {change: func(_ *evidence, rec *requestRecord, _, _ *standin.Attempt) { rec.events[1] = after(700) }, want: ruleEventsLate},
 	} {
 		t.Run(name, func(t *testing.T) {
 			e := validEvidence(tt.class)
--- a/internal/soak/evidence.go
+++ b/internal/soak/evidence.go
@@ -35,8 +35,8 @@
 // index fills the maps from requests to their attempts and records.
 func (e *evidence) index() {
 	e.attempts, e.requestByID = map[string][]*standin.Attempt{}, map[string]*requestRecord{}
-	for _, a := range e.requests {
-		e.requestByID[a.id] = a
+	for _, rec := range e.requests {
+		e.requestByID[rec.id] = rec
 	}
 	for i := range e.record.Attempts {
 		a := &e.record.Attempts[i]
@@ -130,12 +130,12 @@
 		fmt.Fprintf(&b, ", status %d at %v", rec.status, e.sinceStart(rec.answeredAt))
 	}
 	fmt.Fprintf(&b, ", ended at %v, complete: %v", e.sinceStart(rec.endedAt), rec.complete)
-	for _, t := range e.attempts[rec.id] {
-		fmt.Fprintf(&b, " | %s %v", t.Engine, e.sinceStart(t.LastByte))
-		if t.Ended.IsZero() {
+	for _, a := range e.attempts[rec.id] {
+		fmt.Fprintf(&b, " | %s %v", a.Engine, e.sinceStart(a.LastByte))
+		if a.Ended.IsZero() {
 			b.WriteString(" in flight")
 		} else {
-			fmt.Fprintf(&b, " %s %v", t.Outcome, e.sinceStart(t.Ended))
+			fmt.Fprintf(&b, " %s %v", a.Outcome, e.sinceStart(a.Ended))
 		}
 	}
 	return b.String()
--- a/internal/soak/record.go
+++ b/internal/soak/record.go
@@ -82,7 +82,7 @@
 type badClient struct {
 	kind       string
 	router     int
-	began      time.Time
+	startedAt  time.Time
 	waited     time.Duration
 	served     bool // it got a successful status
 	noResponse bool // it got neither an error nor a close in time
--- a/internal/soak/report.go
+++ b/internal/soak/report.go
@@ -68,8 +68,8 @@
 // is counted as well.
 func (r *Report) countLeft(e *evidence, rec *requestRecord) {
 	r.FaultCounts["clients left"]++
-	for _, t := range e.attempts[rec.id] {
-		if t.LastByte.Before(rec.leftAt) && (t.Ended.IsZero() || t.Ended.After(rec.leftAt)) {
+	for _, a := range e.attempts[rec.id] {
+		if a.LastByte.Before(rec.leftAt) && (a.Ended.IsZero() || a.Ended.After(rec.leftAt)) {
 			r.FaultCounts["clients left an attempt in flight"]++
 			return
 		}
--- a/internal/soak/router.go
+++ b/internal/soak/router.go
@@ -242,9 +242,9 @@
 
 // AwaitReady waits until the router reports that it is ready. It returns an error if the router has ended or time
 // runs out.
-func (r *Router) AwaitReady(within time.Duration) error {
+func (r *Router) AwaitReady(timeout time.Duration) error {
 	ended := r.Ended()
-	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(readyCheckInterval) {
+	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(readyCheckInterval) {
 		select {
 		case <-ended:
 			return fmt.Errorf("router %d ended before it was ready", r.Index)
@@ -257,7 +257,7 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("router %d was not ready within %v", r.Index, within)
+	return fmt.Errorf("router %d was not ready within %v", r.Index, timeout)
 }
 
 // isReady asks the router whether it is ready.
--- a/internal/soak/settings.go
+++ b/internal/soak/settings.go
@@ -131,16 +131,16 @@
 }
 
 // settingsFor returns the settings of one router.
-func settingsFor(routers, index int, classes []class, f ruleParams) settings {
+func settingsFor(routers, index int, classes []class, params ruleParams) settings {
 	s := settings{
 		Instances: routers, Index: index, Zones: []string{zoneName}, Kinds: []string{readerKind, writerKind}, Membership: "push",
 		Feedback: feedback{How: "pull", Names: []string{"lat_ms", "x0", "x1"}},
-		Family: family{HoldTimeout: f.holdTimeout, Roles: []string{"read", "write"}, TokensByKind: []int{240_000, 160_000},
+		Family: family{HoldTimeout: params.holdTimeout, Roles: []string{"read", "write"}, TokensByKind: []int{240_000, 160_000},
 			TokenIntervalTargets: make([]time.Duration, len(classes)), FirstTokenTargetPerKMicros: make([]int, len(classes))},
 		Costs: costs{Probe: 0.0026},
-		Obligations: obligations{AnswerGrace: 16 * time.Millisecond, DrainGrace: f.drainGrace, OverloadMultiple: f.overloadMultiple,
-			OverloadWindow: f.overloadWindow, InitialCapacity: f.initialCapacity, SlowStartTime: f.slowStartTime},
-		Permissions: permissions{Probing: true, MayCancel: true, MaxAttempts: f.maxAttempts, DialTimeout: f.dialTimeout,
+		Obligations: obligations{AnswerGrace: 16 * time.Millisecond, DrainGrace: params.drainGrace, OverloadMultiple: params.overloadMultiple,
+			OverloadWindow: params.overloadWindow, InitialCapacity: params.initialCapacity, SlowStartTime: params.slowStartTime},
+		Permissions: permissions{Probing: true, MayCancel: true, MaxAttempts: params.maxAttempts, DialTimeout: params.dialTimeout,
 			RetryAfter: true, MaxRetryAfter: 500 * time.Millisecond, ConnIdle: 5 * time.Second},
 		Classes: classes,
 	}
--- a/internal/soak/throttle.go
+++ b/internal/soak/throttle.go
@@ -18,7 +18,7 @@
 }
 
 // throttle pauses the process in each period after it has run for a time.
-func (r *Router) throttle(ctx context.Context, runs time.Duration) {
+func (r *Router) throttle(ctx context.Context, runTime time.Duration) {
 	tick := time.NewTicker(throttlePeriod)
 	defer tick.Stop()
 	for {
@@ -26,7 +26,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(runs):
+		case <-time.After(runTime):
 		}
 		r.pauseProcess()
 		select {
--- a/internal/standin/engine/reservations.go
+++ b/internal/standin/engine/reservations.go
@@ -131,12 +131,12 @@
 	answer, _ := strconv.Atoi(r.Header.Get(engine.InfoHeader))
 	hold, _ := strconv.ParseFloat(r.Header.Get("Kv-Hold-Ms"), 64)
 	proc.server.mu.Lock()
-	p := proc.reservations[r.PathValue("request")]
-	ok := err == nil && p != nil && p.state == nil && strconv.FormatUint(sum.Sum64(), 16) == r.Header.Get(engine.ChecksumHeader)
+	resv := proc.reservations[r.PathValue("request")]
+	ok := err == nil && resv != nil && resv.state == nil && strconv.FormatUint(sum.Sum64(), 16) == r.Header.Get(engine.ChecksumHeader)
 	if ok {
-		p.state = &kvState{answerTokens: max(answer, 1)}
-		p.holdTimer.Reset(time.Duration(max(hold, 1) * 1e6))
-		close(p.stateArrived)
+		resv.state = &kvState{answerTokens: max(answer, 1)}
+		resv.holdTimer.Reset(time.Duration(max(hold, 1) * 1e6))
+		close(resv.stateArrived)
 	}
 	proc.server.mu.Unlock()
 	if !ok {
@@ -158,26 +158,26 @@
 // cancelReservation cancels a reservation at a router's or an engine's request.
 func (proc *process) cancelReservation(w http.ResponseWriter, r *http.Request) {
 	proc.server.mu.Lock()
-	p := proc.reservations[r.PathValue("request")]
+	resv := proc.reservations[r.PathValue("request")]
 	proc.server.mu.Unlock()
-	if p == nil {
+	if resv == nil {
 		writeJSON(w, http.StatusNotFound, kserve.ErrorResponse{Error: "no such place"})
 		return
 	}
-	proc.dropReservation(r.PathValue("request"), p)
+	proc.dropReservation(r.PathValue("request"), resv)
 	writeJSON(w, http.StatusOK, map[string]bool{"released": true})
 }
 
 // dropReservation frees the slot and memory of a reservation.
-func (proc *process) dropReservation(request string, p *reservation) {
+func (proc *process) dropReservation(request string, resv *reservation) {
 	proc.server.mu.Lock()
 	defer proc.server.mu.Unlock()
-	if proc.reservations[request] != p {
+	if proc.reservations[request] != resv {
 		return
 	}
 	delete(proc.reservations, request)
-	p.holdTimer.Stop()
-	proc.model.remove(p.seq)
+	resv.holdTimer.Stop()
+	proc.model.remove(resv.seq)
 	proc.server.cfg.AuditLog.Add(audit.Record{Who: proc.server.cfg.Name, Kind: audit.ReservationEnded, ID: request,
 		Note: "given up"})
 }
@@ -186,32 +186,32 @@
 // state.
 func (proc *process) takeReservation(ctx context.Context, a *attempt, q **seq) bool {
 	proc.server.mu.Lock()
-	p := proc.reservations[a.params.Request]
-	if p == nil {
+	resv := proc.reservations[a.params.Request]
+	if resv == nil {
 		proc.server.mu.Unlock()
 		return false
 	}
 	proc.server.mu.Unlock()
 	if a.params.Handle != "place-"+a.params.Request { // the KV state is elsewhere: continue without the reservation
-		proc.dropReservation(a.params.Request, p)
+		proc.dropReservation(a.params.Request, resv)
 		return false
 	}
 	select {
-	case <-p.stateArrived:
+	case <-resv.stateArrived:
 	case <-ctx.Done():
 		return false
 	}
 	proc.server.mu.Lock()
 	defer proc.server.mu.Unlock()
-	if proc.reservations[a.params.Request] != p {
+	if proc.reservations[a.params.Request] != resv {
 		return false
 	}
 	delete(proc.reservations, a.params.Request)
-	p.holdTimer.Stop()
-	p.seq.answerTokens = min(p.state.answerTokens, max(a.params.MaxTokens, 1))
-	p.seq.events = make(chan event, p.seq.answerTokens+1)
-	proc.model.stateFetched(p.seq)
-	*q = p.seq
+	resv.holdTimer.Stop()
+	resv.seq.answerTokens = min(resv.state.answerTokens, max(a.params.MaxTokens, 1))
+	resv.seq.events = make(chan event, resv.seq.answerTokens+1)
+	proc.model.stateFetched(resv.seq)
+	*q = resv.seq
 	proc.server.cfg.AuditLog.Add(audit.Record{Who: proc.server.cfg.Name, Kind: audit.ReservationEnded,
 		ID: a.params.Request, Note: "taken"})
 	return true
--- a/internal/standin/engine/server.go
+++ b/internal/standin/engine/server.go
@@ -269,8 +269,8 @@
 		st.holdTimer.Stop()
 		s.record(audit.Lost, st, "")
 	}
-	for _, p := range proc.reservations {
-		p.holdTimer.Stop()
+	for _, resv := range proc.reservations {
+		resv.holdTimer.Stop()
 	}
 	proc.states, proc.reservations = map[string]*kvState{}, map[string]*reservation{}
 	s.goroutines.Add(1)
