--- a/internal/soak/badclient.go
+++ b/internal/soak/badclient.go
@@ -34,7 +34,7 @@
 var badRequestKinds = []string{"noise", "half a head", "half a body", "negative length", "huge length", "two lengths", "unknown class",
 	"no time", "no id", "nothing", "a body that is bad"}
 
-// runBadClient is one bad client at a router.
+// runBadClient sends a random invalid request to a router and records what comes back.
 func (t *traffic) runBadClient(r *Router, random *rand.Rand) {
 	kind := badRequestKinds[random.IntN(len(badRequestKinds))]
 	c, err := dial(r)
--- a/internal/soak/check_answers.go
+++ b/internal/soak/check_answers.go
@@ -42,7 +42,8 @@
 }
 
 // excusedByExit reports whether the end of a process excuses a missing answer: the process was killed without a
-// SIGTERM before, or it was killed after SIGTERM and the request came soon after that signal.
+// SIGTERM before, or it was killed after SIGTERM and the request was sent before answerDueWindow had passed since
+// SIGTERM.
 func (e *evidence) excusedByExit(rec *requestRecord) bool {
 	run := e.runAt(rec.router, rec.sentAt)
 	if run == nil {
@@ -58,7 +59,7 @@
 	return run.Terminated.IsZero() || rec.sentAt.Before(run.Terminated.Add(answerDueWindow))
 }
 
-// checkCutStream checks an answer that was cut off: its engine has to be the one that ended it.
+// checkCutStream checks an answer that was cut off: only the engine may have ended it early, not the router.
 func (e *evidence) checkCutStream(rec *requestRecord, add func(rule, format string, args ...any)) {
 	last := e.lastWriter(rec)
 	switch {
@@ -102,7 +103,8 @@
 	return false
 }
 
-// mayHaveExecuted reports whether the request may have had an effect, as far as anybody but its engines can know.
+// mayHaveExecuted reports whether the request may have had an effect: it had an attempt at a writer whose outcome
+// does not prove the contrary to anybody but the engine.
 func (e *evidence) mayHaveExecuted(rec *requestRecord) bool {
 	for _, a := range e.attempts[rec.id] {
 		if a.Writer && !a.Outcome.NeverExecuted() {
--- a/internal/soak/check_attempts.go
+++ b/internal/soak/check_attempts.go
@@ -41,7 +41,7 @@
 				continue
 			}
 			if over := a.LastByte.Add(a.TimeLeft).Sub(rec.deadline()); over > deadlineTolerance+e.allowance(rec.router, rec.sentAt, a.LastByte) {
-				add(a, ruleDeadline, "an engine was told %v more than the client had left", over)
+				add(a, ruleDeadline, "the deadline advertised to the engine was %v after the client's", over)
 			}
 		}
 	}
@@ -72,7 +72,8 @@
 	}
 }
 
-// checkDrains checks that nothing is sent to engines that drain or were removed, once the router was told.
+// checkDrains checks that nothing is sent to engines that drain or were removed, once that was reported to the router
+// and the drain grace has passed.
 func (e *evidence) checkDrains() (out []Finding) {
 	for i := range e.record.Attempts {
 		a := &e.record.Attempts[i]
@@ -86,14 +87,14 @@
 		limit := since.Add(e.params.drainGrace + socketSlack)
 		if a.FirstByte.After(limit.Add(e.allowance(a.Router, since, a.FirstByte))) {
 			out = append(out, Finding{Rule: ruleSentToDraining, Request: a.Request, Router: a.Router, At: e.sinceStart(a.FirstByte),
-				Text: fmt.Sprintf("sent to %s %v after the router was told", a.Engine, a.FirstByte.Sub(since))})
+				Text: fmt.Sprintf("sent to %s %v after the drain was reported to the router", a.Engine, a.FirstByte.Sub(since))})
 		}
 	}
 	return out
 }
 
-// drainReports returns since when a router knows of engines that accept nothing new, by what its agents have written
-// to it.
+// drainReports returns when each drain or removal of an engine counts as reported to a router: when one of its agents
+// has written it to the router, but at the latest maxReportDelay after the list was changed.
 func drainReports(agents []*standin.Agent) map[string]time.Time {
 	out := map[string]time.Time{}
 	for _, a := range agents {
@@ -144,8 +145,8 @@
 	return out
 }
 
-// maxColdSends returns how many sends to a cold engine are tolerated if n are allowed: n plus a margin for chance of
-// two or three standard deviations of a Poisson count, and a few sends.
+// maxColdSends returns how many sends to a cold engine are tolerated if n are allowed. The margin is for chance: two
+// or three standard deviations of a Poisson count, and as many sends.
 func maxColdSends(n float64) float64 {
 	const manyAllowed = 30
 	if n < manyAllowed {
--- a/internal/soak/check_holds.go
+++ b/internal/soak/check_holds.go
@@ -32,14 +32,15 @@
 	return out
 }
 
-// reachability is when a router could reach an engine: from since on, except during the outages.
+// reachability holds the times at which a router could reach an engine: from since on, except during the outages.
 type reachability struct {
 	since   time.Time
 	outages []standin.Interval
 }
 
-// reachable reports whether the router could reach some engine that it may have known, for long enough to release a
-// hold.
+// reachable reports whether, between two times, the router could reach some engine without interruption for long
+// enough to release a hold. Engines that were started after the first time do not count, since the router may not
+// know them.
 func (e *evidence) reachable(router int, from, until time.Time) bool {
 	const enough = 600 * time.Millisecond
 	for _, r := range e.reachability[router] {
@@ -84,7 +85,8 @@
 	return max(longest, until.Sub(at))
 }
 
-// ownerExited reports whether the process that has to release the hold had ended before, or ended within a second.
+// ownerExited reports whether the process that got the request, and has to release the hold, ended before or within a
+// second after until.
 func (e *evidence) ownerExited(rec *requestRecord, until time.Time) bool {
 	run := e.runAt(rec.router, rec.sentAt)
 	return run == nil || !run.Exited.IsZero() && run.Exited.Before(until.Add(time.Second))
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -18,7 +18,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// Time-outs of clients.
+// Timeouts of clients.
 const (
 	dialTimeout = 2 * time.Second
 	// answerSlack is how long after the deadline a client still waits, to tell a late answer from none.
@@ -77,7 +77,7 @@
 	if r.class.RetryPolicy == retryKeyed {
 		head += "Idempotency-Key: " + r.id + "\r\n"
 	}
-	if random.IntN(4) == 0 { // an equally valid encoding
+	if random.IntN(4) == 0 { // routers have to accept both ways of framing a body
 		return head + fmt.Sprintf("Transfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", len(body), body)
 	}
 	return head + fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(body), body)
--- a/internal/soak/evaluate.go
+++ b/internal/soak/evaluate.go
@@ -44,10 +44,10 @@
 	deadlineTolerance   = 150 * time.Millisecond
 	holdSlack           = 300 * time.Millisecond
 	brokenStreamTimeout = 5 * time.Second // until a connection whose stream has broken is closed
-	maxReportDelay      = 6 * time.Second // after which a change counts as reported to a router
+	maxReportDelay      = 6 * time.Second // after a change of the list, which counts as reported from then on
 	maxEventDelay       = 300 * time.Millisecond
 	maxDelayedShare     = 0.1
-	maxProcessPause     = 150 * time.Millisecond // longest pause of a process that the rules allow for
+	maxProcessPause     = 150 * time.Millisecond // the rules have to be kept despite process pauses up to this length
 )
 
 // evaluate checks all invariants and returns the violations in the order of their times.
--- a/internal/soak/evidence.go
+++ b/internal/soak/evidence.go
@@ -63,8 +63,9 @@
 	return nil
 }
 
-// allowance returns how much later than usual something may happen between two times: the time for which the router's
-// process was paused longer than the rules allow, and the time in which the soak itself did not run.
+// allowance returns the extra time that is allowed for something that happens between two times: the slack, the time
+// within pauses of the router's process that were longer than the rules allow, and the time in which the soak itself
+// did not run.
 func (e *evidence) allowance(router int, from, until time.Time) (allowed time.Duration) {
 	allowed = e.slack
 	overlap := func(s Pause) time.Duration {
@@ -91,13 +92,14 @@
 	return allowed
 }
 
-// soakAllowance returns how much later than at one time something may be seen at another, because the soak itself did
-// not run in between.
+// soakAllowance returns the extra time that is allowed between two times where only the soak itself can be late: the
+// slack, and the pauses of the soak.
 func (e *evidence) soakAllowance(from, until time.Time) time.Duration {
 	return e.slack + e.soakPausedFor(from, until)
 }
 
-// soakPausedFor returns how long the soak itself did not run in pauses that overlap two times.
+// soakPausedFor returns the total length of the soak's own pauses that overlap the interval between two times. Parts
+// of these pauses outside the interval are included.
 func (e *evidence) soakPausedFor(from, until time.Time) (sum time.Duration) {
 	for _, s := range e.soakPauses {
 		if s.Until.After(from) && s.From.Before(until) {
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -19,7 +19,7 @@
 	inject func(*injector, *rand.Rand)
 }
 
-// faults are all kinds, in the order in which they are drawn.
+// faults are all kinds of faults. drawFault depends on their order, so that a seed draws the same faults.
 var faults = []fault{
 	{"SIGTERM", 14, (*injector).terminateRouter},
 	{"SIGKILL", 5, (*injector).killRouter},
@@ -66,7 +66,7 @@
 	injectErr      error                           // an error of the soak itself
 }
 
-// newInjector returns an injector without faults.
+// newInjector returns an injector that has injected nothing yet.
 func newInjector(tb *Testbed, t *traffic, picker *routerPicker) *injector {
 	return &injector{testbed: tb, traffic: t, picker: picker, killDelay: minKillDelay(tb.opts.classes),
 		readyTimeout: 30 * time.Second, faultCounts: map[string]int{},
--- a/internal/soak/faults_processes.go
+++ b/internal/soak/faults_processes.go
@@ -1,6 +1,6 @@
 package soak
 
-// Signals to routers.
+// Process faults: signals to routers.
 
 import (
 	"math/rand/v2"
@@ -56,7 +56,8 @@
 	in.picker.setUp(r.Index, true)
 }
 
-// terminateRouter sends SIGTERM to a router while clients continue to send, and kills it when its time is over.
+// terminateRouter sends SIGTERM to a router while clients continue to send, and kills it if it has not ended after
+// killDelay.
 func (in *injector) terminateRouter(random *rand.Rand) {
 	r := in.claimRouter(random)
 	if r == nil {
--- a/internal/soak/picker.go
+++ b/internal/soak/picker.go
@@ -5,7 +5,7 @@
 	"sync"
 )
 
-// routerPicker spreads clients over the routers that it considers up. It is told with a delay that a router is down.
+// routerPicker spreads clients over the routers that it considers up. It learns with a delay that a router is down.
 type routerPicker struct {
 	mu      sync.Mutex
 	routers []*Router
--- a/internal/soak/router.go
+++ b/internal/soak/router.go
@@ -170,8 +170,8 @@
 	r.cmd.Process.Signal(s)
 }
 
-// terminateAgain sends SIGTERM once more to a process that has had one. It does nothing if a new process has replaced
-// that one.
+// terminateAgain sends SIGTERM once more to a process that has already received one. It does nothing if a new process
+// has replaced that one.
 func (r *Router) terminateAgain() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/soak/testbed.go
+++ b/internal/soak/testbed.go
@@ -64,7 +64,7 @@
 	size    int              // number of running engines
 }
 
-// maxGroups limits the groups of a role, since each group costs every router a listener.
+// maxGroups limits the groups of a role, since each group needs one listener per router.
 const maxGroups = 20
 
 // NewTestbed builds a testbed. Its routers are not started.
@@ -111,7 +111,7 @@
 	return tb.AddEngines(tb.opts.Writers, true, 0)
 }
 
-// addGroups makes groups of a role.
+// addGroups adds n groups of a role, each with a proxy per router.
 func (tb *Testbed) addGroups(writers bool, n int) error {
 	for range n {
 		g := &engineGroup{writers: writers}
@@ -127,9 +127,9 @@
 	return nil
 }
 
-// Engine capacity. With more than maxFullSlotEngines engines of a role, all of them together process the given number
-// of requests at once per router, so that a router's share of the capacity depends on nothing else. With fewer
-// engines, each processes the maximum.
+// Engine capacity. With more than maxFullSlotEngines engines of a role, all of them together process
+// readerSlotsPerRouter or writerSlotsPerRouter requests at once for each router, so that a router's share of the
+// capacity depends on nothing else. With fewer engines, each processes the maximum.
 const (
 	maxReaderSlots       = 8
 	maxWriterSlots       = 24
@@ -205,7 +205,7 @@
 		if g := tb.groupOf[member]; g != nil && tb.engines[member] != nil {
 			return g.proxies[router].AddrOf(tb.engines[member])
 		}
-		return "127.0.0.1:1" // the engine has been removed
+		return "127.0.0.1:1" // the engine has been removed, and nothing listens here
 	})
 	if err != nil {
 		return nil, err
--- a/internal/soak/throttle.go
+++ b/internal/soak/throttle.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// throttlePeriod is the period in which a router with a CPU share runs once. It is short compared with the longest
-// process pause that the rules allow.
+// throttlePeriod is the period in which a router with a CPU share runs once. It is short compared with
+// maxProcessPause, the longest process pause that the rules allow.
 const throttlePeriod = 20 * time.Millisecond
 
 // throttle lets every router run for a fraction of the time only, until ctx ends.
@@ -17,7 +17,7 @@
 	}
 }
 
-// throttle pauses the process in each period after it has run for a time.
+// throttle lets the process run for runTime in each throttlePeriod and pauses it for the rest, until ctx ends.
 func (r *Router) throttle(ctx context.Context, runTime time.Duration) {
 	tick := time.NewTicker(throttlePeriod)
 	defer tick.Stop()
--- a/internal/soak/traffic.go
+++ b/internal/soak/traffic.go
@@ -34,7 +34,7 @@
 	maxBackoff       = 300 * time.Millisecond
 )
 
-// traffic is the clients of a run.
+// traffic simulates the clients of a run.
 type traffic struct {
 	testbed    *Testbed
 	picker     *routerPicker
@@ -212,11 +212,12 @@
 	lateUnusedConns = 4 // connections that have carried no request when the signal is sent
 	lateNewConns    = 3 // connections that are dialled up to lateDialWindow after it
 	lateDialWindow  = 400 * time.Millisecond
-	lateSendWindow  = 1500 * time.Millisecond // after the signal; half of the requests are sent up to the kill
+	lateSendWindow  = 1500 * time.Millisecond // after the signal; half of the requests may come later, up to the kill
 )
 
 // sendAroundShutdown adds clients at a router that is about to get a signal: some have just connected, some connect
-// afterwards, and all send a request on whatever connection stays open. signal sends the signal.
+// afterwards, and some use kept idle connections. Each sends a request if its connection is still open then. signal
+// sends the signal.
 func (t *traffic) sendAroundShutdown(r *Router, random *rand.Rand, signal func()) {
 	upTo := func(d time.Duration) time.Duration { return time.Duration(random.Int64N(int64(d))) }
 	var conns []*conn
