--- a/internal/standin/chat/attempt.go
+++ b/internal/standin/chat/attempt.go
@@ -14,7 +14,7 @@
 type requestPlan struct {
 	refuse, fail, resetAtStart, resetInStream, malformedAnswer, malformedStream bool
 	endlessHeader, duplicateAnswer, interimResponse, closeAfterAnswer           bool
-	faultEvent                                                                  int // event of the stream fault
+	faultEvent                                                                  int // a stream fault comes before this event
 	slowdown                                                                    float64
 }
 
--- a/internal/standin/chat/cluster.go
+++ b/internal/standin/chat/cluster.go
@@ -1,6 +1,6 @@
 // Package chat has stand-ins for what surrounds a router on the platform: engines that speak the platform's protocol,
 // discovery agents, and proxies between routers and engines that inject network faults. They record what they see.
-// They do not judge it: the checks are in the packages that use this one.
+// They do not evaluate it: the checks are in the packages that use this one.
 package chat
 
 import (
--- a/internal/standin/chat/discovery.go
+++ b/internal/standin/chat/discovery.go
@@ -71,7 +71,8 @@
 }
 
 // changesSince returns the changes after a revision, or the whole list for a negative revision, and a channel that is
-// closed at the next change. The number of outages is doubled, and odd during an outage.
+// closed at the next change. The returned outages changes at the beginning and at the end of each outage, and is odd
+// during one.
 func (d *Directory) changesSince(revision int64) (list watch.List, changes []change, next <-chan struct{}, outages int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/standin/chat/engine.go
+++ b/internal/standin/chat/engine.go
@@ -331,7 +331,7 @@
 }
 
 // cancelOnClose calls cancel when the router closes its connection, or the sending direction of it. The returned
-// function ends the watching.
+// function stops watching the connection.
 func (c *engineConn) cancelOnClose(cancel context.CancelFunc) (stop func()) {
 	done := make(chan struct{})
 	go func() {
@@ -347,7 +347,7 @@
 	}
 }
 
-// isTimeout reports whether an error is a time-out.
+// isTimeout reports whether an error is a timeout.
 func isTimeout(err error) bool {
 	var t net.Error
 	return errors.As(err, &t) && t.Timeout()
--- a/internal/standin/chat/listener.go
+++ b/internal/standin/chat/listener.go
@@ -31,7 +31,8 @@
 	maxEngines = 1 << 16
 )
 
-// numberedAddr returns the address of an engine in the range of a second octet.
+// numberedAddr returns the loopback address with the given second octet, and with an engine's number in the last two
+// octets.
 func numberedAddr(secondOctet, number int) netip.Addr {
 	return netip.AddrFrom4([4]byte{127, byte(secondOctet), byte(number >> 8), byte(number)})
 }
--- a/internal/standin/chat/proxy.go
+++ b/internal/standin/chat/proxy.go
@@ -45,7 +45,7 @@
 	proxy          *Proxy
 	router, engine *net.TCPConn
 	record         *connRecord
-	lost           bool // data was dropped: the connection is of no more use
+	lost           bool // data was dropped: the connection cannot be used any more
 	blackholed     bool // it is dropped for good and never reset
 }
 
@@ -365,7 +365,7 @@
 // copyQueueLength is how many chunks may wait for the delay of a new connection.
 const copyQueueLength = 64
 
-// chunk is the result of one read. A non-nil err ends the direction.
+// chunk is the result of one read. With a non-nil err it is the last one of its direction.
 type chunk struct {
 	data []byte
 	err  error
--- a/internal/standin/engine/model.go
+++ b/internal/standin/engine/model.go
@@ -1,5 +1,5 @@
 // Package engine is a stand-in for a model engine: it speaks the engine protocol on real sockets, reads prompts and
-// writes answers at the pace of a simple model, and injects faults on request. It runs no language model. It
+// writes answers as fast as a simple timing model says, and injects faults on request. It runs no language model. It
 // implements docs/engine-protocol.md and the public KServe V2 specification.
 package engine
 
@@ -12,8 +12,8 @@
 	"mintdoor/decide"
 )
 
-// Spec describes what a stand-in engine can do. The default figures are assumptions whose order of magnitude comes
-// from the users' letters.
+// Spec describes what a stand-in engine can do. The default figures are assumptions, with the order of magnitude that
+// the users have reported.
 type Spec struct {
 	Role                decide.Role
 	MaxRunning          int           // sequences that run at once
@@ -28,7 +28,7 @@
 
 	InitialCapacity  float64       // fraction of the capacity at a cold start
 	SlowStartTime    time.Duration // time from a cold start until the engine is warm
-	OverloadMultiple float64       // overload factor at which a cold engine fails; 0: it never fails
+	OverloadMultiple float64       // a cold engine fails at this multiple of its capacity; 0: it never fails
 	OverloadWindow   time.Duration // window over which sends to a cold engine are summed
 	MeanAnswerTokens float64       // tokens; the work of one send to a writer
 	MeanPromptTokens float64       // tokens; the work of one send to a reader
@@ -205,7 +205,7 @@
 	for _, s := range m.sends {
 		sum += s.work
 	}
-	const slack = 2 // sends, for chance fluctuations
+	const slack = 2 // sends over the budget that are tolerated, for chance fluctuations
 	budget := m.spec.OverloadMultiple * m.capacityFraction(now) * m.spec.capacity() * m.spec.OverloadWindow.Seconds()
 	if sum > budget+slack*m.spec.meanWork() {
 		m.overloaded = true
@@ -226,7 +226,7 @@
 	return nil
 }
 
-// schedule gives slots and memory to queued sequences in first-come order.
+// schedule gives slots and memory to queued sequences, first come, first served.
 func (m *model) schedule() {
 	for len(m.queue) > 0 && len(m.running) < m.spec.MaxRunning {
 		s := m.queue[0]
--- a/internal/standin/engine/reservations.go
+++ b/internal/standin/engine/reservations.go
@@ -38,8 +38,8 @@
 	}
 	if reserved {
 		resv := &reservation{seq: q, tokens: q.promptTokens, stateArrived: make(chan struct{})}
-		// While the read is in flight, its engine and the router cancel the reservation if need be. This timer is for
-		// the case that both are gone.
+		// While the read is in flight, its engine or the router cancels the reservation when it is no longer needed.
+		// This timer is for the case that both are gone.
 		resv.holdTimer = time.AfterFunc(maxReservationTime, func() { proc.dropReservation(p.Request, resv) })
 		proc.reservations[p.Request] = resv
 		proc.server.cfg.AuditLog.Add(audit.Record{Who: proc.server.cfg.Name, Kind: audit.Reserved, ID: p.Request})
--- a/internal/standin/engine/role.go
+++ b/internal/standin/engine/role.go
@@ -19,7 +19,7 @@
 	Epoch     uint64
 	Phase     string    // engine.PhaseSteady or another engine.Phase constant
 	To        string    // the stage that it changes to
-	Swapped   bool      // it has the role that is not its first
+	Swapped   bool      // it has its other role, not its first
 	notBefore time.Time // the earliest time of the change itself
 }
 
--- a/internal/standin/engine/server.go
+++ b/internal/standin/engine/server.go
@@ -187,7 +187,7 @@
 // startLocked starts a process, cold or warm. s.mu is held.
 func (s *Server) startLocked(cold bool) error {
 	if s.closed || s.process != nil {
-		return errors.New("engine is closed or runs already")
+		return errors.New("engine is closed or already running")
 	}
 	raw, err := net.Listen("tcp", s.addr)
 	if err != nil {
@@ -248,8 +248,8 @@
 	return s.process != nil
 }
 
-// Crash ends the process at once: connections are reset and KV states are lost. If back is over 0, the engine
-// restarts cold after that time.
+// Crash ends the process at once: connections are reset and KV states are lost. If restartAfter is over 0,
+// the engine restarts cold after that time.
 func (s *Server) Crash(restartAfter time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -452,7 +452,8 @@
 	}
 }
 
-// loadReport returns the load report that is due now: a sample that is ReportDelay old.
+// loadReport returns the load report that is due now: the newest sample that is at least ReportDelay old, if there is
+// one, or else the oldest. The fault report_late adds to that delay.
 func (proc *process) loadReport() *engine.LoadReport {
 	proc.server.mu.Lock()
 	defer proc.server.mu.Unlock()
@@ -996,7 +997,7 @@
 	}
 	select {
 	case <-q.admitted:
-	default: // wait, and keep the KV state claimed meanwhile
+	default: // wait for a slot, and keep the KV state claimed meanwhile so that it does not expire
 		claim, cancel := context.WithCancel(r.Context())
 		defer cancel()
 		resp, err := proc.sendRequest(claim, http.MethodPost, a.params.Source, engine.StatePath+a.params.Handle+"/claim")
@@ -1160,7 +1161,7 @@
 	return "stop"
 }
 
-// answerWords are the words that all answers repeat.
+// answerWords are the words of the answers. A longer answer repeats them.
 var answerWords = strings.Fields("onion rate at the mandi stands higher than last week because two lorries came late from the " +
 	"fields and the committee has set the stall fee for the day as before so ask the weigher for the slip")
 
--- a/internal/standin/fleet/fleet.go
+++ b/internal/standin/fleet/fleet.go
@@ -202,7 +202,7 @@
 // Members returns the engines, in order.
 func (f *Fleet) Members() []*Member { return f.members }
 
-// Member returns the engine with a name, or nil.
+// Member returns the engine with the given name, or nil.
 func (f *Fleet) Member(name string) *Member {
 	for _, m := range f.members {
 		if m.Name == name {
--- a/internal/standin/spread/spread.go
+++ b/internal/standin/spread/spread.go
@@ -1,7 +1,7 @@
 // Package spread is the stand-in for the front layer, the plain load balancer in front of the routers. It hands each
-// connection to the next router in turn and, like the users' own, continues to do so for a while after a router has
-// died. It forwards bytes without parsing them, so a client that wants each request balanced has to open a connection
-// for each.
+// connection to the next router in turn and, as the users' own front layer does, continues to do so for a while after
+// a router has died. It forwards bytes without parsing them, so a client that wants each request balanced has to open
+// a connection for each.
 package spread
 
 import (
