--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -56,11 +56,11 @@
 	trailing     string        // written after the request before the client leaves
 }
 
-// clientRequest is a request of a client.
+// clientRequest is a request that a client sends.
 type clientRequest struct {
 	id       string
 	class    *class
-	index    int // of the class
+	index    int // index of the class in the settings
 	timeLeft time.Duration
 	key      string // session key
 }
@@ -209,7 +209,7 @@
 	}
 }
 
-// endingOf returns how a connection ended on which no byte of an answer was received.
+// endingOf returns how a connection ended whose read failed with err before any byte of an answer.
 func (c *conn) endingOf(err error) ending {
 	var t net.Error
 	switch {
@@ -229,7 +229,7 @@
 	return endClosed
 }
 
-// wasReset reports whether the connection is closed in both directions.
+// wasReset reports whether the kernel has closed the connection in both directions, as it does after a reset.
 func (c *conn) wasReset() bool {
 	raw, err := c.SyscallConn()
 	if err != nil {
--- a/internal/soak/evaluate_test.go
+++ b/internal/soak/evaluate_test.go
@@ -45,8 +45,8 @@
 		TimeLeft: 100 * time.Millisecond, Outcome: outcome, Ended: after(from + 50)}
 }
 
-// TestEvaluate checks that each rule is found violated by evidence that violates it alone, and that evidence just
-// within the rule's limit is not.
+// TestEvaluate checks that evidence that violates one rule leads to findings of that rule only, and that evidence
+// just within a rule's limit leads to none.
 func TestEvaluate(t *testing.T) {
 	for name, tt := range map[string]struct {
 		class  int
--- a/internal/soak/record.go
+++ b/internal/soak/record.go
@@ -49,7 +49,7 @@
 // refused reports whether the answer's status promises that a retry is harmless.
 func (r *requestRecord) refused() bool { return r.status == 429 || r.status == 503 }
 
-// maxRecords limits what a run records.
+// maxRecords limits the number of requests, and of bad clients, that a run records.
 const maxRecords = 1_000_000
 
 // requestLog holds the records of all requests of a run. It is safe for concurrent use.
--- a/internal/soak/report.go
+++ b/internal/soak/report.go
@@ -19,7 +19,8 @@
 	Findings    []Finding
 }
 
-// Counts are the numbers of requests by result, and of attempts, probes, bad clients and processes.
+// Counts are the numbers of requests by result, and of attempts, probes, bad clients and processes. CrossedClose is
+// the number of requests that the router had not read when it closed their connections.
 type Counts struct {
 	Sent, Served, Refused, Failed, ClientLeft, CrossedClose, CutOff, Unanswered int
 	Attempts, Probes, BadClients, Processes                                     int
