--- a/internal/standin/engine/model.go
+++ b/internal/standin/engine/model.go
@@ -1,6 +1,6 @@
 // Package engine is a stand-in for a model engine: it speaks the engine protocol on real sockets, reads prompts and
 // writes answers as fast as a simple timing model says, and injects faults on request. It runs no language model. It
-// implements docs/engine-protocol.md and the public KServe V2 specification.
+// is written from docs/engine-protocol.md and the public KServe V2 specification.
 package engine
 
 import (
--- a/internal/standin/engine/role_test.go
+++ b/internal/standin/engine/role_test.go
@@ -60,7 +60,7 @@
 	s, c := newServerWithTwoRoles(t)
 	r, err := c.Role(t.Context(), s.Addr())
 	if err != nil || r.Role != engine.StagePrefill || r.Epoch != 1 || !steady(r) || !r.CanChange {
-		t.Fatalf("%+v, %v", r, err)
+		t.Fatalf("the initial role is %+v, error %v", r, err)
 	}
 	running := make(chan engine.Result, 1)
 	go func() { running <- c.Prefill(t.Context(), s.Addr(), readCall("a")) }()
@@ -130,7 +130,7 @@
 	c.ChangeRole(t.Context(), s.Addr(), &engine.RoleChange{To: engine.StageDecode, Epoch: 1})
 	if r, ok, err := c.CancelRoleChange(t.Context(), s.Addr(), &engine.RoleChangeCancel{Epoch: 1}); !ok ||
 		err != nil || !steady(r) || r.Role != engine.StagePrefill {
-		t.Errorf("%+v, %v, %v", r, ok, err)
+		t.Errorf("cancelling the change returned %+v, %v, error %v", r, ok, err)
 	}
 	if _, ok, _ := c.CancelRoleChange(t.Context(), s.Addr(), &engine.RoleChangeCancel{Epoch: 1}); ok {
 		t.Error("a change that does not exist was cancelled")
@@ -159,7 +159,7 @@
 			}
 			if _, ok, err := client.ChangeRole(t.Context(), s.Addr(),
 				&engine.RoleChange{To: engine.StageDecode, Epoch: 1}); ok != c.grant || err != nil {
-				t.Fatalf("granted %v, %v", ok, err)
+				t.Fatalf("the change was granted: %v; error %v", ok, err)
 			}
 			if c.fault == "role_hang" {
 				awaitRole(t, s, client, "the changing phase", func(r engine.Role) bool { return r.Phase == engine.PhaseChanging })
--- a/internal/standin/fleet/fleet_test.go
+++ b/internal/standin/fleet/fleet_test.go
@@ -42,7 +42,7 @@
 	}()
 	var gone atomic.Bool
 	go f.unlistUnlessRestarted(m, 0, func(*Member) { gone.Store(true) })
-	eventually.Is(t, "the change of the list", gone.Load, func() any { return "the engine starts" })
+	eventually.Is(t, "the change of the list", gone.Load, func() any { return "the engine is still starting" })
 }
 
 // TestRestartedEngineStaysListed checks that an engine that has restarted in the meantime is not taken off the list,
--- a/internal/standin/spread/spread_test.go
+++ b/internal/standin/spread/spread_test.go
@@ -15,8 +15,8 @@
 // TestMain checks that no test leaves a goroutine behind.
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// TestBalancerSkipsDeadRouters checks the turns of the routers before and after a death is detected, and after the
-// router is back.
+// TestBalancerSkipsDeadRouters checks which routers get the connections before and after a death is detected, and
+// after the router is back.
 func TestBalancerSkipsDeadRouters(t *testing.T) {
 	var addrs []string
 	for i := range 2 {
