--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -14,7 +14,7 @@
 // fault is a kind of fault: how often it is drawn, and what it does. inject returns when the fault is over and
 // undone.
 type fault struct {
-	name   string
+	name   string // printed in the report
 	weight int
 	inject func(*injector, *rand.Rand)
 }
--- a/internal/standin/chat/engine.go
+++ b/internal/standin/chat/engine.go
@@ -152,8 +152,7 @@
 	return out
 }
 
-// Kill ends the engine as if its process was killed: its connections are reset, and nothing listens on its address
-// any more.
+// Kill ends the engine as if its process was killed: its connections are reset, and so are new ones to its address.
 func (e *Engine) Kill() {
 	e.mu.Lock()
 	if e.killed {
