--- a/internal/soak/badclient.go
+++ b/internal/soak/badclient.go
@@ -34,7 +34,7 @@
 var badRequestKinds = []string{"noise", "half a head", "half a body", "negative length", "huge length", "two lengths", "unknown class",
 	"no time", "no id", "nothing", "a body that is bad"}
 
-// runBadClient is one bad client at a router.
+// runBadClient sends a random invalid request to a router and records what comes back.
 func (t *traffic) runBadClient(r *Router, random *rand.Rand) {
 	kind := badRequestKinds[random.IntN(len(badRequestKinds))]
 	c, err := dial(r)
@@ -42,9 +42,9 @@
 		return
 	}
 	defer c.Close()
-	b := badClient{kind: kind, router: r.Index, began: time.Now()}
+	b := badClient{kind: kind, router: r.Index, startedAt: time.Now()}
 	io.WriteString(c, badRequests[kind])
-	c.SetReadDeadline(b.began.Add(badClientTimeout + answerSlack))
+	c.SetReadDeadline(b.startedAt.Add(badClientTimeout + answerSlack))
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	var late net.Error
 	switch {
@@ -54,6 +54,6 @@
 	case errors.As(err, &late) && late.Timeout():
 		b.noResponse = true
 	}
-	b.waited = time.Since(b.began)
+	b.waited = time.Since(b.startedAt)
 	t.log.addBad(b)
 }
--- a/internal/soak/check_answers.go
+++ b/internal/soak/check_answers.go
@@ -42,7 +42,8 @@
 }
 
 // excusedByExit reports whether the end of a process excuses a missing answer: the process was killed without a
-// SIGTERM before, or it was killed after SIGTERM and the request came soon after that signal.
+// SIGTERM before, or it was killed after SIGTERM and the request was sent before answerDueWindow had passed since
+// SIGTERM.
 func (e *evidence) excusedByExit(rec *requestRecord) bool {
 	run := e.runAt(rec.router, rec.sentAt)
 	if run == nil {
@@ -58,7 +59,7 @@
 	return run.Terminated.IsZero() || rec.sentAt.Before(run.Terminated.Add(answerDueWindow))
 }
 
-// checkCutStream checks an answer that was cut off: its engine has to be the one that ended it.
+// checkCutStream checks an answer that was cut off: only the engine may have ended it early, not the router.
 func (e *evidence) checkCutStream(rec *requestRecord, add func(rule, format string, args ...any)) {
 	last := e.lastWriter(rec)
 	switch {
@@ -94,18 +95,19 @@
 
 // servedByEngine reports whether an engine has written an answer to the request to its end.
 func (e *evidence) servedByEngine(rec *requestRecord) bool {
-	for _, t := range e.attempts[rec.id] {
-		if t.Writer && t.Outcome == standin.Streamed {
+	for _, a := range e.attempts[rec.id] {
+		if a.Writer && a.Outcome == standin.Streamed {
 			return true
 		}
 	}
 	return false
 }
 
-// mayHaveExecuted reports whether the request may have had an effect, as far as anybody but its engines can know.
+// mayHaveExecuted reports whether the request may have had an effect: it had an attempt at a writer whose outcome
+// does not prove the contrary to anybody but the engine.
 func (e *evidence) mayHaveExecuted(rec *requestRecord) bool {
-	for _, t := range e.attempts[rec.id] {
-		if t.Writer && !t.Outcome.NeverExecuted() {
+	for _, a := range e.attempts[rec.id] {
+		if a.Writer && !a.Outcome.NeverExecuted() {
 			return true
 		}
 	}
@@ -121,13 +123,13 @@
 func (e *evidence) checkDelays() []Finding {
 	streams, delayed := 0, 0
 	for _, rec := range e.requests {
-		t := e.lastWriter(rec)
-		if rec.status != 200 || !rec.leftAt.IsZero() || t == nil {
+		a := e.lastWriter(rec)
+		if rec.status != 200 || !rec.leftAt.IsZero() || a == nil {
 			continue
 		}
 		streams++
 		for i, at := range rec.events {
-			if i < len(t.Events) && at.Sub(t.Events[i]) > maxEventDelay+e.allowance(rec.router, t.Events[i], at) {
+			if i < len(a.Events) && at.Sub(a.Events[i]) > maxEventDelay+e.allowance(rec.router, a.Events[i], at) {
 				delayed++
 				break
 			}
@@ -143,9 +145,9 @@
 func (e *evidence) checkBadClients() (out []Finding) {
 	for _, b := range e.badClients {
 		add := func(text string) {
-			out = append(out, Finding{Rule: ruleBadClient, Router: b.router, At: e.sinceStart(b.began), Text: b.kind + ": " + text})
+			out = append(out, Finding{Rule: ruleBadClient, Router: b.router, At: e.sinceStart(b.startedAt), Text: b.kind + ": " + text})
 		}
-		limit := badClientTimeout + socketSlack + e.allowance(b.router, b.began, b.began.Add(b.waited))
+		limit := badClientTimeout + socketSlack + e.allowance(b.router, b.startedAt, b.startedAt.Add(b.waited))
 		switch {
 		case b.served:
 			add("served")
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -18,7 +18,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// Time-outs of clients.
+// Timeouts of clients.
 const (
 	dialTimeout = 2 * time.Second
 	// answerSlack is how long after the deadline a client still waits, to tell a late answer from none.
@@ -56,11 +56,11 @@
 	trailing     string        // written after the request before the client leaves
 }
 
-// clientRequest is a request of a client.
+// clientRequest is a request that a client sends.
 type clientRequest struct {
 	id       string
 	class    *class
-	index    int // of the class
+	index    int // index of the class in the settings
 	timeLeft time.Duration
 	key      string // session key
 }
@@ -77,7 +77,7 @@
 	if r.class.RetryPolicy == retryKeyed {
 		head += "Idempotency-Key: " + r.id + "\r\n"
 	}
-	if random.IntN(4) == 0 { // an equally valid encoding
+	if random.IntN(4) == 0 { // routers have to accept both ways of framing a body
 		return head + fmt.Sprintf("Transfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", len(body), body)
 	}
 	return head + fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(body), body)
@@ -209,7 +209,7 @@
 	}
 }
 
-// endingOf returns how a connection ended on which no byte of an answer was received.
+// endingOf returns how a connection ended whose read failed with err before any byte of an answer.
 func (c *conn) endingOf(err error) ending {
 	var t net.Error
 	switch {
@@ -229,7 +229,7 @@
 	return endClosed
 }
 
-// wasReset reports whether the connection is closed in both directions.
+// wasReset reports whether the kernel has closed the connection in both directions, as it does after a reset.
 func (c *conn) wasReset() bool {
 	raw, err := c.SyscallConn()
 	if err != nil {
--- a/internal/soak/report.go
+++ b/internal/soak/report.go
@@ -19,7 +19,8 @@
 	Findings    []Finding
 }
 
-// Counts are the numbers of requests by result, and of attempts, probes, bad clients and processes.
+// Counts are the numbers of requests by result, and of attempts, probes, bad clients and processes. CrossedClose is
+// the number of requests that the router had not read when it closed their connections.
 type Counts struct {
 	Sent, Served, Refused, Failed, ClientLeft, CrossedClose, CutOff, Unanswered int
 	Attempts, Probes, BadClients, Processes                                     int
@@ -68,8 +69,8 @@
 // is counted as well.
 func (r *Report) countLeft(e *evidence, rec *requestRecord) {
 	r.FaultCounts["clients left"]++
-	for _, t := range e.attempts[rec.id] {
-		if t.LastByte.Before(rec.leftAt) && (t.Ended.IsZero() || t.Ended.After(rec.leftAt)) {
+	for _, a := range e.attempts[rec.id] {
+		if a.LastByte.Before(rec.leftAt) && (a.Ended.IsZero() || a.Ended.After(rec.leftAt)) {
 			r.FaultCounts["clients left an attempt in flight"]++
 			return
 		}
--- a/internal/soak/throttle.go
+++ b/internal/soak/throttle.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// throttlePeriod is the period in which a router with a CPU share runs once. It is short compared with the longest
-// process pause that the rules allow.
+// throttlePeriod is the period in which a router with a CPU share runs once. It is short compared with
+// maxProcessPause, the longest process pause that the rules allow.
 const throttlePeriod = 20 * time.Millisecond
 
 // throttle lets every router run for a fraction of the time only, until ctx ends.
@@ -17,8 +17,8 @@
 	}
 }
 
-// throttle pauses the process in each period after it has run for a time.
-func (r *Router) throttle(ctx context.Context, runs time.Duration) {
+// throttle lets the process run for runTime in each throttlePeriod and pauses it for the rest, until ctx ends.
+func (r *Router) throttle(ctx context.Context, runTime time.Duration) {
 	tick := time.NewTicker(throttlePeriod)
 	defer tick.Stop()
 	for {
@@ -26,7 +26,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(runs):
+		case <-time.After(runTime):
 		}
 		r.pauseProcess()
 		select {
--- a/internal/standin/chat/engine.go
+++ b/internal/standin/chat/engine.go
@@ -152,8 +152,7 @@
 	return out
 }
 
-// Kill ends the engine as if its process was killed: its connections are reset, and nothing listens on its address
-// any more.
+// Kill ends the engine as if its process was killed: its connections are reset, and so are new ones to its address.
 func (e *Engine) Kill() {
 	e.mu.Lock()
 	if e.killed {
@@ -331,7 +330,7 @@
 }
 
 // cancelOnClose calls cancel when the router closes its connection, or the sending direction of it. The returned
-// function ends the watching.
+// function stops watching the connection.
 func (c *engineConn) cancelOnClose(cancel context.CancelFunc) (stop func()) {
 	done := make(chan struct{})
 	go func() {
@@ -347,7 +346,7 @@
 	}
 }
 
-// isTimeout reports whether an error is a time-out.
+// isTimeout reports whether an error is a timeout.
 func isTimeout(err error) bool {
 	var t net.Error
 	return errors.As(err, &t) && t.Timeout()
