--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -162,14 +162,24 @@
 	waiting := w.dial()
 	waiting.ask("a") // its deadline is in 20 s
 	w.eventually("the request is at the writer", func() bool { return w.open(writer) == 1 })
-	fresh := w.dial()
-	w.eventually("both clients are connected", func() bool { return w.node.front.OpenConns() == 2 })
+	fresh, partial := w.dial(), w.dial()
+	text := requestText("c")
+	io.WriteString(partial, text[:len(text)-1])
+	w.eventually("two requests have arrived, one in part", func() bool { return w.node.guard.Open() == 2 })
+	w.eventually("all clients are connected", func() bool { return w.node.front.OpenConns() == 3 })
 	signalled := time.Now().Add(-2 * time.Second)
 	w.node.signalledAt.Store(&signalled)
 	w.node.Drain()
-	fresh.ask("b") // it may cross with the refusal on its connection
-	if code, closes := fresh.answer(t); code != 429 && code != 503 || !closes {
-		t.Errorf("the late request: status %d, closes %v", code, closes)
+	// An unused connection is refused only after the router, the guard and the front know of the shutdown.
+	if _, err := fresh.br.Peek(1); err != nil {
+		t.Fatal(err)
+	}
+	fresh.ask("b") // its client has not read the refusal yet
+	io.WriteString(partial, text[len(text)-1:])
+	for _, c := range []*client{fresh, partial} {
+		if code, closes := c.answer(t); code != 429 && code != 503 || !closes {
+			t.Errorf("a late request: status %d, closes %v", code, closes)
+		}
 	}
 	if code, closes := waiting.answer(t); code == 200 || code == 400 || !closes {
 		t.Errorf("the waiting request: status %d, closes %v", code, closes)
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -288,9 +288,11 @@
 	return &client{c, bufio.NewReader(c)}
 }
 
-func (c *client) ask(id string) {
+func (c *client) ask(id string) { io.WriteString(c, requestText(id)) }
+
+func requestText(id string) string {
 	const body = `{"model":"chat"}`
-	fmt.Fprintf(c, "POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: %s\r\nX-Service-Class: price-ask\r\n"+
+	return fmt.Sprintf("POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: %s\r\nX-Service-Class: price-ask\r\n"+
 		"X-Time-Left-Ms: 20000\r\nX-Facts: prompt_len=1000\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
