--- a/cmd/mintdoor/silence_test.go
+++ b/cmd/mintdoor/silence_test.go
@@ -86,7 +86,7 @@
 // long.
 func (k *keptConnections) checkHolds(t *testing.T, round string) {
 	t.Helper()
-	const limit = 1300 * time.Millisecond // the hold time-out of the settings (1 s) and what sockets add
+	const limit = 1300 * time.Millisecond // the hold timeout of the settings (1 s) and what sockets add
 	k.testbed.Routers[0].Signal(syscall.SIGTERM)
 	k.testbed.Routers[0].Wait()
 	held := 0
--- a/cmd/mintdoor/soak_test.go
+++ b/cmd/mintdoor/soak_test.go
@@ -15,7 +15,7 @@
 		Slack: 2 * time.Second})
 }
 
-// The same with thousands of engines: a router's decisions must not take so long that time-outs, releases and answers
+// The same with thousands of engines: a router's decisions must not take so long that timeouts, releases and answers
 // are late because of them.
 func TestSoakOfThousandsOfEngines(t *testing.T) {
 	runSoak(t, soak.Options{Seed: 90211, Routers: 3, Readers: 1400, Writers: 1800, Length: 15 * time.Second, RequestsPerSecond: 12,
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -106,7 +106,7 @@
 // Addr returns the address that the front listens on.
 func (d *Daemon) Addr() string { return d.listener.Addr().String() }
 
-// Drain makes the router reject new requests; Run returns when the open ones have ended or the drain time-out has
+// Drain makes the router reject new requests; Run returns when the open ones have ended or the drain timeout has
 // passed.
 func (d *Daemon) Drain() { d.parts.RequestDrain() }
 
@@ -117,7 +117,7 @@
 	return d.parts.Run(ctx)
 }
 
-// finish rejects new requests and waits for the open ones, up to the drain time-out of the settings.
+// finish rejects new requests and waits for the open ones, up to the drain timeout of the settings.
 func (d *Daemon) finish(ctx context.Context, unlisten, stop func()) {
 	d.log.Info("draining", "open", d.Router.Stats().Open, "within", d.set.DrainTimeout)
 	d.Router.Drain()
@@ -127,7 +127,7 @@
 	select {
 	case <-d.Router.Stopped():
 	case <-t.C:
-		d.log.Warn("drain time-out has passed; stopping", "open", d.Router.Stats().Open)
+		d.log.Warn("drain timeout has passed; stopping", "open", d.Router.Stats().Open)
 		stop()
 	case <-ctx.Done():
 	}
--- a/internal/guard/request.go
+++ b/internal/guard/request.go
@@ -231,7 +231,7 @@
 // Limits holds the conditions for sending an attempt's last byte, and what the event trail says about the attempt.
 type Limits struct {
 	Engine, Stage string        // for the event trail
-	Timeout       time.Duration // the attempt's time-out, for the event trail
+	Timeout       time.Duration // the attempt's timeout, for the event trail
 	SendBy        time.Time     // end of the window in which engines drop retries; zero: none
 	DrainGrace    time.Duration // how long after its withdrawal an engine may still get an attempt
 	// WithdrawnFor returns for how long the engine has been draining or removed, and whether it is. Nil means that
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -40,7 +40,7 @@
 	planShutdown func(signalledAt time.Time) router.Shutdown
 }
 
-// Time-outs and limits of the transport. All times that affect routing decisions are set by the decision module.
+// Timeouts and limits of the transport. All times that affect routing decisions are set by the decision module.
 const (
 	// requestTimeout is the time that a client has for sending a message; a malformed one has to be answered within
 	// 3 s.
@@ -51,12 +51,12 @@
 	// most 5 s on a stream that has stopped, and forbids ending a stream whose events are still coming. The margin of
 	// twice decide.MaxPause allows for pauses of the process.
 	streamIdleTimeout = 5*time.Second - 2*time.Duration(decide.MaxPause)
-	idleMarginParts   = 3 // one part of this many of the engines' idle time-out is left unused
+	idleMarginParts   = 3 // one part of this many of the engines' idle timeout is left unused
 	streamBuffer      = 64
-	// defaultConnIdle is the engines' idle time-out if the settings don't tell it.
+	// defaultConnIdle is the engines' idle timeout if the settings don't tell it.
 	defaultConnIdle = 3 * time.Second
 	stopTimeout     = 2 * time.Second
-	// minReleaseTimeout is the least time for a call that releases a hold, however short the hold time-out in the
+	// minReleaseTimeout is the least time for a call that releases a hold, however short the hold timeout in the
 	// settings is.
 	minReleaseTimeout  = 500 * time.Millisecond
 	drainCheckInterval = 20 * time.Millisecond  // between two checks of what the drain has to do
--- a/internal/router/actions.go
+++ b/internal/router/actions.go
@@ -27,7 +27,7 @@
 	guard        *guard.Attempt
 	sentAt       decide.Time
 	cancel       context.CancelCauseFunc
-	timeoutTimer *timer // the attempt's time-out
+	timeoutTimer *timer // the attempt's timeout
 	renewTimer   *timer // the next renewal of its KV state
 	streaming    bool   // its first token was passed on
 	cancelling   bool   // it was cancelled; its outcome has not arrived yet
@@ -131,7 +131,7 @@
 	errTooManyAttempts = errors.New("the maximum number of attempts is used up")
 )
 
-// beginAttempt asks the guard for permission to start an attempt at an engine; at is its time-out. If it returns an
+// beginAttempt asks the guard for permission to start an attempt at an engine; at is its timeout. If it returns an
 // error, the attempt must not start.
 func (r *Router) beginAttempt(act *decide.Action, row *requestRow, s *server, at decide.Time) (*guard.Attempt, error) {
 	limits := guard.Limits{Timeout: time.Duration(at - r.now), DrainGrace: time.Duration(r.cfg.Settings.DrainGrace)}
@@ -213,7 +213,7 @@
 }
 
 // tokenSink returns a function that passes tokens on to the request's front. The first token needs the loop's
-// permission, so that a first token and a time-out at the same moment can't both take effect.
+// permission, so that a first token and a timeout at the same moment can't both take effect.
 func (r *Router) tokenSink(a *attempt) func(string) error {
 	begun := false
 	q := a.row.q
--- a/internal/router/holds.go
+++ b/internal/router/holds.go
@@ -62,7 +62,7 @@
 func (k leasedHolds) renewInterval() decide.Duration { return max(k.r.cfg.Settings.HoldTimeout/3, 1) }
 
 // renew extends the lease of a KV state while an attempt at a writer is in flight and has not produced a token. An
-// engine drops what nobody asks for within the hold time-out (rule 5), so that a router that died doesn't occupy its
+// engine drops what nobody asks for within the hold timeout (rule 5), so that a router that died doesn't occupy its
 // memory. An unresponsive writer doesn't claim the KV state, and the next writer needs it.
 func (k leasedHolds) renew(a *attempt) {
 	row := a.row
--- a/internal/router/loop.go
+++ b/internal/router/loop.go
@@ -206,7 +206,7 @@
 		}
 		m.a.allowed <- true
 		r.holds.answerStarted(row)
-		r.timers.remove(m.a.timeoutTimer) // a started stream has neither a time-out nor a deadline
+		r.timers.remove(m.a.timeoutTimer) // a started stream has neither a timeout nor a deadline
 		r.timers.remove(m.a.renewTimer)
 		r.timers.remove(row.deadlineTimer)
 		r.notifyModule(&decide.Event{Kind: decide.FirstToken, Request: row.id, Server: m.a.server, Attempt: m.a.number,
@@ -511,7 +511,7 @@
 		row.q.closeGuard("the router has stopped")
 	}
 	r.table = newTable()
-	// Attempts end immediately when cancelled; releases are bounded by the engine client's time-out for them.
+	// Attempts end immediately when cancelled; releases are bounded by the engine client's timeout for them.
 	settled := make(chan struct{})
 	go func() { r.work.Wait(); close(settled) }()
 	select {
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -385,7 +385,7 @@
 	}
 }
 
-// A client that doesn't read delays only its own stream, and is given up after the stall time-out.
+// A client that doesn't read delays only its own stream, and is given up after the stall timeout.
 func TestClientStalls(t *testing.T) {
 	g := start(t, &fakeEngines{decode: func(ctx context.Context, _ string, _ *engine.Call, sink func(string) error) engine.Result {
 		return stream(ctx, sink, 100)
--- a/internal/router/table.go
+++ b/internal/router/table.go
@@ -40,7 +40,7 @@
 func (row *requestRow) answered() bool { return row.guard().IsDecided() }
 
 // acceptFirstToken allows an attempt's first token to be passed on, if it is still wanted. From then on the answer
-// belongs to the client and the attempt has no time-out.
+// belongs to the client and the attempt has no timeout.
 func (row *requestRow) acceptFirstToken(a *attempt) bool {
 	if a.cancelling || !a.guard.GrantFirstToken() {
 		return false
--- a/internal/router/timers.go
+++ b/internal/router/timers.go
@@ -6,7 +6,7 @@
 	"mintdoor/decide"
 )
 
-// timer is one entry of the timer heap. The field that is set tells its purpose: an attempt's time-out, the renewal
+// timer is one entry of the timer heap. The field that is set tells its purpose: an attempt's timeout, the renewal
 // of the KV state that an attempt uses, a request's deadline, or a timer that the module of the given generation has
 // requested.
 type timer struct {
