--- a/cmd/mintdoor/silence_test.go
+++ b/cmd/mintdoor/silence_test.go
@@ -108,8 +108,8 @@
 }
 
 // A writer stops responding on connections that stay open. Requests wait for it, some of them until their deadlines,
-// since many time out. Their KV states are released in time all the same: a send that has not arrived does not
-// pause the hold timer.
+// since many time out. Their KV states are released in time nevertheless: a send that has not arrived does
+// not pause the hold timer.
 func TestStatesBehindAnUnresponsiveWriterAreReleased(t *testing.T) {
 	k := keepConnections(t, 6, standin.Timing{ReadTime: 10 * time.Millisecond, FirstTokenTime: 10 * time.Millisecond, EventInterval: time.Millisecond,
 		EventsPerStream: 3})
@@ -123,17 +123,17 @@
 // while it reads, and those to the writer. That an engine can be reached doesn't show that a send on an old
 // connection has arrived, or that its answer will arrive. KV states are released in time, and the requests are
 // served, since nothing is wrong with the engines.
-func TestStatesBehindForgottenConnectionsAreLetGo(t *testing.T) {
+func TestStatesBehindBlackholedConnectionsAreReleased(t *testing.T) {
 	k := keepConnections(t, 8, standin.Timing{ReadTime: 100 * time.Millisecond, FirstTokenTime: 10 * time.Millisecond, EventInterval: time.Millisecond,
 		EventsPerStream: 3})
-	forget := func(p *standin.Proxy) error {
+	blackhole := func(p *standin.Proxy) error {
 		p.BlackholeConnections()
 		return nil
 	}
-	k.disturb(t, true, forget)
+	k.disturb(t, true, blackhole)
 	k.ask("r1")
 	time.Sleep(50 * time.Millisecond) // the requests are at the reader
-	k.disturb(t, false, forget)
+	k.disturb(t, false, blackhole)
 	for i, code := range k.answers() {
 		if code != 200 {
 			t.Errorf("request %d was answered with status %d", i, code)
--- a/cmd/mintdoor/soak_test.go
+++ b/cmd/mintdoor/soak_test.go
@@ -15,8 +15,8 @@
 		Slack: 2 * time.Second})
 }
 
-// The same with thousands of engines: a router's decisions must not take so long that timeouts, releases and answers
-// are late because of them.
+// The same soak with thousands of engines: a router's decisions must not take so long that timeouts, releases and
+// answers are late because of them.
 func TestSoakOfThousandsOfEngines(t *testing.T) {
 	runSoak(t, soak.Options{Seed: 90211, Routers: 3, Readers: 1400, Writers: 1800, Length: 15 * time.Second, RequestsPerSecond: 12,
 		FaultInterval: 300 * time.Millisecond, Slack: 2 * time.Second})
--- a/internal/audit/check.go
+++ b/internal/audit/check.go
@@ -20,7 +20,7 @@
 	OverloadWindow   time.Duration
 	HoldTimeout      time.Duration            // rule 5
 	DedupWindows     map[string]time.Duration // rule 2: of classes with the retry policy keyed
-	FailoverTime     time.Duration            // how long a front layer goes on sending to a dead router
+	FailoverTime     time.Duration            // how long a front layer continues to send to a dead router
 	Slack            time.Duration
 }
 
--- a/internal/audit/record.go
+++ b/internal/audit/record.go
@@ -44,7 +44,7 @@
 	Renewed          EventKind = "renewed"   // the router still wants the state: an attempt for it is in flight
 	Fetched          EventKind = "fetched"   // the state was transferred to a writer
 	Released         EventKind = "released"  // the state was released
-	Expired          EventKind = "lapsed"    // nobody released the state in time, so the engine did itself
+	Expired          EventKind = "lapsed"    // nobody released the state in time, so its engine did
 	Lost             EventKind = "lost"      // the engine went down with the state
 	Reserved         EventKind = "reserved"  // a reservation was granted
 	ReservationEnded EventKind = "placed"    // the reservation was used by an attempt or cancelled
@@ -83,7 +83,7 @@
 }
 
 // NewLog returns a log that keeps up to limit records.
-func NewLog(most int) *Log { return &Log{limit: most} }
+func NewLog(limit int) *Log { return &Log{limit: limit} }
 
 // Add keeps a record. If its time is zero, it is set to the current time.
 func (l *Log) Add(r Record) {
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -181,7 +181,7 @@
 	return -1
 }
 
-// target is the place that the directives of the current section set.
+// target holds what the directives of the current section set.
 type target struct {
 	set    *Settings
 	class  *Class
--- a/internal/day/client.go
+++ b/internal/day/client.go
@@ -71,7 +71,7 @@
 	return class.Deadline + time.Duration(2*float64(class.FirstTokenTargetPerK)*float64(a.promptTokens)/1000)
 }
 
-// try sends one try and reads its answer to the end.
+// try sends a request once and reads its answer to the end.
 func (c *clients) try(ctx context.Context, a *request, id string, retry bool) outcome {
 	class := &c.script.Classes[a.class]
 	patience := time.Duration(a.patience * float64(c.deadline(a)))
--- a/internal/day/run.go
+++ b/internal/day/run.go
@@ -23,8 +23,8 @@
 
 // Process is a running router.
 type Process interface {
-	Kill() // at once, without a signal it can handle
-	Stop() // by a signal, and waits for its end
+	Kill() // ends the router at once, without a signal that it can handle
+	Stop() // asks the router to stop by a signal, and waits for its end
 }
 
 // Options configure a run.
@@ -302,8 +302,8 @@
 	}
 }
 
-// settle waits for a limited time until no engine holds anything for a request. What remains is for the audit to
-// find.
+// settle waits for a limited time until no engine holds anything for a request. The audit reports
+// what is held after that.
 func (p *player) settle() {
 	for end := time.Now().Add(2*p.script.HoldTimeout + time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		left := 0
--- a/internal/day/script.go
+++ b/internal/day/script.go
@@ -21,7 +21,7 @@
 // Class is one class of requests and the shape of its traffic.
 type Class struct {
 	Name                 string
-	Share                float64 // of the sessions
+	Share                float64 // fraction of the sessions
 	Value                float64
 	FirstTokenTarget     time.Duration
 	FirstTokenTargetPerK time.Duration
@@ -37,14 +37,14 @@
 	ThinkTime            time.Duration
 	Prefixes             int     // number of shared prefixes
 	PrefixTokens         float64 // mean
-	PrefixShare          float64 // of the sessions, those that begin with a shared prefix
+	PrefixShare          float64 // fraction of the sessions that begin with a shared prefix
 }
 
 // Clients is the behaviour of the clients.
 type Clients struct {
 	Retries     int
 	Backoff     time.Duration
-	HonourShare float64 // part of the clients that follow Retry-After
+	HonourShare float64 // fraction of the clients that follow Retry-After
 	Patience    float64 // a client gives up a try after this part of the class's deadline
 }
 
--- a/internal/day/swing.go
+++ b/internal/day/swing.go
@@ -102,8 +102,8 @@
 	return h
 }
 
-// split asks engines to change roles until the given number read, as an operator who knows the traffic could do. It
-// takes those that can go without leaving their cell with no engine of their role, in order.
+// split asks engines to change roles until the given number of them are readers, as an operator who knows the traffic
+// could do. It takes engines in order, except for the last one of a role in a cell.
 func (p *player) split(ctx context.Context, readers int) {
 	c := engine.New(engine.Options{DialTimeout: time.Second, MaxConns: 4, ProbeTimeout: time.Second})
 	defer c.Close()
@@ -132,7 +132,7 @@
 	if n < 0 {
 		from, to, n = to, from, -n
 	}
-	// Same notice period as the routers'.
+	// The same notice period as the routers use.
 	timeouts := roles.Timeouts{CheckInterval: p.script.shift().CheckInterval, ReplyTimeout: config.Defaults().ProbeTimeout}
 	for _, e := range all {
 		key := e.member.Cell + " " + from
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -1,7 +1,7 @@
 // Package guard owns the state of every request of a router process, from its first byte to its last. Fronts, the
 // router and engine clients ask it before each step that one of the five rules covers: accepting a request, starting
 // an attempt, writing an attempt's last byte, answering, closing. It allows or denies the step, keeps an event trail
-// per request, and counts forbidden steps that happened all the same as violations. It doesn't choose engines and
+// per request, and counts a forbidden step that happened nevertheless as a violation. It doesn't choose engines and
 // does no I/O.
 package guard
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -51,9 +51,9 @@
 	// most 5 s on a stream that has stopped, and forbids ending a stream whose events are still coming. The margin of
 	// twice decide.MaxPause allows for pauses of the process.
 	streamIdleTimeout = 5*time.Second - 2*time.Duration(decide.MaxPause)
-	idleMarginParts   = 3 // one part of this many of the engines' idle timeout is left unused
+	idleMarginParts   = 3 // 1/idleMarginParts of the engines' idle timeout is left as a margin
 	streamBuffer      = 64
-	// defaultConnIdle is the engines' idle timeout if the settings don't tell it.
+	// defaultConnIdle is the engines' idle timeout if the settings don't specify it.
 	defaultConnIdle = 3 * time.Second
 	stopTimeout     = 2 * time.Second
 	// minReleaseTimeout is the least time for a call that releases a hold, however short the hold timeout in the
@@ -61,8 +61,8 @@
 	minReleaseTimeout  = 500 * time.Millisecond
 	drainCheckInterval = 20 * time.Millisecond  // between two checks of what the drain has to do
 	drainLogInterval   = 500 * time.Millisecond // between two log lines that show that the drain continues
-	// maxRefused is how many connections are kept open for a moment so that a refusal due to the connection limit
-	// arrives.
+	// maxRefused is how many connections beyond the connection limit are kept open for a moment, so that their clients
+	// receive the refusal.
 	maxRefused = 8
 )
 
--- a/internal/shift/shift.go
+++ b/internal/shift/shift.go
@@ -1,7 +1,7 @@
 // Package shift carries out role changes. It sits between discovery and the router's core: it asks engines for their
 // roles, reports traffic and role states to the decisions in package roles, and carries out the resulting actions. It
 // does not decide on roles itself. For the core it is a source of server lists like any other: an engine that is
-// changing is listed as draining, and one that has changed is listed as of its new kind and just started.
+// changing is listed as draining, and one that has changed is listed under its new kind, as just started.
 package shift
 
 import (
@@ -22,7 +22,7 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// EngineClient is what the driver calls on engines; *engine.Client implements it.
+// EngineClient is the interface to engines that the driver uses; *engine.Client implements it.
 type EngineClient interface {
 	Role(ctx context.Context, addr string) (engine.Role, error)
 	ChangeRole(ctx context.Context, addr string, q *engine.RoleChange) (engine.Role, bool, error)
@@ -147,7 +147,7 @@
 }
 
 // Run implements discovery.Source.
-func (d *Driver) Run(ctx context.Context, tell func(discovery.Update)) error {
+func (d *Driver) Run(ctx context.Context, notify func(discovery.Update)) error {
 	g, ctx := errgroup.WithContext(ctx)
 	updates := make(chan discovery.Update)
 	g.Go(func() error {
@@ -160,7 +160,7 @@
 	})
 	g.Go(func() error {
 		defer d.work.Wait()
-		d.loop(ctx, updates, tell)
+		d.loop(ctx, updates, notify)
 		return nil
 	})
 	return g.Wait()
@@ -168,7 +168,7 @@
 
 // loop owns the manager: it handles list updates, observations, replies of engines and the periodic checks until ctx
 // ends.
-func (d *Driver) loop(ctx context.Context, updates <-chan discovery.Update, tell func(discovery.Update)) {
+func (d *Driver) loop(ctx context.Context, updates <-chan discovery.Update, notify func(discovery.Update)) {
 	tick, roleCheck := time.NewTicker(checkInterval), time.NewTicker(d.settings.RoleChanges.CheckInterval)
 	defer tick.Stop()
 	defer roleCheck.Stop()
@@ -181,7 +181,7 @@
 			return
 		case u := <-updates:
 			if u.Err != nil {
-				tell(u)
+				notify(u)
 				continue
 			}
 			actions = d.updateList(ctx, u.Engines)
@@ -212,7 +212,7 @@
 			d.log.Log(ctx, level, "role change ended", "engine", d.nameOf(e.Engine), "to", stageName(e.To), "done", e.Succeeded, "why", e.Reason, "took", e.Elapsed)
 		}
 		if changed {
-			tell(discovery.Update{Engines: d.overlay(), At: now})
+			notify(discovery.Update{Engines: d.overlay(), At: now})
 		}
 	}
 }
--- a/internal/shift/shift_test.go
+++ b/internal/shift/shift_test.go
@@ -46,14 +46,14 @@
 // staticSource is a source whose list never changes.
 type staticSource []discovery.Engine
 
-func (s staticSource) Run(ctx context.Context, tell func(discovery.Update)) error {
-	tell(discovery.Update{Engines: s})
+func (s staticSource) Run(ctx context.Context, notify func(discovery.Update)) error {
+	notify(discovery.Update{Engines: s})
 	<-ctx.Done()
 	return nil
 }
 
 // The role that an engine reports takes precedence over the list: it is listed as draining while it is changing, and
-// afterwards as of the other kind and just started, however long the list shows the old role.
+// afterwards under the other kind as just started, however long the list shows the old role.
 func TestReportedRoleOverridesList(t *testing.T) {
 	set, err := config.Parse("x", "list x\nshift dry\nshift-look 1ms\nclass a\nkind p\nrole prefill\nbecomes d\ncapacity 10k\n"+
 		"kind d\nrole decode\nbecomes p\ncapacity 1k\n")
--- a/internal/sim/engine.go
+++ b/internal/sim/engine.go
@@ -12,7 +12,7 @@
 	"mintdoor/roles"
 )
 
-// simEngine is an engine: the stand-in's model and the engine's side of role changes.
+// simEngine is a simulated engine: the stand-in's model and the engine's side of role changes.
 type simEngine struct {
 	s            *Sim
 	index        int
@@ -40,7 +40,7 @@
 	task       *standin.Task
 }
 
-func newUnit(s *Sim, index int, e Engine) *simEngine {
+func newSimEngine(s *Sim, index int, e Engine) *simEngine {
 	u := &simEngine{s: s, index: index, cell: e.Cell, fixed: e.FixedRole, up: true, initialStage: e.Role, tasks: map[*attempt]bool{}, held: map[*heldState]bool{}}
 	u.roleChange.Epoch, u.roleChange.Phase = 1, engine.PhaseSteady
 	u.core = standin.NewCore(s.specs[u.initialStage], s.wall(), false)
@@ -49,7 +49,7 @@
 
 func (u *simEngine) id() decide.ServerID { return decide.ServerID(u.index + 1) }
 
-// stage returns the engine's role, nextStage the role that it has or is changing to.
+// stage returns the engine's current role.
 func (u *simEngine) stage() roles.Stage {
 	if u.roleChange.Swapped {
 		return 1 - u.initialStage
@@ -57,6 +57,7 @@
 	return u.initialStage
 }
 
+// nextStage returns the role that the engine is changing to, or its current role if it is not changing.
 func (u *simEngine) nextStage() roles.Stage {
 	if u.roleChange.Phase != engine.PhaseSteady {
 		return 1 - u.stage()
@@ -70,7 +71,7 @@
 	return roles.RoleState{Role: u.stage(), Epoch: roles.Epoch(u.roleChange.Epoch), To: 1 - u.stage(), Phase: phases[u.roleChange.Phase], StartedAt: u.startedAt}
 }
 
-// grant answers a change request.
+// grant answers a change request and reports whether the change was granted.
 func (u *simEngine) grant(epoch uint64, to roles.Stage, notice time.Duration) bool {
 	names := [...]string{roles.Prefill: engine.StagePrefill, roles.Decode: engine.StageDecode}
 	if !u.up || u.fixed || u.activeFaults[RefuseChange] > 0 || to == u.stage() || !u.roleChange.Grant(u.s.wall(), names[to], epoch, notice) {
@@ -104,7 +105,7 @@
 	}
 }
 
-// advance continues a role change if possible.
+// advance takes a role change to its next phase if possible, and otherwise tries again later.
 func (u *simEngine) advance() {
 	const retryInterval = 20 * time.Millisecond
 	if !u.up || u.advancing {
@@ -214,11 +215,11 @@
 	})
 }
 
-// enter handles the arrival of an attempt at the engine.
+// enter handles an attempt that arrives at the engine.
 func (u *simEngine) enter(a *attempt) {
 	s := u.s
 	if a.ended || a.cancelled {
-		return // cancelled on its way
+		return // cancelled before it arrived
 	}
 	if !u.up {
 		s.after(s.cfg.NetworkDelay, func() { a.end(decide.ConnectFailed, engine.NoReport(), false, 0) })
--- a/internal/sim/router.go
+++ b/internal/sim/router.go
@@ -14,8 +14,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// simRouter is a router: the decision module and the role manager, with what internal/router and internal/shift do
-// around them.
+// simRouter is a simulated router: the decision module and the role manager, with a model of what internal/router and
+// internal/shift do around them.
 type simRouter struct {
 	s             *Sim
 	index         int
@@ -128,7 +128,7 @@
 	clear(n.requests)
 }
 
-// stop ends the router's part in the run.
+// stop takes the router out of the run at its end.
 func (n *simRouter) stop() {
 	n.up = false
 	n.generation++
@@ -159,7 +159,7 @@
 		wasUnlisted := n.unlisted[u.index]
 		n.unlisted[u.index] = !listed
 		if v := n.listings[u.index]; listed && wasUnlisted {
-			// The list does not know of role changes.
+			// The list doesn't show role changes.
 			n.listings[u.index] = listing{Listing: roles.Listing{Role: u.initialStage, StartedAt: u.startedAt}}
 		} else if listed && u.startedAt.After(v.StartedAt) { // it stayed listed, so its last reported role counts
 			v.StartedAt = u.startedAt
--- a/internal/sim/sim.go
+++ b/internal/sim/sim.go
@@ -192,7 +192,7 @@
 	s.intervals = make([]interval, intervals)
 	s.end = cfg.Trace.Length() + time.Second
 	for i, e := range cfg.Engines {
-		s.engines = append(s.engines, newUnit(s, i, e))
+		s.engines = append(s.engines, newSimEngine(s, i, e))
 	}
 	for i := range cfg.Settings.Routers {
 		n := &simRouter{s: s, index: i}
--- a/internal/swing/compare.go
+++ b/internal/swing/compare.go
@@ -42,8 +42,8 @@
 	Result                                                          *sim.Result // of the run with role changes
 }
 
-// GapClosed returns how much of the gap between the best fixed split and the oracle role changes close; 1 is all of
-// it. It is NaN if the oracle is no better than the best fixed split.
+// GapClosed returns which part of the gap between the best fixed split and the oracle is closed by role changes, with
+// 1 for all of it. It is NaN if the oracle is no better than the best fixed split.
 func (r *Row) GapClosed() float64 {
 	if r.OracleService <= r.BestFixedService {
 		return math.NaN()
--- a/internal/swing/oracle.go
+++ b/internal/swing/oracle.go
@@ -16,7 +16,7 @@
 	AwayTime            time.Duration // notice period, change and slow start, as time at full capacity lost
 }
 
-// missShare is the part of shared prefixes that is not found in the cache, as in trace.Swing.
+// missShare is the fraction of the shared prefixes' tokens that is not found in the cache, as in trace.Swing.
 const missShare = 0.05
 
 // work adds up the tokens and the requests in each window.
--- a/roles/change.go
+++ b/roles/change.go
@@ -87,7 +87,7 @@
 // emptyDeadline is how long an engine may stay in the emptying phase, notice period included.
 func (l *Timeouts) emptyDeadline() time.Duration { return l.NoticePeriod() + l.EmptyTimeout }
 
-// ActionKind is what the caller is to do for a role change.
+// ActionKind is a kind of action that the caller has to carry out for a role change.
 type ActionKind uint8
 
 // The kinds of actions.
@@ -97,14 +97,14 @@
 	UpdateListing                   // list the engine as Listing says
 )
 
-// Listing is how an engine is to be listed to the decision module.
+// Listing describes how an engine is presented to the decision module.
 type Listing struct {
 	Role      Stage
 	Draining  bool
 	StartedAt time.Time
 }
 
-// Action is one thing that the caller is to do.
+// Action is one action that the caller has to carry out.
 type Action struct {
 	Kind    ActionKind
 	Engine  uint64
@@ -302,7 +302,7 @@
 	return t.updateListing(c, out)
 }
 
-// Remove handles that discovery has removed an engine from the server list.
+// Remove stops tracking an engine that discovery has removed from the server list.
 func (t *RoleTracker) Remove(now time.Time, engine uint64) {
 	c := t.engines[engine]
 	if c == nil {
@@ -314,7 +314,8 @@
 	delete(t.engines, engine)
 }
 
-// Tick handles what no event triggers: the deadline of each step, the end of a backoff, and reports that get too old.
+// Tick handles what depends on time alone: the deadline of each step, the end of a backoff, and reports that become
+// too old.
 func (t *RoleTracker) Tick(now time.Time, out []Action) []Action {
 	unresponsiveCount := 0
 	for _, c := range t.engines {
--- a/roles/change_test.go
+++ b/roles/change_test.go
@@ -63,8 +63,8 @@
 	}
 }
 
-// Whatever step of a change fails, the change ends with its reason, the engine is listed as what it is, and a backoff
-// follows.
+// Whichever step of a change fails, the change ends with the reason, the engine is listed with its actual role and
+// state, and a backoff follows.
 func TestFailedChanges(t *testing.T) {
 	old := RoleState{Role: Prefill, Epoch: 3, StartedAt: at(-100)}
 	emptying := RoleState{Role: Prefill, Epoch: 3, To: Decode, Phase: Emptying, StartedAt: at(-100)}
@@ -333,12 +333,12 @@
 	}
 }
 
-// A later start takes precedence over the epoch, since an engine that was set up anew counts from 1 again. Reports
-// that were overtaken on their way are ignored all the same.
+// A later start takes precedence over the epoch, since an engine that was set up again counts its epochs from 1.
+// Reports that were overtaken on their way are still ignored.
 func TestReportsOutOfOrder(t *testing.T) {
 	f := newTracker(t)
 	if out := f.ObserveState(at(1), 1, RoleState{Role: Decode, Epoch: 1, StartedAt: at(-1)}, nil); len(out) != 1 || out[0].Listing.Role != Decode {
-		t.Errorf("after the engine was set up anew: %+v", out)
+		t.Errorf("after the engine was set up again: %+v", out)
 	}
 	for _, old := range []RoleState{{Role: Prefill, Epoch: 1, StartedAt: at(-2)}, {Role: Prefill, Epoch: 0, StartedAt: at(-1)}} {
 		if out := f.ObserveState(at(2), 1, old, nil); len(out) != 0 {
--- a/roles/evaluator_test.go
+++ b/roles/evaluator_test.go
@@ -14,11 +14,11 @@
 
 func TestEvaluate(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		looks int
-		seen  float64
-		plans []*Plan
-		want  bool // change in the verdict on the last plan
+		name             string
+		consecutivePlans int
+		seen             float64
+		plans            []*Plan
+		want             bool // change in the verdict on the last plan
 	}{
 		{"sure", 1, 9, []*Plan{planTo(Prefill, 0.95)}, true},
 		{"not sure", 1, 9, []*Plan{planTo(Prefill, 0.7)}, false},
@@ -29,7 +29,7 @@
 		{"two plans required, opposite directions", 2, 9, []*Plan{planTo(Prefill, 0.95), planTo(Decode, 0.95)}, false},
 		{"two plans required, interrupted by one that is not confident", 2, 9, []*Plan{planTo(Prefill, 0.95), planTo(Prefill, 0.5), planTo(Prefill, 0.95)}, false},
 	} {
-		j := PlanEvaluator{Confidence: 0.9, ConsecutivePlans: c.looks}
+		j := PlanEvaluator{Confidence: 0.9, ConsecutivePlans: c.consecutivePlans}
 		var v Verdict
 		for _, p := range c.plans {
 			v = j.Evaluate(p, scored(c.seen))
