--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -271,7 +271,7 @@
 		setter(bounded(ParseSize, 1<<10, 1<<20), func(t *target) *int64 { return &t.set.MaxHeader })},
 	{"router", "header-within", "5s", false, "time for a client to send its headers",
 		setter(bounded(ParseDuration, 10*time.Millisecond, time.Minute), func(t *target) *time.Duration { return &t.set.HeaderTimeout })},
-	{"router", "max-context", "32k", false, "tokens of prompt and answer that an engine can hold",
+	{"router", "max-context", "32k", false, "maximum tokens of prompt and answer together that an engine can hold",
 		setter(ParseTokens, func(t *target) *float64 { return &t.set.MaxContext })},
 	{"router", "bytes-per-token", "4", false, "bytes per prompt token, to estimate prompts whose client gives no token count",
 		setter(bounded(ParseNumber, 0.1, 1000), func(t *target) *float64 { return &t.set.BytesPerToken })},
--- a/roles/change_test.go
+++ b/roles/change_test.go
@@ -17,17 +17,17 @@
 
 // newTracker returns a tracker that knows engine 1 as a reader at epoch 3.
 func newTracker(t *testing.T) *RoleTracker {
-	f := NewRoleTracker(limits)
-	out := f.ObserveState(t0, 1, RoleState{Role: Prefill, Epoch: 3, StartedAt: at(-100)}, nil)
+	tracker := NewRoleTracker(limits)
+	out := tracker.ObserveState(t0, 1, RoleState{Role: Prefill, Epoch: 3, StartedAt: at(-100)}, nil)
 	if len(out) != 1 || out[0].Kind != UpdateListing || out[0].Listing != (Listing{Role: Prefill, StartedAt: at(-100)}) {
 		t.Fatalf("%+v", out)
 	}
-	return f
+	return tracker
 }
 
-func singleResult(t *testing.T, f *RoleTracker) ChangeResult {
+func singleResult(t *testing.T, tracker *RoleTracker) ChangeResult {
 	t.Helper()
-	e := f.TakeResults()
+	e := tracker.TakeResults()
 	if len(e) != 1 {
 		t.Fatalf("%d changes ended, want 1: %+v", len(e), e)
 	}
@@ -35,30 +35,30 @@
 }
 
 func TestRoleChange(t *testing.T) {
-	f := newTracker(t)
-	out, err := f.BeginChange(at(0), 1, Decode, nil)
+	tracker := newTracker(t)
+	out, err := tracker.BeginChange(at(0), 1, Decode, nil)
 	if err != nil || len(out) != 2 || out[0].Listing != (Listing{Role: Prefill, Draining: true, StartedAt: at(-100)}) ||
 		out[1].Kind != RequestChange || out[1].To != Decode || out[1].Epoch != 3 {
 		t.Fatalf("%v %+v", err, out)
 	}
-	if f.CanChange(1) || f.ChangingEngines() != 1 {
+	if tracker.CanChange(1) || tracker.ChangingEngines() != 1 {
 		t.Error("the engine can begin another change during a change")
 	}
-	f.HandleAnswer(at(0.1), 1, true, RoleState{}, nil)
-	f.ObserveState(at(0.2), 1, RoleState{Role: Prefill, Epoch: 3, To: Decode, Phase: Emptying, StartedAt: at(-100)}, nil)
-	f.ObserveState(at(4), 1, RoleState{Role: Prefill, Epoch: 3, To: Decode, Phase: Changing, StartedAt: at(-100)}, nil)
-	out = f.ObserveState(at(9), 1, RoleState{Role: Decode, Epoch: 4, StartedAt: at(9)}, nil)
+	tracker.HandleAnswer(at(0.1), 1, true, RoleState{}, nil)
+	tracker.ObserveState(at(0.2), 1, RoleState{Role: Prefill, Epoch: 3, To: Decode, Phase: Emptying, StartedAt: at(-100)}, nil)
+	tracker.ObserveState(at(4), 1, RoleState{Role: Prefill, Epoch: 3, To: Decode, Phase: Changing, StartedAt: at(-100)}, nil)
+	out = tracker.ObserveState(at(9), 1, RoleState{Role: Decode, Epoch: 4, StartedAt: at(9)}, nil)
 	if len(out) != 1 || out[0].Listing != (Listing{Role: Decode, StartedAt: at(9)}) {
 		t.Errorf("actions after the change: %+v, want a cold writer", out)
 	}
-	if e := singleResult(t, f); !e.Succeeded || e.Elapsed != 9*time.Second {
+	if e := singleResult(t, tracker); !e.Succeeded || e.Elapsed != 9*time.Second {
 		t.Errorf("%+v", e)
 	}
-	if !f.CanChange(1) || f.ChangingEngines() != 0 {
+	if !tracker.CanChange(1) || tracker.ChangingEngines() != 0 {
 		t.Error("the engine cannot change again after its change")
 	}
 	// A report from before the change is ignored.
-	if out = f.ObserveState(at(10), 1, RoleState{Role: Prefill, Epoch: 3, StartedAt: at(-100)}, nil); len(out) != 0 {
+	if out = tracker.ObserveState(at(10), 1, RoleState{Role: Prefill, Epoch: 3, StartedAt: at(-100)}, nil); len(out) != 0 {
 		t.Errorf("%+v", out)
 	}
 }
@@ -73,74 +73,74 @@
 	other := RoleState{Role: Prefill, Epoch: 5, StartedAt: at(2)}
 	for _, c := range []struct {
 		name    string
-		play    func(f *RoleTracker)
+		play    func(tracker *RoleTracker)
 		reason  string
 		listing Listing
 	}{
-		{"engine refuses", func(f *RoleTracker) { f.HandleAnswer(at(0.1), 1, false, old, nil) }, "the engine refused: it is at another epoch or in another change",
+		{"engine refuses", func(tracker *RoleTracker) { tracker.HandleAnswer(at(0.1), 1, false, old, nil) }, "the engine refused: it is at another epoch or in another change",
 			Listing{Role: Prefill, StartedAt: at(-100)}},
-		{"engine refuses after another change", func(f *RoleTracker) { f.HandleAnswer(at(0.1), 1, false, other, nil) },
+		{"engine refuses after another change", func(tracker *RoleTracker) { tracker.HandleAnswer(at(0.1), 1, false, other, nil) },
 			"the engine refused: it is at another epoch or in another change", Listing{Role: Prefill, StartedAt: at(2)}},
-		{"no answer", func(f *RoleTracker) { f.Tick(at(1), nil) }, "no answer to the change request", Listing{Role: Prefill, StartedAt: at(-100)}},
-		{"engine restarts while emptying", func(f *RoleTracker) {
-			f.HandleAnswer(at(0.1), 1, true, old, nil)
-			f.ObserveState(at(1), 1, emptying, nil)
-			f.ObserveState(at(2), 1, restarted, nil)
+		{"no answer", func(tracker *RoleTracker) { tracker.Tick(at(1), nil) }, "no answer to the change request", Listing{Role: Prefill, StartedAt: at(-100)}},
+		{"engine restarts while emptying", func(tracker *RoleTracker) {
+			tracker.HandleAnswer(at(0.1), 1, true, old, nil)
+			tracker.ObserveState(at(1), 1, emptying, nil)
+			tracker.ObserveState(at(2), 1, restarted, nil)
 		}, "the engine restarted in its old role", Listing{Role: Prefill, StartedAt: at(2)}},
-		{"engine cancels by itself", func(f *RoleTracker) {
-			f.HandleAnswer(at(0.1), 1, true, old, nil)
-			f.ObserveState(at(1), 1, emptying, nil)
-			f.ObserveState(at(2), 1, old, nil)
+		{"engine cancels by itself", func(tracker *RoleTracker) {
+			tracker.HandleAnswer(at(0.1), 1, true, old, nil)
+			tracker.ObserveState(at(1), 1, emptying, nil)
+			tracker.ObserveState(at(2), 1, old, nil)
 		}, "the engine stayed in its old role", Listing{Role: Prefill, StartedAt: at(-100)}},
-		{"engine neither finishes its work nor cancels", func(f *RoleTracker) {
-			f.HandleAnswer(at(0.1), 1, true, old, nil)
-			f.ObserveState(at(1), 1, emptying, nil)
-			f.Tick(at(11), nil)
-			f.Tick(at(13), nil)
+		{"engine neither finishes its work nor cancels", func(tracker *RoleTracker) {
+			tracker.HandleAnswer(at(0.1), 1, true, old, nil)
+			tracker.ObserveState(at(1), 1, emptying, nil)
+			tracker.Tick(at(11), nil)
+			tracker.Tick(at(13), nil)
 		}, "the engine neither finishes its work nor cancels the change", Listing{Role: Prefill, Draining: true, StartedAt: at(-100)}},
-		{"change hangs", func(f *RoleTracker) {
-			f.HandleAnswer(at(0.1), 1, true, old, nil)
-			f.ObserveState(at(1), 1, changing, nil)
-			f.Tick(at(22), nil)
+		{"change hangs", func(tracker *RoleTracker) {
+			tracker.HandleAnswer(at(0.1), 1, true, old, nil)
+			tracker.ObserveState(at(1), 1, changing, nil)
+			tracker.Tick(at(22), nil)
 		}, "the change timed out", Listing{Role: Prefill, Draining: true, StartedAt: at(-100)}},
-		{"engine comes back in its old role", func(f *RoleTracker) {
-			f.HandleAnswer(at(0.1), 1, true, old, nil)
-			f.ObserveState(at(1), 1, changing, nil)
-			f.ObserveState(at(2), 1, old, nil)
+		{"engine comes back in its old role", func(tracker *RoleTracker) {
+			tracker.HandleAnswer(at(0.1), 1, true, old, nil)
+			tracker.ObserveState(at(1), 1, changing, nil)
+			tracker.ObserveState(at(2), 1, old, nil)
 		}, "the engine came back in its old role", Listing{Role: Prefill, StartedAt: at(-100)}},
-		{"engine comes back in another role", func(f *RoleTracker) {
-			f.HandleAnswer(at(0.1), 1, true, old, nil)
-			f.ObserveState(at(1), 1, changing, nil)
-			f.ObserveState(at(2), 1, other, nil)
+		{"engine comes back in another role", func(tracker *RoleTracker) {
+			tracker.HandleAnswer(at(0.1), 1, true, old, nil)
+			tracker.ObserveState(at(1), 1, changing, nil)
+			tracker.ObserveState(at(2), 1, other, nil)
 		}, "the engine came back in another role", Listing{Role: Prefill, StartedAt: at(2)}},
-		{"change is cancelled", func(f *RoleTracker) {
-			f.HandleAnswer(at(0.1), 1, true, old, nil)
-			f.ObserveState(at(1), 1, emptying, nil)
-			if out := f.Cancel(1, "half of the readers died", nil); len(out) != 1 || out[0].Kind != CancelChange || out[0].Epoch != 3 {
+		{"change is cancelled", func(tracker *RoleTracker) {
+			tracker.HandleAnswer(at(0.1), 1, true, old, nil)
+			tracker.ObserveState(at(1), 1, emptying, nil)
+			if out := tracker.Cancel(1, "half of the readers died", nil); len(out) != 1 || out[0].Kind != CancelChange || out[0].Epoch != 3 {
 				panic(out)
 			}
-			f.ObserveState(at(2), 1, old, nil)
+			tracker.ObserveState(at(2), 1, old, nil)
 		}, "the change was cancelled", Listing{Role: Prefill, StartedAt: at(-100)}},
-		{"engine is removed", func(f *RoleTracker) { f.Remove(at(2), 1) }, "the engine was removed from the list", Listing{}},
+		{"engine is removed", func(tracker *RoleTracker) { tracker.Remove(at(2), 1) }, "the engine was removed from the list", Listing{}},
 	} {
-		f := newTracker(t)
-		f.BeginChange(at(0), 1, Decode, nil)
-		c.play(f)
-		e := f.TakeResults()
+		tracker := newTracker(t)
+		tracker.BeginChange(at(0), 1, Decode, nil)
+		c.play(tracker)
+		e := tracker.TakeResults()
 		if len(e) != 1 || e[0].Succeeded || e[0].Reason != c.reason {
 			t.Errorf("%s: %+v", c.name, e)
 		}
-		if f.ChangingEngines() != 0 {
+		if tracker.ChangingEngines() != 0 {
 			t.Errorf("%s: the change is still in progress", c.name)
 		}
-		if ch := f.engines[1]; ch != nil && ch.listing != c.listing {
+		if ch := tracker.engines[1]; ch != nil && ch.listing != c.listing {
 			t.Errorf("%s: listed as %+v, want %+v", c.name, ch.listing, c.listing)
 		}
-		if c.reason != "the change was cancelled" && f.CanChange(1) {
+		if c.reason != "the change was cancelled" && tracker.CanChange(1) {
 			t.Errorf("%s: no backoff after a failure", c.name)
 		}
-		f.Tick(at(200), nil)
-		if ch := f.engines[1]; ch != nil && ch.state.Phase == Steady && !f.CanChange(1) {
+		tracker.Tick(at(200), nil)
+		if ch := tracker.engines[1]; ch != nil && ch.state.Phase == Steady && !tracker.CanChange(1) {
 			t.Errorf("%s: the backoff never ends", c.name)
 		}
 	}
@@ -148,13 +148,13 @@
 
 // A router that starts during a change tracks it like one of its own.
 func TestChangeBegunByAnotherRouter(t *testing.T) {
-	f := NewRoleTracker(limits)
-	out := f.ObserveState(at(0), 1, RoleState{Role: Prefill, Epoch: 3, To: Decode, Phase: Changing, StartedAt: at(-100)}, nil)
-	if len(out) != 1 || !out[0].Listing.Draining || f.ChangingEngines() != 1 {
+	tracker := NewRoleTracker(limits)
+	out := tracker.ObserveState(at(0), 1, RoleState{Role: Prefill, Epoch: 3, To: Decode, Phase: Changing, StartedAt: at(-100)}, nil)
+	if len(out) != 1 || !out[0].Listing.Draining || tracker.ChangingEngines() != 1 {
 		t.Errorf("%+v", out)
 	}
-	f.ObserveState(at(3), 1, RoleState{Role: Decode, Epoch: 4, StartedAt: at(3)}, nil)
-	if e := singleResult(t, f); !e.Succeeded {
+	tracker.ObserveState(at(3), 1, RoleState{Role: Decode, Epoch: 4, StartedAt: at(3)}, nil)
+	if e := singleResult(t, tracker); !e.Succeeded {
 		t.Errorf("%+v", e)
 	}
 }
@@ -317,18 +317,18 @@
 
 // An engine gets no work before it has reported its own role, because the server list may be outdated.
 func TestListedEngineDrainsUntilItReports(t *testing.T) {
-	f := NewRoleTracker(limits)
-	out := f.AddListed(1, Prefill, nil)
+	tracker := NewRoleTracker(limits)
+	out := tracker.AddListed(1, Prefill, nil)
 	if len(out) != 1 || !out[0].Listing.Draining {
 		t.Fatalf("%+v", out)
 	}
-	if out = f.AddListed(1, Prefill, nil); len(out) != 0 {
+	if out = tracker.AddListed(1, Prefill, nil); len(out) != 0 {
 		t.Errorf("listed again without a change: %+v", out)
 	}
-	if out = f.ObserveState(at(1), 1, RoleState{Role: Prefill, Epoch: 1}, nil); len(out) != 1 || out[0].Listing != (Listing{Role: Prefill}) {
+	if out = tracker.ObserveState(at(1), 1, RoleState{Role: Prefill, Epoch: 1}, nil); len(out) != 1 || out[0].Listing != (Listing{Role: Prefill}) {
 		t.Errorf("%+v", out)
 	}
-	if out = f.AddListed(1, Decode, nil); len(out) != 0 {
+	if out = tracker.AddListed(1, Decode, nil); len(out) != 0 {
 		t.Errorf("the list overrules the engine's own report: %+v", out)
 	}
 }
@@ -336,12 +336,12 @@
 // A later start takes precedence over the epoch, since an engine that was set up again counts its epochs from 1.
 // Reports that were overtaken on their way are still ignored.
 func TestReportsOutOfOrder(t *testing.T) {
-	f := newTracker(t)
-	if out := f.ObserveState(at(1), 1, RoleState{Role: Decode, Epoch: 1, StartedAt: at(-1)}, nil); len(out) != 1 || out[0].Listing.Role != Decode {
+	tracker := newTracker(t)
+	if out := tracker.ObserveState(at(1), 1, RoleState{Role: Decode, Epoch: 1, StartedAt: at(-1)}, nil); len(out) != 1 || out[0].Listing.Role != Decode {
 		t.Errorf("after the engine was set up again: %+v", out)
 	}
 	for _, old := range []RoleState{{Role: Prefill, Epoch: 1, StartedAt: at(-2)}, {Role: Prefill, Epoch: 0, StartedAt: at(-1)}} {
-		if out := f.ObserveState(at(2), 1, old, nil); len(out) != 0 {
+		if out := tracker.ObserveState(at(2), 1, old, nil); len(out) != 0 {
 			t.Errorf("outdated report %+v was accepted: %+v", old, out)
 		}
 	}
@@ -352,24 +352,24 @@
 func TestOldReportsAreDistrusted(t *testing.T) {
 	l := limits
 	l.CheckInterval, l.ReplyTimeout = time.Second, 100*time.Millisecond
-	f := NewRoleTracker(l)
+	tracker := NewRoleTracker(l)
 	for id := range uint64(4) {
-		f.ObserveState(at(0), id, RoleState{Role: Prefill, Epoch: 1}, nil)
+		tracker.ObserveState(at(0), id, RoleState{Role: Prefill, Epoch: 1}, nil)
 	}
 	report := func(s float64, ids ...uint64) (out []Action) {
 		for _, id := range ids {
-			out = f.ObserveState(at(s), id, RoleState{Role: Prefill, Epoch: 1}, out)
+			out = tracker.ObserveState(at(s), id, RoleState{Role: Prefill, Epoch: 1}, out)
 		}
-		return f.Tick(at(s), out)
+		return tracker.Tick(at(s), out)
 	}
 	if out := report(3.9, 0, 1, 2); len(out) != 0 {
 		t.Errorf("%+v", out)
 	}
 	out := report(4, 0, 1, 2)
-	if len(out) != 1 || out[0].Engine != 3 || !out[0].Listing.Draining || f.CanChange(3) {
+	if len(out) != 1 || out[0].Engine != 3 || !out[0].Listing.Draining || tracker.CanChange(3) {
 		t.Errorf("%+v", out)
 	}
-	if out := report(5, 0, 1, 2, 3); len(out) != 1 || out[0].Listing.Draining || !f.CanChange(3) {
+	if out := report(5, 0, 1, 2, 3); len(out) != 1 || out[0].Listing.Draining || !tracker.CanChange(3) {
 		t.Errorf("after a new report: %+v", out)
 	}
 	if out := report(20, 0); len(out) != 0 {
--- a/roles/evaluator_test.go
+++ b/roles/evaluator_test.go
@@ -29,10 +29,10 @@
 		{"two plans required, opposite directions", 2, 9, []*Plan{planTo(Prefill, 0.95), planTo(Decode, 0.95)}, false},
 		{"two plans required, interrupted by one that is not confident", 2, 9, []*Plan{planTo(Prefill, 0.95), planTo(Prefill, 0.5), planTo(Prefill, 0.95)}, false},
 	} {
-		j := PlanEvaluator{Confidence: 0.9, ConsecutivePlans: c.consecutivePlans}
+		evaluator := PlanEvaluator{Confidence: 0.9, ConsecutivePlans: c.consecutivePlans}
 		var v Verdict
 		for _, p := range c.plans {
-			v = j.Evaluate(p, scored(c.seen))
+			v = evaluator.Evaluate(p, scored(c.seen))
 		}
 		if v.Change != c.want || v.Reason == "" {
 			t.Errorf("%s: %+v", c.name, v)
