--- a/internal/day/script.go
+++ b/internal/day/script.go
@@ -21,7 +21,7 @@
 // Class is one class of requests and the shape of its traffic.
 type Class struct {
 	Name                 string
-	Share                float64 // of the sessions
+	Share                float64 // fraction of the sessions
 	Value                float64
 	FirstTokenTarget     time.Duration
 	FirstTokenTargetPerK time.Duration
@@ -37,14 +37,14 @@
 	ThinkTime            time.Duration
 	Prefixes             int     // number of shared prefixes
 	PrefixTokens         float64 // mean
-	PrefixShare          float64 // of the sessions, those that begin with a shared prefix
+	PrefixShare          float64 // fraction of the sessions that begin with a shared prefix
 }
 
 // Clients is the behaviour of the clients.
 type Clients struct {
 	Retries     int
 	Backoff     time.Duration
-	HonourShare float64 // part of the clients that follow Retry-After
+	HonourShare float64 // fraction of the clients that follow Retry-After
 	Patience    float64 // a client gives up a try after this part of the class's deadline
 }
 
@@ -91,7 +91,7 @@
 	Load    float64 // requested part of the engines' capacity; sets Rate if that is 0
 
 	Cells int
-	// Tokens a second out of a cell; 0: the engines' own rate.
+	// LinkTokensPerSecond is the rate at which KV states leave a cell; 0: the engines' own rate.
 	LinkTokensPerSecond                                                float64
 	CrashListDelay, UnresponsiveListDelay, StartListDelay, FrontNotice time.Duration
 	Clients                                                            Clients
