--- a/internal/front/chat/client_leave_test.go
+++ b/internal/front/chat/client_leave_test.go
@@ -112,6 +112,12 @@
 	if resp, _, err := readAnswer(t, br); resp.StatusCode != 200 || err != nil {
 		t.Fatalf("%d %v", resp.StatusCode, err)
 	}
+	// The client can read the end of its answer before the connection's goroutine begins to linger.
+	tf.eventually("the connection lingers", func() bool {
+		tf.front.conns.mu.Lock()
+		defer tf.front.conns.mu.Unlock()
+		return tf.front.conns.evictable.Len() == 1
+	})
 	next, nextBr := tf.dial() // the first client has not closed its connection
 	io.WriteString(next, message("b"))
 	resp, err := http.ReadResponse(nextBr, nil)
