--- a/cmd/mintdoor/day.go
+++ b/cmd/mintdoor/day.go
@@ -27,7 +27,7 @@
 		from, write, records string
 		seeds                []uint
 		speed                float64
-		size                 day.Size
+		size                 day.MaxSize
 		slack                time.Duration
 	)
 	cmd := &cobra.Command{
@@ -71,16 +71,16 @@
 	return cmd
 }
 
-func dayScript(args []string, from string, size day.Size) (*day.Script, error) {
+func dayScript(args []string, from string, size day.MaxSize) (*day.Script, error) {
 	switch {
 	case from != "" && len(args) > 0:
 		return nil, fmt.Errorf("day: say a script or --from, not both")
 	case from != "":
-		return day.FromBench(from, size)
+		return day.FromLbsim(from, size)
 	case len(args) > 0:
 		return day.Load(args[0])
 	}
-	return day.Parse("built-in day", day.BadDay)
+	return day.Parse("built-in day", day.BuiltInScript)
 }
 
 func playDays(ctx context.Context, out io.Writer, script *day.Script, seeds []uint, slack time.Duration, keep string) error {
@@ -103,19 +103,19 @@
 			return err
 		}
 		defer logs.Close()
-		res, err := day.Run(ctx, script, day.Options{Router: processes(self, logs), Dir: dir, Slack: slack, Log: log, Out: out})
+		res, err := day.Run(ctx, script, day.Options{StartRouter: processes(self, logs), Dir: dir, Slack: slack, Log: log, Progress: out})
 		if err != nil {
 			return err
 		}
 		if err := res.Report.Print(out); err != nil {
 			return err
 		}
-		if why := res.Void(); why != "" {
+		if why := res.InvalidReason(); why != "" {
 			fmt.Fprintln(out, "void:", why)
 			broken = true
 		}
 		service = append(service, res.Report.Service)
-		broken = broken || !res.Report.Kept()
+		broken = broken || !res.Report.Passed()
 		if keep != "" {
 			name := keep
 			if len(seeds) > 1 {
@@ -128,7 +128,7 @@
 		fmt.Fprintln(out)
 	}
 	if len(seeds) > 1 {
-		mean, half := day.Spread(service)
+		mean, half := day.ConfidenceInterval(service)
 		fmt.Fprintf(out, "service over %d seeds: %.3f +- %.3f (95%%)\n", len(seeds), mean, half)
 	}
 	if broken {
@@ -199,17 +199,17 @@
 			if err != nil {
 				return err
 			}
-			rules := audit.Rules{AnswerGrace: set.AnswerGrace, DrainGrace: set.DrainGrace, ListEvery: set.ListInterval,
-				FallMultiple: set.OverloadMultiple, FallWithin: set.OverloadWindow, LetGoWithin: set.HoldTimeout, RouterNotice: notice,
-				Slack: slack, Windows: map[string]time.Duration{}}
+			rules := audit.Rules{AnswerGrace: set.AnswerGrace, DrainGrace: set.DrainGrace, ListInterval: set.ListInterval,
+				OverloadMultiple: set.OverloadMultiple, OverloadWindow: set.OverloadWindow, HoldTimeout: set.HoldTimeout, FailoverTime: notice,
+				Slack: slack, DedupWindows: map[string]time.Duration{}}
 			for _, c := range set.Classes {
-				rules.Windows[c.Name] = time.Duration(c.DedupWindow)
+				rules.DedupWindows[c.Name] = time.Duration(c.DedupWindow)
 			}
 			rep := audit.Check(records, 0, rules)
 			if err := rep.Print(cmd.OutOrStdout()); err != nil {
 				return err
 			}
-			if !rep.Kept() {
+			if !rep.Passed() {
 				return errSaid
 			}
 			return nil
--- a/cmd/mintdoor/main_test.go
+++ b/cmd/mintdoor/main_test.go
@@ -126,18 +126,18 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Minute)
 	defer cancel()
 	// A loaded machine may add a lot to the rules' figures; a router that breaks them does so by more.
-	res, err := day.Run(ctx, script, day.Options{Router: processes(self, logs), Dir: t.TempDir(), Slack: 2 * time.Second})
+	res, err := day.Run(ctx, script, day.Options{StartRouter: processes(self, logs), Dir: t.TempDir(), Slack: 2 * time.Second})
 	if err != nil {
 		t.Fatal(err)
 	}
 	var out strings.Builder
 	res.Report.Print(&out)
 	t.Log(out.String())
-	if !res.Report.Kept() {
+	if !res.Report.Passed() {
 		text, _ := os.ReadFile(logs.Name())
 		t.Errorf("%s\n%s", out.String(), text)
 	}
-	if res.Report.Served < res.Asked/2 || res.Report.Checked[3] == 0 || res.Report.Checked[4] < 8 {
+	if res.Report.Served < res.Requests/2 || res.Report.Checked[3] == 0 || res.Report.Checked[4] < 8 {
 		t.Errorf("the day had little to check:\n%s", out.String())
 	}
 
@@ -146,7 +146,7 @@
 		t.Fatal(err)
 	}
 	settings := filepath.Join(t.TempDir(), "r.conf")
-	os.WriteFile(settings, []byte(script.Settings(0, "127.0.0.1:0", "x")), 0o644)
+	os.WriteFile(settings, []byte(script.RouterSettings(0, "127.0.0.1:0", "x")), 0o644)
 	if text, err := run(t, "audit", path, "--settings", settings, "--slack", "2s"); err != nil || !strings.Contains(text, "all five rules kept") {
 		t.Errorf("%v\n%s", err, text)
 	}
@@ -171,7 +171,7 @@
 	st := &shift.Status{Mode: "dry", Engines: []shift.EngineStatus{{Name: "p1", Status: roles.Status{Engine: 7, Known: true, Step: "idle",
 		State: roles.RoleState{Role: roles.Prefill, Epoch: 3}}}, {Name: "d1", Status: roles.Status{Engine: 8, Step: "idle", BlockedReason: "it is cold"}}}}
 	st.Plan.Plan.Moves = []roles.Move{{Engine: 7, To: roles.Decode}}
-	st.Plan.Verdict.Why = "it earns back its cost"
+	st.Plan.Verdict.Reason = "it earns back its cost"
 	if err := printRoles(&b, st); err != nil {
 		t.Fatal(err)
 	}
@@ -219,21 +219,21 @@
 		t.Fatal(err)
 	}
 	defer logs.Close()
-	res, err := day.Run(t.Context(), script, day.Options{Router: processes(self, logs), Dir: t.TempDir(), Slack: 2 * time.Second})
+	res, err := day.Run(t.Context(), script, day.Options{StartRouter: processes(self, logs), Dir: t.TempDir(), Slack: 2 * time.Second})
 	if err != nil {
 		t.Fatal(err)
 	}
 	starts := 0
 	for _, r := range res.Records {
-		if r.What == audit.Started && r.Note == "decode" {
+		if r.Kind == audit.Started && r.Note == "decode" {
 			starts++
 		}
 	}
-	if !res.Report.Kept() || res.Asked != len(script.Trace.Entries) || res.Report.Served < res.Asked/2 || starts != 3 {
+	if !res.Report.Passed() || res.Requests != len(script.Trace.Entries) || res.Report.Served < res.Requests/2 || starts != 3 {
 		var b strings.Builder
 		res.Report.Print(&b)
 		text, _ := os.ReadFile(logs.Name())
-		t.Errorf("%d of %d requests, %d starts of writers\n%s\n%s", res.Asked, len(script.Trace.Entries), starts, b.String(), text)
+		t.Errorf("%d of %d requests, %d starts of writers\n%s\n%s", res.Requests, len(script.Trace.Entries), starts, b.String(), text)
 	}
 	if _, err := day.Parse(filepath.Join(dir, "y.day"), "class other\ntrace x.trace\nshift on\n"); err == nil ||
 		!strings.Contains(err.Error(), `a class "rate-check", which the script has not`) || !strings.Contains(err.Error(), "expected 'change TIME'") {
--- a/cmd/mintdoor/swing.go
+++ b/cmd/mintdoor/swing.go
@@ -34,11 +34,11 @@
 	fl.Float64Var(&f.high, "high", 0.75, "and at most")
 	fl.Float64Var(&f.load, "load", 0.75, "part of the engines' time that is asked for")
 	fl.IntVar(&f.engines, "engines", 12, "engines")
-	f.read, f.write = swing.Standard()
+	f.read, f.write = swing.StandardRates()
 }
 
 func (f *swingFlags) swing(shape string, seed uint64) trace.Swing {
-	return trace.Swing{Shape: shape, Length: f.length, Period: f.period, Low: f.low, High: f.high, Load: f.load, Engines: f.engines, Seed: seed,
+	return trace.Swing{Shape: shape, Length: f.length, Period: f.period, MinReadShare: f.low, MaxReadShare: f.high, Load: f.load, Engines: f.engines, Seed: seed,
 		ReadPerS: f.read, WritePerS: f.write}
 }
 
@@ -52,7 +52,7 @@
 		Args:  cobra.ExactArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			s := f.swing(args[0], seed)
-			t, err := s.Make()
+			t, err := s.Generate()
 			if err != nil {
 				return err
 			}
@@ -73,7 +73,7 @@
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			t, err := trace.Load(args[0])
-			if err != nil && (t == nil || !errors.Is(err, trace.ErrCutOff)) {
+			if err != nil && (t == nil || !errors.Is(err, trace.ErrTruncated)) {
 				return err
 			}
 			if err != nil {
@@ -103,10 +103,10 @@
 		}
 		s.n++
 		s.classes[e.Class]++
-		s.prompt += float64(e.Prompt)
-		if e.Answer > 0 {
+		s.prompt += float64(e.PromptTokens)
+		if e.OutputTokens > 0 {
 			s.known++
-			s.answer += float64(e.Answer)
+			s.answer += float64(e.OutputTokens)
 		}
 	}
 	fmt.Fprintf(out, "%d requests in %v, classes %s\n\n", len(t.Entries), t.Length().Round(time.Millisecond), strings.Join(t.Classes, ", "))
@@ -142,7 +142,7 @@
 			w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 			fmt.Fprintln(w, "swing\tbest fixed\tmean's split\toracle\tshifted\tway\tchanges\tengine-s away\tcold\trules")
 			for _, shape := range strings.Split(shapes, ",") {
-				e := swing.Experiment{Swing: f.swing(shape, 0), Engines: f.engines, Load: f.load, Every: every}
+				e := swing.Experiment{Swing: f.swing(shape, 0), Engines: f.engines, Load: f.load, SplitInterval: every}
 				for _, s := range seeds {
 					e.Seeds = append(e.Seeds, uint64(s))
 				}
@@ -153,24 +153,24 @@
 				var best, mean, oracle, shift, way, changes, away, cold []float64
 				rules := "kept"
 				for _, r := range rows {
-					best, mean, oracle, shift = append(best, r.BestFixed), append(mean, r.Mean), append(oracle, r.Oracle), append(shift, r.Shift)
-					if w := r.Way(); !math.IsNaN(w) {
+					best, mean, oracle, shift = append(best, r.BestFixedService), append(mean, r.MeanSplitService), append(oracle, r.OracleService), append(shift, r.ShiftService)
+					if w := r.GapClosed(); !math.IsNaN(w) {
 						way = append(way, w)
 					}
 					changes = append(changes, float64(r.Changes))
-					away, cold = append(away, r.Away.Seconds()), append(cold, r.Cold.Seconds())
-					if len(r.Broken) > 0 || r.WrongRole > 0 || r.Stuck > 0 {
-						rules = fmt.Sprintf("BROKEN: %v, %d of a role that was left, %d stuck", r.Broken, r.WrongRole, r.Stuck)
+					away, cold = append(away, r.AwayTime.Seconds()), append(cold, r.SlowStartLoss.Seconds())
+					if len(r.Violations) > 0 || r.WrongRoleAttempts > 0 || r.UnfinishedChanges > 0 {
+						rules = fmt.Sprintf("BROKEN: %v, %d of a role that was left, %d stuck", r.Violations, r.WrongRoleAttempts, r.UnfinishedChanges)
 					}
 					if verbose {
-						fmt.Fprintf(out, "%s seed %d: %v\n", shape, r.Seed, r.Result.Readers)
+						fmt.Fprintf(out, "%s seed %d: %v\n", shape, r.Seed, r.Result.Splits)
 					}
 				}
 				cell := func(v []float64, digits int) string {
 					if len(v) == 0 {
 						return "-"
 					}
-					m, h := day.Spread(v)
+					m, h := day.ConfidenceInterval(v)
 					return fmt.Sprintf("%.*f +- %.*f", digits, m, digits, h)
 				}
 				fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", shape, cell(best, 4), cell(mean, 4), cell(oracle, 4), cell(shift, 4), cell(way, 2),
--- a/internal/audit/check.go
+++ b/internal/audit/check.go
@@ -13,15 +13,15 @@
 // Rules are the figures against which records are checked. Slack is what the sockets and a busy machine
 // may add to any of them.
 type Rules struct {
-	AnswerGrace  time.Duration // rule 1
-	DrainGrace   time.Duration // rule 3: after the list was read
-	ListEvery    time.Duration // rule 3: how long until a router reads a list that was written
-	FallMultiple float64       // rule 4
-	FallWithin   time.Duration
-	LetGoWithin  time.Duration            // rule 5
-	Windows      map[string]time.Duration // rule 2: of keyed classes
-	RouterNotice time.Duration            // how long a front layer goes on sending to a dead router
-	Slack        time.Duration
+	AnswerGrace      time.Duration // rule 1
+	DrainGrace       time.Duration // rule 3: after the list was read
+	ListInterval     time.Duration // rule 3: how long until a router reads a list that was written
+	OverloadMultiple float64       // rule 4
+	OverloadWindow   time.Duration
+	HoldTimeout      time.Duration            // rule 5
+	DedupWindows     map[string]time.Duration // rule 2: of keyed classes
+	FailoverTime     time.Duration            // how long a front layer goes on sending to a dead router
+	Slack            time.Duration
 }
 
 // Finding is one breach of a rule.
@@ -31,8 +31,8 @@
 	Text string
 }
 
-// Titles name the five rules.
-var Titles = [6]string{1: "one final answer in time", 2: "no effect twice, one attempt out", 3: "drains kept",
+// RuleTitles name the five rules.
+var RuleTitles = [6]string{1: "one final answer in time", 2: "no effect twice, one attempt out", 3: "drains kept",
 	4: "no cold engine pushed over", 5: "nothing left pinned"}
 
 // Report is what the records show.
@@ -42,26 +42,26 @@
 	Records  int
 	Dropped  int // records that did not fit: the verdict is void
 
-	Tries, Requests                       int
-	Served, Refused, Failed, Broken, Gone int // by tries
-	Cut                                   int // connections that broke while a router was down
-	Attempts                              int // at engines
-	Service                               float64
-	Classes                               map[string]*ClassReport
-	FirstToken                            []time.Duration // of tries that got one, sorted
-	Lapses                                int             // states let go by their engine, the router being dead
-	Turned                                map[string]int  // attempts turned away or failed at the door, by reason
+	Tries, Requests                                   int
+	Served, Refused, Failed, Interrupted, ClientsLeft int // by tries
+	ConnectionsLost                                   int // connections that broke while a router was down
+	Attempts                                          int // at engines
+	Service                                           float64
+	Classes                                           map[string]*ClassReport
+	FirstToken                                        []time.Duration // of tries that got one, sorted
+	ExpiredStates                                     int             // states let go by their engine, the router being dead
+	RejectedByReason                                  map[string]int  // attempts turned away or failed at the door, by reason
 }
 
 // ClassReport is the service of one class: worth in time over worth asked, a client's retries counted with
 // its first try.
 type ClassReport struct {
-	Requests     int
-	Worth, Asked float64
+	Requests                    int
+	EarnedValue, RequestedValue float64
 }
 
-// Kept tells whether all rules were kept, on records that are whole.
-func (r *Report) Kept() bool { return len(r.Findings) == 0 && r.Dropped == 0 && r.Tries > 0 }
+// Passed tells whether all rules were kept, on records that are whole.
+func (r *Report) Passed() bool { return len(r.Findings) == 0 && r.Dropped == 0 && r.Tries > 0 }
 
 func (r *Report) find(rule int, at int64, format string, args ...any) {
 	r.Findings = append(r.Findings, Finding{rule, at, fmt.Sprintf(format, args...)})
@@ -89,7 +89,7 @@
 
 // Check checks records against the rules. Records need not be in order.
 func Check(records []Record, dropped int, rules Rules) *Report {
-	rep := &Report{Records: len(records), Dropped: dropped, Classes: map[string]*ClassReport{}, Turned: map[string]int{}}
+	rep := &Report{Records: len(records), Dropped: dropped, Classes: map[string]*ClassReport{}, RejectedByReason: map[string]int{}}
 	sorted := slices.Clone(records)
 	sort.SliceStable(sorted, func(i, j int) bool { return sorted[i].At < sorted[j].At })
 	c := &checker{rules: rules, rep: rep}
@@ -109,7 +109,7 @@
 func (c *checker) routers(records []Record) {
 	open := map[string]int{}
 	for _, r := range records {
-		switch r.What {
+		switch r.Kind {
 		case RouterDown:
 			open[r.Who] = len(c.down)
 			c.down = append(c.down, span{r.Who, r.At, c.end})
@@ -125,7 +125,7 @@
 // downDuring tells whether a router, or any with "", was down at some time between two others. The front
 // layer's lateness counts with it.
 func (c *checker) downDuring(router string, from, to int64) bool {
-	late := int64(c.rules.RouterNotice + c.rules.Slack)
+	late := int64(c.rules.FailoverTime + c.rules.Slack)
 	for _, s := range c.down {
 		if (router == "" || s.router == router) && s.from <= to+int64(c.rules.Slack) && max(s.to, s.from+late)+late >= from {
 			return true
@@ -147,7 +147,7 @@
 	tries := map[string]*try{}
 	var order []string
 	for _, r := range records {
-		if r.What == Asked {
+		if r.Kind == Asked {
 			if tries[r.ID] != nil {
 				c.rep.find(1, r.At, "try %s was asked twice: the records can't be trusted", r.ID)
 				continue
@@ -156,17 +156,17 @@
 			order = append(order, r.ID)
 			continue
 		}
-		switch r.What {
-		case Began, Answered, GaveUp, Cut:
+		switch r.Kind {
+		case FirstToken, Answered, GaveUp, ConnectionLost:
 		default:
 			continue
 		}
 		t := tries[r.ID]
 		if t == nil {
-			c.rep.find(1, r.At, "%s for try %s, which nobody asked", r.What, r.ID)
+			c.rep.find(1, r.At, "%s for try %s, which nobody asked", r.Kind, r.ID)
 			continue
 		}
-		if r.What == Began {
+		if r.Kind == FirstToken {
 			t.began = r.At
 		} else {
 			t.endings = append(t.endings, r)
@@ -183,7 +183,7 @@
 	c.rep.Requests = len(best)
 	total, asked := 0.0, 0.0
 	for _, cl := range c.rep.Classes {
-		total, asked = total+cl.Worth, asked+cl.Asked
+		total, asked = total+cl.EarnedValue, asked+cl.RequestedValue
 	}
 	if asked > 0 {
 		c.rep.Service = total / asked
@@ -200,12 +200,12 @@
 		c.rep.find(1, t.endings[1].At, "try %s has %d endings", id, len(t.endings))
 	}
 	e := t.endings[0]
-	switch e.What {
+	switch e.Kind {
 	case GaveUp:
-		c.rep.Gone++
+		c.rep.ClientsLeft++
 		return
-	case Cut:
-		c.rep.Cut++
+	case ConnectionLost:
+		c.rep.ConnectionsLost++
 		if !c.downDuring("", t.asked.At, e.At) {
 			c.rep.find(1, e.At, "try %s got no answer, and no router was down: %s", id, e.Note)
 		}
@@ -219,7 +219,7 @@
 	case "failed":
 		c.rep.Failed++
 	case "broken":
-		c.rep.Broken++
+		c.rep.Interrupted++
 	default:
 		c.rep.find(1, e.At, "try %s has the unknown answer %q", id, e.Note)
 	}
@@ -245,7 +245,7 @@
 	was, seen := best[req]
 	if !seen {
 		cl.Requests++
-		cl.Asked += t.asked.Work
+		cl.RequestedValue += t.asked.Work
 		best[req] = 0
 	}
 	if t.began != 0 {
@@ -260,7 +260,7 @@
 		worth *= lateWorth
 	}
 	if worth > was {
-		cl.Worth += worth - was
+		cl.EarnedValue += worth - was
 		best[req] = worth
 	}
 }
@@ -285,7 +285,7 @@
 	repeat := map[string]string{}
 	class := map[string]string{}
 	for _, r := range records {
-		switch r.What {
+		switch r.Kind {
 		case Asked:
 			repeat[requestOf(r.ID)], class[requestOf(r.ID)] = r.Repeat, r.Class
 		case Arrived:
@@ -300,14 +300,14 @@
 			}
 			byID[r.ID] = o
 			byRequest[req] = append(byRequest[req], o)
-		case Turned, Ended:
+		case Rejected, Ended:
 			if o := byID[r.ID]; o != nil {
 				o.to, o.known = r.At, true
 			}
-			if r.What == Turned {
-				c.rep.Turned[r.Note]++
+			if r.Kind == Rejected {
+				c.rep.RejectedByReason[r.Note]++
 			}
-		case Ran:
+		case Executed:
 			if r.Client != "" {
 				ran[requestOf(r.Client)] = append(ran[requestOf(r.Client)], effect{r.At, r.Who})
 			}
@@ -338,7 +338,7 @@
 			}
 		case "keyed":
 			for _, run := range runs[1:] {
-				if w := c.rules.Windows[class[name]]; run.at-runs[0].at > int64(w+c.rules.Slack) {
+				if w := c.rules.DedupWindows[class[name]]; run.at-runs[0].at > int64(w+c.rules.Slack) {
 					c.rep.find(2, run.at, "request %s of the keyed class %s ran again after its window", name, class[name])
 				}
 			}
@@ -353,9 +353,9 @@
 		since int64
 	}
 	now := map[string]*state{}
-	grace := int64(c.rules.DrainGrace + c.rules.ListEvery + c.rules.Slack)
+	grace := int64(c.rules.DrainGrace + c.rules.ListInterval + c.rules.Slack)
 	for _, r := range records {
-		switch r.What {
+		switch r.Kind {
 		case Listed:
 			s := now[r.Who]
 			ready := r.Note == "ready"
@@ -387,19 +387,19 @@
 	}
 	now := map[string]*engine{}
 	for _, r := range records {
-		switch r.What {
+		switch r.Kind {
 		case Started:
 			now[r.Who] = &engine{at: r.At, capacity: r.N, from: r.Work, warm: r.At + r.Deadline}
 			c.rep.Checked[4]++
-		case Fell:
+		case OverloadFailed:
 			c.rep.find(4, r.At, "%s was pushed over", r.Who)
 		case Arrived:
 			e := now[r.Who]
-			if e == nil || r.At >= e.warm || c.rules.FallMultiple == 0 {
+			if e == nil || r.At >= e.warm || c.rules.OverloadMultiple == 0 {
 				continue
 			}
 			e.sends = append(e.sends, r)
-			for r.At-e.sends[0].At > int64(c.rules.FallWithin) {
+			for r.At-e.sends[0].At > int64(c.rules.OverloadWindow) {
 				e.sends = e.sends[1:]
 			}
 			sum := 0.0
@@ -407,10 +407,10 @@
 				sum += s.Work
 			}
 			share := e.from + (1-e.from)*float64(r.At-e.at)/float64(e.warm-e.at)
-			budget := c.rules.FallMultiple*share*e.capacity*c.rules.FallWithin.Seconds() + 2*r.Work
+			budget := c.rules.OverloadMultiple*share*e.capacity*c.rules.OverloadWindow.Seconds() + 2*r.Work
 			if sum > budget && !e.said {
 				e.said = true
-				c.rep.find(4, r.At, "%s, cold, was sent %.0f in %v, its budget is %.0f", r.Who, sum, c.rules.FallWithin, budget)
+				c.rep.find(4, r.At, "%s, cold, was sent %.0f in %v, its budget is %.0f", r.Who, sum, c.rules.OverloadWindow, budget)
 			}
 		}
 	}
@@ -423,7 +423,7 @@
 		router string
 	}
 	held := map[string]*state{}
-	limit := int64(c.rules.LetGoWithin + c.rules.Slack)
+	limit := int64(c.rules.HoldTimeout + c.rules.Slack)
 	check := func(key string, s *state, at int64) {
 		if s.waits != 0 && at-s.waits > limit && !c.downDuring(s.router, s.waits, at) {
 			c.rep.find(5, at, "the state of attempt %s was left for %v", key, time.Duration(at-s.waits))
@@ -432,24 +432,24 @@
 	for _, r := range records {
 		key := r.Who + " " + r.ID
 		router, _, _ := strings.Cut(r.Router, "-")
-		switch r.What {
+		switch r.Kind {
 		case Held:
 			held[key] = &state{r.At, router}
 			c.rep.Checked[5]++
-		case Claimed, Unclaimed, Renewed, Fetched, Released, Lapsed, Lost:
+		case Claimed, ClaimEnded, Renewed, Fetched, Released, Expired, Lost:
 			s := held[key]
 			if s == nil {
 				continue
 			}
 			check(key, s, r.At)
-			switch r.What {
+			switch r.Kind {
 			case Claimed:
 				s.waits = 0
-			case Unclaimed, Renewed:
+			case ClaimEnded, Renewed:
 				s.waits = r.At
-			case Lapsed:
+			case Expired:
 				// The engine's own lease has let it go: that is for a router that is dead, not for one that forgets.
-				c.rep.Lapses++
+				c.rep.ExpiredStates++
 				if !c.downDuring(router, s.waits, r.At) {
 					c.rep.find(5, r.At, "the state of attempt %s at %s was let go by its engine alone", r.ID, r.Who)
 				}
@@ -478,7 +478,7 @@
 		if broken > 0 {
 			verdict = fmt.Sprintf("BROKEN %d times", broken)
 		}
-		fmt.Fprintf(t, "rule %d\t%s\t%s\t(checked on %d)\n", rule, Titles[rule], verdict, r.Checked[rule])
+		fmt.Fprintf(t, "rule %d\t%s\t%s\t(checked on %d)\n", rule, RuleTitles[rule], verdict, r.Checked[rule])
 	}
 	t.Flush()
 	const shown = 20
@@ -490,9 +490,9 @@
 		fmt.Fprintf(w, "  rule %d at %s: %s\n", f.Rule, time.Unix(0, f.At).Format("15:04:05.000"), f.Text)
 	}
 	fmt.Fprintf(w, "%d records, %d requests, %d tries: %d served, %d refused, %d failed, %d broken, %d gone, %d cut off with a router\n",
-		r.Records, r.Requests, r.Tries, r.Served, r.Refused, r.Failed, r.Broken, r.Gone, r.Cut)
+		r.Records, r.Requests, r.Tries, r.Served, r.Refused, r.Failed, r.Interrupted, r.ClientsLeft, r.ConnectionsLost)
 	fmt.Fprintf(w, "service %.3f, %.2f attempts a try, %d states let go by engines after a router's death\n", r.Service,
-		float64(r.Attempts)/max(float64(r.Tries), 1), r.Lapses)
+		float64(r.Attempts)/max(float64(r.Tries), 1), r.ExpiredStates)
 	names := make([]string, 0, len(r.Classes))
 	for name := range r.Classes {
 		names = append(names, name)
@@ -500,7 +500,7 @@
 	slices.Sort(names)
 	for _, name := range names {
 		cl := r.Classes[name]
-		fmt.Fprintf(w, "  class %s: %d requests, service %.3f\n", name, cl.Requests, cl.Worth/max(cl.Asked, 1e-9))
+		fmt.Fprintf(w, "  class %s: %d requests, service %.3f\n", name, cl.Requests, cl.EarnedValue/max(cl.RequestedValue, 1e-9))
 	}
 	if n := len(r.FirstToken); n > 0 {
 		fmt.Fprintf(w, "first token: p50 %v, p99 %v\n", r.FirstToken[n/2].Round(time.Millisecond),
--- a/internal/audit/record.go
+++ b/internal/audit/record.go
@@ -15,60 +15,60 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// What tells what a record is of.
-type What string
+// EventKind tells what a record is of.
+type EventKind string
 
 // What clients see.
 const (
-	Asked    What = "asked"    // a try was sent; Deadline and Repeat are set
-	Began    What = "began"    // its first token came
-	Answered What = "answered" // its final answer came: Note is served, refused, failed or broken
-	GaveUp   What = "gave up"  // the client left by its own choice
-	Cut      What = "cut"      // the connection broke, or never stood; no answer came
+	Asked          EventKind = "asked"    // a try was sent; Deadline and Repeat are set
+	FirstToken     EventKind = "began"    // its first token came
+	Answered       EventKind = "answered" // its final answer came: Note is served, refused, failed or broken
+	GaveUp         EventKind = "gave up"  // the client left by its own choice
+	ConnectionLost EventKind = "cut"      // the connection broke, or never stood; no answer came
 )
 
 // What engines see. An attempt is named by ID.
 const (
-	Started   What = "started"   // the engine started; N is its capacity in work a second, Note its stage
-	Fell      What = "fell"      // it was pushed over
-	Arrived   What = "arrived"   // an attempt came in; Work is its work
-	Turned    What = "turned"    // it was turned away unrun
-	Ran       What = "ran"       // its effect began
-	Ended     What = "ended"     // it ended, in whatever way
-	Held      What = "held"      // a state began to wait
-	Claimed   What = "claimed"   // a writer is waiting for it or fetches it
-	Unclaimed What = "unclaimed" // that ended without the state having gone
-	Renewed   What = "renewed"   // its router still wants it: an attempt for it is out
-	Fetched   What = "fetched"   // the state has gone to a writer
-	Released  What = "released"  // it was let go
-	Lapsed    What = "lapsed"    // nobody let it go in time and the engine did
-	Lost      What = "lost"      // the engine went down with it
-	Reserved  What = "reserved"  // a place is held ahead
-	Placed    What = "placed"    // it was taken by a send or given up
+	Started          EventKind = "started"   // the engine started; N is its capacity in work a second, Note its stage
+	OverloadFailed   EventKind = "fell"      // it was pushed over
+	Arrived          EventKind = "arrived"   // an attempt came in; Work is its work
+	Rejected         EventKind = "turned"    // it was turned away unrun
+	Executed         EventKind = "ran"       // its effect began
+	Ended            EventKind = "ended"     // it ended, in whatever way
+	Held             EventKind = "held"      // a state began to wait
+	Claimed          EventKind = "claimed"   // a writer is waiting for it or fetches it
+	ClaimEnded       EventKind = "unclaimed" // that ended without the state having gone
+	Renewed          EventKind = "renewed"   // its router still wants it: an attempt for it is out
+	Fetched          EventKind = "fetched"   // the state has gone to a writer
+	Released         EventKind = "released"  // it was let go
+	Expired          EventKind = "lapsed"    // nobody let it go in time and the engine did
+	Lost             EventKind = "lost"      // the engine went down with it
+	Reserved         EventKind = "reserved"  // a place is held ahead
+	ReservationEnded EventKind = "placed"    // it was taken by a send or given up
 )
 
 // What the surroundings do.
 const (
-	Listed     What = "listed"      // the list was written: Who is the engine, Note its state
-	RouterUp   What = "router up"   // Who takes requests
-	RouterDown What = "router down" // Who was stopped or killed
+	Listed     EventKind = "listed"      // the list was written: Who is the engine, Note its state
+	RouterUp   EventKind = "router up"   // Who takes requests
+	RouterDown EventKind = "router down" // Who was stopped or killed
 )
 
 // Record is one thing seen. Times are nanoseconds of wall time on one machine.
 type Record struct {
-	At       int64   `json:"t"`
-	Who      string  `json:"who"`
-	What     What    `json:"what"`
-	ID       string  `json:"id,omitempty"`     // a try's id, or an attempt's
-	Client   string  `json:"client,omitempty"` // at engines: the try that the attempt is for
-	Router   string  `json:"router,omitempty"`
-	Class    string  `json:"class,omitempty"`
-	Repeat   string  `json:"repeat,omitempty"`
-	Stage    string  `json:"stage,omitempty"`
-	Deadline int64   `json:"deadline,omitempty"`
-	Work     float64 `json:"work,omitempty"`
-	N        float64 `json:"n,omitempty"`
-	Note     string  `json:"note,omitempty"`
+	At       int64     `json:"t"`
+	Who      string    `json:"who"`
+	Kind     EventKind `json:"what"`
+	ID       string    `json:"id,omitempty"`     // a try's id, or an attempt's
+	Client   string    `json:"client,omitempty"` // at engines: the try that the attempt is for
+	Router   string    `json:"router,omitempty"`
+	Class    string    `json:"class,omitempty"`
+	Repeat   string    `json:"repeat,omitempty"`
+	Stage    string    `json:"stage,omitempty"`
+	Deadline int64     `json:"deadline,omitempty"`
+	Work     float64   `json:"work,omitempty"`
+	N        float64   `json:"n,omitempty"`
+	Note     string    `json:"note,omitempty"`
 }
 
 // Log keeps records in memory, up to a bound. Its zero value keeps none; it is safe for concurrent use.
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -146,7 +146,7 @@
 	h := &s.RoleChanges
 	return roles.Config{Classes: len(s.Classes), Confidence: h.Confidence, ConsecutivePlans: h.AgreeingPlans, PlanInterval: h.PlanInterval, SlowStartTime: s.SlowStartTime,
 		Timeouts:  roles.Timeouts{EmptyTimeout: h.EmptyTimeout, ChangeTimeout: h.ChangeTimeout, Backoff: h.FailureBackoff, CheckInterval: h.CheckInterval, ReplyTimeout: s.ProbeTimeout},
-		Costs:     roles.Costs{Horizon: h.Horizon, AwayTime: h.ChangeCost, MaxLoad: h.MaxLoad, MaxChanging: h.MaxConcurrent, MinEngines: h.MinEngines, Most: h.MaxEngines},
+		Costs:     roles.Costs{Horizon: h.Horizon, AwayTime: h.ChangeCost, MaxLoad: h.MaxLoad, MaxChanging: h.MaxConcurrent, MinEngines: h.MinEngines, MaxEngines: h.MaxEngines},
 		TurnOrder: roles.TurnOrder{Routers: s.Routers, Index: s.Index, SlotLength: h.Slot}, DryRun: h.Mode == "dry"}
 }
 
--- a/internal/day/badday.go
+++ b/internal/day/badday.go
@@ -1,8 +1,8 @@
 package day
 
-// BadDay is the built-in script: each kind of trouble that the bench knows, singly and overlapping, within
+// BuiltInScript is the built-in script: each kind of trouble that the bench knows, singly and overlapping, within
 // some forty seconds.
-const BadDay = `
+const BuiltInScript = `
 length 42s
 seed 1
 speed 1
--- a/internal/day/bench.go
+++ b/internal/day/bench.go
@@ -105,12 +105,12 @@
 	} `json:"fam"`
 }
 
-// Size is what a machine carries.
-type Size struct{ Engines, Routers int }
+// MaxSize is what a machine carries.
+type MaxSize struct{ Engines, Routers int }
 
-// FromBench turns a day that the bench drew into a script of at most the given size. What could not be
+// FromLbsim turns a day that the bench drew into a script of at most the given size. What could not be
 // carried over is in the script's Notes.
-func FromBench(path string, size Size) (*Script, error) {
+func FromLbsim(path string, size MaxSize) (*Script, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
@@ -124,14 +124,14 @@
 		return nil, fmt.Errorf("%s: found a day of family %q, expected one of readers and writers as the bench draws it", path, d.Family)
 	}
 	us := func(f float64) time.Duration { return time.Duration(f * 1000).Round(time.Millisecond) }
-	s := Default()
+	s := DefaultScript()
 	s.File, s.Length, s.Load = path, us(d.Length), d.Traffic.Load
-	s.FrontNotice, s.DrainGrace, s.FallMultiple, s.FallWithin = us(d.Notice), us(d.DrainGrace), d.FallTimes, us(d.FallFor)
-	s.Notice, s.Silent, s.Add = us(d.Discovery.Notice), us(d.Discovery.Silent), us(d.Discovery.Add)
-	s.LetGoWithin, s.Resume, s.Link = us(d.Fam.Release), d.Fam.Resume, d.Fam.Far
-	s.StartCapacity, s.ColdFor = d.Tiers[0].StartCapacity, us(d.Tiers[0].ColdFor)
+	s.FrontNotice, s.DrainGrace, s.OverloadMultiple, s.OverloadWindow = us(d.Notice), us(d.DrainGrace), d.FallTimes, us(d.FallFor)
+	s.CrashNotice, s.SilenceNotice, s.StartNotice = us(d.Discovery.Notice), us(d.Discovery.Silent), us(d.Discovery.Add)
+	s.HoldTimeout, s.Resume, s.LinkRate = us(d.Fam.Release), d.Fam.Resume, d.Fam.Far
+	s.InitialCapacity, s.SlowStartTime = d.Tiers[0].StartCapacity, us(d.Tiers[0].ColdFor)
 	s.MaxRetryAfter = us(d.Clients.MaxRetry)
-	s.Clients = Clients{Retries: d.Clients.Retries, Backoff: us(d.Clients.Wait), Honour: d.Clients.Honour, Patience: d.Clients.TryShare}
+	s.Clients = Clients{Retries: d.Clients.Retries, Backoff: us(d.Clients.Wait), HonourShare: d.Clients.Honour, Patience: d.Clients.TryShare}
 	if d.Clients.Backoff == "none" {
 		s.Clients.Backoff = 0
 	}
@@ -157,11 +157,11 @@
 	for i, c := range d.Classes {
 		t := d.Fam.Talks[i]
 		k := defaultClass(c.Name)
-		k.Share, k.Worth, k.Aim, k.Deadline, k.Repeat = c.Share, c.Worth, us(c.Aim), us(c.Deadline), c.Effect
-		k.AimPerK, k.TokenAim, k.MaxTokens = us(t.AimPerK*1000), us(t.TokenMS*1000), t.MaxOut
-		k.New, k.NewSigma, k.Answer, k.AnsSigma = t.New, t.NewSigma, t.Out, t.OutSigma
-		k.Texts, k.TextTokens, k.TextShare = max(int(float64(t.Texts)*part), 1), t.TextToks, t.TextShare
-		k.Turns, k.Think = t.Turns, us(t.Think*1e6)
+		k.Share, k.Value, k.FirstTokenTarget, k.Deadline, k.RetryPolicy = c.Share, c.Worth, us(c.Aim), us(c.Deadline), c.Effect
+		k.FirstTokenTargetPerK, k.TokenIntervalTarget, k.MaxOutputTokens = us(t.AimPerK*1000), us(t.TokenMS*1000), t.MaxOut
+		k.NewTokens, k.NewTokensSigma, k.OutputTokens, k.OutputTokensSigma = t.New, t.NewSigma, t.Out, t.OutSigma
+		k.Prefixes, k.PrefixTokens, k.PrefixShare = max(int(float64(t.Texts)*part), 1), t.TextToks, t.TextShare
+		k.Turns, k.ThinkTime = t.Turns, us(t.Think*1e6)
 		s.Classes = append(s.Classes, k)
 	}
 	s.note("%d engines of %d, %d routers of %d; the load stays the same part of what the engines can do", s.Prefill.Count+s.Decode.Count,
@@ -206,7 +206,7 @@
 	}
 	us := func(f float64) time.Duration { return time.Duration(f * 1000).Round(time.Millisecond) }
 	for _, t := range d.Troubles {
-		e := Event{At: us(t.At), Kind: t.Kind, For: us(t.For), Size: t.Size, Extra: t.Extra, On: on(t.On), How: t.How}
+		e := Event{At: us(t.At), Kind: t.Kind, Duration: us(t.For), Size: t.Size, Extra: t.Extra, Targets: on(t.On), How: t.How}
 		switch t.Kind {
 		case "throttle", "class_fail", "heavy_tail":
 			if t.How == "tenant" {
@@ -223,7 +223,7 @@
 			s.note("handshake_slow: failing connects; new connections only wait")
 		case "preempt":
 			for _, st := range t.Steps {
-				s.Events = append(s.Events, Event{At: us(st.At), Kind: "preempt", For: us(t.Extra * 1e6), Size: t.Size, On: on(st.Stop)})
+				s.Events = append(s.Events, Event{At: us(st.At), Kind: "preempt", Duration: us(t.Extra * 1e6), Size: t.Size, Targets: on(st.Stop)})
 			}
 			s.note("preempt: the machines that come back keep their names and addresses")
 			continue
@@ -232,7 +232,7 @@
 				if i >= s.Routers {
 					break
 				}
-				s.Events = append(s.Events, Event{At: us(st.At), Kind: "balancer_roll", For: us(max(t.Extra, 0.2) * 1e6), On: []string{routerName(i)}})
+				s.Events = append(s.Events, Event{At: us(st.At), Kind: "balancer_roll", Duration: us(max(t.Extra, 0.2) * 1e6), Targets: []string{routerName(i)}})
 			}
 			s.note("balancer_roll: one router at each step, up to all %d", s.Routers)
 			continue
@@ -244,7 +244,7 @@
 			}
 		}
 		if t.Kind == "origin_slow" {
-			e.On = nil
+			e.Targets = nil
 		}
 		s.Events = append(s.Events, e)
 	}
--- a/internal/day/day_test.go
+++ b/internal/day/day_test.go
@@ -11,14 +11,14 @@
 )
 
 func TestBuiltInDayIsSound(t *testing.T) {
-	s, err := Parse("built-in", BadDay)
+	s, err := Parse("built-in", BuiltInScript)
 	if err != nil {
 		t.Fatal(err)
 	}
 	kinds := map[string]bool{}
 	for _, e := range s.Events {
 		kinds[e.Kind] = true
-		if e.At+e.For > s.Length {
+		if e.At+e.Duration > s.Length {
 			t.Errorf("%s at %v lasts longer than the day", e.Kind, e.At)
 		}
 	}
@@ -104,17 +104,17 @@
 	if err := os.WriteFile(path, []byte(bench), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	s, err := FromBench(path, Size{Engines: 6, Routers: 2})
+	s, err := FromLbsim(path, MaxSize{Engines: 6, Routers: 2})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if s.Length != 40*time.Second || s.Routers != 2 || s.Prefill.Count != 2 || s.Decode.Count != 4 || s.Clients.Backoff != 0 ||
-		s.Classes[1].Repeat != "unsafe" || s.Decode.Spec.Step != 15*time.Millisecond || s.LetGoWithin != 300*time.Millisecond {
+		s.Classes[1].RetryPolicy != "unsafe" || s.Decode.Spec.Step != 15*time.Millisecond || s.HoldTimeout != 300*time.Millisecond {
 		t.Errorf("%+v", s)
 	}
 	var got []string
 	for _, e := range s.Events {
-		got = append(got, e.Kind+" "+e.At.String()+" "+strings.Join(e.On, ","))
+		got = append(got, e.Kind+" "+e.At.String()+" "+strings.Join(e.Targets, ","))
 	}
 	want := []string{"crash 5s p2", "throttle 6s d1", "preempt 9s d4", "balancer_roll 12s r1", "balancer_roll 13s r2"}
 	if !reflect.DeepEqual(got, want) {
@@ -135,20 +135,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(back.Events) != len(s.Events) || back.Classes[0].Name != "a" || back.Decode.Count != 4 || back.ColdFor != s.ColdFor {
+	if len(back.Events) != len(s.Events) || back.Classes[0].Name != "a" || back.Decode.Count != 4 || back.SlowStartTime != s.SlowStartTime {
 		t.Errorf("%+v", back)
 	}
-	if _, err := FromBench(out, Size{6, 2}); err == nil {
+	if _, err := FromLbsim(out, MaxSize{6, 2}); err == nil {
 		t.Error("a script was taken for a day of the bench")
 	}
 }
 
 func TestSpread(t *testing.T) {
-	mean, half := Spread([]float64{1, 2, 3})
+	mean, half := ConfidenceInterval([]float64{1, 2, 3})
 	if mean != 2 || math.Abs(half-2.484) > 0.001 { // 4.303 / sqrt(3)
 		t.Errorf("%v +- %v", mean, half)
 	}
-	if m, h := Spread([]float64{1}); m != 1 || h != 0 {
+	if m, h := ConfidenceInterval([]float64{1}); m != 1 || h != 0 {
 		t.Errorf("%v +- %v", m, h)
 	}
 }
--- a/internal/day/run.go
+++ b/internal/day/run.go
@@ -29,28 +29,28 @@
 
 // Options are how a day is played.
 type Options struct {
-	// Router starts a router with a settings file and returns once it listens where the file says.
-	Router func(settings string) (Process, error)
-	Dir    string        // for settings and lists; must exist
-	Slack  time.Duration // see audit.Rules; 0: 150ms
-	Log    *slog.Logger
-	Out    io.Writer // progress for people; nil: none
+	// StartRouter starts a router with a settings file and returns once it listens where the file says.
+	StartRouter func(settings string) (Process, error)
+	Dir         string        // for settings and lists; must exist
+	Slack       time.Duration // see audit.Rules; 0: 150ms
+	Log         *slog.Logger
+	Progress    io.Writer // progress for people; nil: none
 }
 
 // Result is a day that was played.
 type Result struct {
-	Report  *audit.Report
-	Records []audit.Record
-	Asked   int     // requests that were drawn
-	Rate    float64 // a second
-	Late    time.Duration
+	Report   *audit.Report
+	Records  []audit.Record
+	Requests int     // requests that were drawn
+	Rate     float64 // a second
+	LoadLag  time.Duration
 }
 
-// Void tells why a run can't be trusted, or "".
-func (r *Result) Void() string {
+// InvalidReason tells why a run can't be trusted, or "".
+func (r *Result) InvalidReason() string {
 	const mayLag = 100 * time.Millisecond
-	if r.Late > mayLag {
-		return fmt.Sprintf("the load fell %v behind its times", r.Late)
+	if r.LoadLag > mayLag {
+		return fmt.Sprintf("the load fell %v behind its times", r.LoadLag)
 	}
 	return ""
 }
@@ -83,8 +83,8 @@
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
 	}
-	if o.Out == nil {
-		o.Out = io.Discard
+	if o.Progress == nil {
+		o.Progress = io.Discard
 	}
 	p := &player{s: script.scaled(), o: o, record: audit.NewLog(maxRecords)}
 	asks := p.s.requests()
@@ -103,7 +103,7 @@
 	defer endLayer()
 	work.Add(1)
 	go func() { defer work.Done(); p.layer.Run(layerCtx) }()
-	fmt.Fprintf(o.Out, "day of %v (%v on the clock): %d requests, %.1f a second, %d routers, %d engines, seed %d\n",
+	fmt.Fprintf(o.Progress, "day of %v (%v on the clock): %d requests, %.1f a second, %d routers, %d engines, seed %d\n",
 		script.Length, p.s.Length, len(asks), p.s.Rate, p.s.Routers, len(p.fleet.Members()), p.s.Seed)
 	began := time.Now()
 	for i := range p.s.Events {
@@ -121,8 +121,8 @@
 	work.Wait()
 	p.close()
 	records, dropped := p.record.Records()
-	return &Result{Report: audit.Check(records, dropped, p.s.Rules(o.Slack)), Records: records, Asked: len(asks), Rate: p.s.Rate,
-		Late: late}, nil
+	return &Result{Report: audit.Check(records, dropped, p.s.AuditRules(o.Slack)), Records: records, Requests: len(asks), Rate: p.s.Rate,
+		LoadLag: late}, nil
 }
 
 func (p *player) start(ctx context.Context) error {
@@ -134,7 +134,7 @@
 	var err error
 	p.fleet, err = fleet.Start(fleet.Config{
 		Groups: p.s.groups(),
-		Cells:  cells, List: list, Notice: p.s.Notice, Silent: p.s.Silent, Add: p.s.Add, LinkPS: p.s.Link,
+		Cells:  cells, List: list, Notice: p.s.CrashNotice, Silent: p.s.SilenceNotice, Add: p.s.StartNotice, LinkPS: p.s.LinkRate,
 		Seed: p.s.Seed, Record: p.record, Log: p.o.Log})
 	if err != nil {
 		return err
@@ -146,7 +146,7 @@
 			return err
 		}
 		r := &slot{name: routerName(i), addr: addr, settings: filepath.Join(p.o.Dir, routerName(i)+".conf")}
-		if err := os.WriteFile(r.settings, []byte(p.s.Settings(i, addr, list)), 0o644); err != nil {
+		if err := os.WriteFile(r.settings, []byte(p.s.RouterSettings(i, addr, list)), 0o644); err != nil {
 			return err
 		}
 		if err := p.up(ctx, r); err != nil {
@@ -170,7 +170,7 @@
 
 // up starts a router and waits until it is ready.
 func (p *player) up(ctx context.Context, r *slot) error {
-	proc, err := p.o.Router(r.settings)
+	proc, err := p.o.StartRouter(r.settings)
 	if err != nil {
 		return fmt.Errorf("router %s: %w", r.name, err)
 	}
@@ -183,7 +183,7 @@
 		if err == nil {
 			resp.Body.Close()
 			if resp.StatusCode == http.StatusOK {
-				p.record.Add(audit.Record{Who: r.name, What: audit.RouterUp})
+				p.record.Add(audit.Record{Who: r.name, Kind: audit.RouterUp})
 				return nil
 			}
 		}
@@ -223,7 +223,7 @@
 		}
 		late = max(late, time.Since(began.Add(a.at)))
 		if a.at >= next {
-			fmt.Fprintf(p.o.Out, "%3.0f%% %d requests\n", 100*float64(a.at)/float64(p.s.Length), i)
+			fmt.Fprintf(p.o.Progress, "%3.0f%% %d requests\n", 100*float64(a.at)/float64(p.s.Length), i)
 			next += p.s.Length / 10
 		}
 		wg.Add(1)
@@ -238,7 +238,7 @@
 	if !sleep(ctx, time.Until(began.Add(e.At))) {
 		return
 	}
-	p.o.Log.Info("trouble", "kind", e.Kind, "for", e.For, "size", e.Size, "on", e.On)
+	p.o.Log.Info("trouble", "kind", e.Kind, "for", e.Duration, "size", e.Size, "on", e.Targets)
 	if e.Kind == "balancer_roll" {
 		p.roll(ctx, e)
 		return
@@ -252,7 +252,7 @@
 	}
 	var struck []*fleet.Member
 	for _, m := range p.fleet.Members() {
-		if len(e.On) == 0 || slices.Contains(e.On, m.Name) {
+		if len(e.Targets) == 0 || slices.Contains(e.Targets, m.Name) {
 			struck = append(struck, m)
 		}
 	}
@@ -263,14 +263,14 @@
 		case "unlist":
 			p.fleet.Unlist(m)
 		default:
-			f := standin.Fault{Kind: e.Kind, For: e.For, Size: e.Size, Class: e.Class, How: e.How}
+			f := standin.Fault{Kind: e.Kind, For: e.Duration, Size: e.Size, Class: e.Class, How: e.How}
 			if err := p.fleet.Play(m, f); err != nil {
 				p.o.Log.Error("trouble", "err", err)
 			}
 		}
 	}
 	if e.Kind == "drain" || e.Kind == "unlist" {
-		sleep(ctx, e.For)
+		sleep(ctx, e.Duration)
 		for _, m := range struck {
 			p.fleet.Relist(m)
 		}
@@ -280,15 +280,15 @@
 // roll kills routers and brings them back.
 func (p *player) roll(ctx context.Context, e *Event) {
 	for _, r := range p.routers {
-		if len(e.On) > 0 && !slices.Contains(e.On, r.name) {
+		if len(e.Targets) > 0 && !slices.Contains(e.Targets, r.name) {
 			continue
 		}
-		p.record.Add(audit.Record{Who: r.name, What: audit.RouterDown})
+		p.record.Add(audit.Record{Who: r.name, Kind: audit.RouterDown})
 		p.layer.Dead(r.addr)
 		p.mu.Lock()
 		r.proc.Kill()
 		p.mu.Unlock()
-		if !sleep(ctx, e.For) {
+		if !sleep(ctx, e.Duration) {
 			return
 		}
 		if err := p.up(ctx, r); err != nil {
@@ -302,7 +302,7 @@
 // settle waits until no engine holds anything for anybody, as far as that comes: what stays is for the
 // audit to find.
 func (p *player) settle() {
-	for end := time.Now().Add(2*p.s.LetGoWithin + time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(2*p.s.HoldTimeout + time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		left := 0
 		for _, m := range p.fleet.Members() {
 			sequences, held := m.Engine.Occupancy()
@@ -329,8 +329,8 @@
 	}
 }
 
-// Spread is the mean and the half-width of the 95% confidence interval of some figures, by Student's t.
-func Spread(values []float64) (mean, half float64) {
+// ConfidenceInterval is the mean and the half-width of the 95% confidence interval of some figures, by Student's t.
+func ConfidenceInterval(values []float64) (mean, half float64) {
 	n := float64(len(values))
 	if n == 0 {
 		return 0, 0
--- a/internal/day/script.go
+++ b/internal/day/script.go
@@ -19,32 +19,32 @@
 
 // Class is one class of requests and how its traffic looks.
 type Class struct {
-	Name       string
-	Share      float64 // of the sessions
-	Worth      float64
-	Aim        time.Duration
-	AimPerK    time.Duration
-	Deadline   time.Duration
-	TokenAim   time.Duration
-	Repeat     string  // safe, keyed or unsafe
-	New        float64 // mean new prompt tokens of a turn
-	NewSigma   float64
-	Answer     float64 // mean answer tokens
-	AnsSigma   float64
-	MaxTokens  int
-	Turns      float64 // mean turns of a session
-	Think      time.Duration
-	Texts      int     // shared texts
-	TextTokens float64 // mean
-	TextShare  float64 // of sessions that begin with one
+	Name                 string
+	Share                float64 // of the sessions
+	Value                float64
+	FirstTokenTarget     time.Duration
+	FirstTokenTargetPerK time.Duration
+	Deadline             time.Duration
+	TokenIntervalTarget  time.Duration
+	RetryPolicy          string  // safe, keyed or unsafe
+	NewTokens            float64 // mean new prompt tokens of a turn
+	NewTokensSigma       float64
+	OutputTokens         float64 // mean answer tokens
+	OutputTokensSigma    float64
+	MaxOutputTokens      int
+	Turns                float64 // mean turns of a session
+	ThinkTime            time.Duration
+	Prefixes             int     // shared texts
+	PrefixTokens         float64 // mean
+	PrefixShare          float64 // of sessions that begin with one
 }
 
 // Clients is how clients behave.
 type Clients struct {
-	Retries  int
-	Backoff  time.Duration
-	Honour   float64 // part that follows Retry-After
-	Patience float64 // a try is given up after this part of the class's deadline
+	Retries     int
+	Backoff     time.Duration
+	HonourShare float64 // part that follows Retry-After
+	Patience    float64 // a try is given up after this part of the class's deadline
 }
 
 // Group is a number of alike engines.
@@ -56,15 +56,15 @@
 
 // Event is a trouble of the day. On names engines (or routers, from 0); empty: all.
 type Event struct {
-	At    time.Duration
-	Kind  string
-	For   time.Duration
-	Size  float64
-	Extra float64
-	Class string
-	How   string
-	On    []string
-	Line  int
+	At       time.Duration
+	Kind     string
+	Duration time.Duration
+	Size     float64
+	Extra    float64
+	Class    string
+	How      string
+	Targets  []string
+	Line     int
 }
 
 // The kinds of trouble that do not strike engines alone, with what their size and extra mean.
@@ -88,48 +88,48 @@
 	Rate    float64 // requests a second, over all routers
 	Load    float64 // part of the engines' capacity; sets Rate where that is 0
 
-	Cells                            int
-	Link                             float64 // tokens a second out of a cell; 0: as a port
-	Notice, Silent, Add, FrontNotice time.Duration
-	Clients                          Clients
-	Classes                          []Class
-	Prefill, Decode                  Group
-	Events                           []Event
-
-	AnswerGrace, DrainGrace, LetGoWithin time.Duration
-	FallMultiple                         float64
-	FallWithin                           time.Duration
-	StartCapacity                        float64
-	ColdFor                              time.Duration
+	Cells                                                int
+	LinkRate                                             float64 // tokens a second out of a cell; 0: as a port
+	CrashNotice, SilenceNotice, StartNotice, FrontNotice time.Duration
+	Clients                                              Clients
+	Classes                                              []Class
+	Prefill, Decode                                      Group
+	Events                                               []Event
+
+	AnswerGrace, DrainGrace, HoldTimeout time.Duration
+	OverloadMultiple                     float64
+	OverloadWindow                       time.Duration
+	InitialCapacity                      float64
+	SlowStartTime                        time.Duration
 	MaxRetryAfter                        time.Duration
 	Resume                               bool
 
 	// A recorded trace in the place of the drawn traffic, and engines that change roles.
-	TraceFile string
-	Trace     *trace.Trace
-	Change    time.Duration // that a change takes; 0: every engine has one role
-	Shift     string        // off, dry or on
+	TraceFile      string
+	Trace          *trace.Trace
+	RoleChangeTime time.Duration // that a change takes; 0: every engine has one role
+	ShiftMode      string        // off, dry or on
 
 	Notes []string // what of a bench's day could not be carried over
 }
 
-// Default is a quiet day of the size that one machine carries well.
-func Default() Script {
+// DefaultScript is a quiet day of the size that one machine carries well.
+func DefaultScript() Script {
 	return Script{
-		Length: time.Minute, Seed: 1, Speed: 1, Routers: 3, Cells: 2, Link: 300e3, Load: 0.5,
-		Notice: 2 * time.Second, Silent: 5 * time.Second, Add: time.Second, FrontNotice: 1500 * time.Millisecond,
-		Clients: Clients{Retries: 1, Backoff: 100 * time.Millisecond, Honour: 0.7, Patience: 1},
+		Length: time.Minute, Seed: 1, Speed: 1, Routers: 3, Cells: 2, LinkRate: 300e3, Load: 0.5,
+		CrashNotice: 2 * time.Second, SilenceNotice: 5 * time.Second, StartNotice: time.Second, FrontNotice: 1500 * time.Millisecond,
+		Clients: Clients{Retries: 1, Backoff: 100 * time.Millisecond, HonourShare: 0.7, Patience: 1},
 		Prefill: Group{Prefix: "p", Count: 4, Spec: standin.Prefill()}, Decode: Group{Prefix: "d", Count: 6, Spec: standin.Decode()},
-		AnswerGrace: 16 * time.Millisecond, DrainGrace: time.Second, LetGoWithin: 300 * time.Millisecond,
-		FallMultiple: 4, FallWithin: 2 * time.Second, StartCapacity: 0.26, ColdFor: 13 * time.Second,
+		AnswerGrace: 16 * time.Millisecond, DrainGrace: time.Second, HoldTimeout: 300 * time.Millisecond,
+		OverloadMultiple: 4, OverloadWindow: 2 * time.Second, InitialCapacity: 0.26, SlowStartTime: 13 * time.Second,
 		MaxRetryAfter: 500 * time.Millisecond,
 	}
 }
 
 func defaultClass(name string) Class {
-	return Class{Name: name, Share: 1, Worth: 1, Aim: time.Second, AimPerK: 40 * time.Millisecond, Deadline: 4 * time.Second,
-		TokenAim: 60 * time.Millisecond, Repeat: "safe", New: 300, NewSigma: 0.8, Answer: 100, AnsSigma: 0.6, MaxTokens: 500,
-		Turns: 2, Think: 3 * time.Second, Texts: 20, TextTokens: 2000, TextShare: 0.8}
+	return Class{Name: name, Share: 1, Value: 1, FirstTokenTarget: time.Second, FirstTokenTargetPerK: 40 * time.Millisecond, Deadline: 4 * time.Second,
+		TokenIntervalTarget: 60 * time.Millisecond, RetryPolicy: "safe", NewTokens: 300, NewTokensSigma: 0.8, OutputTokens: 100, OutputTokensSigma: 0.6, MaxOutputTokens: 500,
+		Turns: 2, ThinkTime: 3 * time.Second, Prefixes: 20, PrefixTokens: 2000, PrefixShare: 0.8}
 }
 
 // Load reads a script.
@@ -170,19 +170,19 @@
 }
 
 func build(file string, lines []config.Line, errs config.Errors) (*Script, error) {
-	s := Default()
+	s := DefaultScript()
 	s.File = file
 	seed := func(v string) error { n, err := config.ParseCount(v); s.Seed = uint64(n); return err }
 	top := []field{
 		{"length", dur(&s.Length)}, {"seed", seed}, {"speed", num(&s.Speed)}, {"routers", count(&s.Routers)},
 		{"rate", func(v string) (err error) { s.Rate, err = config.ParseRate(v); return }}, {"load", num(&s.Load)},
-		{"cells", count(&s.Cells)}, {"link", toks(&s.Link)}, {"notice", dur(&s.Notice)}, {"silent-notice", dur(&s.Silent)},
-		{"add", dur(&s.Add)}, {"front-notice", dur(&s.FrontNotice)},
-		{"answer-grace", dur(&s.AnswerGrace)}, {"drain-grace", dur(&s.DrainGrace)}, {"let-go-within", dur(&s.LetGoWithin)},
-		{"fall-multiple", num(&s.FallMultiple)}, {"fall-within", dur(&s.FallWithin)}, {"start-capacity", num(&s.StartCapacity)},
-		{"cold-for", dur(&s.ColdFor)}, {"retry-after", dur(&s.MaxRetryAfter)},
-		{"trace", func(v string) error { s.TraceFile = v; return nil }}, {"change", dur(&s.Change)},
-		{"shift", func(v string) (err error) { s.Shift, err = config.ParseChoice(v, "off", "dry", "on"); return }},
+		{"cells", count(&s.Cells)}, {"link", toks(&s.LinkRate)}, {"notice", dur(&s.CrashNotice)}, {"silent-notice", dur(&s.SilenceNotice)},
+		{"add", dur(&s.StartNotice)}, {"front-notice", dur(&s.FrontNotice)},
+		{"answer-grace", dur(&s.AnswerGrace)}, {"drain-grace", dur(&s.DrainGrace)}, {"let-go-within", dur(&s.HoldTimeout)},
+		{"fall-multiple", num(&s.OverloadMultiple)}, {"fall-within", dur(&s.OverloadWindow)}, {"start-capacity", num(&s.InitialCapacity)},
+		{"cold-for", dur(&s.SlowStartTime)}, {"retry-after", dur(&s.MaxRetryAfter)},
+		{"trace", func(v string) error { s.TraceFile = v; return nil }}, {"change", dur(&s.RoleChangeTime)},
+		{"shift", func(v string) (err error) { s.ShiftMode, err = config.ParseChoice(v, "off", "dry", "on"); return }},
 	}
 	for i := range lines {
 		l := &lines[i]
@@ -193,15 +193,18 @@
 				continue
 			}
 			c := defaultClass(l.Words[1].Text)
-			pairs(l, 2, &errs, []field{{"share", num(&c.Share)}, {"worth", num(&c.Worth)}, {"aim", dur(&c.Aim)}, {"aim-per-1000", dur(&c.AimPerK)},
-				{"deadline", dur(&c.Deadline)}, {"token-aim", dur(&c.TokenAim)},
-				{"repeat", func(v string) (err error) { c.Repeat, err = config.ParseChoice(v, "safe", "keyed", "unsafe"); return }},
-				{"new", toks(&c.New)}, {"answer", toks(&c.Answer)}, {"max-tokens", count(&c.MaxTokens)}, {"turns", num(&c.Turns)},
-				{"think", dur(&c.Think)}, {"texts", count(&c.Texts)}, {"text-tokens", toks(&c.TextTokens)}, {"text-share", num(&c.TextShare)}})
+			pairs(l, 2, &errs, []field{{"share", num(&c.Share)}, {"worth", num(&c.Value)}, {"aim", dur(&c.FirstTokenTarget)}, {"aim-per-1000", dur(&c.FirstTokenTargetPerK)},
+				{"deadline", dur(&c.Deadline)}, {"token-aim", dur(&c.TokenIntervalTarget)},
+				{"repeat", func(v string) (err error) {
+					c.RetryPolicy, err = config.ParseChoice(v, "safe", "keyed", "unsafe")
+					return
+				}},
+				{"new", toks(&c.NewTokens)}, {"answer", toks(&c.OutputTokens)}, {"max-tokens", count(&c.MaxOutputTokens)}, {"turns", num(&c.Turns)},
+				{"think", dur(&c.ThinkTime)}, {"texts", count(&c.Prefixes)}, {"text-tokens", toks(&c.PrefixTokens)}, {"text-share", num(&c.PrefixShare)}})
 			s.Classes = append(s.Classes, c)
 		case "clients":
 			c := &s.Clients
-			pairs(l, 1, &errs, []field{{"retries", count(&c.Retries)}, {"backoff", dur(&c.Backoff)}, {"honour", num(&c.Honour)},
+			pairs(l, 1, &errs, []field{{"retries", count(&c.Retries)}, {"backoff", dur(&c.Backoff)}, {"honour", num(&c.HonourShare)},
 				{"patience", num(&c.Patience)}})
 		case "prefill", "decode":
 			g := &s.Prefill
@@ -227,8 +230,8 @@
 	if s.Speed <= 0 || s.Length <= 0 || s.Routers < 1 || s.Prefill.Count < 1 || s.Decode.Count < 1 || s.Cells < 1 {
 		errs.Add(whole, "speed, length, routers, cells and the counts of engines must be over 0")
 	}
-	if s.Shift != "off" && s.Shift != "" && s.Change <= 0 {
-		errs.Add(whole, "shift is %s, but engines do not change: expected 'change TIME'", s.Shift)
+	if s.ShiftMode != "off" && s.ShiftMode != "" && s.RoleChangeTime <= 0 {
+		errs.Add(whole, "shift is %s, but engines do not change: expected 'change TIME'", s.ShiftMode)
 	}
 	if s.TraceFile != "" {
 		path := s.TraceFile
@@ -238,7 +241,7 @@
 		t, err := trace.Load(path)
 		if err != nil {
 			errs.Add(whole, "%v", err)
-		} else if err := s.Record(t); err != nil {
+		} else if err := s.UseTrace(t); err != nil {
 			errs.Add(whole, "%v", err)
 		}
 	}
@@ -286,8 +289,8 @@
 	}
 	e.Kind = l.Words[2].Text
 	pairs(l, 3, errs, []field{
-		{"on", func(v string) error { e.On = strings.Split(v, ","); return nil }},
-		{"for", dur(&e.For)}, {"size", num(&e.Size)}, {"extra", num(&e.Extra)},
+		{"on", func(v string) error { e.Targets = strings.Split(v, ","); return nil }},
+		{"for", dur(&e.Duration)}, {"size", num(&e.Size)}, {"extra", num(&e.Extra)},
 		{"class", func(v string) error { e.Class = v; return nil }}, {"how", func(v string) error { e.How = v; return nil }}})
 	return e, true
 }
@@ -299,13 +302,13 @@
 		if standin.Kinds[e.Kind] == "" && otherKinds[e.Kind] == "" {
 			errs.Add(l, "there is no trouble %q", e.Kind)
 		}
-		if e.For <= 0 && e.Kind != "split" {
+		if e.Duration <= 0 && e.Kind != "split" {
 			errs.Add(l, "%s has no 'for', expected how long it lasts", e.Kind)
 		}
 		if e.Class != "" && !slices.ContainsFunc(s.Classes, func(c Class) bool { return c.Name == e.Class }) {
 			errs.Add(l, "there is no class %q", e.Class)
 		}
-		for _, name := range e.On {
+		for _, name := range e.Targets {
 			if !slices.Contains(s.targets(e.Kind), name) {
 				errs.Add(l, "%s strikes %q, expected one of %s", e.Kind, name, strings.Join(s.targets(e.Kind), ", "))
 			}
@@ -340,10 +343,10 @@
 			*d = time.Duration(float64(*d) / s.Speed)
 		}
 	}
-	f(&c.Length, &c.Notice, &c.Silent, &c.Add, &c.FrontNotice, &c.Clients.Backoff, &c.FallWithin, &c.ColdFor, &c.MaxRetryAfter,
-		&c.DrainGrace, &c.Change)
+	f(&c.Length, &c.CrashNotice, &c.SilenceNotice, &c.StartNotice, &c.FrontNotice, &c.Clients.Backoff, &c.OverloadWindow, &c.SlowStartTime, &c.MaxRetryAfter,
+		&c.DrainGrace, &c.RoleChangeTime)
 	for i := range c.Events {
-		f(&c.Events[i].At, &c.Events[i].For)
+		f(&c.Events[i].At, &c.Events[i].Duration)
 		switch c.Events[i].Kind { // sizes that are times
 		case "preempt", "handshake_slow", "report_late":
 			c.Events[i].Size /= s.Speed
@@ -351,15 +354,15 @@
 	}
 	for i := range c.Classes {
 		k := &c.Classes[i]
-		f(&k.Aim, &k.AimPerK, &k.Deadline, &k.TokenAim, &k.Think)
+		f(&k.FirstTokenTarget, &k.FirstTokenTargetPerK, &k.Deadline, &k.TokenIntervalTarget, &k.ThinkTime)
 	}
 	c.Prefill.Spec.Faster(s.Speed)
 	c.Decode.Spec.Faster(s.Speed)
-	c.Link *= s.Speed
+	c.LinkRate *= s.Speed
 	c.Rate = s.rate() * s.Speed
 	for _, g := range []*Group{&c.Prefill, &c.Decode} {
-		g.Spec.FallMultiple, g.Spec.FallWithin = c.FallMultiple, c.FallWithin
-		g.Spec.ColdFrom, g.Spec.ColdFor = min(c.StartCapacity*1.15, 1), c.ColdFor*9/10
+		g.Spec.FallMultiple, g.Spec.FallWithin = c.OverloadMultiple, c.OverloadWindow
+		g.Spec.ColdFrom, g.Spec.ColdFor = min(c.InitialCapacity*1.15, 1), c.SlowStartTime*9/10
 		g.Spec.MeanPrompt, g.Spec.MeanAnswer = s.means()
 	}
 	return &c
@@ -372,8 +375,8 @@
 		// A turn reads its new tokens and the answer before it; a shared text is mostly kept.
 		w := c.Share * max(c.Turns, 1)
 		const missed = 0.2
-		read += w * (c.New + c.Answer*(1-1/max(c.Turns, 1)) + missed*c.TextShare*c.TextTokens)
-		answer += w * c.Answer
+		read += w * (c.NewTokens + c.OutputTokens*(1-1/max(c.Turns, 1)) + missed*c.PrefixShare*c.PrefixTokens)
+		answer += w * c.OutputTokens
 		share += w
 	}
 	return read / share, answer / share
@@ -391,15 +394,15 @@
 	// A writer's memory may hold fewer streams than it has slots.
 	held := 0.0
 	for _, c := range s.Classes {
-		held = max(held, c.TextShare*c.TextTokens+c.New*c.Turns+c.Answer)
+		held = max(held, c.PrefixShare*c.PrefixTokens+c.NewTokens*c.Turns+c.OutputTokens)
 	}
 	streams := min(float64(s.Decode.Spec.Slots), float64(s.Decode.Spec.Memory)/held)
 	writers = min(writers, streams/(answer*step.Seconds())*float64(s.Decode.Count))
 	return s.Load * min(readers, writers)
 }
 
-// Settings are those of router i of a scaled script.
-func (s *Script) Settings(i int, listen, list string) string {
+// RouterSettings are those of router i of a scaled script.
+func (s *Script) RouterSettings(i int, listen, list string) string {
 	var b strings.Builder
 	line := func(name string, v any) { fmt.Fprintf(&b, "%s %v\n", name, v) }
 	line("name", routerName(i))
@@ -412,11 +415,11 @@
 	line("max-context", s.Prefill.Spec.Context)
 	line("answer-grace", s.AnswerGrace)
 	line("drain-grace", s.DrainGrace)
-	line("let-go-within", s.LetGoWithin)
-	line("fall-multiple", s.FallMultiple)
-	line("fall-within", s.FallWithin)
-	line("start-capacity", s.StartCapacity)
-	line("cold-for", s.ColdFor)
+	line("let-go-within", s.HoldTimeout)
+	line("fall-multiple", s.OverloadMultiple)
+	line("fall-within", s.OverloadWindow)
+	line("start-capacity", s.InitialCapacity)
+	line("cold-for", s.SlowStartTime)
 	line("retry-after", s.MaxRetryAfter)
 	line("drain-limit", 2*time.Second)
 	if s.Resume {
@@ -424,13 +427,13 @@
 	}
 	for _, c := range s.Classes {
 		line("class", `"`+c.Name+`"`)
-		line("  aim", c.Aim)
-		line("  aim-per-1000", c.AimPerK)
+		line("  aim", c.FirstTokenTarget)
+		line("  aim-per-1000", c.FirstTokenTargetPerK)
 		line("  deadline", c.Deadline)
-		line("  token-aim", c.TokenAim)
-		line("  worth", c.Worth)
-		line("  repeat", c.Repeat)
-		line("  max-tokens", c.MaxTokens)
+		line("  token-aim", c.TokenIntervalTarget)
+		line("  worth", c.Value)
+		line("  repeat", c.RetryPolicy)
+		line("  max-tokens", c.MaxOutputTokens)
 	}
 	for _, g := range []Group{s.Prefill, s.Decode} {
 		kind, role := "prefill", "prefill"
@@ -440,7 +443,7 @@
 		line("kind", kind)
 		line("  role", role)
 		line("  memory", g.Spec.Memory)
-		if s.Change > 0 {
+		if s.RoleChangeTime > 0 {
 			line("  becomes", map[string]string{"prefill": "decode", "decode": "prefill"}[kind])
 			line("  capacity", int(g.Spec.Capacity()))
 		}
@@ -450,10 +453,10 @@
 
 const listEvery = 50 * time.Millisecond
 
-// Rules are the figures that the audit holds a scaled script's run against.
-func (s *Script) Rules(slack time.Duration) audit.Rules {
-	return audit.Rules{AnswerGrace: s.AnswerGrace, DrainGrace: s.DrainGrace, ListEvery: listEvery, FallMultiple: s.FallMultiple,
-		FallWithin: s.FallWithin, LetGoWithin: s.LetGoWithin, RouterNotice: s.FrontNotice, Slack: slack}
+// AuditRules are the figures that the audit holds a scaled script's run against.
+func (s *Script) AuditRules(slack time.Duration) audit.Rules {
+	return audit.Rules{AnswerGrace: s.AnswerGrace, DrainGrace: s.DrainGrace, ListInterval: listEvery, OverloadMultiple: s.OverloadMultiple,
+		OverloadWindow: s.OverloadWindow, HoldTimeout: s.HoldTimeout, FailoverTime: s.FrontNotice, Slack: slack}
 }
 
 // Write writes the script as Parse reads it.
@@ -463,20 +466,20 @@
 		fmt.Fprintf(&b, "# not carried over: %s\n", n)
 	}
 	fmt.Fprintf(&b, "length %v\nseed %d\nspeed %v\nrouters %d\nload %v\ncells %d\nlink %.0f\n", s.Length, s.Seed, s.Speed, s.Routers, s.Load,
-		s.Cells, s.Link)
-	fmt.Fprintf(&b, "notice %v\nsilent-notice %v\nadd %v\nfront-notice %v\n", s.Notice, s.Silent, s.Add, s.FrontNotice)
+		s.Cells, s.LinkRate)
+	fmt.Fprintf(&b, "notice %v\nsilent-notice %v\nadd %v\nfront-notice %v\n", s.CrashNotice, s.SilenceNotice, s.StartNotice, s.FrontNotice)
 	fmt.Fprintf(&b, "answer-grace %v\ndrain-grace %v\nlet-go-within %v\nfall-multiple %v\nfall-within %v\nstart-capacity %v\ncold-for %v\nretry-after %v\n",
-		s.AnswerGrace, s.DrainGrace, s.LetGoWithin, s.FallMultiple, s.FallWithin, s.StartCapacity, s.ColdFor, s.MaxRetryAfter)
+		s.AnswerGrace, s.DrainGrace, s.HoldTimeout, s.OverloadMultiple, s.OverloadWindow, s.InitialCapacity, s.SlowStartTime, s.MaxRetryAfter)
 	if s.TraceFile != "" {
 		fmt.Fprintf(&b, "trace %q\n", s.TraceFile)
 	}
-	if s.Change > 0 {
-		fmt.Fprintf(&b, "change %v\n", s.Change)
+	if s.RoleChangeTime > 0 {
+		fmt.Fprintf(&b, "change %v\n", s.RoleChangeTime)
 	}
-	if s.Shift != "" {
-		fmt.Fprintf(&b, "shift %s\n", s.Shift)
+	if s.ShiftMode != "" {
+		fmt.Fprintf(&b, "shift %s\n", s.ShiftMode)
 	}
-	fmt.Fprintf(&b, "clients retries %d backoff %v honour %v patience %v\n", s.Clients.Retries, s.Clients.Backoff, s.Clients.Honour, s.Clients.Patience)
+	fmt.Fprintf(&b, "clients retries %d backoff %v honour %v patience %v\n", s.Clients.Retries, s.Clients.Backoff, s.Clients.HonourShare, s.Clients.Patience)
 	for _, g := range []struct {
 		name string
 		Group
@@ -487,12 +490,12 @@
 	}
 	for _, c := range s.Classes {
 		fmt.Fprintf(&b, "class %q share %v worth %v aim %v aim-per-1000 %v deadline %v token-aim %v repeat %s new %.0f answer %.0f max-tokens %d turns %.2f think %v texts %d text-tokens %.0f text-share %.2f\n",
-			c.Name, c.Share, c.Worth, c.Aim, c.AimPerK, c.Deadline, c.TokenAim, c.Repeat, c.New, c.Answer, c.MaxTokens, c.Turns, c.Think, c.Texts, c.TextTokens, c.TextShare)
+			c.Name, c.Share, c.Value, c.FirstTokenTarget, c.FirstTokenTargetPerK, c.Deadline, c.TokenIntervalTarget, c.RetryPolicy, c.NewTokens, c.OutputTokens, c.MaxOutputTokens, c.Turns, c.ThinkTime, c.Prefixes, c.PrefixTokens, c.PrefixShare)
 	}
 	for _, e := range s.Events {
-		fmt.Fprintf(&b, "at %v %s for %v size %v extra %v", e.At, e.Kind, e.For, e.Size, e.Extra)
-		if len(e.On) > 0 {
-			fmt.Fprintf(&b, " on %s", strings.Join(e.On, ","))
+		fmt.Fprintf(&b, "at %v %s for %v size %v extra %v", e.At, e.Kind, e.Duration, e.Size, e.Extra)
+		if len(e.Targets) > 0 {
+			fmt.Fprintf(&b, " on %s", strings.Join(e.Targets, ","))
 		}
 		if e.Class != "" {
 			fmt.Fprintf(&b, " class %q", e.Class)
--- a/internal/day/swing.go
+++ b/internal/day/swing.go
@@ -14,8 +14,8 @@
 	"mintdoor/roles"
 )
 
-// Record puts a recorded trace in the place of the drawn traffic. Its classes are those of the script by name.
-func (s *Script) Record(t *trace.Trace) error {
+// UseTrace puts a recorded trace in the place of the drawn traffic. Its classes are those of the script by name.
+func (s *Script) UseTrace(t *trace.Trace) error {
 	for _, name := range t.Classes {
 		if !slices.ContainsFunc(s.Classes, func(c Class) bool { return c.Name == name }) {
 			return fmt.Errorf("the trace has a class %q, which the script has not", name)
@@ -37,11 +37,11 @@
 		e := &s.Trace.Entries[i]
 		c := &s.Classes[class[e.Class]]
 		a := ask{at: time.Duration(float64(e.At) / s.Speed), name: fmt.Sprintf("q%d", i+1), class: class[e.Class], session: fmt.Sprintf("s%d", i+1),
-			text: e.Text, prompt: min(max(e.Prompt, 1), s.Prefill.Spec.Context-c.MaxTokens-1), shared: e.Shared, answer: e.Answer, patience: 1}
+			text: e.PrefixID, prompt: min(max(e.PromptTokens, 1), s.Prefill.Spec.Context-c.MaxOutputTokens-1), shared: e.PrefixTokens, answer: e.OutputTokens, patience: 1}
 		if a.answer == 0 {
 			a.answer = unknown
 		}
-		a.answer = min(a.answer, c.MaxTokens)
+		a.answer = min(a.answer, c.MaxOutputTokens)
 		a.shared = min(a.shared, a.prompt)
 		a.hint = a.answer
 		out = append(out, a)
@@ -62,9 +62,9 @@
 	read, write := s.Prefill.Spec, s.Decode.Spec
 	out := []fleet.Group{{Prefix: s.Prefill.Prefix, Kind: "prefill", Count: s.Prefill.Count, Spec: read},
 		{Prefix: s.Decode.Prefix, Kind: "decode", Count: s.Decode.Count, Spec: write}}
-	if s.Change > 0 {
+	if s.RoleChangeTime > 0 {
 		out[0].Other, out[1].Other = &write, &read
-		out[0].Change, out[1].Change = s.Change, s.Change
+		out[0].Change, out[1].Change = s.RoleChangeTime, s.RoleChangeTime
 	}
 	return out
 }
@@ -72,10 +72,10 @@
 // shiftSettings are the routers' settings for engines that change roles, of a scaled script. Times are those of
 // the defaults, at the script's speed.
 func (s *Script) shiftSettings() string {
-	if s.Change <= 0 {
+	if s.RoleChangeTime <= 0 {
 		return ""
 	}
-	mode := s.Shift
+	mode := s.ShiftMode
 	if mode == "" {
 		mode = "off"
 	}
--- a/internal/day/traffic.go
+++ b/internal/day/traffic.go
@@ -39,16 +39,16 @@
 		turns, shares = turns+c.Share*max(c.Turns, 1), shares+c.Share
 	}
 	// Sessions begin before the day, so that its start is like its middle.
-	warm := 3 * s.Classes[0].Think
+	warm := 3 * s.Classes[0].ThinkTime
 	sessions := distuv.Exponential{Rate: s.Rate / (turns / shares), Src: src}
 	textLength := make([][]int, len(s.Classes))
 	zipf := make([]*rand.Zipf, len(s.Classes))
 	for i, c := range s.Classes {
-		d := lognormal(c.TextTokens, 0.4, src)
-		for range max(c.Texts, 1) {
+		d := lognormal(c.PrefixTokens, 0.4, src)
+		for range max(c.Prefixes, 1) {
 			textLength[i] = append(textLength[i], int(d.Rand())+1)
 		}
-		zipf[i] = rand.NewZipf(rng, 1.1, 1, uint64(max(c.Texts, 1)-1))
+		zipf[i] = rand.NewZipf(rng, 1.1, 1, uint64(max(c.Prefixes, 1)-1))
 	}
 	var out []ask
 	session := 0
@@ -64,20 +64,20 @@
 		}
 		c := &s.Classes[ci]
 		a := ask{class: ci, session: fmt.Sprintf("s%d", session)}
-		if rng.Float64() < c.TextShare {
+		if rng.Float64() < c.PrefixShare {
 			n := int(zipf[ci].Uint64())
 			a.text, a.shared = fmt.Sprintf("%s-text-%d", c.Name, n), textLength[ci][n]
 		}
 		a.prompt = a.shared
-		think := distuv.Exponential{Rate: 1 / max(c.Think.Seconds(), 1e-3), Src: src}
-		fresh, length := lognormal(c.New, c.NewSigma, src), lognormal(c.Answer, c.AnsSigma, src)
+		think := distuv.Exponential{Rate: 1 / max(c.ThinkTime.Seconds(), 1e-3), Src: src}
+		fresh, length := lognormal(c.NewTokens, c.NewTokensSigma, src), lognormal(c.OutputTokens, c.OutputTokensSigma, src)
 		for turn := at; turn < s.Length; {
 			n := int(fresh.Rand()) + 1
 			if f := s.tail(turn, ci); f > 1 && rng.Float64() < s.tailShare(turn, ci) {
 				n = int(float64(n) * f)
 			}
-			a.prompt = min(a.prompt+n, s.Prefill.Spec.Context-c.MaxTokens-1)
-			a.answer = min(max(int(length.Rand()), 1), c.MaxTokens)
+			a.prompt = min(a.prompt+n, s.Prefill.Spec.Context-c.MaxOutputTokens-1)
+			a.answer = min(max(int(length.Rand()), 1), c.MaxOutputTokens)
 			a.hint = max(int(float64(a.answer)*math.Exp(0.5*rng.NormFloat64())), 1)
 			a.at, a.patience, a.leaves = turn, s.Clients.Patience, false
 			s.giveUp(&a, rng)
@@ -88,7 +88,7 @@
 			if rng.Float64() >= 1-1/max(c.Turns, 1) {
 				break
 			}
-			turn += time.Duration(think.Rand()*1e9) + time.Duration(a.answer)*c.TokenAim/2
+			turn += time.Duration(think.Rand()*1e9) + time.Duration(a.answer)*c.TokenIntervalTarget/2
 		}
 	}
 	sort.SliceStable(out, func(i, j int) bool { return out[i].at < out[j].at })
@@ -101,7 +101,7 @@
 // factor is the product of the sizes of a kind of trouble that are on at a time.
 func (s *Script) factor(at time.Duration, kind string, f float64) float64 {
 	for _, e := range s.Events {
-		if e.Kind == kind && at >= e.At && at < e.At+e.For && e.Size > 0 {
+		if e.Kind == kind && at >= e.At && at < e.At+e.Duration && e.Size > 0 {
 			f *= e.Size
 		}
 	}
@@ -111,7 +111,7 @@
 func (s *Script) tail(at time.Duration, class int) float64 {
 	f := 1.0
 	for _, e := range s.Events {
-		if e.Kind == "heavy_tail" && at >= e.At && at < e.At+e.For && (e.Class == "" || e.Class == s.Classes[class].Name) {
+		if e.Kind == "heavy_tail" && at >= e.At && at < e.At+e.Duration && (e.Class == "" || e.Class == s.Classes[class].Name) {
 			f = max(f, e.Size)
 		}
 	}
@@ -120,7 +120,7 @@
 
 func (s *Script) tailShare(at time.Duration, class int) (share float64) {
 	for _, e := range s.Events {
-		if e.Kind == "heavy_tail" && at >= e.At && at < e.At+e.For && (e.Class == "" || e.Class == s.Classes[class].Name) {
+		if e.Kind == "heavy_tail" && at >= e.At && at < e.At+e.Duration && (e.Class == "" || e.Class == s.Classes[class].Name) {
 			share = max(share, e.Extra)
 		}
 	}
@@ -130,9 +130,9 @@
 // giveUp shortens the patience of some clients: to a part of the aim.
 func (s *Script) giveUp(a *ask, rng *rand.Rand) {
 	for _, e := range s.Events {
-		if e.Kind == "give_up" && a.at >= e.At && a.at < e.At+e.For && rng.Float64() < e.Size {
+		if e.Kind == "give_up" && a.at >= e.At && a.at < e.At+e.Duration && rng.Float64() < e.Size {
 			c := &s.Classes[a.class]
-			a.patience = e.Extra * float64(c.Aim) / float64(c.Deadline)
+			a.patience = e.Extra * float64(c.FirstTokenTarget) / float64(c.Deadline)
 			a.leaves = e.How == "leave"
 		}
 	}
--- a/internal/e2e/shift_test.go
+++ b/internal/e2e/shift_test.go
@@ -282,7 +282,7 @@
 	if wrong := stop(); len(wrong) > 0 {
 		t.Errorf("%d answers were no success: %q", len(wrong), wrong[:min(len(wrong), 5)])
 	}
-	if n := w.seen(audit.Turned, engine.RefusedDraining) + w.seen(audit.Turned, engine.RefusedRole); n != 0 {
+	if n := w.seen(audit.Rejected, engine.RefusedDraining) + w.seen(audit.Rejected, engine.RefusedRole); n != 0 {
 		t.Errorf("%d attempts went to the engine on its way", n)
 	}
 	w.settled()
@@ -391,7 +391,7 @@
 		t.Fatalf("%v, %+v", err, got)
 	}
 	for i, e := range got.Entries {
-		if e.Prompt != 40+i || e.Answer != 9 || e.Cut {
+		if e.PromptTokens != 40+i || e.OutputTokens != 9 || e.Truncated {
 			t.Errorf("%+v", e)
 		}
 	}
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -148,8 +148,8 @@
 		m.asked.WithLabelValues(name, "mean").Set(r.Demand[st].Mean)
 		m.asked.WithLabelValues(name, "sd").Set(r.Demand[st].SD)
 	}
-	m.served.WithLabelValues("now").Set(r.Plan.Now)
-	m.served.WithLabelValues("planned").Set(r.Plan.Then)
+	m.served.WithLabelValues("now").Set(r.Plan.ServedNow)
+	m.served.WithLabelValues("planned").Set(r.Plan.ServedAfter)
 	m.sure.Set(r.Verdict.Confidence)
 	m.planning.Observe(took)
 }
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -17,7 +17,7 @@
 	m := s.NewRoleMetrics()
 	m.ChangeEnded(&roles.ChangeResult{To: roles.Decode, Succeeded: true, Elapsed: 6 * time.Second}, 4)
 	m.ChangeEnded(&roles.ChangeResult{To: roles.Prefill, Elapsed: 2 * time.Second}, 4)
-	m.PlanMade(&roles.PlanReport{Plan: roles.Plan{Now: 0.8, Then: 0.9}, Verdict: roles.Verdict{Confidence: 0.7}}, 0.002)
+	m.PlanMade(&roles.PlanReport{Plan: roles.Plan{ServedNow: 0.8, ServedAfter: 0.9}, Verdict: roles.Verdict{Confidence: 0.7}}, 0.002)
 	m.SetEngines([]roles.Status{{Known: true, State: roles.RoleState{Role: roles.Decode}, Step: "idle"}, {Step: "idle"}})
 	m.ObservationDropped()
 	w := httptest.NewRecorder()
--- a/internal/shift/shift.go
+++ b/internal/shift/shift.go
@@ -22,8 +22,8 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Engines is what the driver asks of engines; *engine.Client does it.
-type Engines interface {
+// EngineClient is what the driver asks of engines; *engine.Client does it.
+type EngineClient interface {
 	Role(ctx context.Context, addr string) (engine.Role, error)
 	ChangeRole(ctx context.Context, addr string, q *engine.RoleChange) (engine.Role, bool, error)
 	CancelRoleChange(ctx context.Context, addr string, q *engine.RoleChangeCancel) (engine.Role, bool, error)
@@ -33,7 +33,7 @@
 type Driver struct {
 	set     *config.Settings
 	source  discovery.Source
-	engines Engines
+	engines EngineClient
 	name    string
 	log     *slog.Logger
 	metrics *metrics.RoleMetrics // nil: none
@@ -82,7 +82,7 @@
 )
 
 // New returns a driver for the settings, which have shifting on or dry.
-func New(set *config.Settings, source discovery.Source, engines Engines, name string, log *slog.Logger, m *metrics.RoleMetrics) *Driver {
+func New(set *config.Settings, source discovery.Source, engines EngineClient, name string, log *slog.Logger, m *metrics.RoleMetrics) *Driver {
 	return &Driver{set: set, source: source, engines: engines, name: name, log: log, metrics: m,
 		seen: make(chan observation, maxObservations), results: make(chan result, 64),
 		byID: map[uint64]*discovery.Engine{}, views: map[uint64]roles.Listing{}, asking: map[uint64]bool{},
@@ -119,11 +119,11 @@
 
 // Status is the state of shifting, for people.
 type Status struct {
-	At      time.Time
-	Mode    string
-	Plan    roles.PlanReport
-	Engines []EngineStatus
-	Unseen  int64 // observations of the traffic that did not fit
+	At                  time.Time
+	Mode                string
+	Plan                roles.PlanReport
+	Engines             []EngineStatus
+	DroppedObservations int64 // observations of the traffic that did not fit
 }
 
 // EngineStatus is one engine that can change.
@@ -136,7 +136,7 @@
 func (d *Driver) Status() *Status { return d.status.Load() }
 
 func (d *Driver) keepStatus(now time.Time) {
-	st := &Status{At: now, Mode: d.set.RoleChanges.Mode, Plan: d.manager.LastReport(), Unseen: d.missed.Load()}
+	st := &Status{At: now, Mode: d.set.RoleChanges.Mode, Plan: d.manager.LastReport(), DroppedObservations: d.missed.Load()}
 	list := d.manager.Status(now)
 	d.metrics.SetEngines(list)
 	for _, e := range list {
@@ -201,7 +201,7 @@
 			changed = d.carry(ctx, &acts[i]) || changed
 		}
 		for _, e := range d.manager.TakeResults() {
-			d.metrics.ChangeEnded(&e, roles.ColdLost(d.set.InitialCapacity, d.set.SlowStartTime).Seconds())
+			d.metrics.ChangeEnded(&e, roles.SlowStartLoss(d.set.InitialCapacity, d.set.SlowStartTime).Seconds())
 			level := slog.LevelInfo
 			if !e.Succeeded {
 				level = slog.LevelWarn
@@ -387,7 +387,7 @@
 		return
 	}
 	d.log.Info("plan of roles", "read/s", int(r.Demand[roles.Prefill].Mean), "write/s", int(r.Demand[roles.Decode].Mean), "moves", len(r.Plan.Moves),
-		"served", r.Plan.Now, "then", r.Plan.Then, "confidence", r.Verdict.Confidence, "why", r.Verdict.Why, "begun", r.ChangesBegun,
+		"served", r.Plan.ServedNow, "then", r.Plan.ServedAfter, "confidence", r.Verdict.Confidence, "why", r.Verdict.Reason, "begun", r.ChangesBegun,
 		"dry", d.set.RoleChanges.Mode == "dry", "unseen", d.missed.Load())
 }
 
--- a/internal/sim/hard_test.go
+++ b/internal/sim/hard_test.go
@@ -10,7 +10,7 @@
 // The hard cases of shifting roles, each with decision module, roles and engines together: how often roles may
 // change, and what the service is against the same run with fixed roles.
 func TestHardCases(t *testing.T) {
-	day := trace.Swing{Shape: "day", Length: 8 * time.Minute, Period: 12 * time.Minute, Low: 0.25, High: 0.75, Load: 0.7}
+	day := trace.Swing{Shape: "day", Length: 8 * time.Minute, Period: 12 * time.Minute, MinReadShare: 0.25, MaxReadShare: 0.75, Load: 0.7}
 	with := func(change func(*trace.Swing)) trace.Swing { s := day; change(&s); return s }
 	for _, c := range []struct {
 		name    string
@@ -28,13 +28,13 @@
 		}, 2, 14, 0},
 		{"to and fro every few seconds", with(func(s *trace.Swing) { s.Shape, s.Period = "flicker", 8*time.Second }), nil, 0, 1, -0.01},
 		{"a single burst", with(func(s *trace.Swing) { s.Shape = "burst" }), nil, 0, 3, -0.02},
-		{"overload in both stages", with(func(s *trace.Swing) { s.Low, s.High, s.Load = 0.5, 0.5, 1.6 }), nil, 0, 1, -0.02},
+		{"overload in both stages", with(func(s *trace.Swing) { s.MinReadShare, s.MaxReadShare, s.Load = 0.5, 0.5, 1.6 }), nil, 0, 1, -0.02},
 		{"all engines have one role", day, func(c *Config) {
 			for i := range c.Engines {
 				c.Engines[i].Fixed = true
 			}
 		}, 0, 0, -0.001},
-		{"half of the readers die, for good", with(func(s *trace.Swing) { s.Low, s.High, s.Load = 0.5, 0.5, 0.5 }), func(c *Config) {
+		{"half of the readers die, for good", with(func(s *trace.Swing) { s.MinReadShare, s.MaxReadShare, s.Load = 0.5, 0.5, 0.5 }), func(c *Config) {
 			for i := range 2 {
 				c.Troubles = append(c.Troubles, Trouble{At: 5 * time.Minute, For: time.Hour, Kind: Crash, On: i})
 			}
--- a/internal/sim/node.go
+++ b/internal/sim/node.go
@@ -262,7 +262,7 @@
 	n.flights[f.id] = f
 	n.s.open++
 	if n.manager != nil {
-		n.manager.Arrived(n.s.wall(), roles.RequestInfo{Class: e.Class, PromptTokens: float64(e.Prompt)})
+		n.manager.Arrived(n.s.wall(), roles.RequestInfo{Class: e.Class, PromptTokens: float64(e.PromptTokens)})
 	}
 	n.s.after(f.deadline-n.s.now, func() {
 		if f.answered || f.out != nil && f.out.streaming {
@@ -275,11 +275,11 @@
 		}
 	})
 	var text uint64
-	if e.Text != "" {
-		text = max(xxhash.Sum64String(e.Text), 1)
+	if e.PrefixID != "" {
+		text = max(xxhash.Sum64String(e.PrefixID), 1)
 	}
 	n.tell(&decide.Event{Kind: decide.Arrived, Request: f.id, Report: engine.NoReport(), Job: decide.Job{Class: e.Class, Tenant: 1 << 20,
-		PrefixID: text, SessionID: uint64(f.id) | 1<<63, Deadline: module(f.deadline), PromptTokens: float64(e.Prompt), PrefixTokens: float64(e.Shared),
+		PrefixID: text, SessionID: uint64(f.id) | 1<<63, Deadline: module(f.deadline), PromptTokens: float64(e.PromptTokens), PrefixTokens: float64(e.PrefixTokens),
 		MaxOutputTokens: float64(n.s.cfg.MaxAnswer)}})
 	n.settle(f)
 }
@@ -424,19 +424,19 @@
 	case out == decide.ReadDone:
 		f.state = a.state
 		if n.manager != nil {
-			n.manager.Read(roles.RequestInfo{Class: e.Class, PromptTokens: float64(e.Prompt), CachedTokens: kept})
+			n.manager.Read(roles.RequestInfo{Class: e.Class, PromptTokens: float64(e.PromptTokens), CachedTokens: kept})
 		}
 	case out == decide.Served || noState:
 		f.state = nil
 	}
 	if a.streaming {
 		if n.manager != nil {
-			n.manager.Written(roles.RequestInfo{Class: e.Class, OutputTokens: float64(s.answer(e.Answer)), Truncated: out != decide.Served})
+			n.manager.Written(roles.RequestInfo{Class: e.Class, OutputTokens: float64(s.answer(e.OutputTokens)), Truncated: out != decide.Served})
 		}
 		if out == decide.Served {
 			c := &s.cfg.Settings.Classes[e.Class]
 			worth := c.Value
-			aim := time.Duration(c.FirstTokenTarget) + time.Duration(float64(c.FirstTokenTargetPerK)*float64(e.Prompt)/1000)
+			aim := time.Duration(c.FirstTokenTarget) + time.Duration(float64(c.FirstTokenTargetPerK)*float64(e.PromptTokens)/1000)
 			if f.began-f.asked > aim {
 				worth *= c.LateValue
 				s.res.Late++
--- a/internal/sim/property_test.go
+++ b/internal/sim/property_test.go
@@ -35,9 +35,9 @@
 		seed := rapid.Uint64Range(1, 1<<30).Draw(t, "seed")
 		shapes := []string{"day", "steps", "flicker", "gusts", "ramps"}
 		sw := trace.Swing{Shape: rapid.SampledFrom(shapes).Draw(t, "shape"), Length: 30 * time.Second,
-			Period: time.Duration(rapid.IntRange(5, 45).Draw(t, "period")) * time.Second, Seed: seed, Low: 0.2, High: 0.8, Engines: engines,
+			Period: time.Duration(rapid.IntRange(5, 45).Draw(t, "period")) * time.Second, Seed: seed, MinReadShare: 0.2, MaxReadShare: 0.8, Engines: engines,
 			Load: rapid.Float64Range(0.3, 1.3).Draw(t, "load"), ReadPerS: 17500, WritePerS: 3000}
-		tr, err := sw.Make()
+		tr, err := sw.Generate()
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/sim/sim.go
+++ b/internal/sim/sim.go
@@ -86,7 +86,7 @@
 	Broken                                       []string      // rules that were broken
 	Stuck                                        int           // changes that had not ended when the run had
 	MostAway                                     int
-	Readers                                      []Step // the split as it was, by change
+	Splits                                       []Step // the split as it was, by change
 }
 
 // event is something to happen. Events of one time happen in the order in which they were made.
@@ -284,7 +284,7 @@
 			readers++
 		}
 	}
-	s.res.Readers = append(s.res.Readers, Step{s.now, readers})
+	s.res.Splits = append(s.res.Splits, Step{s.now, readers})
 }
 
 // finish checks what is left, and sums up.
--- a/internal/sim/sim_test.go
+++ b/internal/sim/sim_test.go
@@ -11,7 +11,7 @@
 func swing(t testing.TB, s trace.Swing) *trace.Trace {
 	t.Helper()
 	s.ReadPerS, s.WritePerS = 17500, 3000
-	out, err := s.Make()
+	out, err := s.Generate()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -35,7 +35,7 @@
 
 // The same run comes out the same.
 func TestSameRunTwice(t *testing.T) {
-	tr := swing(t, trace.Swing{Shape: "day", Length: 2 * time.Minute, Period: 2 * time.Minute, Seed: 3, Low: 0.3, High: 0.7, Engines: 6, Load: 0.8})
+	tr := swing(t, trace.Swing{Shape: "day", Length: 2 * time.Minute, Period: 2 * time.Minute, Seed: 3, MinReadShare: 0.3, MaxReadShare: 0.7, Engines: 6, Load: 0.8})
 	var got []*Result
 	for range 2 {
 		sc := Scene{Engines: 6, Readers: 2, Seed: 5}
--- a/internal/sim/unit.go
+++ b/internal/sim/unit.go
@@ -148,7 +148,7 @@
 	u.since = u.s.wall()
 	u.core = u.core.Next(u.s.calls[u.stage()], u.s.wall(), u.s.cfg.Keeps)
 	spec := u.s.calls[u.stage()]
-	u.s.res.ColdLost += roles.ColdLost(spec.ColdFrom, spec.ColdFor)
+	u.s.res.ColdLost += roles.SlowStartLoss(spec.ColdFrom, spec.ColdFor)
 	u.s.noteSplit()
 }
 
@@ -247,7 +247,7 @@
 	}
 	began := s.now
 	e := a.f.entry
-	a.task = &standin.Task{Prompt: e.Prompt, Shared: e.Shared, Text: e.Text}
+	a.task = &standin.Task{Prompt: e.PromptTokens, Shared: e.PrefixTokens, Text: e.PrefixID}
 	life := u.life
 	if a.stage == roles.Prefill {
 		a.task.Read = func(kept int) {
@@ -271,7 +271,7 @@
 			return
 		}
 		a.task.State = true
-		a.task.Answer = s.answer(e.Answer)
+		a.task.Answer = s.answer(e.OutputTokens)
 		a.task.Granted = func() { s.after(0, func() { u.fetch(a) }) }
 		a.task.Token = func(first, last bool) {
 			if first {
@@ -314,7 +314,7 @@
 		s.after(s.cfg.Net, func() { a.over(decide.Full, report, true, 0) })
 		return
 	}
-	tokens := float64(a.f.entry.Prompt)
+	tokens := float64(a.f.entry.PromptTokens)
 	d := s.cfg.Net*2 + seconds(tokens/s.cfg.Decode.PortPerS)
 	if from := a.from.u.cell; from != u.cell && s.cfg.Link > 0 {
 		free := max(s.links[from], s.now) + seconds(tokens/s.cfg.Link)
--- a/internal/swing/compare.go
+++ b/internal/swing/compare.go
@@ -22,33 +22,33 @@
 	Engines int
 	Seeds   []uint64
 	Load    float64
-	// Every bounds the fixed splits that are tried: each so many engines; 0: each.
-	Every int
-	Keeps bool
+	// SplitInterval bounds the fixed splits that are tried: each so many engines; 0: each.
+	SplitInterval int
+	Keeps         bool
 	// Change adjusts the decisions on roles; nil: as the standard scene has them.
 	Change func(*roles.Config)
 }
 
 // Row is one seed's figures; all are simulated.
 type Row struct {
-	Seed                           uint64
-	Fixed                          int // readers of the best fixed split
-	BestFixed, Mean, Oracle, Shift float64
-	MeanSplit                      int
-	Changes, OracleChanges         int
-	Away, Cold                     time.Duration // engines' time lost to changes
-	Broken                         []string
-	WrongRole, Stuck, MostAway     int
-	Result                         *sim.Result // of shifting
+	Seed                                                            uint64
+	BestFixedReaders                                                int // readers of the best fixed split
+	BestFixedService, MeanSplitService, OracleService, ShiftService float64
+	MeanSplit                                                       int
+	Changes, OracleChanges                                          int
+	AwayTime, SlowStartLoss                                         time.Duration // engines' time lost to changes
+	Violations                                                      []string
+	WrongRoleAttempts, UnfinishedChanges, MaxAway                   int
+	Result                                                          *sim.Result // of shifting
 }
 
-// Way is how far shifting has come from the best fixed split to the oracle: 1 is all the way. It is not a number
+// GapClosed is how far shifting has come from the best fixed split to the oracle: 1 is all the way. It is not a number
 // where the oracle is no better than the split.
-func (r *Row) Way() float64 {
-	if r.Oracle <= r.BestFixed {
+func (r *Row) GapClosed() float64 {
+	if r.OracleService <= r.BestFixedService {
 		return math.NaN()
 	}
-	return (r.Shift - r.BestFixed) / (r.Oracle - r.BestFixed)
+	return (r.ShiftService - r.BestFixedService) / (r.OracleService - r.BestFixedService)
 }
 
 // Run plays all seeds.
@@ -65,7 +65,7 @@
 // pace is what an engine of the standard scene does.
 func pace(cfg *sim.Config) Pace {
 	limits := roles.Timeouts{CheckInterval: cfg.Look, ReplyTimeout: 2 * cfg.Net}
-	return Pace{Read: cfg.Prefill.Capacity(), Write: cfg.Decode.Capacity(), Away: limits.Notice() + cfg.Change + roles.ColdLost(cfg.Prefill.ColdFrom, cfg.Prefill.ColdFor)}
+	return Pace{Read: cfg.Prefill.Capacity(), Write: cfg.Decode.Capacity(), Away: limits.Notice() + cfg.Change + roles.SlowStartLoss(cfg.Prefill.ColdFrom, cfg.Prefill.ColdFor)}
 }
 
 func (e *Experiment) seed(ctx context.Context, seed uint64, row *Row) error {
@@ -74,7 +74,7 @@
 	p := pace(&base)
 	sw := e.Swing
 	sw.Seed, sw.Engines, sw.Load, sw.ReadPerS, sw.WritePerS = seed, e.Engines, e.Load, p.Read, p.Write
-	t, err := sw.Make()
+	t, err := sw.Generate()
 	if err != nil {
 		return err
 	}
@@ -101,21 +101,21 @@
 			mu.Lock()
 			defer mu.Unlock()
 			for _, b := range res.Broken {
-				row.Broken = append(row.Broken, fmt.Sprintf("%d readers: %s", readers, b))
+				row.Violations = append(row.Violations, fmt.Sprintf("%d readers: %s", readers, b))
 			}
-			row.WrongRole += res.WrongRole
-			row.Stuck += res.Stuck
+			row.WrongRoleAttempts += res.WrongRole
+			row.UnfinishedChanges += res.Stuck
 			take(res)
 			return nil
 		})
 	}
 	for _, n := range e.splits(t, p, row.MeanSplit) {
 		play(n, nil, func(r *sim.Result) {
-			if r.Service > row.BestFixed {
-				row.BestFixed, row.Fixed = r.Service, n
+			if r.Service > row.BestFixedService {
+				row.BestFixedService, row.BestFixedReaders = r.Service, n
 			}
 			if n == row.MeanSplit {
-				row.Mean = r.Service
+				row.MeanSplitService = r.Service
 			}
 		})
 	}
@@ -133,8 +133,8 @@
 				c.Schedule = []sim.Step{}
 			}
 		}, func(r *sim.Result) {
-			if r.Service > row.Oracle {
-				row.Oracle, row.OracleChanges = r.Service, r.Changes
+			if r.Service > row.OracleService {
+				row.OracleService, row.OracleChanges = r.Service, r.Changes
 			}
 		})
 	}
@@ -144,14 +144,14 @@
 			e.Change(c.Roles)
 		}
 	}, func(r *sim.Result) {
-		row.Shift, row.Changes, row.Away, row.Cold, row.MostAway, row.Result = r.Service, r.Changes, r.Away, r.ColdLost, r.MostAway, r
+		row.ShiftService, row.Changes, row.AwayTime, row.SlowStartLoss, row.MaxAway, row.Result = r.Service, r.Changes, r.Away, r.ColdLost, r.MostAway, r
 	})
 	if err := g.Wait(); err != nil {
 		return err
 	}
 	// An oracle may leave the split alone: it knows the best one too.
-	row.Oracle = max(row.Oracle, row.BestFixed)
-	slices.Sort(row.Broken)
+	row.OracleService = max(row.OracleService, row.BestFixedService)
+	slices.Sort(row.Violations)
 	return nil
 }
 
@@ -160,7 +160,7 @@
 
 // splits are the fixed splits that are tried: all, or some around the mean's.
 func (e *Experiment) splits(t *trace.Trace, p Pace, mean int) []int {
-	every := max(e.Every, 1)
+	every := max(e.SplitInterval, 1)
 	var out []int
 	for n := mean % every; n < e.Engines; n += every {
 		// Far from the mean none is best; what is tried is a quarter of the engines each way.
@@ -171,8 +171,8 @@
 	return out
 }
 
-// Standard is what one engine of the standard scene reads and writes, in tokens a second.
-func Standard() (read, write float64) {
+// StandardRates is what one engine of the standard scene reads and writes, in tokens a second.
+func StandardRates() (read, write float64) {
 	cfg := sim.Scene{Engines: 2}.Config(nil)
 	p := pace(&cfg)
 	return p.Read, p.Write
--- a/internal/swing/oracle.go
+++ b/internal/swing/oracle.go
@@ -26,8 +26,8 @@
 	for i := range t.Entries {
 		e := &t.Entries[i]
 		k := int(e.At / window)
-		read[k] += float64(e.Prompt) - (1-missed)*float64(e.Shared)
-		write[k] += float64(e.Answer)
+		read[k] += float64(e.PromptTokens) - (1-missed)*float64(e.PrefixTokens)
+		write[k] += float64(e.OutputTokens)
 		asked[k]++
 	}
 	return read, write, asked
--- a/internal/swing/swing_test.go
+++ b/internal/swing/swing_test.go
@@ -12,9 +12,9 @@
 func TestOracleKnowsTheTrace(t *testing.T) {
 	tr := &trace.Trace{Classes: []string{"a"}}
 	for i := range 12000 {
-		e := trace.Entry{At: time.Duration(i) * 50 * time.Millisecond, Prompt: 4000, Answer: 20}
+		e := trace.Entry{At: time.Duration(i) * 50 * time.Millisecond, PromptTokens: 4000, OutputTokens: 20}
 		if i >= 6000 {
-			e.Prompt, e.Answer = 400, 500
+			e.PromptTokens, e.OutputTokens = 400, 500
 		}
 		tr.Entries = append(tr.Entries, e)
 	}
@@ -39,7 +39,7 @@
 	if testing.Short() {
 		t.Skip("plays some twenty simulated runs")
 	}
-	slow := Experiment{Swing: trace.Swing{Shape: "day", Length: 8 * time.Minute, Period: 12 * time.Minute, Low: 0.25, High: 0.75}, Engines: 6,
+	slow := Experiment{Swing: trace.Swing{Shape: "day", Length: 8 * time.Minute, Period: 12 * time.Minute, MinReadShare: 0.25, MaxReadShare: 0.75}, Engines: 6,
 		Seeds: []uint64{1}, Load: 0.75}
 	rows, err := slow.Run(t.Context())
 	if err != nil {
@@ -47,15 +47,15 @@
 	}
 	r := &rows[0]
 	t.Logf("%+v", *r)
-	if r.Way() < 0.5 || r.Changes == 0 || len(r.Broken) > 0 || r.WrongRole > 0 || r.Stuck > 0 {
-		t.Errorf("way %.2f, %d changes, broken %v", r.Way(), r.Changes, r.Broken)
+	if r.GapClosed() < 0.5 || r.Changes == 0 || len(r.Violations) > 0 || r.WrongRoleAttempts > 0 || r.UnfinishedChanges > 0 {
+		t.Errorf("way %.2f, %d changes, broken %v", r.GapClosed(), r.Changes, r.Violations)
 	}
 	fast := slow
 	fast.Swing.Shape, fast.Swing.Period = "flicker", 8*time.Second
 	if rows, err = fast.Run(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	if r := &rows[0]; r.Changes > 2 || r.Shift < r.Mean-0.01 || len(r.Broken) > 0 {
+	if r := &rows[0]; r.Changes > 2 || r.ShiftService < r.MeanSplitService-0.01 || len(r.Violations) > 0 {
 		t.Errorf("a fast swing: %+v", *r)
 	}
 }
--- a/internal/trace/recorder.go
+++ b/internal/trace/recorder.go
@@ -100,16 +100,16 @@
 		if n.job.ClientRetry {
 			return
 		}
-		w := &waiting{job: n.job, at: n.at, entry: Entry{At: n.at.Sub(start), Class: n.job.Class, Prompt: int(n.job.PromptTokens),
-			Shared: min(int(n.job.PrefixTokens), int(n.job.PromptTokens)), Text: n.job.SharedPrefix}}
-		if w.entry.Text == "" {
-			w.entry.Shared = 0
+		w := &waiting{job: n.job, at: n.at, entry: Entry{At: n.at.Sub(start), Class: n.job.Class, PromptTokens: int(n.job.PromptTokens),
+			PrefixTokens: min(int(n.job.PrefixTokens), int(n.job.PromptTokens)), PrefixID: n.job.SharedPrefix}}
+		if w.entry.PrefixID == "" {
+			w.entry.PrefixTokens = 0
 		}
 		q.open[n.job] = w
 		q.list = append(q.list, w)
 	case wrote:
 		if w := q.open[n.job]; w != nil {
-			w.entry.Answer, w.entry.Cut = n.tokens, !n.whole
+			w.entry.OutputTokens, w.entry.Truncated = n.tokens, !n.whole
 		}
 	case over:
 		if w := q.open[n.job]; w != nil {
--- a/internal/trace/swing.go
+++ b/internal/trace/swing.go
@@ -20,8 +20,8 @@
 	Seed   uint64
 	// Period is the time of a swing to and fro.
 	Period time.Duration
-	// Low and High are the parts of the work, as engines' time, that are reading.
-	Low, High float64
+	// MinReadShare and High are the parts of the work, as engines' time, that are reading.
+	MinReadShare, MaxReadShare float64
 	// ReadPerS and WritePerS are the tokens a second of one engine, Engines how many there are, Load the part
 	// of their time that is asked for.
 	ReadPerS, WritePerS float64
@@ -87,8 +87,8 @@
 	return 0.4
 }
 
-// Make draws a trace of the swing. The same swing gives the same trace.
-func (s *Swing) Make() (*Trace, error) {
+// Generate draws a trace of the swing. The same swing gives the same trace.
+func (s *Swing) Generate() (*Trace, error) {
 	if Shapes[s.Shape] == "" {
 		var names []string
 		for name := range Shapes {
@@ -97,7 +97,7 @@
 		slices.Sort(names)
 		return nil, fmt.Errorf("swing: there is no shape %q, expected one of %s", s.Shape, strings.Join(names, ", "))
 	}
-	if s.Length <= 0 || s.Period <= 0 || s.Engines < 1 || s.Load <= 0 || s.ReadPerS <= 0 || s.WritePerS <= 0 || s.Low < 0 || s.High > 1 || s.Low > s.High {
+	if s.Length <= 0 || s.Period <= 0 || s.Engines < 1 || s.Load <= 0 || s.ReadPerS <= 0 || s.WritePerS <= 0 || s.MinReadShare < 0 || s.MaxReadShare > 1 || s.MinReadShare > s.MaxReadShare {
 		return nil, fmt.Errorf("swing: %+v: times, engines, load and paces must be over 0, and low and high in order from 0 to 1", *s)
 	}
 	src := rand.NewPCG(s.Seed, 0x7377696e67)
@@ -129,7 +129,7 @@
 		read[i], write[i] = (c.fresh+missed*c.shared)/s.ReadPerS, c.answer/s.WritePerS
 	}
 	rates := func(at time.Duration) (a, b float64) {
-		want := s.Low + (s.High-s.Low)*s.reading(at, gusts)
+		want := s.MinReadShare + (s.MaxReadShare-s.MinReadShare)*s.reading(at, gusts)
 		// a*read0+b*read1 = want*work and a*write0+b*write1 = (1-want)*work.
 		work := s.Load * float64(s.Engines)
 		det := read[0]*write[1] - read[1]*write[0]
@@ -158,9 +158,9 @@
 			c = 1
 		}
 		text := rng.IntN(len(texts[c]))
-		e := Entry{At: at, Class: c, Shared: texts[c][text], Text: fmt.Sprintf("%s-%d", t.Classes[c], text+1),
-			Answer: min(max(int(answer[c].Rand()), 1), 1000)}
-		e.Prompt = e.Shared + min(max(int(fresh[c].Rand()), 1), 12000)
+		e := Entry{At: at, Class: c, PrefixTokens: texts[c][text], PrefixID: fmt.Sprintf("%s-%d", t.Classes[c], text+1),
+			OutputTokens: min(max(int(answer[c].Rand()), 1), 1000)}
+		e.PromptTokens = e.PrefixTokens + min(max(int(fresh[c].Rand()), 1), 12000)
 		t.Entries = append(t.Entries, e)
 	}
 	return t, nil
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -29,13 +29,13 @@
 
 // Entry is one request.
 type Entry struct {
-	At     time.Duration // since the trace began; does not fall from entry to entry
-	Class  int           // index of the trace's classes
-	Prompt int           // tokens
-	Shared int           // of them, the shared text's
-	Text   string        // name of the shared text; "" none
-	Answer int           // tokens; 0 while not known
-	Cut    bool          // the answer was cut off after Answer tokens
+	At           time.Duration // since the trace began; does not fall from entry to entry
+	Class        int           // index of the trace's classes
+	PromptTokens int           // tokens
+	PrefixTokens int           // of them, the shared text's
+	PrefixID     string        // name of the shared text; "" none
+	OutputTokens int           // tokens; 0 while not known
+	Truncated    bool          // the answer was cut off after Answer tokens
 }
 
 // Trace is traffic in memory.
@@ -61,9 +61,9 @@
 	magic      = "mintdoor-trace 1"
 )
 
-// ErrCutOff is wrapped by errors of traces that end in the middle, as when their recorder was killed. What
+// ErrTruncated is wrapped by errors of traces that end in the middle, as when their recorder was killed. What
 // was read until there is good.
-var ErrCutOff = errors.New("the trace is cut off")
+var ErrTruncated = errors.New("the trace is cut off")
 
 // Writer writes a trace. It is not safe for concurrent use.
 type Writer struct {
@@ -115,20 +115,20 @@
 	at := max(e.At.Round(grain), t.last)
 	b := strconv.AppendFloat(t.line[:0], float64(at-t.last)/1e6, 'f', -1, 64)
 	b = strconv.AppendInt(append(b, ' '), int64(e.Class), 10)
-	b = strconv.AppendInt(append(b, ' '), int64(e.Prompt), 10)
-	b = strconv.AppendInt(append(b, ' '), int64(e.Shared), 10)
+	b = strconv.AppendInt(append(b, ' '), int64(e.PromptTokens), 10)
+	b = strconv.AppendInt(append(b, ' '), int64(e.PrefixTokens), 10)
 	b = append(b, ' ')
-	if name(e.Text) == nil {
-		b = append(b, e.Text...)
+	if name(e.PrefixID) == nil {
+		b = append(b, e.PrefixID...)
 	} else {
 		b = append(b, '-')
 	}
 	b = append(b, ' ')
-	if e.Answer <= 0 {
+	if e.OutputTokens <= 0 {
 		b = append(b, '?')
 	} else {
-		b = strconv.AppendInt(b, int64(e.Answer), 10)
-		if e.Cut {
+		b = strconv.AppendInt(b, int64(e.OutputTokens), 10)
+		if e.Truncated {
 			b = append(b, '+')
 		}
 	}
@@ -190,7 +190,7 @@
 	if err != nil {
 		z.Close()
 		if errors.Is(err, io.EOF) {
-			err = fmt.Errorf("trace: %w before its head", ErrCutOff)
+			err = fmt.Errorf("trace: %w before its head", ErrTruncated)
 		}
 		return nil, err
 	}
@@ -210,7 +210,7 @@
 	case err == nil:
 		return "", io.EOF
 	case errors.Is(err, io.ErrUnexpectedEOF):
-		return "", fmt.Errorf("%w after line %d", ErrCutOff, t.number)
+		return "", fmt.Errorf("%w after line %d", ErrTruncated, t.number)
 	default:
 		return "", fmt.Errorf("trace: after line %d: %w", t.number, err)
 	}
@@ -241,26 +241,26 @@
 	if answer == "?" {
 		answer = "0"
 	}
-	e.Cut = cut
+	e.Truncated = cut
 	for _, v := range []struct {
 		word string
 		most int
 		to   *int
-	}{{f[1], len(t.Classes) - 1, &e.Class}, {f[2], maxTokens, &e.Prompt}, {f[3], maxTokens, &e.Shared}, {answer, maxTokens, &e.Answer}} {
+	}{{f[1], len(t.Classes) - 1, &e.Class}, {f[2], maxTokens, &e.PromptTokens}, {f[3], maxTokens, &e.PrefixTokens}, {answer, maxTokens, &e.OutputTokens}} {
 		n, err := strconv.Atoi(v.word)
 		if err != nil || n < 0 || n > v.most {
 			return Entry{}, t.wrong("found %q, expected a number from 0 to %d", v.word, v.most)
 		}
 		*v.to = n
 	}
-	if e.Shared > e.Prompt {
-		return Entry{}, t.wrong("%d tokens of a prompt of %d are shared", e.Shared, e.Prompt)
+	if e.PrefixTokens > e.PromptTokens {
+		return Entry{}, t.wrong("%d tokens of a prompt of %d are shared", e.PrefixTokens, e.PromptTokens)
 	}
 	if f[4] != "-" {
 		if name(f[4]) != nil {
 			return Entry{}, t.wrong("found %q, expected a text's name or -", f[4])
 		}
-		e.Text = f[4]
+		e.PrefixID = f[4]
 	}
 	return e, nil
 }
@@ -281,7 +281,7 @@
 		switch {
 		case errors.Is(err, io.EOF):
 			return t, nil
-		case errors.Is(err, ErrCutOff):
+		case errors.Is(err, ErrTruncated):
 			return t, err
 		case err != nil:
 			return nil, err
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -39,11 +39,11 @@
 		at := time.Duration(0)
 		for range rapid.IntRange(0, 50).Draw(t, "n") {
 			at += time.Duration(rapid.IntRange(0, 100000).Draw(t, "gap")) * grain
-			e := Entry{At: at, Class: rapid.IntRange(0, 2).Draw(t, "class"), Prompt: rapid.IntRange(1, 50000).Draw(t, "prompt"),
-				Answer: rapid.IntRange(0, 2000).Draw(t, "answer")}
-			e.Cut = e.Answer > 0 && rapid.Bool().Draw(t, "cut")
+			e := Entry{At: at, Class: rapid.IntRange(0, 2).Draw(t, "class"), PromptTokens: rapid.IntRange(1, 50000).Draw(t, "prompt"),
+				OutputTokens: rapid.IntRange(0, 2000).Draw(t, "answer")}
+			e.Truncated = e.OutputTokens > 0 && rapid.Bool().Draw(t, "cut")
 			if rapid.Bool().Draw(t, "text") {
-				e.Text, e.Shared = rapid.StringMatching(`[a-z][a-z0-9-]{0,20}`).Draw(t, "name"), rapid.IntRange(0, e.Prompt).Draw(t, "shared")
+				e.PrefixID, e.PrefixTokens = rapid.StringMatching(`[a-z][a-z0-9-]{0,20}`).Draw(t, "name"), rapid.IntRange(0, e.PromptTokens).Draw(t, "shared")
 			}
 			in.Entries = append(in.Entries, e)
 		}
@@ -102,26 +102,26 @@
 		t.Fatal(err)
 	}
 	for i := range 1000 {
-		w.Write(&Entry{At: time.Duration(i) * time.Millisecond, Prompt: 100 + i, Answer: 5})
+		w.Write(&Entry{At: time.Duration(i) * time.Millisecond, PromptTokens: 100 + i, OutputTokens: 5})
 	}
 	w.Flush()
 	flushed := b.Len()
 	for i := range 1000 {
-		w.Write(&Entry{At: time.Duration(1000+i) * time.Millisecond, Prompt: 100 + i, Answer: 5})
+		w.Write(&Entry{At: time.Duration(1000+i) * time.Millisecond, PromptTokens: 100 + i, OutputTokens: 5})
 	}
 	w.Close()
 	got, err := ReadAll(bytes.NewReader(b.Bytes()[:flushed]), 5000)
-	if !errors.Is(err, ErrCutOff) || got == nil || len(got.Entries) != 1000 {
+	if !errors.Is(err, ErrTruncated) || got == nil || len(got.Entries) != 1000 {
 		t.Errorf("%v, %d entries", err, len(got.Entries))
 	}
-	if _, err := ReadAll(bytes.NewReader(nil), 1); !errors.Is(err, ErrCutOff) {
+	if _, err := ReadAll(bytes.NewReader(nil), 1); !errors.Is(err, ErrTruncated) {
 		t.Errorf("an empty file: %v", err)
 	}
 }
 
 func TestSaveAndLoad(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "x.trace")
-	in := &Trace{Classes: []string{"a"}, Entries: []Entry{{At: time.Second, Prompt: 7, Answer: 3}}}
+	in := &Trace{Classes: []string{"a"}, Entries: []Entry{{At: time.Second, PromptTokens: 7, OutputTokens: 3}}}
 	if err := Save(path, in); err != nil {
 		t.Fatal(err)
 	}
@@ -161,8 +161,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := []Entry{{Class: 0, Prompt: 100}, {Class: 1, Prompt: 200, Shared: 150, Text: "rates", Answer: 20},
-		{Class: 0, Prompt: 300, Answer: 30, Cut: true}, {Class: 1, Prompt: 400}}
+	want := []Entry{{Class: 0, PromptTokens: 100}, {Class: 1, PromptTokens: 200, PrefixTokens: 150, PrefixID: "rates", OutputTokens: 20},
+		{Class: 0, PromptTokens: 300, OutputTokens: 30, Truncated: true}, {Class: 1, PromptTokens: 400}}
 	if len(got.Entries) != len(want) {
 		t.Fatalf("%+v", got.Entries)
 	}
--- a/roles/plan.go
+++ b/roles/plan.go
@@ -30,27 +30,27 @@
 	// MaxChanging is how many engines may be away at once; those that are away already count.
 	MaxChanging int
 	MinEngines  [stages]int // engines of each role, at least
-	Most        [stages]int // and at most; 0: no bound
+	MaxEngines  [stages]int // and at most; 0: no bound
 }
 
 // left is the part of the horizon that a change leaves of an engine.
 func (c *Costs) left() float64 { return 1 - c.AwayTime.Seconds()/c.Horizon.Seconds() }
 
-// ColdLost is the work that an engine lacks while it is cold, as full time: it starts with a part of its capacity
+// SlowStartLoss is the work that an engine lacks while it is cold, as full time: it starts with a part of its capacity
 // and has all of it after coldFor, growing evenly.
-func ColdLost(start float64, coldFor time.Duration) time.Duration {
+func SlowStartLoss(start float64, coldFor time.Duration) time.Duration {
 	return time.Duration((1 - start) / 2 * float64(coldFor))
 }
 
 // Plan is what the planner has found.
 type Plan struct {
 	Moves []Move
-	// Now and Then are the parts of the work that is expected to be served without and with the moves,
+	// ServedNow and Then are the parts of the work that is expected to be served without and with the moves,
 	// both over the horizon.
-	Now, Then float64
-	// Sure is how sure it is that the moves serve more, among the cases of the forecast in which they make a
+	ServedNow, ServedAfter float64
+	// Confidence is how sure it is that the moves serve more, among the cases of the forecast in which they make a
 	// difference.
-	Sure float64
+	Confidence float64
 }
 
 // Move is one engine that is to change.
@@ -150,8 +150,8 @@
 			base[e.Role] += e.Cap[e.Role]
 		}
 	}
-	plan := Plan{Now: served(base, costs.MaxLoad, cases)}
-	plan.Then = plan.Now
+	plan := Plan{ServedNow: served(base, costs.MaxLoad, cases)}
+	plan.ServedAfter = plan.ServedNow
 	if moves <= 0 {
 		return plan, nil
 	}
@@ -162,12 +162,12 @@
 		got := served(o.cap, costs.MaxLoad, cases)
 		// An equal plan with more moves, or one that is better by no more than rounding, is no better.
 		const least = 1e-9
-		if got > plan.Then+least {
-			best, plan.Then = i, got
+		if got > plan.ServedAfter+least {
+			best, plan.ServedAfter = i, got
 		}
 	}
 	if best >= 0 {
-		plan.Sure = sure(base, last[best].cap, costs.MaxLoad, cases)
+		plan.Confidence = sure(base, last[best].cap, costs.MaxLoad, cases)
 	}
 	for layer := len(layers) - 1; layer > 0 && best >= 0; layer-- {
 		o := layers[layer][best]
@@ -335,7 +335,7 @@
 func within(o *option, from Stage, count [stages]int, costs Costs) bool {
 	left := count[from] - o.moved[from] + o.moved[1-from] - 1
 	grown := count[1-from] - o.moved[1-from] + o.moved[from] + 1
-	if left < costs.MinEngines[from] || costs.Most[1-from] > 0 && grown > costs.Most[1-from] {
+	if left < costs.MinEngines[from] || costs.MaxEngines[1-from] > 0 && grown > costs.MaxEngines[1-from] {
 		return false
 	}
 	return left > 0
--- a/roles/plan_test.go
+++ b/roles/plan_test.go
@@ -50,7 +50,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		ok := len(p.Moves) == c.moves && (c.moves == 0) == (p.Then == p.Now)
+		ok := len(p.Moves) == c.moves && (c.moves == 0) == (p.ServedAfter == p.ServedNow)
 		for _, m := range p.Moves {
 			ok = ok && m.To == c.to
 		}
@@ -67,7 +67,7 @@
 		t.Errorf("five writers at least: %+v", p)
 	}
 	c = costs()
-	c.Most[Prefill] = 8
+	c.MaxEngines[Prefill] = 8
 	if p, _ := Solve(fleet(6, 6), work(90000, 500), c); len(p.Moves) != 2 {
 		t.Errorf("eight readers at most: %+v", p)
 	}
@@ -145,8 +145,8 @@
 			t.Fatal(err)
 		}
 		best := brute(f, demand, c)
-		if p.Then < best-0.01 || p.Then > best+1e-9 || len(p.Moves) > c.MaxChanging {
-			t.Fatalf("found %.4f with %v, the best is %.4f", p.Then, p.Moves, best)
+		if p.ServedAfter < best-0.01 || p.ServedAfter > best+1e-9 || len(p.Moves) > c.MaxChanging {
+			t.Fatalf("found %.4f with %v, the best is %.4f", p.ServedAfter, p.Moves, best)
 		}
 	})
 }
--- a/roles/when.go
+++ b/roles/when.go
@@ -19,7 +19,7 @@
 type Verdict struct {
 	Change     bool
 	Confidence float64 // that it serves more, where it makes a difference
-	Why        string
+	Reason     string
 }
 
 // leastSeen is how many horizons have to have been foretold and seen: before that nobody knows how the mix
@@ -30,21 +30,21 @@
 func (j *Judge) Look(p *Plan, demand [stages]Work) Verdict {
 	switch {
 	case demand[Prefill].Seen < leastSeen || demand[Decode].Seen < leastSeen:
-		return Verdict{Why: "too little was seen of how the mix moves"}
+		return Verdict{Reason: "too little was seen of how the mix moves"}
 	case len(p.Moves) == 0:
 		j.same = 0
-		return Verdict{Why: "no change would serve more"}
-	case p.Sure < j.Confidence:
+		return Verdict{Reason: "no change would serve more"}
+	case p.Confidence < j.Confidence:
 		j.same = 0
-		return Verdict{Confidence: p.Sure, Why: "what is coming is not sure enough"}
+		return Verdict{Confidence: p.Confidence, Reason: "what is coming is not sure enough"}
 	}
 	if side := p.towards(); side != j.side {
 		j.side, j.same = side, 0
 	}
 	if j.same++; j.same < j.Looks {
-		return Verdict{Confidence: p.Sure, Why: "it has to be as sure at the next look"}
+		return Verdict{Confidence: p.Confidence, Reason: "it has to be as sure at the next look"}
 	}
-	return Verdict{Change: true, Confidence: p.Sure, Why: "it earns back its cost"}
+	return Verdict{Change: true, Confidence: p.Confidence, Reason: "it earns back its cost"}
 }
 
 // towards is the role to which a plan moves on the whole: +1 prefill, -1 decode, 0 neither.
--- a/roles/when_test.go
+++ b/roles/when_test.go
@@ -7,7 +7,7 @@
 func seen(horizons float64) [stages]Work { return [stages]Work{{Seen: horizons}, {Seen: horizons}} }
 
 func towards(st Stage, sure float64) *Plan {
-	return &Plan{Moves: []Move{{1, st}}, Now: 0.8, Then: 0.9, Sure: sure}
+	return &Plan{Moves: []Move{{1, st}}, ServedNow: 0.8, ServedAfter: 0.9, Confidence: sure}
 }
 
 func TestWhenToChange(t *testing.T) {
@@ -20,7 +20,7 @@
 	}{
 		{"sure", 1, 9, []*Plan{towards(Prefill, 0.95)}, true},
 		{"not sure", 1, 9, []*Plan{towards(Prefill, 0.7)}, false},
-		{"nothing to move", 1, 9, []*Plan{{Now: 0.9, Then: 0.9}}, false},
+		{"nothing to move", 1, 9, []*Plan{{ServedNow: 0.9, ServedAfter: 0.9}}, false},
 		{"sure, of what was hardly seen", 1, 1, []*Plan{towards(Prefill, 1)}, false},
 		{"two looks, the first", 2, 9, []*Plan{towards(Prefill, 0.95)}, false},
 		{"two looks, both", 2, 9, []*Plan{towards(Prefill, 0.95), towards(Prefill, 0.95)}, true},
@@ -32,7 +32,7 @@
 		for _, p := range c.plans {
 			v = j.Look(p, seen(c.seen))
 		}
-		if v.Change != c.want || v.Why == "" {
+		if v.Change != c.want || v.Reason == "" {
 			t.Errorf("%s: %+v", c.name, v)
 		}
 	}
