--- a/cmd/mintdoor/ask.go
+++ b/cmd/mintdoor/ask.go
@@ -54,7 +54,7 @@
 	return cmd
 }
 
-// ask streams one answer to out.
+// ask sends a question to a router and streams the answer to out.
 func ask(ctx context.Context, out io.Writer, addr, model string, q *kserve.GenerateRequest) error {
 	body, err := json.Marshal(q)
 	if err != nil {
@@ -73,10 +73,10 @@
 	if resp.StatusCode != http.StatusOK {
 		var e kserve.ErrorResponse
 		if kserve.Decode(io.LimitReader(resp.Body, 1<<16), &e) != nil {
-			e.Error = "no word why"
+			e.Error = "the router gave no reason"
 		}
 		if after := resp.Header.Get("Retry-After"); after != "" {
-			e.Error += " (come again in " + after + " s)"
+			e.Error += " (retry after " + after + " s)"
 		}
 		return fmt.Errorf("%s: %s", resp.Status, e.Error)
 	}
@@ -84,7 +84,7 @@
 	for {
 		data, err := events.Next()
 		if err != nil {
-			return fmt.Errorf("the answer broke off: %w", err)
+			return fmt.Errorf("the answer was interrupted: %w", err)
 		}
 		var ev kserve.GenerateResponse
 		if err := json.Unmarshal(data, &ev); err != nil {
@@ -93,7 +93,7 @@
 		switch {
 		case ev.Error != "":
 			fmt.Fprintln(out)
-			return fmt.Errorf("the answer broke off: %s", ev.Error)
+			return fmt.Errorf("the answer was interrupted: %s", ev.Error)
 		case ev.Details != nil:
 			fmt.Fprintf(out, "\n[%s]\n", ev.Details.FinishReason)
 			return nil
--- a/cmd/mintdoor/day.go
+++ b/cmd/mintdoor/day.go
@@ -74,7 +74,7 @@
 func dayScript(args []string, from string, size day.MaxSize) (*day.Script, error) {
 	switch {
 	case from != "" && len(args) > 0:
-		return nil, fmt.Errorf("day: say a script or --from, not both")
+		return nil, fmt.Errorf("day: give either a script or --from, not both")
 	case from != "":
 		return day.FromLbsim(from, size)
 	case len(args) > 0:
@@ -137,13 +137,13 @@
 	return nil
 }
 
-// process is a router as a process of its own.
+// process is a router that runs in its own process.
 type process struct {
 	cmd  *exec.Cmd
 	done chan struct{}
 }
 
-// processes starts routers as processes of this very program.
+// processes returns a function that starts routers as processes of this program.
 func processes(self string, logs io.Writer) func(string) (day.Process, error) {
 	return func(settings string) (day.Process, error) {
 		cmd := exec.Command(self, "serve", settings)
@@ -161,19 +161,19 @@
 		go func() { cmd.Wait(); close(p.done) }()
 		if err != nil || !strings.HasPrefix(line, "listening") {
 			p.Kill()
-			return nil, fmt.Errorf("it did not come up: %q", line)
+			return nil, fmt.Errorf("the router did not start: %q", line)
 		}
 		return p, nil
 	}
 }
 
-// Kill ends the process as a crash would.
+// Kill ends the process like a crash.
 func (p *process) Kill() {
 	p.cmd.Process.Kill()
 	<-p.done
 }
 
-// Stop lets it drain, and kills it when that takes too long.
+// Stop lets the router drain, and kills it if that takes longer than 5 s.
 func (p *process) Stop() {
 	p.cmd.Process.Signal(syscall.SIGTERM)
 	select {
--- a/cmd/mintdoor/demo.go
+++ b/cmd/mintdoor/demo.go
@@ -23,7 +23,7 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// demoSettings are those of each router of the demonstration.
+// demoSettings are the settings of each router of the demo.
 const demoSettings = `
 list engines.list
 list-every 50ms
--- a/cmd/mintdoor/deploy_test.go
+++ b/cmd/mintdoor/deploy_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// deployKey reads a string from the deploy file.
+// deployKey returns the value of a string key in the deploy file.
 func deployKey(t *testing.T, key string) string {
 	t.Helper()
 	text, err := os.ReadFile("../../deploy/balancer.toml")
@@ -24,18 +24,19 @@
 	return string(m[1])
 }
 
-// The platform's rig loads a library of its own into the router: the program that the deploy file builds
-// has to be linked dynamically against the C library, and `run` has to become that program.
+// The platform's test setup loads a library of its own into the router. The program that the deploy file builds
+// therefore has to be linked dynamically against the C library, and the `run` command has to replace itself with that
+// program.
 func TestDeployFileBuildsADynamicProgram(t *testing.T) {
 	const outDir, packages = "-o bin/", "./cmd/..."
 	build := deployKey(t, "build")
 	for _, wanted := range []string{"CGO_ENABLED=1 ", "-ldflags=-linkmode=external "} {
-		if !strings.Contains(build, wanted) { // without them it hangs on the machine whether the C library is used
+		if !strings.Contains(build, wanted) { // without them, the machine's Go setup decides whether the C library is used
 			t.Errorf("build = %q lacks %q", build, wanted)
 		}
 	}
 	if !strings.Contains(build, outDir) || !strings.Contains(build, packages) {
-		t.Fatalf("build = %q: this test knows %q and %q", build, outDir, packages)
+		t.Fatalf("build = %q: the test expects %q and %q in it", build, outDir, packages)
 	}
 	bin := filepath.Join(t.TempDir(), "mintdoor")
 	build = strings.Replace(build, "mkdir -p bin", "true", 1)
@@ -51,7 +52,7 @@
 	}
 	defer program.Close()
 	if program.Section(".interp") == nil {
-		t.Error("the program has no interpreter: nothing can be loaded into it")
+		t.Error("the program has no interpreter, so no library can be loaded into it")
 	}
 	libs, err := program.ImportedLibraries()
 	if err != nil {
@@ -61,6 +62,6 @@
 		t.Errorf("the program is linked against %q, not the C library", libs)
 	}
 	if run := deployKey(t, "run"); !strings.HasPrefix(run, "exec bin/mintdoor ") {
-		t.Errorf("run = %q does not end in one process", run)
+		t.Errorf("run = %q does not replace itself with the program", run)
 	}
 }
--- a/cmd/mintdoor/engine.go
+++ b/cmd/mintdoor/engine.go
@@ -45,7 +45,7 @@
 				return fmt.Errorf("engine: found role %q, expected prefill, decode or both", role)
 			}
 			if speed <= 0 {
-				return fmt.Errorf("engine: found speed %v, expected over 0", speed)
+				return fmt.Errorf("engine: found speed %v, expected more than 0", speed)
 			}
 			set := func(flag string, put func()) {
 				if cmd.Flags().Changed(flag) {
--- a/cmd/mintdoor/main.go
+++ b/cmd/mintdoor/main.go
@@ -1,4 +1,5 @@
-// Command mintdoor is the router and its tools. 'mintdoor help' lists the sub-commands.
+// Command mintdoor is the router and its tools. 'mintdoor help' lists the sub-commands. This package parses flags and
+// reads settings; the work is done in the internal packages.
 package main
 
 import (
@@ -12,7 +13,7 @@
 	"github.com/spf13/cobra"
 )
 
-// errReported ends the program with status 1 when all has been said already.
+// errReported ends the program with status 1 when the error has been printed already.
 var errReported = errors.New("")
 
 func main() {
--- a/cmd/mintdoor/main_test.go
+++ b/cmd/mintdoor/main_test.go
@@ -16,7 +16,8 @@
 	"mintdoor/roles"
 )
 
-// The test binary is the program itself when it is asked to be, so that days can start routers.
+// TestMain makes the test binary act as the program itself if MINTDOOR_MAIN is set, so that tests can start routers
+// as processes.
 func TestMain(m *testing.M) {
 	if os.Getenv("MINTDOOR_MAIN") != "" {
 		main()
@@ -25,7 +26,7 @@
 	os.Exit(m.Run())
 }
 
-// run runs a sub-command and returns what it printed.
+// run runs a sub-command and returns its output.
 func run(t *testing.T, args ...string) (string, error) {
 	t.Helper()
 	var out bytes.Buffer
@@ -54,14 +55,14 @@
 	}
 }
 
-// watched ends something once a text was written.
-type watched struct {
+// triggerBuffer is a buffer that calls end once a text was written to it.
+type triggerBuffer struct {
 	bytes.Buffer
 	text string
 	end  func()
 }
 
-func (w *watched) Write(b []byte) (int, error) {
+func (w *triggerBuffer) Write(b []byte) (int, error) {
 	n, err := w.Buffer.Write(b)
 	if strings.Contains(w.String(), w.text) {
 		w.end()
@@ -72,7 +73,7 @@
 func TestDemo(t *testing.T) {
 	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Minute)
 	defer cancel()
-	w := &watched{text: "max_tokens\":20", end: cancel}
+	w := &triggerBuffer{text: "max_tokens\":20", end: cancel}
 	err := demo(ctx, w, "127.0.0.1:0")
 	out := w.String()
 	if err != nil {
@@ -83,9 +84,9 @@
 	}
 }
 
-// A short day with routers as processes: one of them is killed and comes back, engines crash, fall silent
-// and drain, and the five rules are kept.
-const shortDay = `
+// A short scenario with routers as processes: one of them is killed and restarted, engines crash, stop responding and
+// drain, and the five rules are kept.
+const shortScenario = `
 length 18s
 speed 3
 routers 2
@@ -110,7 +111,7 @@
 `
 
 func TestShortScenario(t *testing.T) {
-	script, err := day.Parse("short", shortDay)
+	script, err := day.Parse("short", shortScenario)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -125,7 +126,8 @@
 	defer logs.Close()
 	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Minute)
 	defer cancel()
-	// A loaded machine may add a lot to the rules' figures; a router that breaks them does so by more.
+	// The tolerance is large since a busy machine may add a lot to the rules' figures; a router that breaks the rules
+	// exceeds them by more.
 	res, err := day.Run(ctx, script, day.Options{StartRouter: processes(self, logs), Dir: t.TempDir(), Slack: 2 * time.Second})
 	if err != nil {
 		t.Fatal(err)
@@ -138,7 +140,7 @@
 		t.Errorf("%s\n%s", out.String(), text)
 	}
 	if res.Report.Served < res.Requests/2 || res.Report.Checked[3] == 0 || res.Report.Checked[4] < 8 {
-		t.Errorf("the day had little to check:\n%s", out.String())
+		t.Errorf("the scenario had too little to check:\n%s", out.String())
 	}
 
 	path := filepath.Join(t.TempDir(), "r.jsonl.zst")
@@ -152,7 +154,7 @@
 	}
 }
 
-// serve drains at the first signal and says its address; an address in use is an error with its name.
+// If its address is in use, serve returns an error that names the address.
 func TestServeNeedsItsAddress(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -182,8 +184,8 @@
 	}
 }
 
-// A recorded swing is played over sockets at several times its speed, and one reader is asked to write on the
-// way: the trace's requests are all there, the engine comes back in its new role, the rules are kept.
+// A recorded trace is replayed over sockets at twice its speed, and one reader is asked to become a writer meanwhile.
+// All requests of the trace are made, the engine restarts in its new role, and the rules are kept.
 func TestRecordedTrace(t *testing.T) {
 	dir := t.TempDir()
 	file := filepath.Join(dir, "x.trace")
@@ -241,7 +243,7 @@
 	}
 }
 
-// A small comparison runs to its table.
+// A small comparison runs and prints its table.
 func TestSwingCommand(t *testing.T) {
 	out, err := run(t, "swing", "--shapes", "steps", "--seeds", "1", "--engines", "4", "--length", "1m", "--period", "1m", "--every", "2")
 	if err != nil || !strings.Contains(out, "simulated: 4 engines") || !strings.Contains(out, "kept") {
--- a/cmd/mintdoor/node.go
+++ b/cmd/mintdoor/node.go
@@ -17,7 +17,7 @@
 		Short: "Run a router on the platform, as the variables PROXY_CONFIG and others tell, until a signal",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			signals := takeSignals(syscall.SIGHUP)
+			signals := queueSignals(syscall.SIGHUP)
 			cfg, err := node.Load(os.Getenv)
 			if err != nil {
 				return err
@@ -34,5 +34,5 @@
 	}
 }
 
-// nodeLogSample is how many lines a second of one message are written.
+// nodeLogSample is the maximum number of log lines per second for one message.
 const nodeLogSample = 50
--- a/cmd/mintdoor/node_test.go
+++ b/cmd/mintdoor/node_test.go
@@ -19,7 +19,7 @@
 	"mintdoor/internal/eventually"
 )
 
-// agent is the platform's discovery with a list of one engine; it counts its calls.
+// agent starts a discovery agent of the platform with a list of one engine; the counter counts its calls.
 func agent(t *testing.T) (string, *atomic.Int64) {
 	asked := new(atomic.Int64)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -35,7 +35,8 @@
 	return s.Listener.Addr().String(), asked
 }
 
-// As a process: SIGHUP moves discovery and ends nothing, SIGTERM ends with status 0 after the last connection.
+// In a router process, SIGHUP changes the discovery address and ends nothing, and SIGTERM ends the process with
+// status 0 after the last connection.
 func TestNodeAndItsSignals(t *testing.T) {
 	form, err := os.ReadFile("../../internal/node/testdata/config.json")
 	if err != nil {
@@ -93,11 +94,11 @@
 		resp.Body.Close()
 		return resp.StatusCode
 	}
-	told := func() any { return asked.Load() }
-	eventually.Is(t, "it is up", func() bool { return up() == 200 }, told)
+	progress := func() any { return asked.Load() }
+	eventually.Is(t, "the router is ready", func() bool { return up() == 200 }, progress)
 	write(second)
 	cmd.Process.Signal(syscall.SIGHUP)
-	eventually.Is(t, "the second agent is asked", func() bool { return moved.Load() > 0 }, told)
+	eventually.Is(t, "the second agent is asked", func() bool { return moved.Load() > 0 }, progress)
 	if code := up(); code != 200 {
 		t.Errorf("after SIGHUP: %d", code)
 	}
@@ -107,7 +108,7 @@
 	}
 }
 
-// What is missing is said in one line that names it, with status 1.
+// A missing variable is reported in one line that names it, with status 1.
 func TestNodeWithoutItsVariables(t *testing.T) {
 	cmd := exec.Command(os.Args[0], "node")
 	cmd.Env = append(os.Environ(), "MINTDOOR_MAIN=1", "PROXY_CONFIG=")
--- a/cmd/mintdoor/serve.go
+++ b/cmd/mintdoor/serve.go
@@ -37,7 +37,7 @@
 				return err
 			}
 			fmt.Fprintf(cmd.OutOrStdout(), "listening on %s\n", d.Addr())
-			ctx, stop := untilSignal(cmd.Context(), takeSignals(), signalActions{drain: d.Drain, repeatedTerm: true})
+			ctx, stop := untilSignal(cmd.Context(), queueSignals(), signalActions{drain: d.Drain, repeatedTerm: true})
 			defer stop()
 			return d.Run(ctx)
 		},
@@ -46,9 +46,9 @@
 	return cmd
 }
 
-// gcPercent lets the heap grow to five times what lives. A router's live heap is a few megabytes while each
-// request allocates tens of kilobytes, so that the default collects dozens of times a second under load,
-// which shows in the slowest answers.
+// gcPercent lets the heap grow to five times the live heap. A router's live heap is a few megabytes, while each
+// request allocates tens of kilobytes, so that with the default the garbage collector runs dozens of times per second
+// under load, which shows in the slowest answers.
 const gcPercent = 400
 
 func randomSeed() uint64 {
@@ -83,7 +83,7 @@
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if !defaults {
-				return fmt.Errorf("config: say --defaults")
+				return fmt.Errorf("config: --defaults is required")
 			}
 			return config.WriteDefaults(cmd.OutOrStdout())
 		},
--- a/cmd/mintdoor/shutdown_test.go
+++ b/cmd/mintdoor/shutdown_test.go
@@ -15,12 +15,12 @@
 	standin "mintdoor/internal/standin/chat"
 )
 
-// platformRouter starts `mintdoor node` from the test's own program.
+// platformRouter runs 'mintdoor node' from the test binary.
 func platformRouter() soak.Program {
 	return soak.Program{Path: os.Args[0], Args: []string{"node"}, Env: []string{"MINTDOOR_MAIN=1"}}
 }
 
-// longStreams is work whose streams take far longer than a router has after SIGTERM.
+// longStreams makes engines stream for far longer than a router has after SIGTERM.
 var longStreams = standin.Timing{ReadTime: 20 * time.Millisecond, FirstTokenTime: 20 * time.Millisecond, EventInterval: 50 * time.Millisecond, EventsPerStream: 1000}
 
 func chatRequest(id, class string, left time.Duration) string {
@@ -40,25 +40,27 @@
 	return resp.StatusCode, err
 }
 
-// lateRequest is a request that comes late in a shutdown.
+// lateRequest is a request whose last byte is sent late in a shutdown.
 type lateRequest struct {
 	name string
 	conn net.Conn
-	rest string // what is still to be sent
+	rest string // the bytes that are still to be sent
 	code int
 	err  error
 }
 
-// A request whose last byte comes more than 0.7 s after SIGTERM has its whole final answer when the process is killed, 3.7 s
-// after SIGTERM, however long the streams of the engines take, and also if the process takes the signal late (incident 1).
+// A request whose last byte arrives more than 0.7 s after SIGTERM has its whole final answer when the process is
+// killed 3.7 s after SIGTERM. This holds however long the engines' streams take, and also if the process handles the
+// signal late. The test guards against requests that are sent to a writer during a shutdown and lost when the process
+// is killed.
 func TestRequestsLateInShutdownAreAnswered(t *testing.T) {
-	for name, heldUp := range map[string]time.Duration{"signal taken at once": 0, "signal taken late": 150 * time.Millisecond} {
-		t.Run(name, func(t *testing.T) { testLateInShutdown(t, heldUp) })
+	for name, pause := range map[string]time.Duration{"signal handled immediately": 0, "signal handled late": 150 * time.Millisecond} {
+		t.Run(name, func(t *testing.T) { testLateInShutdown(t, pause) })
 	}
 }
 
-func testLateInShutdown(t *testing.T, heldUp time.Duration) {
-	const owedFrom, killedAt = 710 * time.Millisecond, 3700 * time.Millisecond
+func testLateInShutdown(t *testing.T, pause time.Duration) {
+	const lateFrom, killedAt = 710 * time.Millisecond, 3700 * time.Millisecond
 	world, err := soak.NewWorld(soak.WorldOptions{Program: platformRouter(), Dir: t.TempDir(), Routers: 1, Readers: 1, Writers: 1,
 		Work: longStreams})
 	if err != nil {
@@ -83,19 +85,19 @@
 		io.WriteString(c, text[:early])
 		requests = append(requests, &lateRequest{name: name, conn: c, rest: text[early:]})
 	}
-	add("a safe one on a connection from before", "price-ask", 0)
-	add("one that may not be repeated", "pen-booking", 0)
-	add("one with a key", "stall-order", 0)
-	add("one that has begun to come before", "price-ask", 60)
-	if heldUp > 0 {
+	add("a safe request on an existing connection", "price-ask", 0)
+	add("a request that must not be repeated", "pen-booking", 0)
+	add("a keyed request", "stall-order", 0)
+	add("a request that was partly sent before", "price-ask", 60)
+	if pause > 0 {
 		router.Signal(syscall.SIGSTOP)
 	}
 	terminated := time.Now()
 	router.Signal(syscall.SIGTERM)
-	time.Sleep(heldUp)
+	time.Sleep(pause)
 	router.Signal(syscall.SIGCONT)
-	add("one on a new connection", "price-ask", 0)
-	time.Sleep(time.Until(terminated.Add(owedFrom)))
+	add("a request on a new connection", "price-ask", 0)
+	time.Sleep(time.Until(terminated.Add(lateFrom)))
 	done := make(chan bool)
 	for _, q := range requests {
 		io.WriteString(q.conn, q.rest)
--- a/cmd/mintdoor/signals.go
+++ b/cmd/mintdoor/signals.go
@@ -8,19 +8,23 @@
 	"syscall"
 )
 
-// signalQueues are the signals that wait to be taken. Those that end the router have a queue of their own: any number of
-// new configurations in a row neither crowds them out nor holds them up.
+// signalQueues hold the signals that wait to be handled. Signals that end the router have their own queue, so that
+// any number of reloads in a row neither displaces nor delays them.
 type signalQueues struct {
-	ends    chan os.Signal
-	reloads chan os.Signal // one that waits stands for all that come meanwhile: the file is read after it is taken
+	ends chan os.Signal
+	// reloads holds at most one signal, which stands for all that arrive meanwhile: the file is read after the signal
+	// is taken from the queue.
+	reloads chan os.Signal
 }
 
-// endsWaiting is how many signals that end the router may wait: a first, and one that ends it at once.
-const endsWaiting = 4
+// endQueueSize is how many signals that end the router can wait: at least a first one, and one that ends the router
+// immediately.
+const endQueueSize = 4
 
-// takeSignals has SIGINT, SIGTERM and those that reload wait from now on: one that nobody takes would end the program.
-func takeSignals(reloading ...os.Signal) *signalQueues {
-	q := &signalQueues{ends: make(chan os.Signal, endsWaiting), reloads: make(chan os.Signal, 1)}
+// queueSignals queues SIGINT, SIGTERM and the signals that reload from now on. Without it, such a signal would end the
+// program.
+func queueSignals(reloading ...os.Signal) *signalQueues {
+	q := &signalQueues{ends: make(chan os.Signal, endQueueSize), reloads: make(chan os.Signal, 1)}
 	signal.Notify(q.ends, syscall.SIGINT, syscall.SIGTERM)
 	if len(reloading) > 0 {
 		signal.Notify(q.reloads, reloading...)
@@ -28,23 +32,23 @@
 	return q
 }
 
-// signalActions is what a router does at signals.
+// signalActions are the actions of a router on signals.
 type signalActions struct {
 	drain  func() // at the first SIGINT or SIGTERM
-	reload func() // at SIGHUP, if it is taken
-	// repeatedTerm has a SIGTERM that comes in the drain end the router at once, as SIGINT does. Without it the drain
-	// goes on: whoever sends SIGTERM twice is still owed the answers, and has SIGKILL to end them.
+	reload func() // at SIGHUP, if it is queued
+	// repeatedTerm makes a SIGTERM during the drain end the router immediately, as SIGINT does. Without it the drain
+	// continues: whoever sends SIGTERM twice still expects the answers, and can use SIGKILL to end the router.
 	repeatedTerm bool
 }
 
-// untilSignal returns a context for a router that runs until a signal ends it. The function that it returns ends the
-// context, and returns when no action runs any more.
+// untilSignal returns a context for a router that runs until a signal ends it. The returned function ends the
+// context, and returns when no action is running any more.
 func untilSignal(ctx context.Context, queues *signalQueues, do signalActions) (context.Context, func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	var work sync.WaitGroup
 	work.Go(func() {
 		defer signal.Stop(queues.ends)
-		takeEnds(ctx, cancel, queues.ends, do)
+		handleEndSignals(ctx, cancel, queues.ends, do)
 	})
 	work.Go(func() {
 		defer signal.Stop(queues.reloads)
@@ -63,8 +67,8 @@
 	}
 }
 
-// takeEnds carries out the signals that end the router, until one ends it at once.
-func takeEnds(ctx context.Context, cancel context.CancelFunc, ends <-chan os.Signal, do signalActions) {
+// handleEndSignals handles the signals that end the router, until one ends it immediately.
+func handleEndSignals(ctx context.Context, cancel context.CancelFunc, ends <-chan os.Signal, do signalActions) {
 	for draining := false; ; {
 		select {
 		case <-ctx.Done():
--- a/cmd/mintdoor/signals_test.go
+++ b/cmd/mintdoor/signals_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// What ends a router at once and what does not: a second SIGTERM ends it only where that is wanted, SIGHUP never, a
-// second SIGINT always. Each signal is taken once, in its order, also those that came before the router ran.
+// A second SIGTERM ends a router immediately only if repeatedTerm is set, a second SIGINT always does, and SIGHUP
+// never does. Each signal is handled once and in order, including signals that arrived before the router ran.
 func TestSignals(t *testing.T) {
 	hup, term, interrupt := syscall.SIGHUP, syscall.SIGTERM, syscall.SIGINT
 	for name, c := range map[string]struct {
@@ -18,15 +18,15 @@
 		reloads      int
 		ended        bool
 	}{
-		"reload":                          {[]os.Signal{hup, hup}, false, 0, 2, false},
-		"drain":                           {[]os.Signal{term}, true, 1, 0, false},
-		"drain, reload":                   {[]os.Signal{term, hup}, true, 1, 1, false},
-		"SIGTERM twice, patient":          {[]os.Signal{term, term, hup}, false, 1, 1, false},
-		"SIGTERM twice":                   {[]os.Signal{term, term}, true, 1, 0, true},
-		"SIGTERM and SIGINT, patient":     {[]os.Signal{term, interrupt}, false, 1, 0, true},
-		"SIGINT twice":                    {[]os.Signal{interrupt, interrupt}, false, 1, 0, true},
-		"SIGTERM twice, SIGINT, patient":  {[]os.Signal{term, term, interrupt}, false, 1, 0, true},
-		"reload before and in the drain ": {[]os.Signal{hup, term, hup}, false, 1, 2, false},
+		"reload":                              {[]os.Signal{hup, hup}, false, 0, 2, false},
+		"drain":                               {[]os.Signal{term}, true, 1, 0, false},
+		"drain, reload":                       {[]os.Signal{term, hup}, true, 1, 1, false},
+		"SIGTERM twice, without repeatedTerm": {[]os.Signal{term, term, hup}, false, 1, 1, false},
+		"SIGTERM twice":                       {[]os.Signal{term, term}, true, 1, 0, true},
+		"SIGTERM and SIGINT, without repeatedTerm": {[]os.Signal{term, interrupt}, false, 1, 0, true},
+		"SIGINT twice": {[]os.Signal{interrupt, interrupt}, false, 1, 0, true},
+		"SIGTERM twice, SIGINT, without repeatedTerm": {[]os.Signal{term, term, interrupt}, false, 1, 0, true},
+		"reload before and during the drain":          {[]os.Signal{hup, term, hup}, false, 1, 2, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			queues := &signalQueues{ends: make(chan os.Signal, 4), reloads: make(chan os.Signal, 4)}
@@ -37,7 +37,7 @@
 					queues.ends <- s
 				}
 			}
-			var drains, reloads int // each is its goroutine's until it has been seen
+			var drains, reloads int // each is used only by its goroutine until it was seen
 			seen := make(chan bool, 10)
 			ctx, stop := untilSignal(context.Background(), queues, signalActions{repeatedTerm: c.repeatedTerm,
 				drain: func() { drains++; seen <- true }, reload: func() { reloads++; seen <- true }})
@@ -48,7 +48,7 @@
 			if c.ended {
 				<-ctx.Done()
 			} else if ctx.Err() != nil {
-				t.Error("it was ended")
+				t.Error("the context was ended")
 			}
 			if drains != c.drains || reloads != c.reloads {
 				t.Errorf("%d drains, %d reloads", drains, reloads)
@@ -57,9 +57,9 @@
 	}
 }
 
-// A reload that takes long, with more signals to reload behind it, does not hold up the end.
+// A reload that takes long, with more reload signals waiting behind it, doesn't delay the drain.
 func TestReloadsDoNotDelayDrain(t *testing.T) {
-	queues := takeSignals(syscall.SIGHUP)
+	queues := queueSignals(syscall.SIGHUP)
 	reloading, drained := make(chan bool), make(chan bool)
 	ctx, stop := untilSignal(context.Background(), queues, signalActions{
 		drain:  func() { close(drained) },
@@ -75,8 +75,8 @@
 	}
 	syscall.Kill(os.Getpid(), syscall.SIGTERM)
 	<-drained
-	<-reloading // one that came in the first one's time
+	<-reloading // a reload that was requested during the first one
 	if ctx.Err() != nil {
-		t.Error("it was ended")
+		t.Error("the context was ended")
 	}
 }
--- a/cmd/mintdoor/silence_test.go
+++ b/cmd/mintdoor/silence_test.go
@@ -12,8 +12,8 @@
 	standin "mintdoor/internal/standin/chat"
 )
 
-// keptConnections is a router of its own process with one reader and one writer, and clients whose first requests have left it
-// with connections to both.
+// keptConnections is a router process with one reader and one writer, and clients whose first requests have left the
+// router with idle connections to both.
 type keptConnections struct {
 	world *soak.World
 	conns []net.Conn
@@ -46,11 +46,11 @@
 	}
 	k.ask("r0")
 	k.answers()
-	time.Sleep(100 * time.Millisecond) // connections rest for a moment before they are used again
+	time.Sleep(100 * time.Millisecond) // connections have to be idle for a moment before they are reused
 	return k
 }
 
-// ask has every client send a request.
+// ask makes every client send a request.
 func (k *keptConnections) ask(round string) {
 	for i, c := range k.conns {
 		io.WriteString(c, chatRequest(fmt.Sprintf("%s-%d", round, i), "price-ask", 2500*time.Millisecond))
@@ -61,7 +61,7 @@
 	}
 }
 
-// answers waits for the answers of all clients, and returns their codes.
+// answers waits for the answers of all clients and returns their status codes.
 func (k *keptConnections) answers() (codes []int) {
 	for range k.conns {
 		codes = append(codes, <-k.codes)
@@ -69,7 +69,7 @@
 	return codes
 }
 
-// disturb does something to the proxies to the engines of a role.
+// disturb applies a function to the proxies in front of the engines of one role.
 func (k *keptConnections) disturb(t *testing.T, writers bool, do func(*standin.Proxy) error) {
 	t.Helper()
 	for _, e := range k.world.Engines() {
@@ -82,32 +82,34 @@
 	}
 }
 
-// checkHolds ends the router, and checks that what was read in a round was held, and not for too long.
+// checkHolds ends the router, and checks that the KV states that were read in a round were held, and not for too
+// long.
 func (k *keptConnections) checkHolds(t *testing.T, round string) {
 	t.Helper()
-	const most = 1300 * time.Millisecond // the settings' second and what sockets add
+	const limit = 1300 * time.Millisecond // the hold time-out of the settings (1 s) and what sockets add
 	k.world.Routers[0].Signal(syscall.SIGTERM)
 	k.world.Routers[0].Wait()
 	held := 0
 	for _, h := range k.world.Cluster.Record().Holds {
 		if h.Until.IsZero() {
-			t.Errorf("what was read for %s is held yet", h.Request)
+			t.Errorf("the KV state of %s is still held", h.Request)
 			continue
 		}
 		if h.Request[:2] == round {
 			held++
 		}
-		if d := h.Until.Sub(h.From); d > most {
-			t.Errorf("what was read for %s was held for %v", h.Request, d)
+		if d := h.Until.Sub(h.From); d > limit {
+			t.Errorf("the KV state of %s was held for %v", h.Request, d)
 		}
 	}
 	if held == 0 {
-		t.Error("nothing was held: no state was at stake")
+		t.Error("no KV state was held in this round, so nothing was tested")
 	}
 }
 
-// A writer falls silent behind connections that stand. Requests wait for it, some to their deadlines, as many time out; what was
-// read for them is let go in time all the same: a send that has not arrived does not stop that clock.
+// A writer stops responding on connections that stay open. Requests wait for it, some of them until their deadlines,
+// since many time out. Their KV states are released in time all the same: a send that has not arrived does not
+// pause the hold timer.
 func TestStatesBehindAnUnresponsiveWriterAreReleased(t *testing.T) {
 	k := keepConnections(t, 6, standin.Timing{ReadTime: 10 * time.Millisecond, FirstTokenTime: 10 * time.Millisecond, EventInterval: time.Millisecond,
 		EventsPerStream: 3})
@@ -117,9 +119,10 @@
 	k.checkHolds(t, "r1")
 }
 
-// Connections that stand fall silent for good, with no error, while new ones come up (incident 2): those to the reader while it
-// reads, and those to the writer. That an engine can be reached does not show that a send on an old connection has arrived, or
-// that its answer will: what was read is let go in time, and the requests are served, since nothing is wrong with the engines.
+// Open connections stop carrying data for good and without an error, while new connections work: those to the reader
+// while it reads, and those to the writer. That an engine can be reached doesn't show that a send on an old
+// connection has arrived, or that its answer will arrive. KV states are released in time, and the requests are
+// served, since nothing is wrong with the engines.
 func TestStatesBehindForgottenConnectionsAreLetGo(t *testing.T) {
 	k := keepConnections(t, 8, standin.Timing{ReadTime: 100 * time.Millisecond, FirstTokenTime: 10 * time.Millisecond, EventInterval: time.Millisecond,
 		EventsPerStream: 3})
--- a/cmd/mintdoor/soak.go
+++ b/cmd/mintdoor/soak.go
@@ -11,7 +11,7 @@
 	"github.com/spf13/cobra"
 )
 
-// errViolated ends the command when an invariant did not hold.
+// errViolated ends the command when an invariant was violated.
 var errViolated = errors.New("an invariant was violated")
 
 func soakCommand() *cobra.Command {
--- a/cmd/mintdoor/soak_test.go
+++ b/cmd/mintdoor/soak_test.go
@@ -8,15 +8,15 @@
 	"mintdoor/internal/soak"
 )
 
-// A short soak with a fixed seed: real router processes under faults that overlap keep every rule, as seen from outside and by
-// their own checks. The times that are allowed are longer here, for a machine that is busy with other tests.
+// A short soak with a fixed seed: router processes under overlapping faults keep every rule, as observed from outside
+// and by their own checks. The times allowed are longer here, because the machine may be busy with other tests.
 func TestSoak(t *testing.T) {
 	runSoak(t, soak.Options{Seed: 1, Routers: 5, Readers: 4, Writers: 5, Length: 12 * time.Second, Rate: 4, Every: 250 * time.Millisecond,
 		Slack: 2 * time.Second})
 }
 
-// The same with thousands of engines (incident 2): what a router decides may not take so long that time-outs, releases and
-// answers come late behind it.
+// The same with thousands of engines: a router's decisions must not take so long that time-outs, releases and answers
+// are late because of them.
 func TestSoakOfThousandsOfEngines(t *testing.T) {
 	runSoak(t, soak.Options{Seed: 90211, Routers: 3, Readers: 1400, Writers: 1800, Length: 15 * time.Second, Rate: 12,
 		Every: 300 * time.Millisecond, Slack: 2 * time.Second})
@@ -35,8 +35,8 @@
 		t.Error(text.String())
 	}
 	t.Log(text.String())
-	const leastKinds, leastServed = 8, 20 // a soak in which nothing struck, or nothing was served, shows nothing
-	if len(report.Struck) < leastKinds || report.Requests.Served < leastServed {
-		t.Errorf("too little has happened:\n%s", text.String())
+	const minKinds, minServed = 8, 20 // a soak without faults, or without served requests, tests nothing
+	if len(report.Struck) < minKinds || report.Requests.Served < minServed {
+		t.Errorf("too few faults or served requests:\n%s", text.String())
 	}
 }
--- a/cmd/mintdoor/swing.go
+++ b/cmd/mintdoor/swing.go
@@ -16,7 +16,7 @@
 	"github.com/spf13/cobra"
 )
 
-// swingFlags are those of a swing that is drawn.
+// swingFlags are the flags of a generated trace.
 type swingFlags struct {
 	shape          string
 	length, period time.Duration
@@ -86,7 +86,7 @@
 	return cmd
 }
 
-// showTrace prints a trace's requests and means in ten parts.
+// showTrace prints the requests of a trace and their means in ten parts.
 func showTrace(out io.Writer, t *trace.Trace) error {
 	const parts = 10
 	type sum struct {
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -27,6 +27,7 @@
 	return slog.New(h)
 }
 
+// window counts the lines of one message in one second.
 type window struct {
 	second  int64
 	written int
@@ -40,6 +41,7 @@
 	seen  map[string]*window // by message; messages are constants of the program, so there are few
 }
 
+// sampler is a handler that limits the lines per second of each message.
 type sampler struct {
 	next   slog.Handler
 	shared *shared
@@ -62,6 +64,7 @@
 // maxMessages bounds the table in case messages are not constants.
 const maxMessages = 1000
 
+// allow reports whether a line may be written, and how many lines of its message were left out before.
 func (s *shared) allow(message string, at time.Time) (dropped int, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -84,7 +84,7 @@
 type RoleMetrics struct {
 	changes     *prometheus.CounterVec
 	duration    *prometheus.HistogramVec
-	lost        *prometheus.CounterVec
+	lost        *prometheus.CounterVec // engine-seconds lost to changes
 	engines     *prometheus.GaugeVec
 	demand      *prometheus.GaugeVec
 	servedRatio *prometheus.GaugeVec
