--- a/cmd/mintdoor/day.go
+++ b/cmd/mintdoor/day.go
@@ -56,7 +56,7 @@
 			if len(seeds) == 0 {
 				seeds = []uint{uint(script.Seed)}
 			}
-			return playDays(ctx, out, script, seeds, slack, records)
+			return runDays(ctx, out, script, seeds, slack, records)
 		},
 	}
 	f := cmd.Flags()
@@ -74,7 +74,7 @@
 func dayScript(args []string, from string, size day.MaxSize) (*day.Script, error) {
 	switch {
 	case from != "" && len(args) > 0:
-		return nil, fmt.Errorf("day: say a script or --from, not both")
+		return nil, fmt.Errorf("day: give either a script or --from, not both")
 	case from != "":
 		return day.FromLbsim(from, size)
 	case len(args) > 0:
@@ -83,7 +83,7 @@
 	return day.Parse("built-in day", day.BuiltInScript)
 }
 
-func playDays(ctx context.Context, out io.Writer, script *day.Script, seeds []uint, slack time.Duration, keep string) error {
+func runDays(ctx context.Context, out io.Writer, script *day.Script, seeds []uint, slack time.Duration, keep string) error {
 	self, err := os.Executable()
 	if err != nil {
 		return err
@@ -132,18 +132,18 @@
 		fmt.Fprintf(out, "service over %d seeds: %.3f +- %.3f (95%%)\n", len(seeds), mean, half)
 	}
 	if broken {
-		return errSaid
+		return errReported
 	}
 	return nil
 }
 
-// process is a router as a process of its own.
+// process is a router that runs in its own process.
 type process struct {
 	cmd  *exec.Cmd
 	done chan struct{}
 }
 
-// processes starts routers as processes of this very program.
+// processes returns a function that starts routers as processes of this program.
 func processes(self string, logs io.Writer) func(string) (day.Process, error) {
 	return func(settings string) (day.Process, error) {
 		cmd := exec.Command(self, "serve", settings)
@@ -161,19 +161,19 @@
 		go func() { cmd.Wait(); close(p.done) }()
 		if err != nil || !strings.HasPrefix(line, "listening") {
 			p.Kill()
-			return nil, fmt.Errorf("it did not come up: %q", line)
+			return nil, fmt.Errorf("the router did not start: %q", line)
 		}
 		return p, nil
 	}
 }
 
-// Kill ends the process as a crash would.
+// Kill ends the process like a crash.
 func (p *process) Kill() {
 	p.cmd.Process.Kill()
 	<-p.done
 }
 
-// Stop lets it drain, and kills it when that takes too long.
+// Stop lets the router drain, and kills it if that takes longer than 5 s.
 func (p *process) Stop() {
 	p.cmd.Process.Signal(syscall.SIGTERM)
 	select {
@@ -210,7 +210,7 @@
 				return err
 			}
 			if !rep.Passed() {
-				return errSaid
+				return errReported
 			}
 			return nil
 		},
--- a/cmd/mintdoor/main.go
+++ b/cmd/mintdoor/main.go
@@ -1,4 +1,5 @@
-// Command mintdoor is the router and its tools. 'mintdoor help' lists the sub-commands.
+// Command mintdoor is the router and its tools. 'mintdoor help' lists the sub-commands. This package parses flags and
+// reads settings; the work is done in the internal packages.
 package main
 
 import (
@@ -12,12 +13,12 @@
 	"github.com/spf13/cobra"
 )
 
-// errSaid ends the program with status 1 when all has been said already.
-var errSaid = errors.New("")
+// errReported ends the program with status 1 when the error has been printed already.
+var errReported = errors.New("")
 
 func main() {
 	if err := command().ExecuteContext(context.Background()); err != nil {
-		if !errors.Is(err, errSaid) {
+		if !errors.Is(err, errReported) {
 			fmt.Fprintln(os.Stderr, "mintdoor:", err)
 		}
 		os.Exit(1)
--- a/internal/router/actions.go
+++ b/internal/router/actions.go
@@ -13,41 +13,41 @@
 	"mintdoor/internal/guard"
 )
 
-// attempt is one send of a request. Its fields below the line belong to the loop.
+// attempt is one send of a request to an engine. The fields after the blank line belong to the loop.
 type attempt struct {
-	flight  *flight
+	row     *requestRow
 	server  decide.ServerID
 	addr    string
 	call    engine.Call
 	prefill bool
 	ctx     context.Context
-	granted chan bool // the loop's word on the first token
+	allowed chan bool // the loop's answer on whether the first token may be passed on
 
-	number    int
-	guarded   *guard.Attempt
-	sentAt    decide.Time
-	cancel    context.CancelCauseFunc
-	limit     *entry // its time-out
-	renewal   *entry // the next renewal of its state
-	streaming bool   // its first token was let through
-	ending    bool   // it was called off; its outcome is on the way
-	ended     bool
+	number       int
+	guard        *guard.Attempt
+	sentAt       decide.Time
+	cancel       context.CancelCauseFunc
+	timeoutTimer *timer // the attempt's time-out
+	renewTimer   *timer // the next renewal of its KV state
+	streaming    bool   // its first token was passed on
+	cancelling   bool   // it was cancelled; its outcome has not arrived yet
+	ended        bool
 }
 
 var (
-	errPanicked = errors.New("internal error of the engines' client")
-	errStalled  = errors.New("the client does not read")
-	errDenied   = errors.New("the answer is not wanted any more")
+	errPanicked  = errors.New("internal error in the engine client")
+	errStalled   = errors.New("the client does not read")
+	errNotWanted = errors.New("the answer is no longer wanted")
 )
 
-// carry carries out one action of the module.
-func (r *Router) carry(a *decide.Action) {
+// execute carries out one action of the module.
+func (r *Router) execute(a *decide.Action) {
 	switch a.Kind {
 	case decide.Send:
 		r.send(a)
 		return
 	case decide.SetTimer:
-		r.timers.add(&entry{at: r.now + a.After, token: a.TimerID, generation: r.generation})
+		r.timers.add(&timer{at: r.now + a.After, id: a.TimerID, generation: r.generation})
 		return
 	case decide.Probe:
 		r.probe(a.Server, a.NewConnection)
@@ -61,105 +61,107 @@
 		r.log.Info("module", "note", a.Reason)
 		return
 	}
-	f := r.table.rows[a.Request]
-	if f == nil {
-		return // it is over; nothing is held and nothing is owed
+	row := r.table.rows[a.Request]
+	if row == nil {
+		return // the request is done: it has no holds, and no answer is due
 	}
-	r.touched = append(r.touched, f)
+	r.touched = append(r.touched, row)
 	switch a.Kind {
 	case decide.Cancel:
-		if o := f.out; o != nil && o.number == a.Attempt && !o.streaming && !o.ending {
-			o.ending = true
+		if o := row.inFlight; o != nil && o.number == a.Attempt && !o.streaming && !o.cancelling {
+			o.cancelling = true
 			o.cancel(engine.ErrCancelled)
 		}
 	case decide.Refuse:
-		r.answer(f, Ending{Kind: Refused, RetryAfter: time.Duration(a.After), Reason: "refused: " + a.Reason})
+		r.answer(row, Ending{Kind: Refused, RetryAfter: time.Duration(a.After), Reason: "refused: " + a.Reason})
 	case decide.Fail:
-		r.answer(f, Ending{Kind: Failed, TimedOut: f.late, Reason: "failed: " + a.Reason})
+		r.answer(row, Ending{Kind: Failed, TimedOut: row.lastTimedOut, Reason: "failed: " + a.Reason})
 	case decide.Release:
 		if a.DuringAttempt {
-			r.keep.releaseWhileOut(f)
+			r.holds.releaseDuringAttempt(row)
 		} else {
-			r.keep.release(f)
+			r.holds.release(row)
 		}
 	case decide.Move:
-		if f.out != nil && f.out.streaming && !f.answered() {
-			r.answer(f, Ending{Kind: Moved, Reason: "go on elsewhere"})
-			f.out.ending = true
-			f.out.cancel(engine.ErrCancelled)
+		if row.inFlight != nil && row.inFlight.streaming && !row.answered() {
+			r.answer(row, Ending{Kind: Moved, Reason: "go on elsewhere"})
+			row.inFlight.cancelling = true
+			row.inFlight.cancel(engine.ErrCancelled)
 		}
 	case decide.Reserve:
-		r.reserve(f, a.Server)
+		r.reserve(row, a.Server)
 	}
 }
 
-// send starts an attempt. One that may not start is moot, and the module hears so like of any outcome.
+// send starts an attempt. If the attempt may not start, the module is told that it was not started, in the same way
+// as of any other outcome.
 func (r *Router) send(act *decide.Action) {
-	f := r.table.rows[act.Request]
+	row := r.table.rows[act.Request]
 	s := r.servers[act.Server]
-	if f == nil {
+	if row == nil {
 		return
 	}
-	r.touched = append(r.touched, f)
-	at := f.deadline
+	r.touched = append(r.touched, row)
+	at := row.deadline
 	if act.After != 0 {
 		at = min(at, r.now+act.After)
 	}
-	guarded, err := r.begin(act, f, s, at)
+	guardAttempt, err := r.beginAttempt(act, row, s, at)
 	if err != nil {
-		r.later = append(r.later, decide.Event{Kind: decide.AttemptEnded, Request: f.id, Server: act.Server,
-			Attempt: guarded.Number, Outcome: decide.NotStarted, Closed: f.answered(), Report: engine.NoReport()})
+		r.queuedEvents = append(r.queuedEvents, decide.Event{Kind: decide.AttemptEnded, Request: row.id, Server: act.Server,
+			Attempt: guardAttempt.Number, Outcome: decide.NotStarted, Closed: row.answered(), Report: engine.NoReport()})
 		return
 	}
-	a := &attempt{flight: f, server: act.Server, addr: s.addr, prefill: s.role == decide.Reader,
-		granted: make(chan bool, 1), sentAt: r.now, number: guarded.Number, guarded: guarded}
+	a := &attempt{row: row, server: act.Server, addr: s.addr, prefill: s.role == decide.Reader,
+		allowed: make(chan bool, 1), sentAt: r.now, number: guardAttempt.Number, guard: guardAttempt}
 	a.ctx, a.cancel = context.WithCancelCause(r.workCtx)
-	f.out = a
-	a.limit = r.timers.add(&entry{at: at, attempt: a})
-	r.fill(a, f)
+	row.inFlight = a
+	a.timeoutTimer = r.timers.add(&timer{at: at, attempt: a})
+	r.fillCall(a, row)
 	a.call.LastResponseWithin = time.Duration(act.LastResponseWithin)
-	r.keep.sent(a)
-	r.count.sends.Add(1)
+	r.holds.attemptSent(a)
+	r.counts.sends.Add(1)
 	r.work.Add(1)
-	go r.run(a)
+	go r.runAttempt(a)
 }
 
 var (
-	errNoServer    = errors.New("the engine has left the list")
-	errNoTime      = errors.New("the deadline has passed")
-	errAllAttempts = errors.New("there were as many attempts as there may be")
+	errServerGone      = errors.New("the engine was removed from the server list")
+	errDeadlinePassed  = errors.New("the deadline has passed")
+	errTooManyAttempts = errors.New("the maximum number of attempts is used up")
 )
 
-// begin asks the guard for an attempt at an engine, which is given up at some time. With an error it may not start.
-func (r *Router) begin(act *decide.Action, f *flight, s *server, at decide.Time) (*guard.Attempt, error) {
+// beginAttempt asks the guard for permission to start an attempt at an engine; at is its time-out. If it returns an
+// error, the attempt must not start.
+func (r *Router) beginAttempt(act *decide.Action, row *requestRow, s *server, at decide.Time) (*guard.Attempt, error) {
 	limits := guard.Limits{Timeout: time.Duration(at - r.now), DrainGrace: time.Duration(r.cfg.Settings.DrainGrace)}
 	if act.SendBy != 0 {
-		limits.SendBy = r.wall(act.SendBy)
+		limits.SendBy = r.wallTime(act.SendBy)
 	}
 	switch {
 	case s == nil:
-		return f.guarded().SkipAttempt(limits, errNoServer)
-	case r.now >= f.deadline:
-		return f.guarded().SkipAttempt(limits, errNoTime)
-	case f.guarded().Attempts() >= r.cfg.Settings.MaxAttempts:
-		return f.guarded().SkipAttempt(limits, errAllAttempts)
+		return row.guard().SkipAttempt(limits, errServerGone)
+	case r.now >= row.deadline:
+		return row.guard().SkipAttempt(limits, errDeadlinePassed)
+	case row.guard().Attempts() >= r.cfg.Settings.MaxAttempts:
+		return row.guard().SkipAttempt(limits, errTooManyAttempts)
 	}
 	limits.Engine, limits.Stage = s.name, engine.StageDecode
 	if s.role == decide.Reader {
 		limits.Stage = engine.StagePrefill
 	}
-	limits.WithdrawnFor = func() (time.Duration, bool) { return s.withdrawnFor(r.clock()) }
-	return f.guarded().BeginAttempt(limits)
+	limits.WithdrawnFor = func() (time.Duration, bool) { return s.withdrawnFor(r.moduleNow()) }
+	return row.guard().BeginAttempt(limits)
 }
 
-// fill makes what the attempt carries.
-func (r *Router) fill(a *attempt, f *flight) {
-	j := &f.q.job
-	a.call = engine.Call{ID: f.name + "." + strconv.Itoa(a.number), Model: r.cfg.Model, Message: j.Message,
+// fillCall sets the request that the attempt sends to its engine.
+func (r *Router) fillCall(a *attempt, row *requestRow) {
+	j := &row.q.job
+	a.call = engine.Call{ID: row.name + "." + strconv.Itoa(a.number), Model: r.cfg.Model, Message: j.Message,
 		NonIdempotent:    !a.prefill && r.cfg.Settings.Classes[j.Class].RetryPolicy == decide.Unsafe,
-		Gate:             a.guarded,
-		ResponseDeadline: r.wall(a.limit.at), Params: engine.Params{
-			Stage: engine.StageDecode, Request: f.name, Client: j.ClientID, Class: j.ClassName, Tenant: j.TenantName,
+		Gate:             a.guard,
+		ResponseDeadline: r.wallTime(a.timeoutTimer.at), Params: engine.Params{
+			Stage: engine.StageDecode, Request: row.name, Client: j.ClientID, Class: j.ClassName, Tenant: j.TenantName,
 			Session: j.Session, SharedText: j.SharedPrefix, PromptTokens: j.PromptTokens,
 			SharedTokens: j.PrefixTokens, MaxTokens: j.MaxTokens,
 			HoldMillis: float64(r.cfg.Settings.HoldTimeout) / 1e6,
@@ -167,76 +169,78 @@
 	switch {
 	case a.prefill:
 		a.call.Params.Stage, a.call.Prompt = engine.StagePrefill, j.Prompt
-	case f.state != nil:
-		a.call.Params.Handle, a.call.Params.Source = f.state.Handle, f.state.Addr
+	case row.state != nil:
+		a.call.Params.Handle, a.call.Params.Source = row.state.Handle, row.state.Addr
 	default:
-		a.call.Prompt = j.Prompt // the engine reads by itself
+		a.call.Prompt = j.Prompt // the engine does the read itself
 	}
-	if p := f.place; p != nil && !a.prefill && p.server != a.server {
-		f.place = nil // a send to another writer gives the place up
-		r.keep.unwanted(f, p)
+	if p := row.reservation; p != nil && !a.prefill && p.server != a.server {
+		row.reservation = nil // a send to another writer cancels the reservation
+		r.holds.reservationReplaced(row, p)
 	}
 }
 
-// run carries out an attempt. It is a goroutine of its own.
-func (r *Router) run(a *attempt) {
+// runAttempt carries out an attempt in its own goroutine.
+func (r *Router) runAttempt(a *attempt) {
 	defer r.work.Done()
 	defer a.cancel(nil)
 	res := r.callEngine(a)
 	if !r.post(message{kind: attemptEnded, a: a, res: res}) {
-		r.keep.orphaned(a, &res)
+		r.holds.attemptOrphaned(a, &res)
 	}
 }
 
-// callEngine makes an attempt's call. A panic in it fails that attempt alone: nobody knows whether it ran.
+// callEngine makes an attempt's call. A panic in the call fails only that attempt; whether the engine executed it is
+// then unknown.
 func (r *Router) callEngine(a *attempt) (res engine.Result) {
 	defer func() {
 		if p := recover(); p != nil {
-			r.count.panics.Add(1)
-			r.log.Error("an attempt panicked", "request", a.flight.name, "panic", fmt.Sprint(p), "stack", string(debug.Stack()))
+			r.counts.panics.Add(1)
+			r.log.Error("an attempt panicked", "request", a.row.name, "panic", fmt.Sprint(p), "stack", string(debug.Stack()))
 			res = engine.Result{Outcome: decide.Reset, Report: engine.NoReport(), Err: errPanicked}
 		}
 	}()
 	if a.prefill {
 		return r.cfg.Engines.Prefill(a.ctx, a.addr, &a.call)
 	}
-	return r.cfg.Engines.Decode(a.ctx, a.addr, &a.call, r.sink(a))
+	return r.cfg.Engines.Decode(a.ctx, a.addr, &a.call, r.tokenSink(a))
 }
 
-// answered tells whether the engine has said how an attempt ended, or never heard of it.
-func answered(o decide.Outcome) bool {
+// outcomeCertain reports whether the outcome shows what the engine did: the engine has reported the end of the
+// attempt, or never received the attempt.
+func outcomeCertain(o decide.Outcome) bool {
 	return o == decide.ReadDone || o == decide.Full || o == decide.ConnectFailed || o == decide.NotStarted
 }
 
-// sink hands tokens on to the request's front. The first asks the loop, so that a first token and a
-// time-out at the same moment can't both win.
-func (r *Router) sink(a *attempt) func(string) error {
+// tokenSink returns a function that passes tokens on to the request's front. The first token needs the loop's
+// permission, so that a first token and a time-out at the same moment can't both take effect.
+func (r *Router) tokenSink(a *attempt) func(string) error {
 	begun := false
-	q := a.flight.q
+	q := a.row.q
 	return func(text string) error {
 		if !begun {
 			if !r.post(message{kind: firstToken, a: a}) {
-				return errDenied
+				return errNotWanted
 			}
 			select {
-			case ok := <-a.granted:
+			case ok := <-a.allowed:
 				if !ok {
-					return errDenied
+					return errNotWanted
 				}
 			case <-r.quit:
-				return errDenied
+				return errNotWanted
 			}
 			begun = true
 		}
 		select {
-		case q.parts <- text:
+		case q.tokens <- text:
 			return nil
 		default:
 		}
 		stall := time.NewTimer(r.cfg.ClientStallTimeout)
 		defer stall.Stop()
 		select {
-		case q.parts <- text:
+		case q.tokens <- text:
 			return nil
 		case <-a.ctx.Done():
 			return context.Cause(a.ctx)
@@ -247,65 +251,67 @@
 }
 
 // probe asks an engine for its load.
-func (r *Router) probe(id decide.ServerID, fresh bool) {
+func (r *Router) probe(id decide.ServerID, newConnection bool) {
 	s := r.servers[id]
 	if s == nil {
-		r.later = append(r.later, decide.Event{Kind: decide.Probed, Server: id, NewConnection: fresh, Outcome: decide.ConnectFailed,
+		r.queuedEvents = append(r.queuedEvents, decide.Event{Kind: decide.Probed, Server: id, NewConnection: newConnection, Outcome: decide.ConnectFailed,
 			Report: engine.NoReport()})
 		return
 	}
-	r.count.probes.Add(1)
+	r.counts.probes.Add(1)
 	r.work.Add(1)
 	go func() {
 		defer r.work.Done()
 		began := time.Now()
-		res := r.cfg.Engines.Probe(r.workCtx, s.addr, fresh)
-		if fresh {
-			r.log.Info("engine checked", "engine", s.name, "outcome", outcomeName(res.Outcome), "after", time.Since(began))
+		res := r.cfg.Engines.Probe(r.workCtx, s.addr, newConnection)
+		if newConnection {
+			r.log.Info("engine probed on a new connection", "engine", s.name, "outcome", outcomeName(res.Outcome), "after", time.Since(began))
 		}
-		r.post(message{kind: probed, server: id, fresh: fresh, res: res, spent: time.Since(began)})
+		r.post(message{kind: probed, server: id, newConnection: newConnection, res: res, elapsed: time.Since(began)})
 	}()
 }
 
-// reserve asks for a place ahead, while the request is read.
-func (r *Router) reserve(f *flight, id decide.ServerID) {
+// reserve requests a reservation at a writer while the request is being read.
+func (r *Router) reserve(row *requestRow, id decide.ServerID) {
 	s := r.servers[id]
-	if s == nil || f.out == nil || !f.out.prefill || f.answered() {
-		return // as the module's interface has it: no answer then
+	if s == nil || row.inFlight == nil || !row.inFlight.prefill || row.answered() {
+		return // the module's interface defines no event for this case
 	}
-	if f.place != nil {
-		r.keep.unwanted(f, f.place)
+	if row.reservation != nil {
+		r.holds.reservationReplaced(row, row.reservation)
 	}
-	p := &place{server: id, addr: s.addr}
-	f.place = p
-	ask := &engine.ReservationRequest{Request: f.name, Tokens: f.q.job.PromptTokens, Source: f.out.addr,
+	p := &reservation{server: id, addr: s.addr}
+	row.reservation = p
+	ask := &engine.ReservationRequest{Request: row.name, Tokens: row.q.job.PromptTokens, Source: row.inFlight.addr,
 		HoldMillis: float64(r.cfg.Settings.HoldTimeout) / 1e6}
 	r.work.Add(1)
 	go func() {
 		defer r.work.Done()
-		held, err := r.cfg.Engines.Reserve(r.workCtx, p.addr, ask)
+		granted, err := r.cfg.Engines.Reserve(r.workCtx, p.addr, ask)
 		if err != nil {
-			r.log.Debug("no answer to a place asked for", "request", ask.Request, "err", err)
+			r.log.Debug("reservation request got no answer", "request", ask.Request, "err", err)
 		}
-		if !r.post(message{kind: placed, id: f.id, place: p, name: ask.Request, server: id, held: held}) && held {
+		if !r.post(message{kind: reservationAnswered, id: row.id, reservation: p, name: ask.Request, server: id, granted: granted}) && granted {
 			r.cfg.Engines.CancelReservation(r.workCtx, p.addr, ask.Request)
 		}
 	}()
 }
 
-func (r *Router) placed(m *message) {
-	f := r.table.rows[m.id]
-	if f == nil || f.place != m.place { // given up meanwhile; the first word may have come too early
-		r.keep.lateWord(f, m)
+// reservationResult handles an engine's answer to a reservation request.
+func (r *Router) reservationResult(m *message) {
+	row := r.table.rows[m.id]
+	// If the reservation was cancelled in the meantime, the cancellation may have reached the engine before it.
+	if row == nil || row.reservation != m.reservation {
+		r.holds.lateReservation(row, m)
 		return
 	}
-	if m.place.held = m.held; !m.held {
-		f.place = nil
-		r.keep.lateWord(f, m)
+	if m.reservation.confirmed = m.granted; !m.granted {
+		row.reservation = nil
+		r.holds.lateReservation(row, m)
 	}
-	if f.out != nil && f.out.prefill {
-		r.tell(&decide.Event{Kind: decide.ReservationAnswer, Request: f.id, Server: m.server, Attempt: f.out.number,
-			Granted: m.held, Report: engine.NoReport()}, f)
+	if row.inFlight != nil && row.inFlight.prefill {
+		r.notifyModule(&decide.Event{Kind: decide.ReservationAnswer, Request: row.id, Server: m.server, Attempt: row.inFlight.number,
+			Granted: m.granted, Report: engine.NoReport()}, row)
 	}
 }
 
--- a/internal/router/holds.go
+++ b/internal/router/holds.go
@@ -7,229 +7,256 @@
 	"mintdoor/internal/engine"
 )
 
-// HoldMode tells how engines hold what waits for a request between its stages.
+// HoldMode tells how engines keep the holds of a request between its stages.
 type HoldMode uint8
 
 const (
-	// Leased states have handles of their own and are held for a time that the router renews. Each is let go
-	// as soon as the module says so.
+	// Leased means that each KV state has its own handle and is held for a time that the router renews. It is
+	// released as soon as the module asks for it.
 	Leased HoldMode = iota
-	// PerRequest: all that is held stands under the request's one id until it is let go. Letting go takes
-	// whatever is there when the call arrives, also what a later attempt has just read, so it waits until the
-	// request is over. Until then an attempt is out, and the time of rule 5 rests.
+	// PerRequest means that everything an engine holds is filed under the request's id until it is released. A
+	// release drops whatever exists when the call arrives, including what a later attempt has just read, so it is
+	// sent only when the request is done. Until then an attempt is in flight and the hold timer is paused (rule 5).
 	PerRequest
 )
 
-// keeper sees to what engines hold for requests. All but orphaned is called by the loop.
-type keeper interface {
-	sent(a *attempt)                               // an attempt goes out
-	renew(a *attempt)                              // what sent asked for has fallen due
-	lost(f *flight, addr string, o decide.Outcome) // a read has ended, and nobody knows what it left there
-	ended(a *attempt, res *engine.Result)          // an attempt has ended
-	unwanted(f *flight, p *place)                  // a place was given up for another
-	lateWord(f *flight, m *message)                // on a place that is not the request's; f is nil when that is over
-	release(f *flight)                             // the module lets go of what no attempt waits on
-	releaseWhileOut(f *flight)                     // the module lets go of what an attempt at a writer may wait on
-	begun(f *flight)                               // the answer has begun
-	over(f *flight)                                // nothing more is sent for the request
-	orphaned(a *attempt, res *engine.Result)       // an attempt has ended after the loop; nobody else will let go
-}
-
-// leased keeps states under leases.
-type leased struct{ r *Router }
-
-func (k leased) sent(a *attempt) {
+// holdManager takes care of what engines hold for requests. All methods except attemptOrphaned are called by the
+// loop.
+type holdManager interface {
+	// attemptSent is called when an attempt starts.
+	attemptSent(a *attempt)
+	// renew is called when the renewal that attemptSent scheduled is due.
+	renew(a *attempt)
+	// readUnknown is called when a read has ended with an unknown outcome and may have left a KV state at addr.
+	readUnknown(row *requestRow, addr string, o decide.Outcome)
+	// attemptEnded is called when an attempt has ended.
+	attemptEnded(a *attempt, res *engine.Result)
+	// reservationReplaced is called when a reservation was given up for another.
+	reservationReplaced(row *requestRow, p *reservation)
+	// lateReservation is called for an answer about a reservation that the request no longer has, or that was not
+	// granted; row is nil if the request is done.
+	lateReservation(row *requestRow, m *message)
+	// release is called when the module releases the holds that no attempt needs.
+	release(row *requestRow)
+	// releaseDuringAttempt is called when the module releases holds that an attempt at a writer may need.
+	releaseDuringAttempt(row *requestRow)
+	// answerStarted is called when the answer has started.
+	answerStarted(row *requestRow)
+	// requestDone is called when nothing more is sent for the request.
+	requestDone(row *requestRow)
+	// attemptOrphaned is called for an attempt that has ended after the loop; nothing else will release its holds.
+	attemptOrphaned(a *attempt, res *engine.Result)
+}
+
+// leasedHolds implements holdManager for leased KV states.
+type leasedHolds struct{ r *Router }
+
+func (k leasedHolds) attemptSent(a *attempt) {
 	if a.call.Params.Handle != "" {
-		a.renewal = k.r.timers.add(&entry{at: k.r.now + k.every(), renew: a})
+		a.renewTimer = k.r.timers.add(&timer{at: k.r.now + k.renewInterval(), renewFor: a})
 	}
 }
 
-// every is the time between renewals: two may be lost before the engine lets go.
-func (k leased) every() decide.Duration { return max(k.r.cfg.Settings.HoldTimeout/3, 1) }
+// renewInterval returns the time between renewals. Two renewals in a row may be lost before the engine drops the KV
+// state.
+func (k leasedHolds) renewInterval() decide.Duration { return max(k.r.cfg.Settings.HoldTimeout/3, 1) }
 
-// renew keeps a state while an attempt at a writer is out and has not begun. An engine lets go of what
-// nobody asks for within the time of rule 5, so that a dead router pins nothing; a writer that is silent
-// does not claim the state, and the next writer needs it.
-func (k leased) renew(a *attempt) {
-	f := a.flight
-	if a.ended || a.streaming || f.out != a || f.state == nil {
+// renew extends the lease of a KV state while an attempt at a writer is in flight and has not produced a token. An
+// engine drops what nobody asks for within the hold time-out (rule 5), so that a router that died doesn't occupy its
+// memory. An unresponsive writer doesn't claim the KV state, and the next writer needs it.
+func (k leasedHolds) renew(a *attempt) {
+	row := a.row
+	if a.ended || a.streaming || row.inFlight != a || row.state == nil {
 		return
 	}
-	k.sent(a)
-	s := f.state
-	k.r.aside("a state was not renewed", f.name, s.Addr, func() error { return k.r.cfg.Engines.Renew(k.r.workCtx, s) })
+	k.attemptSent(a)
+	s := row.state
+	k.r.callInBackground("lease of a KV state was not renewed", row.name, s.Addr, func() error { return k.r.cfg.Engines.Renew(k.r.workCtx, s) })
 }
 
-// lost calls the read off: its engine may have finished it in the same moment, and nobody knows that state's
-// name.
-func (k leased) lost(f *flight, addr string, _ decide.Outcome) { k.r.callOff(addr, f.name) }
+// readUnknown cancels the read: its engine may have finished it at the same moment, and the name of the resulting KV
+// state is unknown.
+func (k leasedHolds) readUnknown(row *requestRow, addr string, _ decide.Outcome) {
+	k.r.cancelRead(addr, row.name)
+}
 
-func (k leased) unwanted(f *flight, p *place) { k.r.giveUpPlace(f.name, p) }
+func (k leasedHolds) reservationReplaced(row *requestRow, p *reservation) {
+	k.r.cancelReservation(row.name, p)
+}
 
-func (k leased) lateWord(_ *flight, m *message) {
-	if m.held {
-		k.r.giveUpPlace(m.name, m.place)
+func (k leasedHolds) lateReservation(_ *requestRow, m *message) {
+	if m.granted {
+		k.r.cancelReservation(m.name, m.reservation)
 	}
 }
 
-func (k leased) release(f *flight) {
-	using := f.out != nil && !f.out.prefill
-	if s := f.state; s != nil && !using {
-		f.state = nil
-		k.r.letGo(f.name, s)
+func (k leasedHolds) release(row *requestRow) {
+	using := row.inFlight != nil && !row.inFlight.prefill
+	if s := row.state; s != nil && !using {
+		row.state = nil
+		k.r.releaseState(row.name, s)
 	}
-	if p := f.place; p != nil && !(using && f.out.server == p.server) {
-		f.place = nil
-		k.r.giveUpPlace(f.name, p)
+	if p := row.reservation; p != nil && !(using && row.inFlight.server == p.server) {
+		row.reservation = nil
+		k.r.cancelReservation(row.name, p)
 	}
 }
 
-func (k leased) releaseWhileOut(*flight) {} // a lease lasts for as long as the attempt
+func (k leasedHolds) releaseDuringAttempt(*requestRow) {} // a lease lasts as long as the attempt
 
-func (k leased) begun(*flight) {}
+func (k leasedHolds) answerStarted(*requestRow) {}
 
-func (k leased) ended(*attempt, *engine.Result) {}
+func (k leasedHolds) attemptEnded(*attempt, *engine.Result) {}
 
-func (k leased) over(f *flight) { k.release(f) }
+func (k leasedHolds) requestDone(row *requestRow) { k.release(row) }
 
-func (k leased) orphaned(a *attempt, res *engine.Result) {
+func (k leasedHolds) attemptOrphaned(a *attempt, res *engine.Result) {
 	s := res.State
 	if s == nil && a.call.Params.Handle != "" && res.Outcome != decide.Served {
 		s = &engine.State{Addr: a.call.Params.Source, Handle: a.call.Params.Handle}
 	}
 	if s != nil {
-		k.r.letGoNow(a.call.Params.Request, s)
+		k.r.releaseStateSync(a.call.Params.Request, s)
 	}
-	if a.prefill && !answered(res.Outcome) {
-		k.r.warn(k.r.cfg.Engines.CancelRead(k.r.workCtx, a.addr, a.call.Params.Request), notCalledOff, a.call.Params.Request, a.addr)
+	if a.prefill && !outcomeCertain(res.Outcome) {
+		k.r.logFailure(k.r.cfg.Engines.CancelRead(k.r.workCtx, a.addr, a.call.Params.Request), msgReadNotCancelled, a.call.Params.Request, a.addr)
 	}
 }
 
-// byRequest notes what may be held and lets go of all of it with one call when the request is over.
-type byRequest struct{ r *Router }
+// requestHolds implements holdManager for holds per request. It records what may be held and releases all of it with
+// one call when the request is done.
+type requestHolds struct{ r *Router }
 
-func (k byRequest) sent(*attempt)                {}
-func (k byRequest) renew(*attempt)               {}
-func (k byRequest) unwanted(f *flight, _ *place) { f.owed = true }
-func (k byRequest) release(f *flight)            { f.owed = f.owed || f.state != nil || f.place != nil }
+func (k requestHolds) attemptSent(*attempt)                                {}
+func (k requestHolds) renew(*attempt)                                      {}
+func (k requestHolds) reservationReplaced(row *requestRow, _ *reservation) { row.releasePending = true }
+func (k requestHolds) release(row *requestRow) {
+	row.releasePending = row.releasePending || row.state != nil || row.reservation != nil
+}
 
-// releaseWhileOut lets go now. The request's end lets go once more, of whatever the attempt has left.
-func (k byRequest) releaseWhileOut(f *flight) {
-	f.guarded().Released(time.Duration(k.r.cfg.Settings.HoldTimeout))
-	if s := f.state; s != nil {
-		k.r.letGo(f.name, s)
-		f.state, f.owed = nil, true
+// releaseDuringAttempt releases the holds immediately. At the end of the request they are released once more, for
+// whatever the attempt has left.
+func (k requestHolds) releaseDuringAttempt(row *requestRow) {
+	row.guard().Released(time.Duration(k.r.cfg.Settings.HoldTimeout))
+	if s := row.state; s != nil {
+		k.r.releaseState(row.name, s)
+		row.state, row.releasePending = nil, true
 	}
 }
 
-// lateWord: that a place is not held may mean that its engine does not know.
-func (k byRequest) lateWord(f *flight, m *message) {
-	if f != nil {
-		f.owed = true
+// lateReservation notes a pending release even if the reservation was not granted: a negative answer may mean that
+// the engine doesn't know whether it holds the reservation.
+func (k requestHolds) lateReservation(row *requestRow, m *message) {
+	if row != nil {
+		row.releasePending = true
 	} else {
-		k.r.giveUpPlace(m.name, m.place)
+		k.r.cancelReservation(m.name, m.reservation)
 	}
 }
 
-// lost: a read that its engine has failed has ended, and one call lets go of whatever it has left.
-func (k byRequest) lost(f *flight, addr string, o decide.Outcome) {
+// readUnknown notes a pending release if the engine has failed the read, since that read has ended and one call
+// releases whatever it has left. After other outcomes the read itself has to be cancelled.
+func (k requestHolds) readUnknown(row *requestRow, addr string, o decide.Outcome) {
 	if o == decide.Error {
-		f.owed = true
+		row.releasePending = true
 		return
 	}
-	f.lost = addr
+	row.unknownRead = addr
 }
 
-// ended notes for the guard since when what is held waits for an attempt: from a read's end up to an attempt at a writer that has
-// reached it.
-func (k byRequest) ended(a *attempt, res *engine.Result) {
-	held := a.flight.guarded()
+// attemptEnded tells the guard from when on the holds wait for an attempt. They wait from the end of a read until an
+// attempt has reached a writer.
+func (k requestHolds) attemptEnded(a *attempt, res *engine.Result) {
+	g := a.row.guard()
 	switch {
 	case res.Outcome == decide.Served || a.streaming:
-		held.HoldConsumed()
+		g.HoldConsumed()
 	case res.Outcome == decide.ReadDone:
-		held.HoldStarted(time.Now())
-	case a.prefill && res.Outcome != decide.Error && !answered(res.Outcome) && a.guarded.WasSent(): // as far as is known it was out
-		held.HoldStarted(time.Now())
-	case a.guarded.WasSent():
-		held.HoldUsed()
+		g.HoldStarted(time.Now())
+	case a.prefill && res.Outcome != decide.Error && !outcomeCertain(res.Outcome) && a.guard.WasSent():
+		g.HoldStarted(time.Now()) // as far as the router knows, the read was in flight until now
+	case a.guard.WasSent():
+		g.HoldUsed()
 	}
 }
 
-func (k byRequest) over(f *flight) {
-	if f.out != nil {
-		return // the loop stops; the attempt is orphaned
+func (k requestHolds) requestDone(row *requestRow) {
+	if row.inFlight != nil {
+		return // the loop stops; attemptOrphaned releases the holds
 	}
-	f.guarded().Released(time.Duration(k.r.cfg.Settings.HoldTimeout))
-	if f.lost != "" {
-		k.r.callOff(f.lost, f.name) // also lets go of what is known, and of what other lost reads have left
+	row.guard().Released(time.Duration(k.r.cfg.Settings.HoldTimeout))
+	if row.unknownRead != "" {
+		// This also releases the known holds and those of other reads with unknown outcomes.
+		k.r.cancelRead(row.unknownRead, row.name)
 		return
 	}
 	switch {
-	case f.state != nil:
-		k.r.letGo(f.name, f.state)
-	case f.place != nil:
-		k.r.letGo(f.name, &engine.State{Addr: f.place.addr, Handle: f.name})
-	case f.owed:
-		k.r.letGo(f.name, &engine.State{Handle: f.name}) // any engine will do
+	case row.state != nil:
+		k.r.releaseState(row.name, row.state)
+	case row.reservation != nil:
+		k.r.releaseState(row.name, &engine.State{Addr: row.reservation.addr, Handle: row.name})
+	case row.releasePending:
+		k.r.releaseState(row.name, &engine.State{Handle: row.name}) // any engine accepts this call
 	}
 }
 
-// begun: a first token lets go of all that is held by then. Reads may end yet, as their engines have not seen the ends of their
-// connections.
-func (k byRequest) begun(f *flight) {
-	addr := f.lost
+// answerStarted cancels a read with an unknown outcome. A first token releases everything that is held by then, but
+// such reads may still finish, as their engines may not have noticed that the connections were closed.
+func (k requestHolds) answerStarted(row *requestRow) {
+	addr := row.unknownRead
 	if addr == "" {
 		return
 	}
-	f.lost = ""
-	k.r.aside(notCalledOff, f.name, addr, func() error {
-		return k.r.cfg.Engines.CancelReadLater(k.r.workCtx, addr, f.name)
+	row.unknownRead = ""
+	k.r.callInBackground(msgReadNotCancelled, row.name, addr, func() error {
+		return k.r.cfg.Engines.CancelReadLater(k.r.workCtx, addr, row.name)
 	})
 }
 
-func (k byRequest) orphaned(a *attempt, res *engine.Result) {
+func (k requestHolds) attemptOrphaned(a *attempt, res *engine.Result) {
 	if res.Outcome != decide.Served {
-		k.r.letGoNow(a.call.Params.Request, &engine.State{Addr: a.addr, Handle: a.call.Params.Request})
+		k.r.releaseStateSync(a.call.Params.Request, &engine.State{Addr: a.addr, Handle: a.call.Params.Request})
 	}
 }
 
 const (
-	notReleased  = "release failed; the engine lets go by itself"
-	notCalledOff = "a read was not called off; the engine lets go by itself"
-	notGivenUp   = "a place was not given up; the engine lets go by itself"
+	msgNotReleased             = "release failed; the engine will release the hold itself"
+	msgReadNotCancelled        = "a read was not cancelled; the engine will release its KV state itself"
+	msgReservationNotCancelled = "a reservation was not cancelled; the engine will release it itself"
 )
 
-// aside makes a call to an engine beside the loop. What it fails with is said.
-func (r *Router) aside(failed, request, addr string, call func() error) {
+// callInBackground makes a call to an engine outside the loop and logs its error.
+func (r *Router) callInBackground(failed, request, addr string, call func() error) {
 	r.work.Add(1)
 	go func() {
 		defer r.work.Done()
-		r.warn(call(), failed, request, addr)
+		r.logFailure(call(), failed, request, addr)
 	}()
 }
 
-func (r *Router) warn(err error, failed, request, addr string) {
+// logFailure logs the error of a call to an engine, if there is one.
+func (r *Router) logFailure(err error, failed, request, addr string) {
 	if err != nil {
 		r.log.Warn(failed, "request", request, "engine", addr, "err", err)
 	}
 }
 
-func (r *Router) letGo(request string, s *engine.State) {
-	r.count.releases.Add(1)
-	r.aside(notReleased, request, s.Addr, func() error { return r.cfg.Engines.Release(r.workCtx, s) })
+// releaseState releases a KV state or another hold of a request in the background.
+func (r *Router) releaseState(request string, s *engine.State) {
+	r.counts.releases.Add(1)
+	r.callInBackground(msgNotReleased, request, s.Addr, func() error { return r.cfg.Engines.Release(r.workCtx, s) })
 }
 
-// letGoNow is letGo for those that are beside the loop already.
-func (r *Router) letGoNow(request string, s *engine.State) {
-	r.count.releases.Add(1)
-	r.warn(r.cfg.Engines.Release(r.workCtx, s), notReleased, request, s.Addr)
+// releaseStateSync is releaseState for callers that run outside the loop already.
+func (r *Router) releaseStateSync(request string, s *engine.State) {
+	r.counts.releases.Add(1)
+	r.logFailure(r.cfg.Engines.Release(r.workCtx, s), msgNotReleased, request, s.Addr)
 }
 
-func (r *Router) callOff(addr, request string) {
-	r.aside(notCalledOff, request, addr, func() error { return r.cfg.Engines.CancelRead(r.workCtx, addr, request) })
+func (r *Router) cancelRead(addr, request string) {
+	r.callInBackground(msgReadNotCancelled, request, addr, func() error { return r.cfg.Engines.CancelRead(r.workCtx, addr, request) })
 }
 
-func (r *Router) giveUpPlace(request string, p *place) {
-	r.aside(notGivenUp, request, p.addr, func() error { return r.cfg.Engines.CancelReservation(r.workCtx, p.addr, request) })
+func (r *Router) cancelReservation(request string, p *reservation) {
+	r.callInBackground(msgReservationNotCancelled, request, p.addr, func() error { return r.cfg.Engines.CancelReservation(r.workCtx, p.addr, request) })
 }
--- a/internal/router/shutdown.go
+++ b/internal/router/shutdown.go
@@ -7,7 +7,7 @@
 	"mintdoor/internal/engine"
 )
 
-// Shutdown is the plan of the router's end, as decide.Shutdown has it, on the wall clock.
+// Shutdown is the router's shutdown plan: decide.Shutdown in wall-clock time.
 type Shutdown struct {
 	AcceptUntil time.Time
 	ListenUntil time.Time
@@ -15,36 +15,37 @@
 	LingerFor   time.Duration
 }
 
-// ShutDown tells the router that the process has taken the signal to end at some time. Requests are still taken for as
-// long as the plan says; what is open goes on. Drain ends the router afterwards.
-func (r *Router) ShutDown(taken time.Time) Shutdown {
-	plan := decide.PlanShutdown(r.at(taken), r.cfg.Settings.Classes)
+// ShutDown tells the router that the process received the termination signal at the given time. Requests are accepted
+// for as long as the returned plan allows, and open requests continue. Drain ends the router afterwards.
+func (r *Router) ShutDown(signalledAt time.Time) Shutdown {
+	plan := decide.PlanShutdown(r.moduleTime(signalledAt), r.cfg.Settings.Classes)
 	r.post(message{kind: shuttingDown, plan: &plan})
-	return Shutdown{AcceptUntil: r.wall(plan.AcceptUntil), ListenUntil: r.wall(plan.ListenUntil), GiveUpBy: r.wall(plan.GiveUpBy),
+	return Shutdown{AcceptUntil: r.wallTime(plan.AcceptUntil), ListenUntil: r.wallTime(plan.ListenUntil), GiveUpBy: r.wallTime(plan.GiveUpBy),
 		LingerFor: time.Duration(plan.LingerFor)}
 }
 
-// shutDown bounds all that is open by the plan, and tells the module.
+// shutDown applies the plan to all open requests and tells the module.
 func (r *Router) shutDown(plan *decide.Shutdown) {
-	if r.shutdown != nil {
+	if r.shutdownPlan != nil {
 		return
 	}
-	r.shutdown = plan
-	for _, f := range r.table.rows {
-		r.boundByShutdown(f)
+	r.shutdownPlan = plan
+	for _, row := range r.table.rows {
+		r.limitToShutdown(row)
 	}
-	r.tell(&decide.Event{Kind: decide.ShuttingDown, Shutdown: plan, Report: engine.NoReport()})
+	r.notifyModule(&decide.Event{Kind: decide.ShuttingDown, Shutdown: plan, Report: engine.NoReport()})
 }
 
-// boundByShutdown has a request answered by the time that the plan leaves to it. A stream that has begun runs on.
-func (r *Router) boundByShutdown(f *flight) {
-	if r.shutdown == nil || f.out != nil && f.out.streaming {
+// limitToShutdown makes sure that a request is answered within the time that the plan leaves. A stream that has
+// started continues.
+func (r *Router) limitToShutdown(row *requestRow) {
+	if r.shutdownPlan == nil || row.inFlight != nil && row.inFlight.streaming {
 		return
 	}
-	f.deadline = min(f.deadline, r.shutdown.GiveUpBy)
-	f.guarded().LimitDeadline(r.wall(f.deadline))
-	r.timers.sooner(f.guard, r.shutdown.AnswerBy)
-	if f.out != nil {
-		r.timers.sooner(f.out.limit, r.shutdown.GiveUpBy)
+	row.deadline = min(row.deadline, r.shutdownPlan.GiveUpBy)
+	row.guard().LimitDeadline(r.wallTime(row.deadline))
+	r.timers.moveUp(row.deadlineTimer, r.shutdownPlan.AnswerBy)
+	if row.inFlight != nil {
+		r.timers.moveUp(row.inFlight.timeoutTimer, r.shutdownPlan.GiveUpBy)
 	}
 }
