--- a/internal/day/badday.go
+++ b/internal/day/badday.go
@@ -1,7 +1,7 @@
 package day
 
-// BuiltInScript is the built-in script: each kind of trouble that the bench knows, singly and overlapping, within
-// some forty seconds.
+// BuiltInScript is the default scenario: each kind of fault of the external simulator (lbsim), alone and overlapping
+// with others, within about forty seconds.
 const BuiltInScript = `
 length 42s
 seed 1
