--- a/internal/day/lbsim.go
+++ b/internal/day/lbsim.go
@@ -186,12 +186,12 @@
 // among them.
 func (s *Script) convertFaults(d *lbsimDay, counts [2]int) {
 	engineNames := make([]string, len(d.Servers)) // engine that stands for each of the simulator's servers
-	seen := [2]int{}
+	position := [2]int{}
 	for i, v := range d.Servers {
 		k := min(v.Kind, 1)
 		g := []Group{s.Prefill, s.Decode}[k]
-		engineNames[i] = fmt.Sprintf("%s%d", g.Prefix, seen[k]*g.Count/max(counts[k], 1)+1)
-		seen[k]++
+		engineNames[i] = fmt.Sprintf("%s%d", g.Prefix, position[k]*g.Count/max(counts[k], 1)+1)
+		position[k]++
 	}
 	targets := func(list []int) (names []string) {
 		for _, i := range list {
--- a/internal/shift/shift.go
+++ b/internal/shift/shift.go
@@ -96,13 +96,13 @@
 }
 
 // PromptRead implements router.Observer.
-func (d *Driver) PromptRead(j *router.Job, kept float64) {
-	d.observe(observation{kind: observedRead, request: roles.RequestInfo{Class: j.Class, PromptTokens: j.PromptTokens, CachedTokens: kept}})
+func (d *Driver) PromptRead(j *router.Job, cachedTokens float64) {
+	d.observe(observation{kind: observedRead, request: roles.RequestInfo{Class: j.Class, PromptTokens: j.PromptTokens, CachedTokens: cachedTokens}})
 }
 
 // AnswerWritten implements router.Observer.
-func (d *Driver) AnswerWritten(j *router.Job, tokens int, whole bool) {
-	d.observe(observation{kind: observedOutput, request: roles.RequestInfo{Class: j.Class, OutputTokens: float64(tokens), Truncated: !whole}})
+func (d *Driver) AnswerWritten(j *router.Job, tokens int, complete bool) {
+	d.observe(observation{kind: observedOutput, request: roles.RequestInfo{Class: j.Class, OutputTokens: float64(tokens), Truncated: !complete}})
 }
 
 // RequestDone implements router.Observer.
--- a/internal/trace/recorder.go
+++ b/internal/trace/recorder.go
@@ -62,8 +62,8 @@
 func (r *Recorder) PromptRead(*router.Job, float64) {}
 
 // AnswerWritten implements router.Observer.
-func (r *Recorder) AnswerWritten(j *router.Job, tokens int, whole bool) {
-	r.enqueue(event{kind: eventWritten, job: j, tokens: tokens, complete: whole})
+func (r *Recorder) AnswerWritten(j *router.Job, tokens int, complete bool) {
+	r.enqueue(event{kind: eventWritten, job: j, tokens: tokens, complete: complete})
 }
 
 // RequestDone implements router.Observer.
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -245,12 +245,12 @@
 	e.Truncated = cut
 	for _, v := range []struct {
 		word string
-		most int
+		max int
 		to   *int
 	}{{f[1], len(t.Classes) - 1, &e.Class}, {f[2], maxTokens, &e.PromptTokens}, {f[3], maxTokens, &e.PrefixTokens}, {answer, maxTokens, &e.OutputTokens}} {
 		n, err := strconv.Atoi(v.word)
-		if err != nil || n < 0 || n > v.most {
-			return Entry{}, t.formatError("found %q, expected a number from 0 to %d", v.word, v.most)
+		if err != nil || n < 0 || n > v.max {
+			return Entry{}, t.formatError("found %q, expected a number from 0 to %d", v.word, v.max)
 		}
 		*v.to = n
 	}
