--- a/cmd/mintdoor/ask.go
+++ b/cmd/mintdoor/ask.go
@@ -49,8 +49,8 @@
 	f.StringVar(&class, "class", "", "class of the request")
 	f.StringVar(&tenant, "tenant", "", "tenant of the request")
 	f.StringVar(&session, "session", "", "session of the request")
-	f.IntVar(&maxTokens, "max-tokens", 0, "output limit; 0: the class's")
-	f.DurationVar(&timeout, "within", 0, "time for the first token; 0: the class's")
+	f.IntVar(&maxTokens, "max-tokens", 0, "output limit in tokens; 0: that of the class")
+	f.DurationVar(&timeout, "within", 0, "deadline for the first token; 0: that of the class")
 	return cmd
 }
 
--- a/cmd/mintdoor/day.go
+++ b/cmd/mintdoor/day.go
@@ -32,9 +32,10 @@
 	)
 	cmd := &cobra.Command{
 		Use:   "day [SCRIPT]",
-		Short: "Play a scripted bad day with stand-in engines and routers as processes, and audit the five rules",
-		Long: "Play a scripted bad day. Without a script, one with every kind of trouble is played. --from takes a day that the\n" +
-			"bench has drawn ('lbsim draw') and says what could not be carried over.",
+		Short: "Run a scenario of faults with stand-in engines and router processes, and check the five rules",
+		Long: "Run a scenario of traffic and faults. Without a script, the built-in scenario with every kind of fault is run.\n" +
+			"--from runs a scenario that the external simulator has drawn ('lbsim draw'), and prints what could not be\n" +
+			"carried over.",
 		Args: cobra.MaximumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			script, err := dayScript(args, from, size)
@@ -60,14 +61,14 @@
 		},
 	}
 	f := cmd.Flags()
-	f.StringVar(&from, "from", "", "a day file of the bench")
-	f.StringVar(&write, "write", "", "write the script here instead of playing it")
-	f.StringVar(&records, "records", "", "keep the records in this file (.zst: compressed)")
-	f.UintSliceVar(&seeds, "seeds", nil, "play once with each of these seeds")
-	f.Float64Var(&speed, "speed", 1, "this many times faster than the clock of the script")
-	f.IntVar(&size.Engines, "engines", 10, "with --from: engines at most")
-	f.IntVar(&size.Routers, "routers", 3, "with --from: routers at most")
-	f.DurationVar(&slack, "slack", 150*time.Millisecond, "what sockets and a busy machine may add to the rules' figures")
+	f.StringVar(&from, "from", "", "scenario file of the external simulator (lbsim)")
+	f.StringVar(&write, "write", "", "write the script to this file instead of running it")
+	f.StringVar(&records, "records", "", "write the records of clients and engines to this file (.zst: compressed)")
+	f.UintSliceVar(&seeds, "seeds", nil, "run once with each of these seeds")
+	f.Float64Var(&speed, "speed", 1, "speed-up factor over the times of the script")
+	f.IntVar(&size.Engines, "engines", 10, "with --from: maximum number of engines")
+	f.IntVar(&size.Routers, "routers", 3, "with --from: maximum number of routers")
+	f.DurationVar(&slack, "slack", 150*time.Millisecond, "tolerance added to the rules' time limits, for sockets and a busy machine")
 	return cmd
 }
 
@@ -188,7 +189,7 @@
 	var slack, notice time.Duration
 	cmd := &cobra.Command{
 		Use:   "audit RECORDS",
-		Short: "Check the five rules from records of clients and engines",
+		Short: "Check the five rules against the records of clients and engines",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			set, err := config.Load(settings)
@@ -215,9 +216,9 @@
 			return nil
 		},
 	}
-	cmd.Flags().StringVar(&settings, "settings", "", "settings of the routers, for the rules' figures")
-	cmd.Flags().DurationVar(&slack, "slack", 150*time.Millisecond, "what sockets and a busy machine may add")
-	cmd.Flags().DurationVar(&notice, "front-notice", 2*time.Second, "how long the front layer goes on sending to a dead router")
+	cmd.Flags().StringVar(&settings, "settings", "", "settings file of the routers, for the rules' limits")
+	cmd.Flags().DurationVar(&slack, "slack", 150*time.Millisecond, "tolerance added to the rules' time limits, for sockets and a busy machine")
+	cmd.Flags().DurationVar(&notice, "front-notice", 2*time.Second, "how long the front layer continues to send to a dead router")
 	cmd.MarkFlagRequired("settings")
 	return cmd
 }
--- a/cmd/mintdoor/demo.go
+++ b/cmd/mintdoor/demo.go
@@ -63,7 +63,7 @@
 		},
 	}
 	cmd.Flags().StringVar(&listen, "listen", "127.0.0.1:0", "address of the first router's front")
-	cmd.Flags().DurationVar(&duration, "for", 0, "end after this time; 0: when interrupted")
+	cmd.Flags().DurationVar(&duration, "for", 0, "stop after this time; 0: when interrupted")
 	return cmd
 }
 
--- a/cmd/mintdoor/engine.go
+++ b/cmd/mintdoor/engine.go
@@ -27,9 +27,9 @@
 	)
 	cmd := &cobra.Command{
 		Use:   "engine",
-		Short: "Run a stand-in engine that reads or writes at the pace of a simple model",
-		Long: "Run a stand-in engine. It speaks the engines' protocol (docs/engine-protocol.md) and plays faults that are\n" +
-			"posted to /control/fault, such as {\"kind\":\"slow\",\"for\":5000000000,\"size\":4}.",
+		Short: "Run a stand-in engine that reads or writes at the speed of a simple performance model",
+		Long: "Run a stand-in engine. It speaks the engines' protocol (docs/engine-protocol.md) and simulates faults that\n" +
+			"are posted to /control/fault, such as {\"kind\":\"slow\",\"for\":5000000000,\"size\":4}.",
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			var spec standin.Spec
@@ -80,12 +80,12 @@
 	f.StringVar(&role, "role", "both", "prefill, decode or both")
 	f.StringVar(&cell, "cell", "", "cell (rack) of the engine")
 	f.Uint64Var(&seed, "seed", 1, "seed of its random choices")
-	f.BoolVar(&cold, "cold", false, "start cold")
-	f.IntVar(&slots, "slots", 0, "requests that run at once")
-	f.IntVar(&queue, "queue", 0, "requests that wait beyond")
-	f.IntVar(&memory, "memory", 0, "tokens of memory")
-	f.Float64Var(&read, "read", 0, "prompt tokens read a second")
-	f.Float64Var(&speed, "speed", 1, "this many times faster than the model")
-	f.DurationVar(&duration, "for", 0, "end after this time; 0: at a signal")
+	f.BoolVar(&cold, "cold", false, "start cold, as after a restart")
+	f.IntVar(&slots, "slots", 0, "maximum number of running requests (default: that of the role)")
+	f.IntVar(&queue, "queue", 0, "maximum number of queued requests (default: that of the role)")
+	f.IntVar(&memory, "memory", 0, "memory in tokens (default: that of the role)")
+	f.Float64Var(&read, "read", 0, "prompt tokens read per second (default: that of the role)")
+	f.Float64Var(&speed, "speed", 1, "speed-up factor over the performance model")
+	f.DurationVar(&duration, "for", 0, "stop after this time; 0: at a signal")
 	return cmd
 }
--- a/cmd/mintdoor/node.go
+++ b/cmd/mintdoor/node.go
@@ -14,7 +14,7 @@
 func nodeCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "node",
-		Short: "Run a router on the platform, as the variables PROXY_CONFIG and others tell, until a signal",
+		Short: "Run a router on the platform, configured by PROXY_CONFIG and other variables, until a signal",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			signals := queueSignals(syscall.SIGHUP)
--- a/cmd/mintdoor/roles.go
+++ b/cmd/mintdoor/roles.go
@@ -18,7 +18,7 @@
 	var addr string
 	cmd := &cobra.Command{
 		Use:   "roles",
-		Short: "Show the plan of engines' roles, changes under way, and why not",
+		Short: "Show the planned engine roles, the role changes in progress, and why an engine is not changed now",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			client := &http.Client{Timeout: 5 * time.Second}
--- a/cmd/mintdoor/serve.go
+++ b/cmd/mintdoor/serve.go
@@ -18,7 +18,7 @@
 	var seed uint64
 	cmd := &cobra.Command{
 		Use:   "serve SETTINGS",
-		Short: "Run a router until a signal: the first stops taking requests and drains, the second ends",
+		Short: "Run a router until a signal: the first rejects new requests and drains, the second stops immediately",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			set, err := config.Load(args[0])
@@ -42,7 +42,7 @@
 			return d.Run(ctx)
 		},
 	}
-	cmd.Flags().Uint64Var(&seed, "seed", 0, "seed of the module's random choices (default: drawn at each start)")
+	cmd.Flags().Uint64Var(&seed, "seed", 0, "seed of the router's random choices (default: random at each start)")
 	return cmd
 }
 
@@ -60,7 +60,7 @@
 func checkCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "check SETTINGS",
-		Short: "Check a settings file and say everything that is wrong with it",
+		Short: "Check a settings file and print all errors in it",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			set, err := config.Load(args[0])
@@ -88,6 +88,6 @@
 			return config.WriteDefaults(cmd.OutOrStdout())
 		},
 	}
-	cmd.Flags().BoolVar(&defaults, "defaults", false, "print the defaults")
+	cmd.Flags().BoolVar(&defaults, "defaults", false, "print every setting with its default")
 	return cmd
 }
--- a/cmd/mintdoor/soak.go
+++ b/cmd/mintdoor/soak.go
@@ -18,10 +18,10 @@
 	o := soak.Options{}
 	c := &cobra.Command{
 		Use:   "soak",
-		Short: "Run real routers of the platform under random, overlapping faults, and judge them from outside",
-		Long: "Runs router processes (mintdoor node) over loopback among stand-in engines, discovery and proxies, strikes them with\n" +
-			"random faults that overlap, and checks invariants by what clients, engines and discovery have seen.\n" +
-			"docs/operate/soak.md tells what the faults and the invariants are.",
+		Short: "Run router processes under random, overlapping faults, and check invariants from outside",
+		Long: "Runs router processes (mintdoor node) over loopback with stand-in engines, discovery and proxies, injects random,\n" +
+			"overlapping faults, and checks invariants by what clients, engines and discovery have seen.\n" +
+			"docs/operate/soak.md describes the faults and the invariants.",
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			self, err := os.Executable()
@@ -51,15 +51,15 @@
 		},
 	}
 	f := c.Flags()
-	f.Uint64Var(&o.Seed, "seed", 1, "draws the faults and the clients")
-	f.IntVar(&o.Routers, "routers", 24, "router processes")
-	f.IntVar(&o.Readers, "readers", 8, "engines that read")
-	f.IntVar(&o.Writers, "writers", 10, "engines that write")
-	f.DurationVar(&o.Length, "length", time.Minute, "time in which faults strike")
-	f.Float64Var(&o.RequestsPerSecond, "rate", 4, "requests a second of one router, in the mean")
-	f.DurationVar(&o.FaultInterval, "every", 150*time.Millisecond, "time between two faults, in the mean")
-	f.DurationVar(&o.Slack, "slack", 0, "added to every time that is allowed, on a machine that is too slow")
-	f.Float64Var(&o.CPUShare, "share", 0, "part of a core that each router has; 0: a whole one")
-	f.StringVar(&o.LogDir, "logs", "", "folder that keeps the routers' logs")
+	f.Uint64Var(&o.Seed, "seed", 1, "seed of the random faults and clients")
+	f.IntVar(&o.Routers, "routers", 24, "number of router processes")
+	f.IntVar(&o.Readers, "readers", 8, "number of engines that read (prefill)")
+	f.IntVar(&o.Writers, "writers", 10, "number of engines that write (decode)")
+	f.DurationVar(&o.Length, "length", time.Minute, "time during which faults are injected")
+	f.Float64Var(&o.RequestsPerSecond, "rate", 4, "mean requests per second to one router")
+	f.DurationVar(&o.FaultInterval, "every", 150*time.Millisecond, "mean time between two faults")
+	f.DurationVar(&o.Slack, "slack", 0, "tolerance added to every time limit, for a slow machine")
+	f.Float64Var(&o.CPUShare, "share", 0, "fraction of a core that each router may use; 0: a whole core")
+	f.StringVar(&o.LogDir, "logs", "", "folder in which to keep the routers' logs")
 	return c
 }
--- a/cmd/mintdoor/swing.go
+++ b/cmd/mintdoor/swing.go
@@ -29,11 +29,11 @@
 func (f *swingFlags) add(cmd *cobra.Command) {
 	fl := cmd.Flags()
 	fl.DurationVar(&f.length, "length", 20*time.Minute, "length of the trace")
-	fl.DurationVar(&f.period, "period", 20*time.Minute, "time of a swing to and fro")
-	fl.Float64Var(&f.low, "low", 0.25, "part of the work that is reading, at least")
-	fl.Float64Var(&f.high, "high", 0.75, "and at most")
-	fl.Float64Var(&f.load, "load", 0.75, "part of the engines' time that is asked for")
-	fl.IntVar(&f.engines, "engines", 12, "engines")
+	fl.DurationVar(&f.period, "period", 20*time.Minute, "period of the change of the mix")
+	fl.Float64Var(&f.low, "low", 0.25, "smallest fraction of the work that is reading")
+	fl.Float64Var(&f.high, "high", 0.75, "largest fraction of the work that is reading")
+	fl.Float64Var(&f.load, "load", 0.75, "fraction of the engines' capacity that is requested")
+	fl.IntVar(&f.engines, "engines", 12, "number of engines")
 	f.read, f.write = swing.StandardRates()
 }
 
@@ -43,12 +43,12 @@
 }
 
 func traceCommand() *cobra.Command {
-	cmd := &cobra.Command{Use: "trace", Short: "Make and look at traces of traffic"}
+	cmd := &cobra.Command{Use: "trace", Short: "Generate and show traces of traffic"}
 	var f swingFlags
 	var seed uint64
 	mk := &cobra.Command{
 		Use:   "make SHAPE FILE",
-		Short: "Draw a trace whose mix swings: day, ramps, steps, market, flicker, gusts or burst",
+		Short: "Generate a trace with a changing mix of reading and writing: day, ramps, steps, market, flicker, gusts or burst",
 		Args:  cobra.ExactArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			s := f.swing(args[0], seed)
@@ -64,12 +64,12 @@
 		},
 	}
 	f.add(mk)
-	mk.Flags().Float64Var(&f.read, "read", f.read, "tokens a second that an engine reads")
-	mk.Flags().Float64Var(&f.write, "write", f.write, "and writes")
-	mk.Flags().Uint64Var(&seed, "seed", 1, "seed")
+	mk.Flags().Float64Var(&f.read, "read", f.read, "tokens per second that an engine reads")
+	mk.Flags().Float64Var(&f.write, "write", f.write, "tokens per second that an engine writes")
+	mk.Flags().Uint64Var(&seed, "seed", 1, "seed of the random requests")
 	show := &cobra.Command{
 		Use:   "show FILE",
-		Short: "Say what is in a trace, part by part",
+		Short: "Print the number of requests, their mean lengths and classes for each tenth of a trace",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			t, err := trace.Load(args[0])
@@ -134,7 +134,7 @@
 	var verbose bool
 	cmd := &cobra.Command{
 		Use:   "swing",
-		Short: "Measure shifted roles in simulated time: against fixed splits and an oracle that knows the trace",
+		Short: "Compare role changes in simulated time with fixed splits and with an oracle that knows the trace",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			out := cmd.OutOrStdout()
@@ -182,9 +182,9 @@
 	}
 	f.add(cmd)
 	fl := cmd.Flags()
-	fl.StringVar(&shapes, "shapes", "day,ramps,steps,market,flicker,gusts", "shapes, with commas")
-	fl.UintSliceVar(&seeds, "seeds", []uint{1, 2, 3, 4, 5}, "seeds, with commas")
-	fl.IntVar(&every, "every", 1, "fixed splits that are tried: each so many engines")
-	fl.BoolVar(&verbose, "verbose", false, "say when the split changed")
+	fl.StringVar(&shapes, "shapes", "day,ramps,steps,market,flicker,gusts", "shapes of the traces, separated by commas")
+	fl.UintSliceVar(&seeds, "seeds", []uint{1, 2, 3, 4, 5}, "seeds, separated by commas")
+	fl.IntVar(&every, "every", 1, "step between the fixed splits that are tried, in engines")
+	fl.BoolVar(&verbose, "verbose", false, "print when the split changed")
 	return cmd
 }
