--- a/cmd/mintdoor/day.go
+++ b/cmd/mintdoor/day.go
@@ -34,8 +34,7 @@
 		Use:   "day [SCRIPT]",
 		Short: "Run a scenario of faults with stand-in engines and router processes, and check the five rules",
 		Long: "Run a scenario of traffic and faults. Without a script, the built-in scenario with every kind of fault is run.\n" +
-			"--from runs a scenario that the external simulator has drawn ('lbsim draw'), and prints what could not be\n" +
-			"carried over.",
+			"--from runs a scenario that the external simulator has drawn ('lbsim draw'), and prints what was not carried over.",
 		Args: cobra.MaximumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			script, err := dayScript(args, from, size)
--- a/cmd/mintdoor/swing.go
+++ b/cmd/mintdoor/swing.go
@@ -33,7 +33,7 @@
 	fl.Float64Var(&f.low, "low", 0.25, "smallest fraction of the work that is reading")
 	fl.Float64Var(&f.high, "high", 0.75, "largest fraction of the work that is reading")
 	fl.Float64Var(&f.load, "load", 0.75, "fraction of the engines' capacity that is requested")
-	fl.IntVar(&f.engines, "engines", 12, "number of engines")
+	fl.IntVar(&f.engines, "engines", 12, "engines")
 	f.read, f.write = swing.StandardRates()
 }
 
@@ -66,7 +66,7 @@
 	f.add(mk)
 	mk.Flags().Float64Var(&f.read, "read", f.read, "tokens per second that an engine reads")
 	mk.Flags().Float64Var(&f.write, "write", f.write, "tokens per second that an engine writes")
-	mk.Flags().Uint64Var(&seed, "seed", 1, "seed of the random requests")
+	mk.Flags().Uint64Var(&seed, "seed", 1, "seed")
 	show := &cobra.Command{
 		Use:   "show FILE",
 		Short: "Print the number of requests, their mean lengths and classes for each tenth of a trace",
--- a/internal/day/script.go
+++ b/internal/day/script.go
@@ -91,7 +91,7 @@
 	Load    float64 // requested part of the engines' capacity; sets Rate if that is 0
 
 	Cells int
-	// Tokens a second out of a cell; 0: the engines' own rate.
+	// LinkTokensPerSecond is the rate at which KV states leave a cell; 0: the engines' own rate.
 	LinkTokensPerSecond                                                float64
 	CrashListDelay, UnresponsiveListDelay, StartListDelay, FrontNotice time.Duration
 	Clients                                                            Clients
--- a/internal/router/actions.go
+++ b/internal/router/actions.go
@@ -27,8 +27,8 @@
 	guard        *guard.Attempt
 	sentAt       decide.Time
 	cancel       context.CancelCauseFunc
-	timeoutTimer *timer // the attempt's timeout
-	renewTimer   *timer // the next renewal of its KV state
+	timeoutTimer *timer // fires when the attempt times out
+	renewTimer   *timer // fires when the lease of its KV state is due for renewal
 	streaming    bool   // its first token was passed on
 	cancelling   bool   // it was cancelled; its outcome has not arrived yet
 	ended        bool
@@ -131,8 +131,8 @@
 	errTooManyAttempts = errors.New("the maximum number of attempts is used up")
 )
 
-// beginAttempt asks the guard for permission to start an attempt at an engine; at is its timeout. If it returns an
-// error, the attempt must not start.
+// beginAttempt asks the guard for permission to start an attempt at an engine; the attempt times out at the time at.
+// If beginAttempt returns an error, the attempt must not start.
 func (r *Router) beginAttempt(act *decide.Action, row *requestRow, s *server, at decide.Time) (*guard.Attempt, error) {
 	limits := guard.Limits{Timeout: time.Duration(at - r.now), DrainGrace: time.Duration(r.cfg.Settings.DrainGrace)}
 	if act.SendBy != 0 {
--- a/internal/trace/swing.go
+++ b/internal/trace/swing.go
@@ -132,7 +132,8 @@
 	}
 	rates := func(at time.Duration) (a, b float64) {
 		readShare := s.MinReadShare + (s.MaxReadShare-s.MinReadShare)*s.reading(at, gusts)
-		// Solves a*read0+b*read1 = want*work and a*write0+b*write1 = (1-want)*work for the rates a and b.
+		// Solves a*read[0]+b*read[1] = readShare*work and a*write[0]+b*write[1] = (1-readShare)*work for the rates a and
+		// b.
 		work := s.Load * float64(s.Engines)
 		det := read[0]*write[1] - read[1]*write[0]
 		a = (readShare*work*write[1] - (1-readShare)*work*read[1]) / det
--- a/roles/predict.go
+++ b/roles/predict.go
@@ -27,7 +27,7 @@
 const bucket = time.Second
 
 const (
-	// The shortest memory of a smoother is a sixth of the horizon, and each other is twice the one before.
+	// The shortest memory of a smoother is a sixth of the horizon, and each further one is twice the one before.
 	smoothers      = 7
 	shortestMemory = 1.0 / 6
 	minMemory      = 4.0 // lower bound of a memory, in buckets
