--- a/internal/day/lbsim.go
+++ b/internal/day/lbsim.go
@@ -106,7 +106,7 @@
 	} `json:"fam"`
 }
 
-// MaxSize is the largest scenario that the machine can run.
+// MaxSize bounds the size of a converted scenario to what the machine can run.
 type MaxSize struct{ Engines, Routers int }
 
 // FromLbsim converts a scenario drawn by lbsim to a script of at most the given size. The script's Notes list what
@@ -219,7 +219,8 @@
 			}
 			e.Class = d.Classes[min(t.Which, len(d.Classes)-1)].Name
 		case "pauses":
-			// A pause of so many ms every Extra seconds, as a fraction of the time.
+			// Size is the length of a pause in ms and Extra the seconds between pauses; the script has the paused
+			// fraction of the time.
 			e.Size = min(t.Size/1000/max(t.Extra, 1e-3), 0.9)
 		case "handshake_slow":
 			e.Size = t.Size / 1000
--- a/roles/evaluator.go
+++ b/roles/evaluator.go
@@ -27,21 +27,21 @@
 const minHorizons = 3
 
 // Evaluate decides on a plan made from a forecast of the demand.
-func (j *PlanEvaluator) Evaluate(p *Plan, demand [stages]WorkForecast) Verdict {
+func (e *PlanEvaluator) Evaluate(p *Plan, demand [stages]WorkForecast) Verdict {
 	switch {
 	case demand[Prefill].ScoredHorizons < minHorizons || demand[Decode].ScoredHorizons < minHorizons:
 		return Verdict{Reason: "too little was seen of how the mix moves"}
 	case len(p.Moves) == 0:
-		j.agreed = 0
+		e.agreed = 0
 		return Verdict{Reason: "no change would serve more"}
-	case p.Confidence < j.Confidence:
-		j.agreed = 0
+	case p.Confidence < e.Confidence:
+		e.agreed = 0
 		return Verdict{Confidence: p.Confidence, Reason: "what is coming is not sure enough"}
 	}
-	if side := p.netDirection(); side != j.direction {
-		j.direction, j.agreed = side, 0
+	if side := p.netDirection(); side != e.direction {
+		e.direction, e.agreed = side, 0
 	}
-	if j.agreed++; j.agreed < j.ConsecutivePlans {
+	if e.agreed++; e.agreed < e.ConsecutivePlans {
 		return Verdict{Confidence: p.Confidence, Reason: "it has to be as sure at the next look"}
 	}
 	return Verdict{Change: true, Confidence: p.Confidence, Reason: "it earns back its cost"}
