--- a/cmd/mintdoor/demo.go
+++ b/cmd/mintdoor/demo.go
@@ -23,7 +23,7 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// demoSettings are those of each router of the demonstration.
+// demoSettings are the settings of each router of the demo.
 const demoSettings = `
 list engines.list
 list-every 50ms
@@ -47,7 +47,7 @@
 
 func demoCommand() *cobra.Command {
 	var listen string
-	var limit time.Duration
+	var duration time.Duration
 	cmd := &cobra.Command{
 		Use:   "demo",
 		Short: "Run stand-in engines, two routers and a front layer in one process, and ask them a few questions",
@@ -55,15 +55,15 @@
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			ctx, cancel := signal.NotifyContext(cmd.Context(), syscall.SIGINT, syscall.SIGTERM)
 			defer cancel()
-			if limit > 0 {
-				ctx, cancel = context.WithTimeout(ctx, limit)
+			if duration > 0 {
+				ctx, cancel = context.WithTimeout(ctx, duration)
 				defer cancel()
 			}
 			return demo(ctx, cmd.OutOrStdout(), listen)
 		},
 	}
 	cmd.Flags().StringVar(&listen, "listen", "127.0.0.1:0", "address of the first router's front")
-	cmd.Flags().DurationVar(&limit, "for", 0, "end after this time; 0: when interrupted")
+	cmd.Flags().DurationVar(&duration, "for", 0, "stop after this time; 0: when interrupted")
 	return cmd
 }
 
@@ -77,8 +77,8 @@
 	engines, err := fleet.Start(fleet.Config{
 		Groups: []fleet.Group{{Prefix: "prefill-", Kind: "prefill", Count: 3, Spec: standin.Prefill()},
 			{Prefix: "decode-", Kind: "decode", Count: 4, Spec: standin.Decode()}},
-		Cells: []string{"rack-a", "rack-b"}, List: filepath.Join(dir, "engines.list"), LinkPS: 400e3,
-		Notice: 2 * time.Second, Silent: 5 * time.Second, Add: time.Second, Seed: 1, Log: log})
+		Cells: []string{"rack-a", "rack-b"}, ListPath: filepath.Join(dir, "engines.list"), LinkTokensPerSecond: 400e3,
+		CrashListDelay: 2 * time.Second, UnresponsiveListDelay: 5 * time.Second, StartListDelay: time.Second, Seed: 1, Log: log})
 	if err != nil {
 		return err
 	}
--- a/cmd/mintdoor/node.go
+++ b/cmd/mintdoor/node.go
@@ -14,15 +14,15 @@
 func nodeCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "node",
-		Short: "Run a router on the platform, as the variables PROXY_CONFIG and others tell, until a signal",
+		Short: "Run a router on the platform, configured by PROXY_CONFIG and other variables, until a signal",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			signals := takeSignals(syscall.SIGHUP)
+			signals := queueSignals(syscall.SIGHUP)
 			cfg, err := node.Load(os.Getenv)
 			if err != nil {
 				return err
 			}
-			cfg.Limit()
+			cfg.ApplyLimits()
 			n, err := node.New(cfg, logging.New(os.Stderr, "text", slog.LevelInfo, nodeLogSample))
 			if err != nil {
 				return err
@@ -34,5 +34,5 @@
 	}
 }
 
-// nodeLogSample is how many lines a second of one message are written.
+// nodeLogSample is the maximum number of log lines per second for one message.
 const nodeLogSample = 50
--- a/cmd/mintdoor/swing.go
+++ b/cmd/mintdoor/swing.go
@@ -16,7 +16,7 @@
 	"github.com/spf13/cobra"
 )
 
-// swingFlags are those of a swing that is drawn.
+// swingFlags are the flags of a generated trace.
 type swingFlags struct {
 	shape          string
 	length, period time.Duration
@@ -29,30 +29,30 @@
 func (f *swingFlags) add(cmd *cobra.Command) {
 	fl := cmd.Flags()
 	fl.DurationVar(&f.length, "length", 20*time.Minute, "length of the trace")
-	fl.DurationVar(&f.period, "period", 20*time.Minute, "time of a swing to and fro")
-	fl.Float64Var(&f.low, "low", 0.25, "part of the work that is reading, at least")
-	fl.Float64Var(&f.high, "high", 0.75, "and at most")
-	fl.Float64Var(&f.load, "load", 0.75, "part of the engines' time that is asked for")
+	fl.DurationVar(&f.period, "period", 20*time.Minute, "period of the change of the mix")
+	fl.Float64Var(&f.low, "low", 0.25, "smallest fraction of the work that is reading")
+	fl.Float64Var(&f.high, "high", 0.75, "largest fraction of the work that is reading")
+	fl.Float64Var(&f.load, "load", 0.75, "fraction of the engines' capacity that is requested")
 	fl.IntVar(&f.engines, "engines", 12, "engines")
-	f.read, f.write = swing.Standard()
+	f.read, f.write = swing.StandardRates()
 }
 
 func (f *swingFlags) swing(shape string, seed uint64) trace.Swing {
-	return trace.Swing{Shape: shape, Length: f.length, Period: f.period, Low: f.low, High: f.high, Load: f.load, Engines: f.engines, Seed: seed,
+	return trace.Swing{Shape: shape, Length: f.length, Period: f.period, MinReadShare: f.low, MaxReadShare: f.high, Load: f.load, Engines: f.engines, Seed: seed,
 		ReadPerS: f.read, WritePerS: f.write}
 }
 
 func traceCommand() *cobra.Command {
-	cmd := &cobra.Command{Use: "trace", Short: "Make and look at traces of traffic"}
+	cmd := &cobra.Command{Use: "trace", Short: "Generate and show traces of traffic"}
 	var f swingFlags
 	var seed uint64
 	mk := &cobra.Command{
 		Use:   "make SHAPE FILE",
-		Short: "Draw a trace whose mix swings: day, ramps, steps, market, flicker, gusts or burst",
+		Short: "Generate a trace with a changing mix of reading and writing: day, ramps, steps, market, flicker, gusts or burst",
 		Args:  cobra.ExactArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			s := f.swing(args[0], seed)
-			t, err := s.Make()
+			t, err := s.Generate()
 			if err != nil {
 				return err
 			}
@@ -64,16 +64,16 @@
 		},
 	}
 	f.add(mk)
-	mk.Flags().Float64Var(&f.read, "read", f.read, "tokens a second that an engine reads")
-	mk.Flags().Float64Var(&f.write, "write", f.write, "and writes")
+	mk.Flags().Float64Var(&f.read, "read", f.read, "tokens per second that an engine reads")
+	mk.Flags().Float64Var(&f.write, "write", f.write, "tokens per second that an engine writes")
 	mk.Flags().Uint64Var(&seed, "seed", 1, "seed")
 	show := &cobra.Command{
 		Use:   "show FILE",
-		Short: "Say what is in a trace, part by part",
+		Short: "Print the number of requests, their mean lengths and classes for each tenth of a trace",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			t, err := trace.Load(args[0])
-			if err != nil && (t == nil || !errors.Is(err, trace.ErrCutOff)) {
+			if err != nil && (t == nil || !errors.Is(err, trace.ErrTruncated)) {
 				return err
 			}
 			if err != nil {
@@ -86,7 +86,7 @@
 	return cmd
 }
 
-// showTrace prints a trace's requests and means in ten parts.
+// showTrace prints the requests of a trace and their means in ten parts.
 func showTrace(out io.Writer, t *trace.Trace) error {
 	const parts = 10
 	type sum struct {
@@ -103,10 +103,10 @@
 		}
 		s.n++
 		s.classes[e.Class]++
-		s.prompt += float64(e.Prompt)
-		if e.Answer > 0 {
+		s.prompt += float64(e.PromptTokens)
+		if e.OutputTokens > 0 {
 			s.known++
-			s.answer += float64(e.Answer)
+			s.answer += float64(e.OutputTokens)
 		}
 	}
 	fmt.Fprintf(out, "%d requests in %v, classes %s\n\n", len(t.Entries), t.Length().Round(time.Millisecond), strings.Join(t.Classes, ", "))
@@ -134,7 +134,7 @@
 	var verbose bool
 	cmd := &cobra.Command{
 		Use:   "swing",
-		Short: "Measure shifted roles in simulated time: against fixed splits and an oracle that knows the trace",
+		Short: "Compare role changes in simulated time with fixed splits and with an oracle that knows the trace",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			out := cmd.OutOrStdout()
@@ -142,7 +142,7 @@
 			w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 			fmt.Fprintln(w, "swing\tbest fixed\tmean's split\toracle\tshifted\tway\tchanges\tengine-s away\tcold\trules")
 			for _, shape := range strings.Split(shapes, ",") {
-				e := swing.Experiment{Swing: f.swing(shape, 0), Engines: f.engines, Load: f.load, Every: every}
+				e := swing.Experiment{Swing: f.swing(shape, 0), Engines: f.engines, Load: f.load, SplitInterval: every}
 				for _, s := range seeds {
 					e.Seeds = append(e.Seeds, uint64(s))
 				}
@@ -150,30 +150,30 @@
 				if err != nil {
 					return err
 				}
-				var best, mean, oracle, shift, way, changes, away, cold []float64
+				var best, mean, oracle, shift, gapClosed, changes, away, cold []float64
 				rules := "kept"
 				for _, r := range rows {
-					best, mean, oracle, shift = append(best, r.BestFixed), append(mean, r.Mean), append(oracle, r.Oracle), append(shift, r.Shift)
-					if w := r.Way(); !math.IsNaN(w) {
-						way = append(way, w)
+					best, mean, oracle, shift = append(best, r.BestFixedService), append(mean, r.MeanSplitService), append(oracle, r.OracleService), append(shift, r.ShiftService)
+					if w := r.GapClosed(); !math.IsNaN(w) {
+						gapClosed = append(gapClosed, w)
 					}
 					changes = append(changes, float64(r.Changes))
-					away, cold = append(away, r.Away.Seconds()), append(cold, r.Cold.Seconds())
-					if len(r.Broken) > 0 || r.WrongRole > 0 || r.Stuck > 0 {
-						rules = fmt.Sprintf("BROKEN: %v, %d of a role that was left, %d stuck", r.Broken, r.WrongRole, r.Stuck)
+					away, cold = append(away, r.AwayTime.Seconds()), append(cold, r.SlowStartLoss.Seconds())
+					if len(r.Violations) > 0 || r.WrongRoleAttempts > 0 || r.UnfinishedChanges > 0 {
+						rules = fmt.Sprintf("BROKEN: %v, %d of a role that was left, %d stuck", r.Violations, r.WrongRoleAttempts, r.UnfinishedChanges)
 					}
 					if verbose {
-						fmt.Fprintf(out, "%s seed %d: %v\n", shape, r.Seed, r.Result.Readers)
+						fmt.Fprintf(out, "%s seed %d: %v\n", shape, r.Seed, r.Result.Splits)
 					}
 				}
 				cell := func(v []float64, digits int) string {
 					if len(v) == 0 {
 						return "-"
 					}
-					m, h := day.Spread(v)
+					m, h := day.ConfidenceInterval(v)
 					return fmt.Sprintf("%.*f +- %.*f", digits, m, digits, h)
 				}
-				fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", shape, cell(best, 4), cell(mean, 4), cell(oracle, 4), cell(shift, 4), cell(way, 2),
+				fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", shape, cell(best, 4), cell(mean, 4), cell(oracle, 4), cell(shift, 4), cell(gapClosed, 2),
 					cell(changes, 1), cell(away, 0), cell(cold, 0), rules)
 				w.Flush()
 			}
@@ -182,9 +182,9 @@
 	}
 	f.add(cmd)
 	fl := cmd.Flags()
-	fl.StringVar(&shapes, "shapes", "day,ramps,steps,market,flicker,gusts", "shapes, with commas")
-	fl.UintSliceVar(&seeds, "seeds", []uint{1, 2, 3, 4, 5}, "seeds, with commas")
-	fl.IntVar(&every, "every", 1, "fixed splits that are tried: each so many engines")
-	fl.BoolVar(&verbose, "verbose", false, "say when the split changed")
+	fl.StringVar(&shapes, "shapes", "day,ramps,steps,market,flicker,gusts", "shapes of the traces, separated by commas")
+	fl.UintSliceVar(&seeds, "seeds", []uint{1, 2, 3, 4, 5}, "seeds, separated by commas")
+	fl.IntVar(&every, "every", 1, "step between the fixed splits that are tried, in engines")
+	fl.BoolVar(&verbose, "verbose", false, "print when the split changed")
 	return cmd
 }
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -1,44 +1,44 @@
 package decide
 
-// The state of a router and its one event handler. The interface, and a map of the files, are in api.go.
+// The state of a router and its event handler. The interface and an overview of the files are in api.go.
 
 import "math"
 
 // server is what this router knows of one server.
 type server struct {
-	id         ServerID
-	hash       uint64 // of the id
-	zone, cell int
-	role       Role
-	memory     float64
-	ready      bool // rule 3: false from the moment that a list says draining or gone
-	since      Time // last start told
-	leftAt     Time // when it stopped being ready
+	id           ServerID
+	hash         uint64 // of the id
+	zone, cell   int
+	role         Role
+	memoryTokens float64
+	ready        bool // rule 3: false as soon as a list says that it is draining or removed
+	startedAt    Time // last reported start
+	leftAt       Time // when it stopped being ready
 
-	pending   int  // own attempts that wait for a first sign
-	quietFrom Time // with pending > 0: when the wait without any sign began
-	waiting   float64
-	streams   int
-	booked    float64 // prompt tokens of own streams
-	sent      float64 // prompt tokens sent since the last report, less those that ended since
-	share     float64 // reported share of memory, negative while untold
-	queue     float64 // reported tokens that wait there, of all routers
-	toldAt    Time    // when; 0 while untold
-	kept      map[uint64]float64
+	unanswered    int     // own attempts without a first response
+	silentSince   Time    // if unanswered > 0: since when no response has come
+	queuedTokens  float64 // own tokens that wait there to be read
+	streams       int
+	bookedTokens  float64            // prompt tokens of own streams
+	sentTokens    float64            // prompt tokens sent since the last report and not ended yet
+	memoryUse     float64            // reported fraction; negative if not reported
+	reportedQueue float64            // reported tokens that wait there, of all routers
+	reportedAt    Time               // time of that report; 0 if there was none
+	cachedTokens  map[uint64]float64 // by prefix key or session
 
-	answer   float64 // usual time of its answers, over what was expected
-	answers  int
-	answered Time // when the last came
-	failing  float64
-	bench    Duration // 0: in good standing
-	until    Time     // with bench > 0: no trial before
+	responseTime float64 // moving average of response time over expected time
+	responses    int
+	respondedAt  Time     // when the last response time was recorded
+	failureRate  float64  // moving average; 0 is none, 1 is all
+	ejection     Duration // length of the ejection; 0 if healthy
+	ejectedUntil Time     // if ejection > 0: no trial request before
 
-	coldAt   Time    // rule 4: when it was last sent anything, or named first
-	coldWork float64 // the work of that
-	probing  bool
-	probedAt Time
-	checking bool // it is asked whether it can be reached
-	heardAt  Time // when it last gave a sign of any kind
+	coldSentAt    Time    // rule 4: when it was last sent an attempt, or else first listed
+	coldSentWork  float64 // the work of that attempt
+	probeInFlight bool
+	probedAt      Time
+	reachProbe    bool // a reachability probe is in flight
+	lastResponse  Time // when the last response of any kind came
 }
 
 type stage uint8
@@ -49,119 +49,121 @@
 	streaming
 )
 
-// request is one client's try, from its arrival to the end of all that is held for it.
+// request is a client's request, from its arrival until nothing is held for it any more.
 type request struct {
-	id        RequestID
-	job       Job
-	arrived   Time
-	key       uint64
-	stage     stage
-	attempts  int     // sends so far; the last has the number attempts-1
-	out       *server // where the attempt that is out is
-	tokens    float64 // booked at out
-	expect    float64 // how long the attempt that is out should take, ns
-	state     *server // the reader at which a state waits
-	mayHold   bool    // something may be held for it
-	heldAt    Time    // since when, with no attempt that has come up
-	mayRun    bool    // an attempt may have run
-	runAt     Time    // when the first that may have run was sent
-	runOn     *server
-	tried     []*server
-	asked     []*server // were asked for their load for the next attempt
-	from      *server   // near which writers were asked
-	askAt     Time      // only what was asked by then is waited for
-	alone     bool      // no state is to be had: only a server that reads by itself will do
-	closed    bool
-	sentAt    Time // when the attempt that is out was sent
-	startedAt Time
+	id           RequestID
+	job          Job
+	arrivedAt    Time
+	prefixKey    uint64 // the shared prefix, or else the session
+	stage        stage
+	attempts     int     // sends so far; the last one has the number attempts-1
+	sentTo       *server // server of the attempt in flight; nil if there is none
+	bookedTokens float64 // booked at sentTo
+	expectedTime float64 // how long the attempt in flight should take, in ns
+	stateAt      *server // the reader that holds the KV state
+	mayHold      bool    // servers may hold something for the request
+	holdStart    Time    // start of the hold timer, which pauses during an attempt that reaches its server
+	mayHaveRun   bool    // an attempt may have executed the request
+	firstRunAt   Time    // when the first such attempt was sent
+	firstRunOn   *server
+	tried        []*server
+	probed       []*server // servers probed for their load before the next attempt
+	probedNear   *server   // the reader near which writers were probed
+	probesSentAt Time      // only probes sent by then are waited for
+	needsMixed   bool      // there is no KV state to be had: only a server that also reads will do
+	closed       bool
+	sentAt       Time // when the attempt in flight was sent
+	streamStart  Time
 }
 
-// Router decides for one router process.
+// Router makes the decisions of one router process.
 type Router struct {
-	set       *Settings
-	rng       uint64
-	now       Time
-	servers   map[ServerID]*server
-	order     []*server // by id, so that no decision hangs on map order
-	readers   []*server // of order, the ready ones that only read
-	writers   []*server // of order, the ready ones that write
-	warm      warmCount
-	coldRate  [Both + 1]float64 // budget of a cold server by role, of the event under way; 0: not worked out
-	requests  map[RequestID]*request
-	out       []Action
-	pace      float64 // ns to read one token
-	found     float64 // usual share of a shared text found kept where this router had not sent it
-	leastAim  Duration
-	mostWorth float64
-	many      bool       // more than 2*fewRouters: of fewer, own reads tell a queue sooner than late reports
-	dones     [3]rate    // by stage, weighed by their work (1 is the mean)
-	perWarm   [3]float64 // work a second of a warm server, for this router; kept while there is none
-	meanWork  [3]float64 // of one send at a stage
-	moved     [3]float64 // usual time to a first token by the distance of the move, ns
-	movedAt   [3]Time
-	room      map[int]float64 // by cell, see countCells
-	probes    float64         // that may still be sent
-	again     float64         // time-outs that may still lead to another attempt
-	work      []classWork
-	times     [Both + 1][]float64 // answer times by role in order, see usual
-	timed     [Both + 1]bool
-	tenants   []tenant
-	asking    []*request // wait for readers' answers, in the order of their arrival
-	unwatched bool       // an asking for the list has failed
-	unsure    []unsure   // attempts that have shown no sign, in the order in which they were sent
-	shutdown  *Shutdown  // nil: the router was not told to end
+	cfg              *Settings
+	rng              uint64
+	now              Time
+	servers          map[ServerID]*server
+	byID             []*server // ordered by id, so that no decision depends on map order
+	readers          []*server // of byID, the ready ones that only read
+	writers          []*server // of byID, the ready ones that write
+	warm             warmCount
+	slowStartBudgets [Both + 1]float64 // of a cold server by role, for the current event; 0 if not computed
+	requests         map[RequestID]*request
+	actions          []Action
+	nsPerToken       float64 // read time per token
+	cachedShare      float64 // typical cached fraction of a shared prefix that this router had not sent there
+	minTarget        Duration
+	maxValue         float64
+	manyRouters      bool       // more than 2*fewRouters: then own reads show too little of a server's queue
+	completedWork    [3]rate    // by stage, in units of the mean work
+	workPerWarm      [3]float64 // work per second of a warm server for this router; kept while none is warm
+	meanWork         [3]float64 // of one send, by stage
+	transferTime     [3]float64 // typical time to a first token by distance of the transfer, in ns
+	transferAt       [3]Time
+	cellRoom         map[int]float64 // by cell, see updateCellRoom
+	probeBudget      float64         // probes that may still be sent
+	timeoutBudget    float64         // timeouts that may still lead to another attempt
+	classWork        []classWork
+	sortedTimes      [Both + 1][]float64 // response times by role in ascending order, see typicalTime
+	timesSorted      [Both + 1]bool
+	tenants          []tenant
+	awaitingProbes   []*request           // wait for probes of readers, in order of arrival
+	watchFailed      bool                 // a watch of the server list has failed
+	unconfirmed      []unconfirmedAttempt // in flight without a response, in order of sending
+	shutdown         *Shutdown            // nil until the router is told to shut down
 }
 
-// tenant is what is left of this router's part of a tenant's share.
+// tenant is a token bucket with this router's part of a tenant's quota.
 type tenant struct {
-	left float64 // requests
-	at   Time
+	remaining float64 // requests
+	updatedAt Time
 }
 
-// classWork is the mean work of a class, as far as seen.
-type classWork struct{ prompt, answer float64 }
+// classWork is the mean work of a class's requests: prompt tokens, and the duration of the answer in ns.
+type classWork struct{ prompt, answerTime float64 }
 
-// New returns a router that knows nothing but its settings.
-func New(set *Settings, seed uint64, now Time) *Router {
-	r := &Router{set: set, rng: seed, now: now, pace: startPace,
-		servers: map[ServerID]*server{}, requests: map[RequestID]*request{}, room: map[int]float64{}}
-	r.leastAim = math.MaxInt64
-	for _, c := range set.Classes {
-		r.leastAim = min(r.leastAim, c.Aim)
-		r.mostWorth = max(r.mostWorth, c.Worth)
-		r.work = append(r.work, classWork{prompt: thousand, answer: float64(c.Aim)})
+// New returns a router that knows no servers yet.
+func New(cfg *Settings, seed uint64, now Time) *Router {
+	r := &Router{cfg: cfg, rng: seed, now: now, nsPerToken: initialNsPerToken,
+		servers: map[ServerID]*server{}, requests: map[RequestID]*request{}, cellRoom: map[int]float64{}}
+	r.minTarget = math.MaxInt64
+	for _, c := range cfg.Classes {
+		r.minTarget = min(r.minTarget, c.FirstTokenTarget)
+		r.maxValue = max(r.maxValue, c.Value)
+		r.classWork = append(r.classWork,
+			classWork{prompt: thousand, answerTime: float64(c.FirstTokenTarget)})
 	}
-	r.again, r.many = againMost, set.Routers > 2*fewRouters
-	r.tenants = make([]tenant, len(set.Tenants))
+	r.timeoutBudget, r.manyRouters = maxTimeoutBudget, cfg.Routers > 2*fewRouters
+	r.tenants = make([]tenant, len(cfg.Tenants))
 	return r
 }
 
-// Handle takes one event and appends the actions that answer it.
+// Handle processes one event and appends the resulting actions to out.
 func (r *Router) Handle(now Time, ev *Event, out []Action) []Action {
-	r.now, r.out = now, out
-	r.coldRate = [Both + 1]float64{}
+	r.now, r.actions = now, out
+	r.slowStartBudgets = [Both + 1]float64{}
 	switch ev.Kind {
 	case ListChanged, ListFull, ListCached:
-		r.list(ev)
+		r.updateList(ev)
 	case ListFailed:
-		r.unwatched = true
+		r.watchFailed = true
 	case Arrived:
 		r.arrive(ev)
 	case FirstToken:
-		r.first(ev)
-	case Ended:
-		r.ended(ev)
-	case ClientGone:
-		r.clientGone(ev.Request)
+		r.firstToken(ev)
+	case AttemptEnded:
+		r.attemptEnded(ev)
+	case ClientLeft:
+		r.clientLeft(ev.Request)
 	case Probed:
-		r.probed(ev)
+		r.probeEnded(ev)
 	case Timer:
-		r.tick()
+		r.periodicCheck()
 	case ShuttingDown:
 		r.shutDown(ev.Shutdown)
 	}
-	out, r.out = r.out, nil
+	out, r.actions = r.actions, nil
 	return out
 }
 
-func (r *Router) act(a Action) { r.out = append(r.out, a) }
+// emit adds an action to the answer of the current event.
+func (r *Router) emit(a Action) { r.actions = append(r.actions, a) }
--- a/decide/probing.go
+++ b/decide/probing.go
@@ -1,141 +1,152 @@
 package decide
 
-// Asking servers for their load: before a pick, where routers are many, and at a pace set by the price of
-// probes.
+// Load probes: before routing, if there are many routers, and otherwise at a rate that is limited by their
+// cost.
 
 import "slices"
 
-// asks tells whether servers are asked before they are picked: by many routers, where it is cheap.
-func (r *Router) asks() bool { return r.many && r.set.Probing && r.set.ProbeFee*askMost <= askPoints }
+// probesBeforeRouting reports whether servers are probed before one is picked: with many routers, if probes
+// are cheap.
+func (r *Router) probesBeforeRouting() bool {
+	return r.manyRouters && r.cfg.Probing && r.cfg.ProbeCost*maxProbedReaders <= maxRoutingProbeCost
+}
 
-// askWriters asks writers near a reader, so that the refusal and the pick go by what they say then.
-func (r *Router) askWriters(q *request, from *server) {
-	if !r.asks() || q.from != nil && q.from.cell == from.cell {
+// probeWriters probes probePair writers near a reader, so that admission and the choice of a writer use their
+// current load.
+func (r *Router) probeWriters(q *request, from *server) {
+	if !r.probesBeforeRouting() || q.probedNear != nil && q.probedNear.cell == from.cell {
 		return
 	}
-	q.from = from
-	q.asked = slices.DeleteFunc(q.asked, func(s *server) bool { return s.role != Reader })
-	for range askPair {
+	q.probedNear = from
+	q.probed = slices.DeleteFunc(q.probed, func(s *server) bool { return s.role != Reader })
+	for range probePair {
 		if s := r.pickWriter(q, false); s != nil {
-			q.asked = append(q.asked, s)
+			q.probed = append(q.probed, s)
 			r.probe(s)
 		}
 	}
 }
 
-// ask asks the next readers of the walk from a key's home for their load, and tells whether the request has
-// to wait for an answer. No second time-out is waited for, and none by who has little time left.
-func (r *Router) ask(q *request) bool {
-	roomy := func(s *server) bool { return s.role == Reader && r.told(s) && r.hasRoom(q, s) }
-	if !r.asks() || r.now-q.arrived > r.set.DialTimeout || q.job.Deadline-r.now < 2*r.set.DialTimeout ||
-		slices.ContainsFunc(q.asked, roomy) {
+// probeReaders probes the next readers in the rendezvous order of the request's prefix, and reports whether
+// the request has to wait for their responses. A request that has already waited for one timeout, or has
+// little time left, does not wait.
+func (r *Router) probeReaders(q *request) bool {
+	hasRoom := func(s *server) bool { return s.role == Reader && r.hasFreshReport(s) && r.hasRoom(q, s) }
+	if !r.probesBeforeRouting() || r.now-q.arrivedAt > r.cfg.DialTimeout ||
+		q.job.Deadline-r.now < 2*r.cfg.DialTimeout || slices.ContainsFunc(q.probed, hasRoom) {
 		return false
 	}
-	walk := r.nextInWalk(q)
+	next := r.nextToProbe(q)
 	waits := false
-	if len(walk) > 0 && len(q.asked) == 0 {
-		r.askWriters(q, walk[0])
+	if len(next) > 0 && len(q.probed) == 0 {
+		r.probeWriters(q, next[0])
 	}
-	for _, s := range walk[:max(0, min(askPair+askMost-len(q.asked), len(walk)))] {
-		q.asked = append(q.asked, s)
-		if !r.told(s) {
+	for _, s := range next[:max(0, min(probePair+maxProbedReaders-len(q.probed), len(next)))] {
+		q.probed = append(q.probed, s)
+		if !r.hasFreshReport(s) {
 			waits = true
 			r.probe(s)
 		}
 	}
-	if q.askAt = r.now; waits {
-		r.asking = append(r.asking, q)
+	if q.probesSentAt = r.now; waits {
+		r.awaitingProbes = append(r.awaitingProbes, q)
 	}
 	return waits
 }
 
-// nextInWalk returns the next askPair readers of the walk from a key's home that were not asked yet.
-func (r *Router) nextInWalk(q *request) []*server {
-	next := make([]*server, 0, askPair+1)
+// nextToProbe returns the next probePair readers, in the rendezvous order of the request's prefix, that were
+// not yet probed for it.
+func (r *Router) nextToProbe(q *request) []*server {
+	next := make([]*server, 0, probePair+1)
 	for _, s := range r.readers {
-		near := q.nearness(s)
-		if len(next) == askPair && near <= q.nearness(next[askPair-1]) || slices.Contains(q.asked, s) ||
-			!r.candidate(q, s, reading, true) {
+		score := q.rendezvousScore(s)
+		if len(next) == probePair && score <= q.rendezvousScore(next[probePair-1]) ||
+			slices.Contains(q.probed, s) || !r.isCandidate(q, s, reading, true) {
 			continue
 		}
 		at := len(next)
-		for at > 0 && near > q.nearness(next[at-1]) {
+		for at > 0 && score > q.rendezvousScore(next[at-1]) {
 			at--
 		}
 		next = slices.Insert(next, at, s)
-		next = next[:min(len(next), askPair)]
+		next = next[:min(len(next), probePair)]
 	}
 	return next
 }
 
+// probe sends a load probe to a server, unless one is in flight.
 func (r *Router) probe(s *server) {
-	if !s.probing {
-		s.probing, s.probedAt = true, r.now
-		r.act(Action{Kind: Probe, Server: s.id})
+	if !s.probeInFlight {
+		s.probeInFlight, s.probedAt = true, r.now
+		r.emit(Action{Kind: Probe, Server: s.id})
 	}
 }
 
-// heard goes on with the requests that wait for no answer any more.
-func (r *Router) heard() {
-	waiting := r.asking
-	r.asking = nil
+// resumeProbed continues with the requests that no longer wait for a probe.
+func (r *Router) resumeProbed() {
+	waiting := r.awaitingProbes
+	r.awaitingProbes = nil
 	for _, q := range waiting {
-		if slices.ContainsFunc(q.asked, func(s *server) bool { return s.probing && s.probedAt <= q.askAt }) {
-			r.asking = append(r.asking, q)
-		} else if !q.closed && !r.ask(q) {
+		if slices.ContainsFunc(q.probed,
+			func(s *server) bool { return s.probeInFlight && s.probedAt <= q.probesSentAt }) {
+			r.awaitingProbes = append(r.awaitingProbes, q)
+		} else if !q.closed && !r.probeReaders(q) {
 			r.admit(q)
 		}
 	}
 }
 
-// tick looks after what no event brings up.
-func (r *Router) tick() {
-	r.act(Action{Kind: WakeMe, After: tickEvery})
-	if r.unwatched && r.random() < watchChance {
-		r.unwatched = false
-		r.act(Action{Kind: Watch})
-	}
-	if !r.set.Probing {
+// periodicCheck does what no event triggers: it repeats a failed watch, checks unconfirmed attempts and sends
+// the probes that the budget allows.
+func (r *Router) periodicCheck() {
+	r.emit(Action{Kind: SetTimer, After: checkInterval})
+	if r.watchFailed && r.random() < watchChance {
+		r.watchFailed = false
+		r.emit(Action{Kind: WatchList})
+	}
+	if !r.cfg.Probing {
 		return
 	}
-	r.lookAtWaits()
-	for ; r.probes >= 1; r.probes-- {
+	r.checkUnconfirmed()
+	for ; r.probeBudget >= 1; r.probeBudget-- {
 		var next *server
-		for _, s := range r.order {
-			if s.ready && !s.probing && (next == nil || s.probedAt < next.probedAt) {
+		for _, s := range r.byID {
+			if s.ready && !s.probeInFlight && (next == nil || s.probedAt < next.probedAt) {
 				next = s
 			}
 		}
-		if next == nil || r.now-next.probedAt < probeFastest {
+		if next == nil || r.now-next.probedAt < minProbeInterval {
 			return
 		}
 		r.probe(next)
 	}
 }
 
-func (r *Router) probed(ev *Event) {
+// probeEnded processes the outcome of a probe.
+func (r *Router) probeEnded(ev *Event) {
 	s := r.servers[ev.Server]
 	if s == nil {
 		return
 	}
-	if !ev.Fresh {
-		s.probing = false
+	if !ev.NewConnection {
+		s.probeInFlight = false
 	}
-	r.reached(s, ev)
+	r.recordReachability(s, ev)
 	if ev.Outcome == Served {
-		r.report(s, ev.Report)
+		r.recordReport(s, ev.Report)
 	} else {
-		r.bad(s, ev.Outcome == ConnectFailed)
+		r.recordFailure(s, ev.Outcome == ConnectFailed)
 	}
-	r.heard()
+	r.resumeProbed()
 }
 
-// report takes in a load report. One that repeats the last share is the old one told again.
-func (r *Router) report(s *server, rep Report) {
-	if rep.MemoryShare >= 0 && rep.MemoryShare != s.share {
-		s.share, s.sent = rep.MemoryShare, 0
-	}
-	if rep.WaitingK >= 0 || rep.MemoryShare >= 0 {
-		s.queue, s.toldAt = max(0, rep.WaitingK)*thousand, r.now
+// recordReport processes a load report. If the memory use is unchanged, the report counts as a repetition of
+// the last one, and the tokens sent since that are still added to it.
+func (r *Router) recordReport(s *server, rep Report) {
+	if rep.MemoryUse >= 0 && rep.MemoryUse != s.memoryUse {
+		s.memoryUse, s.sentTokens = rep.MemoryUse, 0
+	}
+	if rep.QueuedKTokens >= 0 || rep.MemoryUse >= 0 {
+		s.reportedQueue, s.reportedAt = max(0, rep.QueuedKTokens)*thousand, r.now
 	}
 }
--- /dev/null
+++ b/internal/front/chat/client_leave_test.go
@@ -0,0 +1,133 @@
+package chat
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"strings"
+	"testing"
+
+	"mintdoor/internal/engine"
+)
+
+// bigMessage returns a request with a body that is larger than the connection's buffer.
+func bigMessage(id string) string {
+	text := `{"model":"chat","x":"` + strings.Repeat("y", 5*readBufferSize) + `"}`
+	return message(id, fmt.Sprintf("Content-Length: %d", len(body)), fmt.Sprintf("Content-Length: %d", len(text)), body, text)
+}
+
+// writeAfter returns a write function that writes its answer after a value arrives from gate.
+func writeAfter(gate chan bool) func(context.Context, func(string) error) engine.Result {
+	return func(ctx context.Context, sink func(string) error) engine.Result {
+		select {
+		case <-gate:
+			return writeAnswer(ctx, sink)
+		case <-ctx.Done():
+			return hang(ctx, sink)
+		}
+	}
+}
+
+// A client leaves after it has sent further data, in one piece or in several. The open request ends, and none of the
+// requests in that data is started.
+func TestClientLeavesAfterFurtherData(t *testing.T) {
+	for name, pieces := range map[string][]string{
+		"half a line":             {"PO"},
+		"half a line, in pieces":  {"P", "OS", "T /v1"},
+		"a request":               {message("b")},
+		"more than the buffer":    {bigMessage("b")},
+		"many requests in pieces": {message("b"), bigMessage("c"), message("d"), "POST"},
+	} {
+		t.Run(name, func(t *testing.T) {
+			tf := startFront(t, hang, nil)
+			c, _ := tf.dial()
+			io.WriteString(c, message("a"))
+			tf.eventually("taken", func() bool { return tf.router.Stats().Sends == 2 })
+			for _, p := range pieces {
+				before := tf.front.conns.readsWhileOpen.Load()
+				io.WriteString(c, p)
+				tf.eventually("seen", func() bool { return tf.front.conns.readsWhileOpen.Load() > before })
+			}
+			c.Close()
+			tf.eventually("gone", func() bool { return tf.router.Stats().Gone == 1 && tf.router.Stats().Open == 0 })
+			tf.eventually("closed", func() bool { return tf.front.OpenConns() == 0 })
+			if n := tf.router.Stats().Sends; n != 2 {
+				t.Errorf("%d attempts, want the read and the write of the first request", n)
+			}
+			if n := tf.front.bodyMemory.Load(); n != 0 {
+				t.Errorf("%d bytes still count towards the memory limit", n)
+			}
+		})
+	}
+}
+
+// Requests that were read ahead are served in order once the request before them has ended.
+func TestPipelinedPastTheBuffer(t *testing.T) {
+	gate := make(chan bool)
+	tf := startFront(t, writeAfter(gate), nil)
+	c, br := tf.dial()
+	io.WriteString(c, message("a")+bigMessage("b")+bigMessage("c")+message("d", "Class: chat", "Class: chess"))
+	tf.eventually("read ahead", func() bool { return tf.front.bodyMemory.Load() > 0 })
+	close(gate)
+	for _, want := range []int{200, 200, 200, 400} {
+		if resp, _, err := readAnswer(t, br); resp.StatusCode != want || err != nil {
+			t.Fatalf("status %d, %v; want %d", resp.StatusCode, err, want)
+		}
+	}
+	tf.eventually("memory returned", func() bool { return tf.front.bodyMemory.Load() == 0 })
+}
+
+// Closing a connection with unread data resets it, and the answer may be lost. After the last answer the connection
+// is therefore first closed for sending, and data that still arrives is read but not served.
+func TestLastAnswerIsNotReset(t *testing.T) {
+	gate := make(chan bool)
+	tf := startFront(t, writeAfter(gate), func(o *Options) { o.MaxBodyMemory = 3 * readBufferSize })
+	c, br := tf.dial()
+	io.WriteString(c, message("a"))
+	tf.eventually("taken", func() bool { return tf.router.Stats().Sends == 2 })
+	tf.front.BeginShutdown()
+	io.WriteString(c, bigMessage("b")) // larger than the read-ahead: some of it stays unread
+	close(gate)
+	resp, got, err := readAnswer(t, br)
+	if resp.StatusCode != 200 || got != eventA+eventEnd || err != nil {
+		t.Fatalf("%+v %q %v", resp, got, err)
+	}
+	if n, err := io.Copy(io.Discard, br); n != 0 || err != nil {
+		t.Errorf("after the answer %d bytes and %v, want EOF", n, err)
+	}
+	c.Close()
+	tf.eventually("closed", func() bool { return tf.front.OpenConns() == 0 })
+	if n := tf.router.Stats().Sends; n != 2 {
+		t.Errorf("%d attempts: a request read after the last answer was served", n)
+	}
+}
+
+// A lingering connection is the first one that is closed to make room.
+func TestLingeringConnectionIsEvictedFirst(t *testing.T) {
+	tf := startFront(t, writeAnswer, func(o *Options) { o.MaxConns = 1 })
+	c, br := tf.dial()
+	io.WriteString(c, strings.Replace(message("a"), "Host:", "Connection: close\r\nHost:", 1))
+	if resp, _, err := readAnswer(t, br); resp.StatusCode != 200 || err != nil {
+		t.Fatalf("%d %v", resp.StatusCode, err)
+	}
+	next, nextBr := tf.dial() // the first client has not closed its connection
+	io.WriteString(next, message("b"))
+	resp, err := http.ReadResponse(nextBr, nil)
+	if err != nil || resp.StatusCode != 200 {
+		t.Errorf("%v %v", resp, err)
+	}
+}
+
+// If the memory for bodies is used up, nothing is read ahead and no memory is counted for it.
+func TestReadAheadWithoutBodyMemory(t *testing.T) {
+	f := New(Options{MaxBodyMemory: readBufferSize - 1}, nil)
+	c := &conn{front: f}
+	if err := c.readAhead(); !errors.Is(err, errNoBodyMemory) {
+		t.Errorf("got %v", err)
+	}
+	if n := f.bodyMemory.Load(); n != 0 || c.readAheadMemory != 0 {
+		t.Errorf("%d bytes are counted, %d for this connection", n, c.readAheadMemory)
+	}
+}
